--- a/routing/tests/positions.rs
+++ b/routing/tests/positions.rs
@@ -16,7 +16,7 @@
         let reads = [ANY_READ, LONG_READ, BOUNDED_READ].map(|method| harness.arrive(method, 0, 1.0));
         assert!(
             reads.iter().all(|request| harness.open_requests[request].in_flight.is_none()),
-            "{lag_handling:?}: no replica is told to have it"
+            "{lag_handling:?}: no replica has reported it"
         );
         harness.health_check_ended(
             2,
@@ -30,189 +30,132 @@
     }
 }
 
-/// A router that remembers sessions' writes by itself, with one primary and one replica.
-fn policy_with_remembered_positions() -> (RoutingPolicy, Timestamp, Vec<Action>) {
-    let mut routing_settings = routing_settings(LagHandling::ServeStale);
-    routing_settings.clients_hold_positions = false;
-    routing_settings.methods[ANY_READ].access = Access::SessionRead;
-    let (now, mut actions) = (Timestamp(1_000_000_000_000), Vec::new());
-    let mut policy = RoutingPolicy::new(1, &routing_settings, now, &mut actions);
-    let entry = |endpoint| EndpointRecord {
-        endpoint,
-        group: 0,
-        zone: 0,
-        status: EndpointStatus::Serving,
-        primary: endpoint == 0,
-        started_at: None,
-        start_presumed: false,
-    };
-    policy.on_event(
-        now,
-        Event::EndpointList { complete: true, records: vec![entry(0), entry(1)] },
-        &mut actions,
-    );
-    (policy, now, actions)
+/// A router that remembers sessions' writes by itself, with one primary (0) and one replica (1), and the actions
+/// that it has asked for since the last arrival.
+struct SessionRouter {
+    policy: RoutingPolicy,
+    actions: Vec<Action>,
+}
+
+impl SessionRouter {
+    fn new() -> SessionRouter {
+        let mut routing_settings = routing_settings(LagHandling::ServeStale);
+        routing_settings.clients_hold_positions = false;
+        routing_settings.methods[ANY_READ].access = Access::SessionRead;
+        let (policy, actions) = policy_at_start(1, &routing_settings);
+        let mut router = SessionRouter { policy, actions };
+        let records = vec![serving_record(0, true), serving_record(1, false)];
+        router.report(START, Event::EndpointList { complete: true, records });
+        router
+    }
+
+    fn report(&mut self, now: Timestamp, event: Event) {
+        self.policy.on_event(now, event, &mut self.actions);
+    }
+
+    /// A health check at `now` finds `endpoint` at `position`.
+    fn check(&mut self, now: Timestamp, endpoint: EndpointIndex, position: Timestamp) {
+        let role = if endpoint == 0 { Role::Primary } else { Role::Replica };
+        self.report(now, health_check_succeeded(endpoint, endpoint_report(position, role)));
+    }
+
+    /// A request of `session` arrives at `now` with a deadline 2 s later; the actions before it are cleared.
+    fn arrive(&mut self, now: Timestamp, request: RequestId, method: MethodIndex, session: u64) {
+        self.actions.clear();
+        let deadline = now + TimeDelta::from_millis(2_000);
+        let arrival = RequestArrival { session: Some(session), ..arrival(request, method, now, deadline) };
+        self.report(now, Event::RequestArrived(arrival));
+    }
+
+    /// The endpoint of the first attempt of `request` since the last arrival, if there is one.
+    fn sent_to(&self, request: RequestId) -> Option<EndpointIndex> {
+        attempt_started(&self.actions, request)
+    }
+
+    /// Whether an attempt of `request` went to `endpoint` since the last arrival.
+    fn starts(&self, request: RequestId, endpoint: EndpointIndex) -> bool {
+        self.actions.iter().any(|action| {
+            matches!(action, Action::StartAttempt { request: started, endpoint: to, .. }
+                if *started == request && *to == endpoint)
+        })
+    }
+
+    /// Whether a read of session 7 that arrives at `now`, when the replica reports `position`, goes to the replica.
+    fn read_goes_to_replica(&mut self, now: Timestamp, position: Timestamp) -> bool {
+        self.check(now, 1, position);
+        self.arrive(now, 2, ANY_READ, 7);
+        self.starts(2, 1)
+    }
+}
+
+/// A router whose primary reported at [`START`], with write 1 of session 7 out there since then.
+fn with_write_out() -> SessionRouter {
+    let mut router = SessionRouter::new();
+    router.check(START, 0, START);
+    router.arrive(START, 1, WRITE, 7);
+    assert!(router.starts(1, 0), "the write goes to the primary");
+    router
 }
 
 #[test]
 fn positions_of_old_sessions_are_dropped_and_no_session_is_shown_less() {
-    let (mut policy, start, mut actions) = policy_with_remembered_positions();
-    let probe = |policy: &mut RoutingPolicy,
-                 now: Timestamp,
-                 endpoint: EndpointIndex,
-                 at: Timestamp,
-                 actions: &mut Vec<Action>| {
-        let role = Some(if endpoint == 0 { Role::Primary } else { Role::Replica });
-        let load_report = EndpointReport { position: Some(at), role, load: None };
-        policy.on_event(
-            now,
-            Event::HealthCheckEnded {
-                endpoint,
-                outcome: AttemptOutcome::Succeeded,
-                elapsed: TICK,
-                report: load_report,
-            },
-            actions,
-        );
-    };
-    let arrive =
-        |policy: &mut RoutingPolicy, now: Timestamp, request, method, key, actions: &mut Vec<Action>| {
-            let (session, deadline) = (Some(key), now + TimeDelta::from_millis(2_000));
-            let (last_write, seen_position, client_retry) = (None, None, false);
-            let new = RequestArrival {
-                request,
-                method,
-                group: 0,
-                session,
-                last_write,
-                seen_position,
-                received_at: now,
-                deadline,
-                client_retry,
-            };
-            policy.on_event(now, Event::RequestArrived(new), actions);
-        };
-    let to = |actions: &[Action], request: RequestId| {
-        actions.iter().find_map(|action| match action {
-            Action::StartAttempt { request: sent, endpoint, .. } if *sent == request => Some(*endpoint),
-            _ => None,
-        })
-    };
-    probe(&mut policy, start, 0, start, &mut actions);
-    probe(&mut policy, start, 1, start, &mut actions);
-    // Far more sessions than are kept write, each once; the replica stands still, so none may be let go for
+    let mut router = SessionRouter::new();
+    router.check(START, 0, START);
+    router.check(START, 1, START);
+    // Far more sessions than are tracked write, each once; the replica stands still, so none may be dropped for
     // free.
-    let (many, mut now) = (80_000u64, start);
-    for key in 0..many {
+    let (many, mut now) = (80_000u64, START);
+    for session in 0..many {
         now = now + TimeDelta(10_000);
-        actions.clear();
-        arrive(&mut policy, now, key, WRITE, key, &mut actions);
-        if to(&actions, key).is_some() {
-            let answer_report = EndpointReport { position: Some(now), role: Some(Role::Primary), load: None };
-            let (attempt, outcome, elapsed, request_closed, load_report) =
-                (0, AttemptOutcome::Succeeded, TimeDelta(1), true, EndpointReport::default());
-            let write_session = Some(key);
+        router.arrive(now, session, WRITE, session);
+        if router.sent_to(session).is_some() {
             let end = AttemptEnd {
-                request: key,
-                attempt,
-                endpoint: 0,
-                outcome,
-                elapsed,
-                request_closed,
-                write_session,
-                answer_report,
-                load_report,
+                request_closed: true,
+                write_session: Some(session),
+                answer_report: endpoint_report(now, Role::Primary),
+                ..attempt_end(session, 0, 0, AttemptOutcome::Succeeded, TimeDelta(1))
             };
-            policy.on_event(now, Event::AttemptEnded(end), &mut actions);
+            router.report(now, Event::AttemptEnded(end));
         }
     }
-    policy.on_event(now, Event::TimerFired { tag: 0 }, &mut actions);
-    assert!(policy.tracked_sessions() <= 1 << 16, "{} are kept", policy.tracked_sessions());
-    // The first session's mark is gone, and it still is not sent to a replica that has not got there.
-    for (request, key) in [(many, 0), (many + 1, many - 1)] {
-        actions.clear();
-        arrive(&mut policy, now, request, ANY_READ, key, &mut actions);
-        assert_ne!(to(&actions, request), Some(1), "session {key}");
+    router.report(now, Event::TimerFired { tag: 0 });
+    let tracked = router.policy.tracked_sessions();
+    assert!(tracked <= 1 << 16, "{tracked} are tracked");
+    // The first session's position is dropped, and it still is not sent to a replica that has not got there.
+    for (request, session) in [(many, 0), (many + 1, many - 1)] {
+        router.arrive(now, request, ANY_READ, session);
+        assert_ne!(router.sent_to(request), Some(1), "session {session}");
     }
-    // Once every endpoint has got there, no mark is left and none is needed. The last write lies anywhere in the
-    // millisecond that was told.
+    // Once every endpoint has got there, no position is left and none is needed. The last write lies anywhere in
+    // the millisecond that was reported.
     now = now + TimeDelta::from_millis(1);
-    probe(&mut policy, now, 0, now, &mut actions);
-    probe(&mut policy, now, 1, now, &mut actions);
-    policy.on_event(now, Event::TimerFired { tag: 0 }, &mut actions);
-    assert_eq!(policy.tracked_sessions(), 0);
-    actions.clear();
-    arrive(&mut policy, now, many + 2, ANY_READ, 3, &mut actions);
-    assert_eq!(to(&actions, many + 2), Some(1));
-}
-
-fn reported(position: Timestamp, role: Role) -> EndpointReport {
-    EndpointReport { position: Some(position), role: Some(role), load: None }
+    router.check(now, 0, now);
+    router.check(now, 1, now);
+    router.report(now, Event::TimerFired { tag: 0 });
+    assert_eq!(router.policy.tracked_sessions(), 0);
+    router.arrive(now, many + 2, ANY_READ, 3);
+    assert_eq!(router.sent_to(many + 2), Some(1));
 }
 
-/// An request of session 7.
-fn session_write(request: RequestId, method: MethodIndex, received_at: Timestamp) -> Event {
-    let (group, session, deadline) = (0, Some(7), received_at + TimeDelta::from_millis(2_000));
-    let (last_write, seen_position, client_retry) = (None, None, false);
-    Event::RequestArrived(RequestArrival {
-        request,
-        method,
-        group,
-        session,
-        last_write,
-        seen_position,
-        received_at,
-        deadline,
-        client_retry,
-    })
-}
-
-/// A write of session 7 runs on the primary, which is asked of the router before it ends; `position` is what
-/// its answer tells. The replica to which a read of the session goes that comes 100 ms later, where the
-/// replica's position stands so far behind the moment of the write's end.
+/// A write of session 7 runs on the primary, whose client may leave before it ends; `position` is how long before
+/// its end the position that its answer reports lies. Whether a read of the session that comes 100 ms later goes
+/// to the replica, whose position lies `behind` before the write's end.
 fn is_shown_after(gone: bool, position: Option<TimeDelta>, behind: TimeDelta) -> bool {
-    let (mut policy, start, mut actions) = policy_with_remembered_positions();
-    let now = start + TimeDelta::from_millis(500);
-    let outcome = AttemptOutcome::Succeeded;
-    let load_report = reported(start, Role::Primary);
-    policy.on_event(
-        start,
-        Event::HealthCheckEnded { endpoint: 0, outcome, elapsed: TICK, report: load_report },
-        &mut actions,
-    );
-    policy.on_event(start, session_write(1, WRITE, start), &mut actions);
-    assert!(actions
-        .iter()
-        .any(|action| matches!(action, Action::StartAttempt { request: 1, endpoint: 0, .. })));
+    let mut router = with_write_out();
+    let now = START + TimeDelta::from_millis(500);
     if gone {
-        policy.on_event(start, Event::ClientGone { request: 1 }, &mut actions);
+        router.report(START, Event::ClientGone { request: 1 });
     }
     let answer_report =
         EndpointReport { position: position.map(|ago| now - ago), role: Some(Role::Primary), load: None };
-    let (request, attempt, endpoint, elapsed, request_closed) = (1, 0, 0, now - start, true);
-    let (write_session, load_report) = (Some(7), EndpointReport::default());
     let end = AttemptEnd {
-        request,
-        attempt,
-        endpoint,
-        outcome,
-        elapsed,
-        request_closed,
-        write_session,
+        request_closed: true,
+        write_session: Some(7),
         answer_report,
-        load_report,
+        ..attempt_end(1, 0, 0, AttemptOutcome::Succeeded, now - START)
     };
-    policy.on_event(now, Event::AttemptEnded(end), &mut actions);
-    let later = now + TimeDelta::from_millis(100);
-    let load_report = reported(now - behind, Role::Replica);
-    policy.on_event(
-        later,
-        Event::HealthCheckEnded { endpoint: 1, outcome, elapsed: TICK, report: load_report },
-        &mut actions,
-    );
-    actions.clear();
-    policy.on_event(later, session_write(2, ANY_READ, later), &mut actions);
-    actions.iter().any(|action| matches!(action, Action::StartAttempt { request: 2, endpoint: 1, .. }))
+    router.report(now, Event::AttemptEnded(end));
+    router.read_goes_to_replica(now + TimeDelta::from_millis(100), now - behind)
 }
 
 #[test]
@@ -227,55 +170,24 @@
         assert!(is_shown_after(gone, Some(ms(5)), ms(4)), "gone {gone}: it is shown");
         assert!(
             !is_shown_after(gone, None, ms(1)),
-            "gone {gone}: where no position is told, it ran just now"
+            "gone {gone}: where no position is reported, it ran just now"
         );
     }
 }
 
-/// A write of session 7 is out, or has ended so. Whether a read of the session that comes 100 ms later may go to
-/// a replica that stood, when it came, so far behind.
-fn is_shown_without_answer(end_attempt: Option<AttemptOutcome>, behind: TimeDelta) -> bool {
-    let (mut policy, start, mut actions) = policy_with_remembered_positions();
-    let (now, outcome) = (start + TimeDelta::from_millis(500), AttemptOutcome::Succeeded);
-    let load_report = reported(start, Role::Primary);
-    policy.on_event(
-        start,
-        Event::HealthCheckEnded { endpoint: 0, outcome, elapsed: TICK, report: load_report },
-        &mut actions,
-    );
-    policy.on_event(start, session_write(1, WRITE, start), &mut actions);
-    assert!(actions
-        .iter()
-        .any(|action| matches!(action, Action::StartAttempt { request: 1, endpoint: 0, .. })));
-    if let Some(outcome) = end_attempt {
-        let (request, attempt, endpoint, elapsed, request_closed) = (1, 0, 0, now - start, false);
-        let (write_session, answer_report, load_report) =
-            (Some(7), EndpointReport::default(), EndpointReport::default());
-        let end = AttemptEnd {
-            request,
-            attempt,
-            endpoint,
-            outcome,
-            elapsed,
-            request_closed,
-            write_session,
-            answer_report,
-            load_report,
-        };
-        policy.on_event(now, Event::AttemptEnded(end), &mut actions);
+/// A write of session 7 is out, or its attempt has ended with `outcome`. Whether a read of the session that comes
+/// 100 ms later may go to the replica, whose position lies `behind` before that.
+fn is_shown_without_answer(outcome: Option<AttemptOutcome>, behind: TimeDelta) -> bool {
+    let mut router = with_write_out();
+    let now = START + TimeDelta::from_millis(500);
+    if let Some(outcome) = outcome {
+        let end = AttemptEnd { write_session: Some(7), ..attempt_end(1, 0, 0, outcome, now - START) };
+        router.report(now, Event::AttemptEnded(end));
     }
     // Where it never ran it is sent again: its client takes it back first.
-    policy.on_event(now, Event::ClientGone { request: 1 }, &mut actions);
+    router.report(now, Event::ClientGone { request: 1 });
     let later = now + TimeDelta::from_millis(100);
-    let load_report = reported(later - behind, Role::Replica);
-    policy.on_event(
-        later,
-        Event::HealthCheckEnded { endpoint: 1, outcome, elapsed: TICK, report: load_report },
-        &mut actions,
-    );
-    actions.clear();
-    policy.on_event(later, session_write(2, ANY_READ, later), &mut actions);
-    actions.iter().any(|action| matches!(action, Action::StartAttempt { request: 2, endpoint: 1, .. }))
+    router.read_goes_to_replica(later, later - behind)
 }
 
 #[test]
--- a/routing/tests/primaries.rs
+++ b/routing/tests/primaries.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
 
-use routing::time::{TimeDelta, Timestamp};
+use routing::time::TimeDelta;
 use routing::*;
 use support::*;
 
@@ -72,129 +72,112 @@
     assert!(in_flight(&mut harness) >= warm, "warm again, and its limit has widened since");
 }
 
-/// Where the request is out just now.
-fn endpoint_of(harness: &Harness, request: RequestId) -> Option<EndpointIndex> {
-    harness.open_requests.get(&request).and_then(|open| open.in_flight).map(|in_flight| in_flight.1)
-}
-
 #[test]
 fn without_health_checks_writes_find_their_primary_and_reads_go_to_everybody() {
     for seed in 0..20 {
         let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, seed);
         let write = harness.arrive(WRITE, 0, 1.0);
-        let first = endpoint_of(&harness, write).expect("somebody has to be asked");
+        let first = harness.endpoint_of(write).expect("somebody has to be asked");
         let second =
             end_attempt(&mut harness, write, AttemptOutcome::NotEligible, Some(false)).expect("another one");
         assert_ne!(first, second);
         let third =
             end_attempt(&mut harness, write, AttemptOutcome::NotEligible, Some(false)).expect("the last one");
         assert!(third != first && third != second);
-        // All have said lately that they are none: it waits, and asks each again after a while.
+        // All have answered lately that they are not the primary: it waits, and asks each again after a while.
         assert_eq!(end_attempt(&mut harness, write, AttemptOutcome::NotEligible, Some(false)), None);
         harness.advance(TimeDelta::from_millis(1_400));
         assert!(
-            harness.answers.contains_key(&write) || endpoint_of(&harness, write).is_none(),
+            harness.answers.contains_key(&write) || harness.endpoint_of(write).is_none(),
             "within what is lately"
         );
         let again = harness.arrive(WRITE, 0, 1.0);
         harness.advance(TimeDelta::from_millis(2_000));
-        let found = endpoint_of(&harness, again).expect("whoever was none may be one now");
+        let found = harness.endpoint_of(again).expect("whoever was none may be one now");
         harness.end(again, AttemptOutcome::Succeeded, Some(true));
         for _ in 0..3 {
             let next = harness.arrive(WRITE, 0, 1.0);
-            assert_eq!(endpoint_of(&harness, next), Some(found), "its answer has told");
+            assert_eq!(harness.endpoint_of(next), Some(found), "its answer has shown it");
             harness.end(next, AttemptOutcome::Succeeded, Some(true));
         }
         // What any member may answer goes to whoever has never spoken, before those with nothing to do.
         let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, seed);
-        let mut heard = Vec::new();
+        let mut answered = Vec::new();
         for _ in 0..3 {
             let read = harness.arrive(ANY_READ, 0, 1.0);
-            heard.extend(endpoint_of(&harness, read));
+            answered.extend(harness.endpoint_of(read));
             harness.end(read, AttemptOutcome::Succeeded, Some(false));
         }
-        heard.sort_unstable();
-        assert_eq!(heard, [0, 1, 2]);
+        answered.sort_unstable();
+        assert_eq!(answered, [0, 1, 2]);
     }
 }
 
 #[test]
 fn a_listed_primary_counts_until_the_list_or_the_endpoint_says_otherwise() {
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 3);
-    let says = |harness: &mut Harness, endpoint: EndpointIndex, primary: bool| {
+    let list_as_primary = |harness: &mut Harness, endpoint: EndpointIndex, primary: bool| {
         let records = vec![EndpointRecord { primary, ..harness.entry(endpoint, EndpointStatus::Serving) }];
         harness.report(Event::EndpointList { complete: false, records });
     };
-    says(&mut harness, 1, true);
+    list_as_primary(&mut harness, 1, true);
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert_eq!(endpoint_of(&harness, write), Some(1), "the list says so, and nothing else is known");
-    // An error says who gave it, and is no answer; then the list, which is late, says the same again.
+    assert_eq!(harness.endpoint_of(write), Some(1), "the list names it, and nothing else is known");
+    // An error names the role of who gave it, and is no answer; then the list, which is late, names the same again.
     let Some((attempt, endpoint, sent)) =
         harness.open_requests.get_mut(&write).and_then(|open| open.in_flight.take())
     else {
         panic!("it is out")
     };
-    let (request, outcome, elapsed, request_closed) =
-        (write, AttemptOutcome::Failed, harness.now - sent, false);
-    let (write_session, load_report) = (None, EndpointReport::default());
     let answer_report = EndpointReport { role: Some(Role::Replica), ..EndpointReport::default() };
     harness.open_requests.get_mut(&write).expect("it is live").first_run_at = Some(sent);
-    harness.report(Event::AttemptEnded(AttemptEnd {
-        request,
-        attempt,
-        endpoint,
-        outcome,
-        elapsed,
-        request_closed,
-        write_session,
-        answer_report,
-        load_report,
-    }));
-    says(&mut harness, 1, true);
+    let end = attempt_end(write, attempt, endpoint, AttemptOutcome::Failed, harness.now - sent);
+    harness.report(Event::AttemptEnded(AttemptEnd { answer_report, ..end }));
+    list_as_primary(&mut harness, 1, true);
     let next = harness.arrive(WRITE, 0, 1.0);
-    assert_ne!(endpoint_of(&harness, next), Some(1), "its own word goes before the list's");
-    // Of two that were never heard the list takes one back.
+    assert_ne!(harness.endpoint_of(next), Some(1), "its own answer goes before the list");
+    // Of two that have never answered, the list takes one back.
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 3);
-    says(&mut harness, 2, true);
-    says(&mut harness, 2, false);
-    says(&mut harness, 0, true);
+    list_as_primary(&mut harness, 2, true);
+    list_as_primary(&mut harness, 2, false);
+    list_as_primary(&mut harness, 0, true);
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert_eq!(endpoint_of(&harness, write), Some(0));
+    assert_eq!(harness.endpoint_of(write), Some(0));
 }
 
 #[test]
 fn without_health_checks_no_read_goes_to_a_silent_primary_before_a_write_was_answered() {
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 3);
     let write = harness.arrive(WRITE, 0, 1.0);
-    let primary = endpoint_of(&harness, write).expect("somebody has to be asked");
+    let primary = harness.endpoint_of(write).expect("somebody has to be asked");
     harness.end(write, AttemptOutcome::Succeeded, Some(true));
     let read = harness.arrive(STRONG_READ, 0, 1.0);
-    assert_eq!(endpoint_of(&harness, read), Some(primary));
+    assert_eq!(harness.endpoint_of(read), Some(primary));
     harness.advance(TimeDelta::from_millis(100));
-    while endpoint_of(&harness, read).is_some() {
+    while harness.endpoint_of(read).is_some() {
         harness.end(read, AttemptOutcome::ConnectionLost, None);
     }
     harness.advance(TimeDelta::from_millis(1_000));
     let read = harness.arrive(STRONG_READ, 0, 1.0);
-    assert_eq!(endpoint_of(&harness, read), None, "it may have said, unheard, that it is none");
+    assert_eq!(harness.endpoint_of(read), None, "it may have answered, unseen, that it is not the primary");
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert_eq!(endpoint_of(&harness, write), Some(primary), "who is none turns a write away");
+    assert_eq!(harness.endpoint_of(write), Some(primary), "who is none turns a write away");
     harness.end(write, AttemptOutcome::Succeeded, Some(true));
     let read = harness.arrive(STRONG_READ, 0, 1.0);
-    assert_eq!(endpoint_of(&harness, read), Some(primary));
+    assert_eq!(harness.endpoint_of(read), Some(primary));
 }
 
 #[test]
 fn a_write_to_an_unknown_primary_is_confirmed_only_while_none_is_known_or_ineligible() {
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 1);
     let write = harness.arrive(WRITE, 0, 1.0);
-    let asked = endpoint_of(&harness, write).expect("somebody has to be asked");
+    let asked = harness.endpoint_of(write).expect("somebody has to be asked");
     assert!(harness.policy.confirm_attempt(harness.now, write, 0, asked));
     harness.set_eligibility(0, PrimaryEligibility::Only((asked + 1) % 3));
     assert!(!harness.policy.confirm_attempt(harness.now, write, 0, asked), "another one alone is cleared");
     harness.set_eligibility(0, PrimaryEligibility::Any);
     let other = harness.arrive(KEYED_WRITE, 0, 1.0);
-    let it = endpoint_of(&harness, other).expect("another one is asked");
+    let it = harness.endpoint_of(other).expect("another one is asked");
     harness.end(other, AttemptOutcome::Succeeded, Some(true));
     assert_ne!(asked, it);
     assert!(!harness.policy.confirm_attempt(harness.now, write, 0, asked), "it is known now, and is another");
@@ -225,34 +208,16 @@
 
 #[test]
 fn a_write_goes_to_the_listed_primary_before_that_has_reported() {
-    let routing_settings = routing_settings(LagHandling::ServeStale);
-    let (now, mut actions) = (Timestamp(1_000_000_000_000), Vec::new());
-    let mut policy = RoutingPolicy::new(1, &routing_settings, now, &mut actions);
-    let entry = EndpointRecord {
-        endpoint: 0,
-        group: 0,
-        zone: 0,
-        status: EndpointStatus::Serving,
-        primary: true,
-        started_at: None,
-        start_presumed: false,
-    };
-    policy.on_event(now, Event::EndpointList { complete: true, records: vec![entry] }, &mut actions);
+    let (mut policy, mut actions) = policy_at_start(1, &routing_settings(LagHandling::ServeStale));
+    let now = START;
+    policy.on_event(
+        now,
+        Event::EndpointList { complete: true, records: vec![serving_record(0, true)] },
+        &mut actions,
+    );
     let deadline = now + TimeDelta::from_millis(1000);
     for (request, method) in [(1, STRONG_READ), (2, WRITE)] {
-        let (session, last_write, seen_position, client_retry) = (None, None, None, false);
-        let new = RequestArrival {
-            request,
-            method,
-            group: 0,
-            session,
-            last_write,
-            seen_position,
-            received_at: now,
-            deadline,
-            client_retry,
-        };
-        policy.on_event(now, Event::RequestArrived(new), &mut actions);
+        policy.on_event(now, Event::RequestArrived(arrival(request, method, now, deadline)), &mut actions);
     }
     let sent = actions.iter().filter_map(|action| match action {
         Action::StartAttempt { request, .. } => Some(*request),
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -18,7 +18,7 @@
 
 const RECORDED: &str = include_str!("data/replay.txt");
 const GROUPS: usize = 4;
-const STORES: usize = GROUPS * 3;
+const ENDPOINTS: usize = GROUPS * 3;
 const STEPS: usize = 6_000;
 
 /// Settings under which the same draws are played.
@@ -56,9 +56,9 @@
     routing_settings: RoutingSettings,
     now: Timestamp,
     draws: Mwc,
-    next_rpc: RequestId,
+    next_request: RequestId,
     attempts: Vec<Attempt>,
-    /// Attempts made, by RPC that is still open.
+    /// Attempts made, by request that is still open.
     open_requests: BTreeMap<RequestId, u32>,
     timers: BTreeSet<(Timestamp, u64)>,
     pending_health_checks: Vec<EndpointIndex>,
@@ -68,15 +68,14 @@
 
 impl Player {
     fn new(routing_settings: RoutingSettings, seed: u64) -> Player {
-        let now = Timestamp(1_000_000_000_000);
-        let mut actions = Vec::new();
-        let policy = RoutingPolicy::new(seed, &routing_settings, now, &mut actions);
+        let (policy, actions) = support::policy_at_start(seed, &routing_settings);
+        let now = support::START;
         let mut player = Player {
             policy,
             routing_settings,
             now,
             draws: Mwc::new(seed ^ 0x5eed),
-            next_rpc: 0,
+            next_request: 0,
             attempts: Vec::new(),
             open_requests: BTreeMap::new(),
             timers: BTreeSet::new(),
@@ -85,7 +84,8 @@
             checksum: 0xcbf2_9ce4_8422_2325,
         };
         player.apply_actions(actions);
-        let records = (0..STORES).map(|endpoint| player.entry(endpoint, EndpointStatus::Serving)).collect();
+        let records =
+            (0..ENDPOINTS).map(|endpoint| player.entry(endpoint, EndpointStatus::Serving)).collect();
         player.report(Event::EndpointList { complete: true, records });
         player
     }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// What a store says of itself: often right, sometimes old, in part, or of a time to come.
+    /// What an endpoint reports of itself: often right, sometimes old, in part, or of a time to come.
     fn endpoint_report(&mut self, endpoint: EndpointIndex) -> EndpointReport {
         let lag = [0, 5, 40, 300, 1_200, -400][self.draw(6)];
         let position = (self.draw(5) > 0).then(|| self.now - TimeDelta::from_millis(lag));
@@ -122,8 +122,8 @@
         let method = self.draw(self.routing_settings.methods.len());
         let deadline = self.now
             + self.routing_settings.methods[method].deadline.mul_f64(0.3 + self.draw(70) as f64 / 100.0);
-        let request = self.next_rpc;
-        self.next_rpc += 1;
+        let request = self.next_request;
+        self.next_request += 1;
         self.open_requests.insert(request, 0);
         let arrival = RequestArrival {
             request,
@@ -148,16 +148,8 @@
         let Attempt { request, number, endpoint, sent } = self.attempts.remove(nth);
         let confirmed = self.policy.confirm_attempt(self.now, request, number, endpoint);
         self.record(&format!("confirms {request} {number} {endpoint} {confirmed}"));
-        let outcomes = [
-            AttemptOutcome::Failed,
-            AttemptOutcome::Rejected,
-            AttemptOutcome::TimedOut,
-            AttemptOutcome::Unreachable,
-            AttemptOutcome::ConnectionLost,
-            AttemptOutcome::Cancelled,
-            AttemptOutcome::NotSent,
-            AttemptOutcome::NotEligible,
-        ];
+        // Every outcome but a success.
+        let outcomes = &support::OUTCOMES[1..];
         let outcome =
             if self.draw(4) > 0 { AttemptOutcome::Succeeded } else { outcomes[self.draw(outcomes.len())] };
         let request_closed =
@@ -167,22 +159,17 @@
         }
         let (answer_report, load_report) = (self.endpoint_report(endpoint), self.endpoint_report(endpoint));
         let write_session = (self.draw(3) == 0).then(|| self.draw(5) as u64);
-        let elapsed = self.now - sent;
-        let end = AttemptEnd {
-            request,
-            attempt: number,
-            endpoint,
-            outcome,
-            elapsed,
+        let end = support::attempt_end(request, number, endpoint, outcome, self.now - sent);
+        self.report(Event::AttemptEnded(AttemptEnd {
             request_closed,
             write_session,
             answer_report,
             load_report,
-        };
-        self.report(Event::AttemptEnded(end));
+            ..end
+        }));
     }
 
-    fn end_probe(&mut self) {
+    fn end_health_check(&mut self) {
         let Some(endpoint) = self.pending_health_checks.pop() else { return };
         let outcome = [
             AttemptOutcome::Succeeded,
@@ -205,7 +192,7 @@
     }
 
     fn change_list(&mut self) {
-        let endpoint = self.draw(STORES);
+        let endpoint = self.draw(ENDPOINTS);
         let status = [
             EndpointStatus::Serving,
             EndpointStatus::Serving,
@@ -233,8 +220,8 @@
         }
     }
 
-    fn advance(&mut self, span: TimeDelta) {
-        let until = self.now + span;
+    fn advance(&mut self, duration: TimeDelta) {
+        let until = self.now + duration;
         while let Some(&due) = self.timers.first().filter(|due| due.0 <= until) {
             self.timers.remove(&due);
             self.now = self.now.max(due.0);
@@ -247,14 +234,14 @@
         match self.draw(24) {
             0..=7 => self.arrive(),
             8..=14 => self.end_attempt(),
-            15..=17 => self.end_probe(),
+            15..=17 => self.end_health_check(),
             18 => self.leave(),
             19 if self.draw(4) == 0 => self.change_list(),
             19 if self.draw(4) == 0 => self.change_eligibility(),
             19 if self.draw(4) == 0 => self.report(Event::EndpointListFailed),
             _ => {
-                let span = TimeDelta::from_millis([0, 1, 4, 20, 90][self.draw(5)]);
-                self.advance(span);
+                let duration = TimeDelta::from_millis([0, 1, 4, 20, 90][self.draw(5)]);
+                self.advance(duration);
             }
         }
     }
@@ -276,7 +263,7 @@
                 }
                 Action::Reject { request, retry_after } => {
                     self.open_requests.remove(&request);
-                    format!("reject {request} {}", retry_after.map_or(-1, |span| span.0))
+                    format!("reject {request} {}", retry_after.map_or(-1, |delay| delay.0))
                 }
                 Action::Abort { request } => {
                     self.open_requests.remove(&request);
--- a/routing/tests/requests.rs
+++ b/routing/tests/requests.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
 
-use routing::time::{TimeDelta, Timestamp};
+use routing::time::TimeDelta;
 use routing::*;
 use support::*;
 
@@ -16,7 +16,7 @@
     let held = harness.arrive(BOUNDED_READ, 0, 1.0);
     assert!(
         harness.open_requests[&held].in_flight.is_none(),
-        "told positions have aged past the bound: held"
+        "reported positions have aged past the bound: held"
     );
     harness.health_check_ended(2, AttemptOutcome::Succeeded, harness.now, false);
     assert_eq!(
@@ -39,48 +39,17 @@
     let mut routing_settings = routing_settings(LagHandling::ServeStale);
     let dedup_window = TimeDelta::from_millis(300);
     routing_settings.methods[WRITE].idempotency = Idempotency::Keyed { all_groups: false, dedup_window };
-    let (start, mut actions) = (Timestamp(1_000_000_000_000), Vec::new());
-    let mut policy = RoutingPolicy::new(1, &routing_settings, start, &mut actions);
-    let (endpoint, group, zone, status) = (0, 0, 0, EndpointStatus::Serving);
-    let entry = EndpointRecord {
-        endpoint,
-        group,
-        zone,
-        status,
-        primary: true,
-        started_at: None,
-        start_presumed: false,
-    };
-    policy.on_event(start, Event::EndpointList { complete: true, records: vec![entry] }, &mut actions);
-    let (session, deadline) = (None, start + TimeDelta::from_millis(3_000));
-    let (request, method, last_write, seen_position, client_retry) = (1, WRITE, None, None, false);
-    let new = RequestArrival {
-        request,
-        method,
-        group,
-        session,
-        last_write,
-        seen_position,
-        received_at: start,
-        deadline,
-        client_retry,
-    };
-    policy.on_event(start, Event::RequestArrived(new), &mut actions);
+    let (mut policy, mut actions) = policy_at_start(1, &routing_settings);
+    let (start, endpoint) = (START, 0);
+    policy.on_event(
+        start,
+        Event::EndpointList { complete: true, records: vec![serving_record(endpoint, true)] },
+        &mut actions,
+    );
+    let write = arrival(1, WRITE, start, start + TimeDelta::from_millis(3_000));
+    policy.on_event(start, Event::RequestArrived(write), &mut actions);
     let broke = start + TimeDelta::from_millis(10);
-    let (outcome, elapsed, request_closed, write_session) =
-        (AttemptOutcome::ConnectionLost, TimeDelta::from_millis(10), false, None);
-    let (answer_report, load_report) = Default::default();
-    let end = AttemptEnd {
-        request,
-        attempt: 0,
-        endpoint,
-        outcome,
-        elapsed,
-        request_closed,
-        write_session,
-        answer_report,
-        load_report,
-    };
+    let end = attempt_end(1, 0, endpoint, AttemptOutcome::ConnectionLost, TimeDelta::from_millis(10));
     policy.on_event(broke, Event::AttemptEnded(end), &mut actions);
     // The endpoint rests for a while after a failure.
     let mut now = broke;
@@ -89,13 +58,8 @@
     };
     while !again(&actions) && now < start + dedup_window {
         now = now + TICK;
-        let load_report = EndpointReport { position: Some(now), role: Some(Role::Primary), load: None };
-        let outcome = AttemptOutcome::Succeeded;
-        policy.on_event(
-            now,
-            Event::HealthCheckEnded { endpoint, outcome, elapsed: TICK, report: load_report },
-            &mut actions,
-        );
+        let load_report = endpoint_report(now, Role::Primary);
+        policy.on_event(now, health_check_succeeded(endpoint, load_report), &mut actions);
         policy.on_event(now, Event::TimerFired { tag: 0 }, &mut actions);
     }
     assert!(again(&actions), "it is repeated within its memory");
@@ -129,7 +93,7 @@
     let read = harness.arrive(BOUNDED_READ, 0, 1.0);
     assert!(
         harness.open_requests[&read].in_flight.is_none(),
-        "nothing told of since proves that it is fresh"
+        "nothing reported since proves that it is fresh"
     );
 }
 
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -5,32 +5,12 @@
 use routing::*;
 use std::collections::BTreeMap;
 
-pub const TICK: TimeDelta = TimeDelta::from_millis(5);
-pub const WRITE: MethodIndex = 0;
-pub const KEYED_WRITE: MethodIndex = 1;
-pub const STRONG_READ: MethodIndex = 2;
-pub const BOUNDED_READ: MethodIndex = 3;
-pub const ANY_READ: MethodIndex = 4;
-pub const LONG_READ: MethodIndex = 5;
-pub const BOUND: TimeDelta = TimeDelta::from_millis(800);
-pub const DEDUP_WINDOW: TimeDelta = TimeDelta::from_millis(3000);
-
-/// What endpoints may do with a read for which they are too stale.
-pub const LAG_HANDLINGS: [LagHandling; 3] =
-    [LagHandling::ServeStale, LagHandling::Reject, LagHandling::Wait(TimeDelta::from_millis(100))];
-/// All outcomes of an attempt.
-pub const OUTCOMES: [AttemptOutcome; 9] = [
-    AttemptOutcome::Succeeded,
-    AttemptOutcome::Failed,
-    AttemptOutcome::Rejected,
-    AttemptOutcome::TimedOut,
-    AttemptOutcome::Unreachable,
-    AttemptOutcome::ConnectionLost,
-    AttemptOutcome::Cancelled,
-    AttemptOutcome::NotSent,
-    AttemptOutcome::NotEligible,
-];
+mod events;
+mod settings;
+pub use events::*;
+pub use settings::*;
 
+/// What the harness knows of a request that still waits for its final answer.
 pub struct OpenRequest {
     pub method: MethodIndex,
     pub group: GroupIndex,
@@ -42,6 +22,7 @@
     pub seen_position: Option<Timestamp>,
 }
 
+/// A routing policy driven by scripted events, whose actions are checked against the rules as they come.
 pub struct Harness {
     pub policy: RoutingPolicy,
     pub routing_settings: RoutingSettings,
@@ -69,44 +50,6 @@
     next: RequestId,
 }
 
-pub fn routing_settings(lag_handling: LagHandling) -> RoutingSettings {
-    let ms = TimeDelta::from_millis;
-    let method = |access, idempotency, soft, deadline, late_value_fraction| MethodSettings {
-        access,
-        idempotency,
-        latency_objective: ms(soft),
-        deadline: ms(deadline),
-        priority_weight: 1.0,
-        late_value_fraction,
-    };
-    let keyed = Idempotency::Keyed { all_groups: false, dedup_window: DEDUP_WINDOW };
-    RoutingSettings {
-        methods: vec![
-            method(Access::Write, Idempotency::NonIdempotent, 500, 3000, 0.5),
-            method(Access::Write, keyed, 500, 5000, 0.5),
-            method(Access::StrongRead, Idempotency::Idempotent, 400, 1500, 0.0),
-            method(Access::BoundedRead(BOUND), Idempotency::Idempotent, 600, 1500, 0.0),
-            method(Access::AnyRead, Idempotency::Idempotent, 500, 2000, 0.2),
-            method(Access::AnyRead, Idempotency::Idempotent, 3000, 6000, 0.0),
-        ],
-        instances: 2,
-        zone: 0,
-        clock_resolution: TICK,
-        lag_handling,
-        clients_hold_positions: true,
-        list_poll_within: Some(ms(10_000)),
-        max_attempts: 6,
-        may_cancel: true,
-        may_check_health: true,
-        max_retry_after: Some(ms(2000)),
-        slow_start_fraction: 0.2,
-        slow_start_duration: ms(16_000),
-        overload_multiple: 2.0,
-        overload_window: ms(2000),
-        unlisted_stay_usable: false,
-    }
-}
-
 impl Harness {
     /// `groups` groups of three: the first member of each is listed as its primary, and all have answered a
     /// health check that says so, with a position of now.
@@ -114,6 +57,7 @@
         Harness::with_instances(2, lag_handling, groups, seed)
     }
 
+    /// As [`Harness::with_reports`], for a router that runs as `instances` instances.
     pub fn with_instances(instances: u32, lag_handling: LagHandling, groups: usize, seed: u64) -> Harness {
         Harness::new(RoutingSettings { instances, ..routing_settings(lag_handling) }, groups, seed)
     }
@@ -128,9 +72,8 @@
     }
 
     fn new(routing_settings: RoutingSettings, groups: usize, seed: u64) -> Harness {
-        let now = Timestamp(1_000_000_000_000);
-        let mut actions = Vec::new();
-        let policy = RoutingPolicy::new(seed, &routing_settings, now, &mut actions);
+        let (policy, actions) = policy_at_start(seed, &routing_settings);
+        let now = START;
         let endpoints = groups * 3;
         let mut harness = Harness {
             policy,
@@ -162,6 +105,8 @@
         harness
     }
 
+    /// The list entry of `endpoint` with `status`; it is listed as primary if it is the first of its group and
+    /// health checks are allowed.
     pub fn entry(&self, endpoint: EndpointIndex, status: EndpointStatus) -> EndpointRecord {
         let (group, primary) =
             (self.group_of[endpoint], self.routing_settings.may_check_health && endpoint.is_multiple_of(3));
@@ -176,17 +121,20 @@
         }
     }
 
+    /// Reports a list change of `endpoint` alone to `status`.
     pub fn list(&mut self, endpoint: EndpointIndex, status: EndpointStatus) {
         self.is_serving[endpoint] = status == EndpointStatus::Serving;
         let records = vec![self.entry(endpoint, status)];
         self.report(Event::EndpointList { complete: false, records });
     }
 
+    /// Reports who of `group` may be taken for its primary.
     pub fn set_eligibility(&mut self, group: GroupIndex, eligibility: PrimaryEligibility) {
         self.eligibility_of[group] = eligibility;
         self.report(Event::PrimaryEligibility { group, eligibility });
     }
 
+    /// Reports a new request of session 7 whose deadline is `share` of its method's deadline from now.
     pub fn arrive(&mut self, method: MethodIndex, group: GroupIndex, share: f64) -> RequestId {
         let deadline = self.now + self.routing_settings.methods[method].deadline.mul_f64(share);
         let request = self.next;
@@ -217,6 +165,8 @@
         request
     }
 
+    /// Reports the end of a health check of `endpoint`; a success reports `position` and the role that `primary`
+    /// gives, with the load of [`Harness::load`].
     pub fn health_check_ended(
         &mut self,
         endpoint: EndpointIndex,
@@ -238,7 +188,8 @@
         self.report(Event::HealthCheckEnded { endpoint, outcome, elapsed: TICK, report: load_report });
     }
 
-    /// Ends the attempt that an request has out.
+    /// Ends the attempt that a request has out; a success or a refusal as not eligible reports the role that
+    /// `primary` gives, if any.
     pub fn end(&mut self, request: RequestId, outcome: AttemptOutcome, primary: Option<bool>) {
         let Some(open) = self.open_requests.get_mut(&request) else { return };
         let Some((attempt, endpoint, sent)) = open.in_flight.take() else { return };
@@ -284,6 +235,7 @@
         self.overdue();
     }
 
+    /// Hands `event` to the policy at the present time and checks the actions it asks for.
     pub fn report(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.on_event(self.now, event, &mut actions);
@@ -377,6 +329,11 @@
         open.attempts += 1;
         self.sent.push((request, endpoint));
     }
+
+    /// The endpoint to which `request` has an attempt out just now, if any.
+    pub fn endpoint_of(&self, request: RequestId) -> Option<EndpointIndex> {
+        self.open_requests.get(&request).and_then(|open| open.in_flight).map(|in_flight| in_flight.1)
+    }
 }
 
 /// Ends the attempt of a request; the endpoint of its next attempt, if there is one.
@@ -387,5 +344,5 @@
     role: Option<bool>,
 ) -> Option<EndpointIndex> {
     harness.end(request, outcome, role);
-    harness.open_requests.get(&request).and_then(|open| open.in_flight).map(|in_flight| in_flight.1)
+    harness.endpoint_of(request)
 }
