--- a/routing/tests/slow_start.rs
+++ b/routing/tests/slow_start.rs
@@ -20,13 +20,12 @@
     }
 }
 
-/// Plays instances whose writes all wait for one primary that has just started and works on one core at its own pace.
-/// The greatest part of its budget that came within any window.
-fn worst_part_of_budget(instances: u32, work: TimeDelta) -> f64 {
+/// Instances whose writes all go to one primary, each of which knows what its writes take on a warm server that
+/// is half busy by all of them together, with `work` of one core for each write.
+fn warmed_instances(instances: u32, work: TimeDelta) -> Vec<Harness> {
     let mut benches: Vec<Harness> = (0..instances)
         .map(|instance| Harness::with_instances(instances, LagHandling::ServeStale, 1, u64::from(instance)))
         .collect();
-    // Each knows what its writes take on a warm server, which is half busy by all of them together.
     let gap = work * 2 * i64::from(instances);
     for harness in &mut benches {
         for _ in 0..10 {
@@ -42,58 +41,104 @@
         }
         assert!(harness.open_requests.is_empty(), "nothing is out or held when the server starts anew");
     }
+    benches
+}
+
+/// Brings all instances to the same time and lists the primary to each as started then; that time.
+fn restart_primary(benches: &mut [Harness]) -> Timestamp {
     let latest = benches.iter().map(|harness| harness.now).max().expect("one at the least");
-    for harness in &mut benches {
+    for harness in benches.iter_mut() {
         let behind = latest - harness.now;
         harness.advance(behind);
     }
     let start = benches[0].now;
-    let routing_settings = benches[0].routing_settings.clone();
-    for harness in &mut benches {
+    for harness in benches.iter_mut() {
         assert_eq!(harness.now, start);
         harness.started_at[0] = Some(start);
         harness.list(0, EndpointStatus::Serving);
     }
-    let part = |now: Timestamp| {
-        let warmed = (now - start).as_secs_f64() / routing_settings.slow_start_duration.as_secs_f64();
-        routing_settings.slow_start_fraction + (1.0 - routing_settings.slow_start_fraction) * warmed.min(1.0)
-    };
-    let mut queue: VecDeque<(usize, RequestId, f64)> = VecDeque::new();
-    let mut queued: Vec<BTreeSet<RequestId>> = vec![BTreeSet::new(); benches.len()];
-    let (mut arrivals, mut worst) = (VecDeque::new(), 0.0f64);
-    let window = routing_settings.overload_window;
-    while benches[0].now - start < TimeDelta::from_millis(4_000) {
-        let now = benches[0].now;
+    start
+}
+
+/// A primary of one core in slow start, which works through the attempts of all instances in the order they came.
+struct StartingPrimary {
+    /// Attempts that wait or are being worked on: instance, request, seconds of work left.
+    queue: VecDeque<(usize, RequestId, f64)>,
+    /// By instance, the requests that are in the queue.
+    queued: Vec<BTreeSet<RequestId>>,
+    /// When each attempt came, oldest first.
+    arrivals: VecDeque<Timestamp>,
+}
+
+impl StartingPrimary {
+    fn new(instances: usize) -> StartingPrimary {
+        StartingPrimary {
+            queue: VecDeque::new(),
+            queued: vec![BTreeSet::new(); instances],
+            arrivals: VecDeque::new(),
+        }
+    }
+
+    /// Takes in the attempts that came since the last step, each of `work`; an instance with fewer than two
+    /// writes held gets one more, so that one always waits.
+    fn take_attempts(&mut self, benches: &mut [Harness], now: Timestamp, work: TimeDelta) {
         for (instance, harness) in benches.iter_mut().enumerate() {
-            // There is always one that waits.
             if harness.open_requests.values().filter(|open| open.in_flight.is_none()).count() < 2 {
                 harness.arrive(WRITE, 0, 1.0);
             }
             for (&request, open) in &harness.open_requests {
-                if open.in_flight.is_some() && queued[instance].insert(request) {
-                    queue.push_back((instance, request, work.as_secs_f64()));
-                    arrivals.push_back(now);
+                if open.in_flight.is_some() && self.queued[instance].insert(request) {
+                    self.queue.push_back((instance, request, work.as_secs_f64()));
+                    self.arrivals.push_back(now);
                 }
             }
         }
-        while arrivals.front().is_some_and(|&at| now - at > window) {
-            arrivals.pop_front();
+    }
+
+    /// How many attempts came within `window` before `now`.
+    fn arrivals_within(&mut self, now: Timestamp, window: TimeDelta) -> usize {
+        while self.arrivals.front().is_some_and(|&at| now - at > window) {
+            self.arrivals.pop_front();
         }
-        let allowed =
-            part(now) * routing_settings.overload_multiple * window.as_secs_f64() / work.as_secs_f64();
-        worst = worst.max(arrivals.len() as f64 / budget(allowed));
-        let mut capacity = STEP.as_secs_f64() * part(now);
-        while let Some(first) = queue.front_mut() {
+        self.arrivals.len()
+    }
+
+    /// Works for `capacity` seconds of its core, answering each attempt that it finishes.
+    fn work(&mut self, benches: &mut [Harness], mut capacity: f64) {
+        while let Some(first) = self.queue.front_mut() {
             let done = capacity.min(first.2);
             capacity -= done;
             first.2 -= done;
             if first.2 > 1e-9 {
                 break;
             }
-            let (instance, request, _) = queue.pop_front().expect("the first");
-            queued[instance].remove(&request);
+            let (instance, request, _) = self.queue.pop_front().expect("the first");
+            self.queued[instance].remove(&request);
             benches[instance].end(request, AttemptOutcome::Succeeded, Some(true));
         }
+    }
+}
+
+/// Plays instances whose writes all wait for one primary that has just started and works on one core at its own pace.
+/// The greatest part of its budget that came within any window.
+fn worst_part_of_budget(instances: u32, work: TimeDelta) -> f64 {
+    let mut benches = warmed_instances(instances, work);
+    let start = restart_primary(&mut benches);
+    let routing_settings = benches[0].routing_settings.clone();
+    let part = |now: Timestamp| {
+        let warmed = (now - start).as_secs_f64() / routing_settings.slow_start_duration.as_secs_f64();
+        routing_settings.slow_start_fraction + (1.0 - routing_settings.slow_start_fraction) * warmed.min(1.0)
+    };
+    let mut primary = StartingPrimary::new(benches.len());
+    let (window, mut worst) = (routing_settings.overload_window, 0.0f64);
+    while benches[0].now - start < TimeDelta::from_millis(4_000) {
+        let now = benches[0].now;
+        primary.take_attempts(&mut benches, now, work);
+        let arrivals = primary.arrivals_within(now, window);
+        let allowed =
+            part(now) * routing_settings.overload_multiple * window.as_secs_f64() / work.as_secs_f64();
+        worst = worst.max(arrivals as f64 / budget(allowed));
+        primary.work(&mut benches, STEP.as_secs_f64() * part(now));
         benches.iter_mut().for_each(|harness| harness.advance(STEP));
     }
     worst
