--- a/routing/tests/health_checks.rs
+++ b/routing/tests/health_checks.rs
@@ -14,7 +14,7 @@
     assert_eq!(
         harness.health_checks.len(),
         0,
-        "no request, no health check, however old all that was told has grown"
+        "no request, no health check, however old all that was reported has grown"
     );
     for _ in 0..10 {
         harness.arrive(BOUNDED_READ, 0, 1.0);
@@ -42,10 +42,7 @@
     let before = harness.health_checks.len();
     harness.arrive(BOUNDED_READ, 0, 1.0);
     harness.advance(TimeDelta::from_millis(250));
-    assert!(
-        harness.health_checks.len() - before <= 2,
-        "its own health check and one more in its first five beats"
-    );
+    assert!(harness.health_checks.len() - before <= 2, "its own health check and one more within 250 ms");
 }
 
 #[test]
@@ -88,7 +85,7 @@
 }
 
 #[test]
-fn a_waiting_read_checks_no_sound_primary() {
+fn a_waiting_read_checks_no_healthy_primary() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     // Behind by more than the bound, and near enough to be waited for.
     harness.advance(BOUND + TICK * 4);
--- a/routing/tests/limits.rs
+++ b/routing/tests/limits.rs
@@ -214,7 +214,7 @@
         assert_eq!(
             harness.open_requests[&read].in_flight.is_some(),
             helps,
-            "replicas told nothing new, the primary is {load} busy"
+            "replicas reported nothing new, the primary is {load} busy"
         );
     }
 }
--- a/routing/tests/positions.rs
+++ b/routing/tests/positions.rs
@@ -102,7 +102,7 @@
     let mut router = SessionRouter::new();
     router.check(START, 0, START);
     router.check(START, 1, START);
-    // Far more sessions than are tracked write, each once; the replica stands still, so none may be dropped for
+    // Far more sessions than are tracked write, each once; the replica does not move on, so none may be dropped for
     // free.
     let (many, mut now) = (80_000u64, START);
     for session in 0..many {
--- a/routing/tests/primaries.rs
+++ b/routing/tests/primaries.rs
@@ -161,7 +161,7 @@
     let read = harness.arrive(STRONG_READ, 0, 1.0);
     assert_eq!(harness.endpoint_of(read), None, "it may have answered, unseen, that it is not the primary");
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert_eq!(harness.endpoint_of(write), Some(primary), "who is none turns a write away");
+    assert_eq!(harness.endpoint_of(write), Some(primary), "one that is not the primary refuses a write");
     harness.end(write, AttemptOutcome::Succeeded, Some(true));
     let read = harness.arrive(STRONG_READ, 0, 1.0);
     assert_eq!(harness.endpoint_of(read), Some(primary));
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -2,7 +2,7 @@
 //! did when the recording was made: a change of names or of structure must change no decision.
 //!
 //! The events are drawn from a seed and react to the actions, as a host's would. `tests/data/replay.txt` holds, for
-//! each run, how many actions there were and a checksum over all of them. `REPLAY_RECORD=1` writes that file anew,
+//! each run, how many actions there were and a checksum over all of them. `REPLAY_RECORD=1` writes that file again,
 //! which belongs into a commit that means to change decisions and says why.
 
 // Each test file uses a part of the shared helpers.
--- a/routing/tests/requests.rs
+++ b/routing/tests/requests.rs
@@ -22,7 +22,7 @@
     assert_eq!(
         harness.open_requests[&held].in_flight.map(|in_flight| in_flight.1),
         Some(2),
-        "news of a fresh one lets it go"
+        "a report of a fresh one lets it go"
     );
     harness.advance(BOUND + TICK);
     let late = harness.arrive(BOUNDED_READ, 0, 1.0);
@@ -135,7 +135,7 @@
         !policy.confirm_attempt(sent + BOUND + TICK, read, attempt, replica),
         "connecting outlasted the bound"
     );
-    assert!(policy.confirm_attempt(sent + BOUND + TICK, read, attempt, 0), "a primary stands at the present");
+    assert!(policy.confirm_attempt(sent + BOUND + TICK, read, attempt, 0), "a primary is always up to date");
     harness.list(0, EndpointStatus::Draining);
     assert!(!harness.policy.confirm_attempt(sent, read, attempt, 0), "drained meanwhile");
     let write = harness.arrive(WRITE, 0, 1.0);
--- a/routing/tests/slow_start.rs
+++ b/routing/tests/slow_start.rs
@@ -39,7 +39,7 @@
             harness.end(write, AttemptOutcome::Succeeded, Some(true));
             harness.advance((gap - work - waited).max(TimeDelta::ZERO));
         }
-        assert!(harness.open_requests.is_empty(), "nothing is out or held when the server starts anew");
+        assert!(harness.open_requests.is_empty(), "nothing is out or held when the server restarts");
     }
     benches
 }
@@ -119,7 +119,7 @@
     }
 }
 
-/// Plays instances whose writes all wait for one primary that has just started and works on one core at its own pace.
+/// Plays instances whose writes all wait for one primary that has just started and works on one core at its own speed.
 /// The greatest part of its budget that came within any window.
 fn worst_part_of_budget(instances: u32, work: TimeDelta) -> f64 {
     let mut benches = warmed_instances(instances, work);
--- a/routing/tests/support/events.rs
+++ b/routing/tests/support/events.rs
@@ -1,4 +1,4 @@
-//! Events and records of a plain shape, for tests that drive a routing policy by hand or through the harness.
+//! Events and records of a plain shape, for tests that run a routing policy by hand or through the harness.
 
 use super::{START, TICK};
 use routing::time::{TimeDelta, Timestamp};
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -243,7 +243,7 @@
         self.overdue();
     }
 
-    /// No request is lost: its answer stands at least a tick before its deadline.
+    /// No request is lost: its answer comes at least a tick before its deadline.
     fn overdue(&self) {
         for (request, open) in &self.open_requests {
             assert!(
@@ -283,7 +283,7 @@
     }
 
     fn check_send(&mut self, request: RequestId, endpoint: EndpointIndex, timeout: TimeDelta) {
-        let open = self.open_requests.get_mut(&request).expect("sent only while it is owed an answer");
+        let open = self.open_requests.get_mut(&request).expect("sent only while it waits for an answer");
         let method = &self.routing_settings.methods[open.method];
         assert!(open.in_flight.is_none(), "two attempts out at once");
         assert!(open.attempts < self.routing_settings.max_attempts, "too many attempts");
