--- a/routing/tests/limits.rs
+++ b/routing/tests/limits.rs
@@ -37,8 +37,7 @@
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     for _ in 0..60 {
         let request = harness.arrive(ANY_READ, 0, 1.0);
-        while let Some((_, endpoint, _)) = harness.open_requests.get(&request).and_then(|open| open.in_flight)
-        {
+        while let Some(endpoint) = harness.endpoint_of(request) {
             harness.end(
                 request,
                 if endpoint == 1 { AttemptOutcome::Failed } else { AttemptOutcome::Succeeded },
@@ -59,10 +58,7 @@
     for _ in 0..50 {
         let long = harness.arrive(LONG_READ, 0, 1.0);
         let short = harness.arrive(ANY_READ, 0, 1.0);
-        assert_ne!(
-            harness.open_requests.get(&long).and_then(|open| open.in_flight).map(|in_flight| in_flight.1),
-            Some(1)
-        );
+        assert_ne!(harness.endpoint_of(long), Some(1));
         harness.end(short, AttemptOutcome::Rejected, None);
         harness.end(long, AttemptOutcome::Succeeded, None);
         harness.advance(TimeDelta::from_millis(20));
--- a/routing/tests/positions.rs
+++ b/routing/tests/positions.rs
@@ -24,8 +24,7 @@
             harness.now - TimeDelta::from_millis(40),
             false,
         );
-        let outs =
-            reads.map(|request| harness.open_requests[&request].in_flight.map(|in_flight| in_flight.1));
+        let outs = reads.map(|request| harness.endpoint_of(request));
         assert_eq!(outs, [Some(2); 3], "{lag_handling:?}");
     }
 }
--- a/routing/tests/primaries.rs
+++ b/routing/tests/primaries.rs
@@ -17,22 +17,18 @@
     harness.health_check_ended(1, AttemptOutcome::Succeeded, harness.now - TimeDelta::from_millis(50), true);
     harness.health_check_ended(0, AttemptOutcome::Succeeded, harness.now, true);
     harness.set_eligibility(0, PrimaryEligibility::Only(1));
-    assert_eq!(harness.open_requests[&write].in_flight.map(|in_flight| in_flight.1), Some(1));
+    assert_eq!(harness.endpoint_of(write), Some(1));
     for _ in 0..6 {
         let read = harness.arrive(BOUNDED_READ, 0, 1.0);
         assert_ne!(
-            harness.open_requests[&read].in_flight.map(|in_flight| in_flight.1),
+            harness.open_requests[&read].in_flight.map(|in_flight| in_flight.endpoint),
             Some(0),
             "it may stand on a log of its own"
         );
     }
     harness.set_eligibility(0, PrimaryEligibility::Any);
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert_eq!(
-        harness.open_requests[&write].in_flight.map(|in_flight| in_flight.1),
-        Some(0),
-        "the ordinary rule: the latest claim"
-    );
+    assert_eq!(harness.endpoint_of(write), Some(0), "the ordinary rule: the latest claim");
 }
 
 #[test]
@@ -124,7 +120,7 @@
     let write = harness.arrive(WRITE, 0, 1.0);
     assert_eq!(harness.endpoint_of(write), Some(1), "the list names it, and nothing else is known");
     // An error names the role of who gave it, and is no answer; then the list, which is late, names the same again.
-    let Some((attempt, endpoint, sent)) =
+    let Some(InFlight { attempt, endpoint, sent }) =
         harness.open_requests.get_mut(&write).and_then(|open| open.in_flight.take())
     else {
         panic!("it is out")
@@ -203,7 +199,7 @@
     );
     harness.advance(TimeDelta::from_millis(100));
     harness.health_check_ended(1, AttemptOutcome::Succeeded, harness.now, true);
-    assert_eq!(harness.open_requests[&write].in_flight.map(|in_flight| in_flight.1), Some(1));
+    assert_eq!(harness.endpoint_of(write), Some(1));
 }
 
 #[test]
--- a/routing/tests/requests.rs
+++ b/routing/tests/requests.rs
@@ -19,19 +19,11 @@
         "reported positions have aged past the bound: held"
     );
     harness.health_check_ended(2, AttemptOutcome::Succeeded, harness.now, false);
-    assert_eq!(
-        harness.open_requests[&held].in_flight.map(|in_flight| in_flight.1),
-        Some(2),
-        "a report of a fresh one lets it go"
-    );
+    assert_eq!(harness.endpoint_of(held), Some(2), "a report of a fresh one lets it go");
     harness.advance(BOUND + TICK);
     let late = harness.arrive(BOUNDED_READ, 0, 1.0);
     harness.advance(TimeDelta::from_millis(400));
-    assert_eq!(
-        harness.open_requests[&late].in_flight.map(|in_flight| in_flight.1),
-        Some(0),
-        "half of its time is spent: the primary"
-    );
+    assert_eq!(harness.endpoint_of(late), Some(0), "half of its time is spent: the primary");
 }
 
 #[test]
@@ -77,9 +69,8 @@
 #[test]
 fn a_replica_of_another_zone_is_selected_once_the_own_one_has_more_in_flight() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
-    let endpoints = [(); 3]
-        .map(|()| harness.arrive(BOUNDED_READ, 0, 1.0))
-        .map(|read| harness.open_requests[&read].in_flight.map(|in_flight| in_flight.1));
+    let endpoints =
+        [(); 3].map(|()| harness.arrive(BOUNDED_READ, 0, 1.0)).map(|read| harness.endpoint_of(read));
     assert_eq!(endpoints, [Some(2), Some(2), Some(1)]);
 }
 
@@ -88,7 +79,7 @@
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     harness.health_check_ended(1, AttemptOutcome::Succeeded, harness.now + BOUND * 2, true);
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert_eq!(harness.open_requests[&write].in_flight.map(|in_flight| in_flight.1), Some(0));
+    assert_eq!(harness.endpoint_of(write), Some(0));
     harness.advance(BOUND + TICK);
     let read = harness.arrive(BOUNDED_READ, 0, 1.0);
     assert!(
@@ -124,7 +115,8 @@
 fn an_attempt_is_confirmed_only_while_its_reason_holds() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let read = harness.arrive(BOUNDED_READ, 0, 1.0);
-    let (attempt, endpoint, sent) = harness.open_requests[&read].in_flight.expect("three fresh endpoints");
+    let InFlight { attempt, endpoint, sent } =
+        harness.open_requests[&read].in_flight.expect("three fresh endpoints");
     let replica = [1, 2].into_iter().find(|&index| index != endpoint).expect("three endpoints");
     let policy = &mut harness.policy;
     assert!(policy.confirm_attempt(sent, read, attempt, endpoint));
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -10,12 +10,20 @@
 pub use events::*;
 pub use settings::*;
 
+/// An attempt that is out: its number (from 0), its endpoint and when it was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InFlight {
+    pub attempt: u32,
+    pub endpoint: EndpointIndex,
+    pub sent: Timestamp,
+}
+
 /// What the harness knows of a request that still waits for its final answer.
 pub struct OpenRequest {
     pub method: MethodIndex,
     pub group: GroupIndex,
     pub deadline: Timestamp,
-    pub in_flight: Option<(u32, EndpointIndex, Timestamp)>,
+    pub in_flight: Option<InFlight>,
     pub attempts: u32,
     pub first_run_at: Option<Timestamp>,
     /// What its session has seen.
@@ -192,7 +200,7 @@
     /// `primary` gives, if any.
     pub fn end(&mut self, request: RequestId, outcome: AttemptOutcome, primary: Option<bool>) {
         let Some(open) = self.open_requests.get_mut(&request) else { return };
-        let Some((attempt, endpoint, sent)) = open.in_flight.take() else { return };
+        let Some(InFlight { attempt, endpoint, sent }) = open.in_flight.take() else { return };
         if !outcome.proves_not_executed() {
             open.first_run_at = open.first_run_at.or(Some(sent));
         }
@@ -325,14 +333,14 @@
         if self.started_at[endpoint].is_some_and(|at| self.now - at < self.routing_settings.overload_window) {
             self.sent_in_slow_start[endpoint].push(self.now);
         }
-        open.in_flight = Some((open.attempts, endpoint, self.now));
+        open.in_flight = Some(InFlight { attempt: open.attempts, endpoint, sent: self.now });
         open.attempts += 1;
         self.sent.push((request, endpoint));
     }
 
     /// The endpoint to which `request` has an attempt out just now, if any.
     pub fn endpoint_of(&self, request: RequestId) -> Option<EndpointIndex> {
-        self.open_requests.get(&request).and_then(|open| open.in_flight).map(|in_flight| in_flight.1)
+        self.open_requests.get(&request).and_then(|open| open.in_flight).map(|in_flight| in_flight.endpoint)
     }
 }
 
