--- a/routing/tests/requests.rs
+++ b/routing/tests/requests.rs
@@ -93,7 +93,7 @@
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let write = harness.arrive(WRITE, 0, 1.0);
     end_attempt(&mut harness, write, AttemptOutcome::ConnectionLost, None);
-    assert_eq!(harness.answers[&write], "aborted", "at once, not near its deadline");
+    assert_eq!(harness.answers[&write], Answer::Aborted, "at once, not near its deadline");
     harness.advance(TimeDelta::from_millis(1000));
     harness.health_check_ended(0, AttemptOutcome::Succeeded, harness.now, true);
     let keyed = harness.arrive(KEYED_WRITE, 0, 1.0);
@@ -108,7 +108,7 @@
         "its only primary rests"
     );
     harness.advance(DEDUP_WINDOW);
-    assert_eq!(harness.answers[&keyed], "aborted", "past its group's memory");
+    assert_eq!(harness.answers[&keyed], Answer::Aborted, "past its group's memory");
 }
 
 #[test]
@@ -148,7 +148,7 @@
         harness.advance(start + TimeDelta::from_millis(half) - TICK * 3 - harness.now);
         assert!(harness.open_requests.contains_key(&request), "{request} has time left to wait");
         harness.advance(TICK * 2);
-        assert_eq!(harness.answers.get(&request).copied(), Some("rejected"), "{request}, never sent");
+        assert_eq!(harness.answers.get(&request).copied(), Some(Answer::Rejected), "{request}, never sent");
     }
     assert!(harness.open_requests.contains_key(&sent), "its attempt may still be answered");
 
@@ -159,5 +159,5 @@
     harness.list(0, EndpointStatus::Draining);
     assert_eq!(end_attempt(&mut harness, unsent, AttemptOutcome::NotSent, None), None);
     harness.advance(TimeDelta::from_millis(500));
-    assert_eq!(harness.answers.get(&unsent).copied(), Some("rejected"));
+    assert_eq!(harness.answers.get(&unsent).copied(), Some(Answer::Rejected));
 }
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -18,13 +18,30 @@
     pub sent: Timestamp,
 }
 
+/// The final answer that a request got.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Answer {
+    /// An attempt of it succeeded.
+    Succeeded,
+    /// The policy rejected it.
+    Rejected,
+    /// The policy aborted it.
+    Aborted,
+}
+
 /// What the harness knows of a request that still waits for its final answer.
 pub struct OpenRequest {
+    /// Its method, an index into the settings' methods.
     pub method: MethodIndex,
+    /// The group that serves it.
     pub group: GroupIndex,
+    /// When its final answer is due at the latest.
     pub deadline: Timestamp,
+    /// Its attempt that is out, if one is.
     pub in_flight: Option<InFlight>,
+    /// How many attempts it has had.
     pub attempts: u32,
+    /// When the first attempt that may have run was sent.
     pub first_run_at: Option<Timestamp>,
     /// What its session has seen.
     pub seen_position: Option<Timestamp>,
@@ -32,13 +49,21 @@
 
 /// A routing policy driven by scripted events, whose actions are checked against the rules as they come.
 pub struct Harness {
+    /// The policy under test.
     pub policy: RoutingPolicy,
+    /// The settings it was made with.
     pub routing_settings: RoutingSettings,
+    /// The present time of the script.
     pub now: Timestamp,
+    /// The requests that wait for their final answer.
     pub open_requests: BTreeMap<RequestId, OpenRequest>,
+    /// The timers that the policy has set: when each falls due, and its tag.
     pub timers: Vec<(Timestamp, u64)>,
+    /// The endpoints with a health check asked for and not yet ended, in the order asked.
     pub health_checks: Vec<EndpointIndex>,
+    /// By endpoint: its group.
     pub group_of: Vec<GroupIndex>,
+    /// By endpoint: whether the list shows it serving.
     pub is_serving: Vec<bool>,
     /// The highest position that each endpoint has reported.
     pub reported: Vec<Option<Timestamp>>,
@@ -46,10 +71,13 @@
     pub claims_primary: Vec<bool>,
     /// When it started.
     pub started_at: Vec<Option<Timestamp>>,
+    /// By endpoint: when attempts went to it within the overload window after its start.
     pub sent_in_slow_start: Vec<Vec<Timestamp>>,
     /// By group: who may be taken for its primary.
     pub eligibility_of: Vec<PrimaryEligibility>,
-    pub answers: BTreeMap<RequestId, &'static str>,
+    /// The final answer of each request that has had one.
+    pub answers: BTreeMap<RequestId, Answer>,
+    /// Every attempt started: its request and its endpoint, in order.
     pub sent: Vec<(RequestId, EndpointIndex)>,
     /// How busy the next endpoints checked say they are.
     pub load: Option<f64>,
@@ -207,7 +235,7 @@
         let request_closed = outcome == AttemptOutcome::Succeeded;
         if request_closed {
             self.open_requests.remove(&request);
-            self.answers.insert(request, "ok");
+            self.answers.insert(request, Answer::Succeeded);
         }
         let mut answer_report = EndpointReport::default();
         if let Some(primary) =
@@ -279,11 +307,11 @@
                     let safe =
                         self.routing_settings.methods[open.method].idempotency == Idempotency::Idempotent;
                     assert!(safe || !ran, "rejected though it may have run");
-                    self.answers.insert(request, "rejected");
+                    self.answers.insert(request, Answer::Rejected);
                 }
                 Action::Abort { request } => {
                     self.open_requests.remove(&request).expect("one final answer, to a live request");
-                    self.answers.insert(request, "aborted");
+                    self.answers.insert(request, Answer::Aborted);
                 }
                 _ => {}
             }
