--- a/routing/tests/rules.rs
+++ b/routing/tests/rules.rs
@@ -26,50 +26,67 @@
     ) {
         let made = if without_health_checks { Harness::without_health_checks } else { Harness::with_reports };
         let mut harness = made(LAG_HANDLINGS[lag_handling], 2, seed);
-        for (kind, pick, variant) in steps {
-            let (pick, variant) = (usize::from(pick), usize::from(variant));
-            let endpoint = pick % harness.group_of.len();
-            let old = TimeDelta::from_millis(variant as i64 * 20);
-            match kind {
-                0..=3 => {
-                    // A try may be given up after less than the method's deadline, but for current reads,
-                    // whose arrival the checker reads off it.
-                    let share = if variant % 6 == STRONG_READ { 1.0 } else { 0.4 + variant as f64 / 425.0 };
-                    harness.seen_position = (pick % 3 == 0).then(|| harness.now - old / 8);
-                    harness.arrive(variant % 6, pick % 2, share);
-                }
-                4..=6 => {
-                    let in_flight: Vec<RequestId> =
-                        harness.open_requests.iter().filter(|(_, open)| open.in_flight.is_some()).map(|(&request, _)| request).collect();
-                    if let Some(&request) = in_flight.get(pick % in_flight.len().max(1)) {
-                        // Half of all answers are good, so that runs get past the first failure.
-                        let outcome = OUTCOMES[if variant < 128 { 0 } else { variant % 9 }];
-                        let role = [None, Some(true), Some(false)][variant % 3];
-                        harness.end(request, outcome, role);
-                    }
-                }
-                7..=8 if without_health_checks => {}
-                7..=8 => {
-                    let outcome = if variant < 200 { AttemptOutcome::Succeeded } else { AttemptOutcome::TimedOut };
-                    let position = if variant % 11 == 0 { harness.now + old } else { harness.now - old };
-                    harness.health_check_ended(endpoint, outcome, position, variant % 7 == 0);
-                }
-                9 => {
-                    let status = [EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed][variant % 3];
-                    if variant % 4 == 0 {
-                        harness.started_at[endpoint] = Some(harness.now - old / 10);
-                    }
-                    harness.list(endpoint, status);
-                }
-                10 => harness.report(Event::EndpointListFailed),
-                11 => {
-                    let only = PrimaryEligibility::Only(pick % 2 * 3 + variant % 3);
-                    harness.set_eligibility(pick % 2, [PrimaryEligibility::Any, PrimaryEligibility::Nobody, only][variant % 7 % 3]);
-                }
-                _ => harness.advance(TimeDelta::from_millis(variant as i64)),
-            }
+        for step in steps {
+            play(&mut harness, without_health_checks, step);
         }
         harness.advance(TimeDelta::from_millis(10_000));
         prop_assert!(harness.open_requests.is_empty(), "every request has its answer in the end");
     }
 }
+
+/// Plays one drawn step: `kind` picks what happens, `pick` and `variant` its details.
+fn play(harness: &mut Harness, without_health_checks: bool, (kind, pick, variant): (u8, u16, u8)) {
+    let (pick, variant) = (usize::from(pick), usize::from(variant));
+    let endpoint = pick % harness.group_of.len();
+    let old = TimeDelta::from_millis(variant as i64 * 20);
+    match kind {
+        0..=3 => arrive_drawn(harness, pick, variant, old),
+        4..=6 => end_drawn_attempt(harness, pick, variant),
+        7..=8 if without_health_checks => {}
+        7..=8 => {
+            let outcome = if variant < 200 { AttemptOutcome::Succeeded } else { AttemptOutcome::TimedOut };
+            let position = if variant % 11 == 0 { harness.now + old } else { harness.now - old };
+            harness.health_check_ended(endpoint, outcome, position, variant % 7 == 0);
+        }
+        9 => {
+            let status =
+                [EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed][variant % 3];
+            if variant % 4 == 0 {
+                harness.started_at[endpoint] = Some(harness.now - old / 10);
+            }
+            harness.list(endpoint, status);
+        }
+        10 => harness.report(Event::EndpointListFailed),
+        11 => {
+            let only = PrimaryEligibility::Only(pick % 2 * 3 + variant % 3);
+            let eligibility = [PrimaryEligibility::Any, PrimaryEligibility::Nobody, only][variant % 7 % 3];
+            harness.set_eligibility(pick % 2, eligibility);
+        }
+        _ => harness.advance(TimeDelta::from_millis(variant as i64)),
+    }
+}
+
+/// A request of method `variant % 6` arrives at group `pick % 2`; every third has seen a position `old / 8` ago.
+fn arrive_drawn(harness: &mut Harness, pick: usize, variant: usize, old: TimeDelta) {
+    // A try may be given up after less than the method's deadline, but for current reads, whose arrival the
+    // checker reads off it.
+    let share = if variant % 6 == STRONG_READ { 1.0 } else { 0.4 + variant as f64 / 425.0 };
+    harness.seen_position = pick.is_multiple_of(3).then(|| harness.now - old / 8);
+    harness.arrive(variant % 6, pick % 2, share);
+}
+
+/// Ends one of the attempts that are out, if there is one.
+fn end_drawn_attempt(harness: &mut Harness, pick: usize, variant: usize) {
+    let in_flight: Vec<RequestId> = harness
+        .open_requests
+        .iter()
+        .filter(|(_, open)| open.in_flight.is_some())
+        .map(|(&request, _)| request)
+        .collect();
+    if let Some(&request) = in_flight.get(pick % in_flight.len().max(1)) {
+        // Half of all answers are good, so that runs get past the first failure.
+        let outcome = OUTCOMES[if variant < 128 { 0 } else { variant % 9 }];
+        let role = [None, Some(true), Some(false)][variant % 3];
+        harness.end(request, outcome, role);
+    }
+}
