--- a/routing/tests/health_checks.rs
+++ b/routing/tests/health_checks.rs
@@ -34,7 +34,7 @@
     harness.health_check_ended(1, AttemptOutcome::Rejected, harness.now, false);
     let reads = [(); 3].map(|()| harness.arrive(ANY_READ, 0, 1.0));
     assert!(
-        harness.sent.iter().any(|sent| sent.1 == 1),
+        harness.sent.iter().any(|sent| sent.endpoint == 1),
         "one goes to the one that was too busy for a health check"
     );
     reads.iter().for_each(|&read| harness.end(read, AttemptOutcome::Succeeded, None));
--- a/routing/tests/limits.rs
+++ b/routing/tests/limits.rs
@@ -46,7 +46,7 @@
         }
         harness.advance(TimeDelta::from_millis(10));
     }
-    let bad = harness.sent.iter().filter(|sent| sent.1 == 1).count();
+    let bad = harness.sent.iter().filter(|sent| sent.endpoint == 1).count();
     assert!(bad <= 6, "{bad} attempts went to the endpoint that answers nothing but errors");
 }
 
@@ -93,7 +93,7 @@
         let start = harness.now;
         for _ in 0..20 {
             let read = harness.arrive(ANY_READ, 0, 1.0);
-            if harness.sent.last() == Some(&(read, 1)) {
+            if harness.sent.last() == Some(&SentAttempt { request: read, endpoint: 1 }) {
                 sends.push(harness.now - start);
             }
             harness.advance(TimeDelta::from_millis(100));
@@ -177,7 +177,7 @@
             harness.end(read, AttemptOutcome::Succeeded, None);
             harness.advance(TimeDelta::from_millis(if late && step % 2 == 0 { 20 } else { 410 }));
         }
-        outs.push(harness.sent.iter().filter(|sent| sent.1 != 0).count());
+        outs.push(harness.sent.iter().filter(|sent| sent.endpoint != 0).count());
     }
     assert!(outs[1] >= 5 && outs[1] * 3 < outs[0] * 2, "{outs:?} sent to replicas, timely and late ones");
 }
@@ -193,7 +193,7 @@
     }
     assert!(!harness.sent.is_empty());
     assert!(
-        harness.sent.iter().all(|sent| sent.1 == 2),
+        harness.sent.iter().all(|sent| sent.endpoint == 2),
         "all to the one behind or held, though it is the busier"
     );
 }
--- a/routing/tests/requests.rs
+++ b/routing/tests/requests.rs
@@ -11,7 +11,7 @@
 fn a_bounded_read_goes_to_a_replica_and_waits_for_one_before_the_primary() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     harness.arrive(BOUNDED_READ, 0, 1.0);
-    assert_ne!(harness.sent[0].1, 0, "a fresh replica serves it");
+    assert_ne!(harness.sent[0].endpoint, 0, "a fresh replica serves it");
     harness.advance(BOUND + TICK);
     let held = harness.arrive(BOUNDED_READ, 0, 1.0);
     assert!(
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -18,6 +18,13 @@
     pub sent: Timestamp,
 }
 
+/// An attempt that the policy started: of which request, to which endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SentAttempt {
+    pub request: RequestId,
+    pub endpoint: EndpointIndex,
+}
+
 /// The final answer that a request got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
@@ -78,7 +85,7 @@
     /// The final answer of each request that has had one.
     pub answers: BTreeMap<RequestId, Answer>,
     /// Every attempt started: its request and its endpoint, in order.
-    pub sent: Vec<(RequestId, EndpointIndex)>,
+    pub sent: Vec<SentAttempt>,
     /// How busy the next endpoints checked say they are.
     pub load: Option<f64>,
     /// What the next requests' session has seen.
@@ -363,7 +370,7 @@
         }
         open.in_flight = Some(InFlight { attempt: open.attempts, endpoint, sent: self.now });
         open.attempts += 1;
-        self.sent.push((request, endpoint));
+        self.sent.push(SentAttempt { request, endpoint });
     }
 
     /// The endpoint to which `request` has an attempt out just now, if any.
