--- a/routing/tests/limits.rs
+++ b/routing/tests/limits.rs
@@ -37,8 +37,7 @@
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     for _ in 0..60 {
         let request = harness.arrive(ANY_READ, 0, 1.0);
-        while let Some((_, endpoint, _)) = harness.open_requests.get(&request).and_then(|open| open.in_flight)
-        {
+        while let Some(endpoint) = harness.endpoint_of(request) {
             harness.end(
                 request,
                 if endpoint == 1 { AttemptOutcome::Failed } else { AttemptOutcome::Succeeded },
@@ -47,7 +46,7 @@
         }
         harness.advance(TimeDelta::from_millis(10));
     }
-    let bad = harness.sent.iter().filter(|sent| sent.1 == 1).count();
+    let bad = harness.sent.iter().filter(|sent| sent.endpoint == 1).count();
     assert!(bad <= 6, "{bad} attempts went to the endpoint that answers nothing but errors");
 }
 
@@ -59,10 +58,7 @@
     for _ in 0..50 {
         let long = harness.arrive(LONG_READ, 0, 1.0);
         let short = harness.arrive(ANY_READ, 0, 1.0);
-        assert_ne!(
-            harness.open_requests.get(&long).and_then(|open| open.in_flight).map(|in_flight| in_flight.1),
-            Some(1)
-        );
+        assert_ne!(harness.endpoint_of(long), Some(1));
         harness.end(short, AttemptOutcome::Rejected, None);
         harness.end(long, AttemptOutcome::Succeeded, None);
         harness.advance(TimeDelta::from_millis(20));
@@ -97,7 +93,7 @@
         let start = harness.now;
         for _ in 0..20 {
             let read = harness.arrive(ANY_READ, 0, 1.0);
-            if harness.sent.last() == Some(&(read, 1)) {
+            if harness.sent.last() == Some(&SentAttempt { request: read, endpoint: 1 }) {
                 sends.push(harness.now - start);
             }
             harness.advance(TimeDelta::from_millis(100));
@@ -181,7 +177,7 @@
             harness.end(read, AttemptOutcome::Succeeded, None);
             harness.advance(TimeDelta::from_millis(if late && step % 2 == 0 { 20 } else { 410 }));
         }
-        outs.push(harness.sent.iter().filter(|sent| sent.1 != 0).count());
+        outs.push(harness.sent.iter().filter(|sent| sent.endpoint != 0).count());
     }
     assert!(outs[1] >= 5 && outs[1] * 3 < outs[0] * 2, "{outs:?} sent to replicas, timely and late ones");
 }
@@ -197,7 +193,7 @@
     }
     assert!(!harness.sent.is_empty());
     assert!(
-        harness.sent.iter().all(|sent| sent.1 == 2),
+        harness.sent.iter().all(|sent| sent.endpoint == 2),
         "all to the one behind or held, though it is the busier"
     );
 }
@@ -214,7 +210,7 @@
         assert_eq!(
             harness.open_requests[&read].in_flight.is_some(),
             helps,
-            "replicas told nothing new, the primary is {load} busy"
+            "replicas reported nothing new, the primary is {load} busy"
         );
     }
 }
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -5,51 +5,72 @@
 use routing::*;
 use std::collections::BTreeMap;
 
-pub const TICK: TimeDelta = TimeDelta::from_millis(5);
-pub const WRITE: MethodIndex = 0;
-pub const KEYED_WRITE: MethodIndex = 1;
-pub const STRONG_READ: MethodIndex = 2;
-pub const BOUNDED_READ: MethodIndex = 3;
-pub const ANY_READ: MethodIndex = 4;
-pub const LONG_READ: MethodIndex = 5;
-pub const BOUND: TimeDelta = TimeDelta::from_millis(800);
-pub const DEDUP_WINDOW: TimeDelta = TimeDelta::from_millis(3000);
+mod events;
+mod settings;
+pub use events::*;
+pub use settings::*;
 
-/// What endpoints may do with a read for which they are too stale.
-pub const LAG_HANDLINGS: [LagHandling; 3] =
-    [LagHandling::ServeStale, LagHandling::Reject, LagHandling::Wait(TimeDelta::from_millis(100))];
-/// All outcomes of an attempt.
-pub const OUTCOMES: [AttemptOutcome; 9] = [
-    AttemptOutcome::Succeeded,
-    AttemptOutcome::Failed,
-    AttemptOutcome::Rejected,
-    AttemptOutcome::TimedOut,
-    AttemptOutcome::Unreachable,
-    AttemptOutcome::ConnectionLost,
-    AttemptOutcome::Cancelled,
-    AttemptOutcome::NotSent,
-    AttemptOutcome::NotEligible,
-];
+/// An attempt that is out: its number (from 0), its endpoint and when it was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InFlight {
+    pub attempt: u32,
+    pub endpoint: EndpointIndex,
+    pub sent: Timestamp,
+}
+
+/// An attempt that the policy started: of which request, to which endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SentAttempt {
+    pub request: RequestId,
+    pub endpoint: EndpointIndex,
+}
 
+/// The final answer that a request got.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Answer {
+    /// An attempt of it succeeded.
+    Succeeded,
+    /// The policy rejected it.
+    Rejected,
+    /// The policy aborted it.
+    Aborted,
+}
+
+/// What the harness knows of a request that still waits for its final answer.
 pub struct OpenRequest {
+    /// Its method, an index into the settings' methods.
     pub method: MethodIndex,
+    /// The group that serves it.
     pub group: GroupIndex,
+    /// When its final answer is due at the latest.
     pub deadline: Timestamp,
-    pub in_flight: Option<(u32, EndpointIndex, Timestamp)>,
+    /// Its attempt that is out, if one is.
+    pub in_flight: Option<InFlight>,
+    /// How many attempts it has had.
     pub attempts: u32,
+    /// When the first attempt that may have run was sent.
     pub first_run_at: Option<Timestamp>,
     /// What its session has seen.
     pub seen_position: Option<Timestamp>,
 }
 
+/// A routing policy driven by scripted events, whose actions are checked against the rules as they come.
 pub struct Harness {
+    /// The policy under test.
     pub policy: RoutingPolicy,
+    /// The settings it was made with.
     pub routing_settings: RoutingSettings,
+    /// The present time of the script.
     pub now: Timestamp,
+    /// The requests that wait for their final answer.
     pub open_requests: BTreeMap<RequestId, OpenRequest>,
+    /// The timers that the policy has set: when each falls due, and its tag.
     pub timers: Vec<(Timestamp, u64)>,
+    /// The endpoints with a health check asked for and not yet ended, in the order asked.
     pub health_checks: Vec<EndpointIndex>,
+    /// By endpoint: its group.
     pub group_of: Vec<GroupIndex>,
+    /// By endpoint: whether the list shows it serving.
     pub is_serving: Vec<bool>,
     /// The highest position that each endpoint has reported.
     pub reported: Vec<Option<Timestamp>>,
@@ -57,11 +78,14 @@
     pub claims_primary: Vec<bool>,
     /// When it started.
     pub started_at: Vec<Option<Timestamp>>,
+    /// By endpoint: when attempts went to it within the overload window after its start.
     pub sent_in_slow_start: Vec<Vec<Timestamp>>,
     /// By group: who may be taken for its primary.
     pub eligibility_of: Vec<PrimaryEligibility>,
-    pub answers: BTreeMap<RequestId, &'static str>,
-    pub sent: Vec<(RequestId, EndpointIndex)>,
+    /// The final answer of each request that has had one.
+    pub answers: BTreeMap<RequestId, Answer>,
+    /// Every attempt started: its request and its endpoint, in order.
+    pub sent: Vec<SentAttempt>,
     /// How busy the next endpoints checked say they are.
     pub load: Option<f64>,
     /// What the next requests' session has seen.
@@ -69,44 +93,6 @@
     next: RequestId,
 }
 
-pub fn routing_settings(lag_handling: LagHandling) -> RoutingSettings {
-    let ms = TimeDelta::from_millis;
-    let method = |access, idempotency, soft, deadline, late_value_fraction| MethodSettings {
-        access,
-        idempotency,
-        latency_objective: ms(soft),
-        deadline: ms(deadline),
-        priority_weight: 1.0,
-        late_value_fraction,
-    };
-    let keyed = Idempotency::Keyed { all_groups: false, dedup_window: DEDUP_WINDOW };
-    RoutingSettings {
-        methods: vec![
-            method(Access::Write, Idempotency::NonIdempotent, 500, 3000, 0.5),
-            method(Access::Write, keyed, 500, 5000, 0.5),
-            method(Access::StrongRead, Idempotency::Idempotent, 400, 1500, 0.0),
-            method(Access::BoundedRead(BOUND), Idempotency::Idempotent, 600, 1500, 0.0),
-            method(Access::AnyRead, Idempotency::Idempotent, 500, 2000, 0.2),
-            method(Access::AnyRead, Idempotency::Idempotent, 3000, 6000, 0.0),
-        ],
-        instances: 2,
-        zone: 0,
-        clock_resolution: TICK,
-        lag_handling,
-        clients_hold_positions: true,
-        list_poll_within: Some(ms(10_000)),
-        max_attempts: 6,
-        may_cancel: true,
-        may_check_health: true,
-        max_retry_after: Some(ms(2000)),
-        slow_start_fraction: 0.2,
-        slow_start_duration: ms(16_000),
-        overload_multiple: 2.0,
-        overload_window: ms(2000),
-        unlisted_stay_usable: false,
-    }
-}
-
 impl Harness {
     /// `groups` groups of three: the first member of each is listed as its primary, and all have answered a
     /// health check that says so, with a position of now.
@@ -114,6 +100,7 @@
         Harness::with_instances(2, lag_handling, groups, seed)
     }
 
+    /// As [`Harness::with_reports`], for a router that runs as `instances` instances.
     pub fn with_instances(instances: u32, lag_handling: LagHandling, groups: usize, seed: u64) -> Harness {
         Harness::new(RoutingSettings { instances, ..routing_settings(lag_handling) }, groups, seed)
     }
@@ -128,9 +115,8 @@
     }
 
     fn new(routing_settings: RoutingSettings, groups: usize, seed: u64) -> Harness {
-        let now = Timestamp(1_000_000_000_000);
-        let mut actions = Vec::new();
-        let policy = RoutingPolicy::new(seed, &routing_settings, now, &mut actions);
+        let (policy, actions) = policy_at_start(seed, &routing_settings);
+        let now = START;
         let endpoints = groups * 3;
         let mut harness = Harness {
             policy,
@@ -162,6 +148,8 @@
         harness
     }
 
+    /// The list entry of `endpoint` with `status`; it is listed as primary if it is the first of its group and
+    /// health checks are allowed.
     pub fn entry(&self, endpoint: EndpointIndex, status: EndpointStatus) -> EndpointRecord {
         let (group, primary) =
             (self.group_of[endpoint], self.routing_settings.may_check_health && endpoint.is_multiple_of(3));
@@ -176,17 +164,20 @@
         }
     }
 
+    /// Reports a list change of `endpoint` alone to `status`.
     pub fn list(&mut self, endpoint: EndpointIndex, status: EndpointStatus) {
         self.is_serving[endpoint] = status == EndpointStatus::Serving;
         let records = vec![self.entry(endpoint, status)];
         self.report(Event::EndpointList { complete: false, records });
     }
 
+    /// Reports who of `group` may be taken for its primary.
     pub fn set_eligibility(&mut self, group: GroupIndex, eligibility: PrimaryEligibility) {
         self.eligibility_of[group] = eligibility;
         self.report(Event::PrimaryEligibility { group, eligibility });
     }
 
+    /// Reports a new request of session 7 whose deadline is `share` of its method's deadline from now.
     pub fn arrive(&mut self, method: MethodIndex, group: GroupIndex, share: f64) -> RequestId {
         let deadline = self.now + self.routing_settings.methods[method].deadline.mul_f64(share);
         let request = self.next;
@@ -217,6 +208,8 @@
         request
     }
 
+    /// Reports the end of a health check of `endpoint`; a success reports `position` and the role that `primary`
+    /// gives, with the load of [`Harness::load`].
     pub fn health_check_ended(
         &mut self,
         endpoint: EndpointIndex,
@@ -238,17 +231,18 @@
         self.report(Event::HealthCheckEnded { endpoint, outcome, elapsed: TICK, report: load_report });
     }
 
-    /// Ends the attempt that an request has out.
+    /// Ends the attempt that a request has out; a success or a refusal as not eligible reports the role that
+    /// `primary` gives, if any.
     pub fn end(&mut self, request: RequestId, outcome: AttemptOutcome, primary: Option<bool>) {
         let Some(open) = self.open_requests.get_mut(&request) else { return };
-        let Some((attempt, endpoint, sent)) = open.in_flight.take() else { return };
+        let Some(InFlight { attempt, endpoint, sent }) = open.in_flight.take() else { return };
         if !outcome.proves_not_executed() {
             open.first_run_at = open.first_run_at.or(Some(sent));
         }
         let request_closed = outcome == AttemptOutcome::Succeeded;
         if request_closed {
             self.open_requests.remove(&request);
-            self.answers.insert(request, "ok");
+            self.answers.insert(request, Answer::Succeeded);
         }
         let mut answer_report = EndpointReport::default();
         if let Some(primary) =
@@ -284,6 +278,7 @@
         self.overdue();
     }
 
+    /// Hands `event` to the policy at the present time and checks the actions it asks for.
     pub fn report(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.on_event(self.now, event, &mut actions);
@@ -291,7 +286,7 @@
         self.overdue();
     }
 
-    /// No request is lost: its answer stands at least a tick before its deadline.
+    /// No request is lost: its answer comes at least a tick before its deadline.
     fn overdue(&self) {
         for (request, open) in &self.open_requests {
             assert!(
@@ -319,11 +314,11 @@
                     let safe =
                         self.routing_settings.methods[open.method].idempotency == Idempotency::Idempotent;
                     assert!(safe || !ran, "rejected though it may have run");
-                    self.answers.insert(request, "rejected");
+                    self.answers.insert(request, Answer::Rejected);
                 }
                 Action::Abort { request } => {
                     self.open_requests.remove(&request).expect("one final answer, to a live request");
-                    self.answers.insert(request, "aborted");
+                    self.answers.insert(request, Answer::Aborted);
                 }
                 _ => {}
             }
@@ -331,7 +326,7 @@
     }
 
     fn check_send(&mut self, request: RequestId, endpoint: EndpointIndex, timeout: TimeDelta) {
-        let open = self.open_requests.get_mut(&request).expect("sent only while it is owed an answer");
+        let open = self.open_requests.get_mut(&request).expect("sent only while it waits for an answer");
         let method = &self.routing_settings.methods[open.method];
         assert!(open.in_flight.is_none(), "two attempts out at once");
         assert!(open.attempts < self.routing_settings.max_attempts, "too many attempts");
@@ -373,9 +368,14 @@
         if self.started_at[endpoint].is_some_and(|at| self.now - at < self.routing_settings.overload_window) {
             self.sent_in_slow_start[endpoint].push(self.now);
         }
-        open.in_flight = Some((open.attempts, endpoint, self.now));
+        open.in_flight = Some(InFlight { attempt: open.attempts, endpoint, sent: self.now });
         open.attempts += 1;
-        self.sent.push((request, endpoint));
+        self.sent.push(SentAttempt { request, endpoint });
+    }
+
+    /// The endpoint to which `request` has an attempt out just now, if any.
+    pub fn endpoint_of(&self, request: RequestId) -> Option<EndpointIndex> {
+        self.open_requests.get(&request).and_then(|open| open.in_flight).map(|in_flight| in_flight.endpoint)
     }
 }
 
@@ -387,5 +387,5 @@
     role: Option<bool>,
 ) -> Option<EndpointIndex> {
     harness.end(request, outcome, role);
-    harness.open_requests.get(&request).and_then(|open| open.in_flight).map(|in_flight| in_flight.1)
+    harness.endpoint_of(request)
 }
