--- a/routing/tests/primaries.rs
+++ b/routing/tests/primaries.rs
@@ -155,7 +155,11 @@
     }
     harness.advance(TimeDelta::from_millis(1_000));
     let read = harness.arrive(STRONG_READ, 0, 1.0);
-    assert_eq!(harness.endpoint_of(read), None, "it may have answered, unseen, that it is not the primary");
+    assert_eq!(
+        harness.endpoint_of(read),
+        None,
+        "it may have answered that it is not the primary, and the answer was lost"
+    );
     let write = harness.arrive(WRITE, 0, 1.0);
     assert_eq!(harness.endpoint_of(write), Some(primary), "one that is not the primary refuses a write");
     harness.end(write, AttemptOutcome::Succeeded, Some(true));
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -5,8 +5,7 @@
 //! each run, how many actions there were and a checksum over all of them. `REPLAY_RECORD=1` writes that file again,
 //! which belongs into a commit that means to change decisions and says why.
 
-// Each test file uses a part of the shared helpers.
-#[allow(dead_code)]
+#[allow(dead_code)] // Each test file uses a part of it.
 mod support;
 
 use routing::rng::Mwc;
--- a/routing/tests/slow_start.rs
+++ b/routing/tests/slow_start.rs
@@ -1,7 +1,6 @@
 //! The budget of a server in slow start, over all instances together.
 
-// Each test file uses a part of the shared helpers.
-#[allow(dead_code)]
+#[allow(dead_code)] // Each test file uses a part of it.
 mod support;
 
 use routing::time::{TimeDelta, Timestamp};
