--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -142,7 +142,7 @@
 }
 
 /// Whether "it ran", with the position of its commit perhaps, is true of an execution.
-fn fits(told: &str, point: LogPoint, answered_ms: i64) -> bool {
-    let Some(commit) = told.strip_prefix(FATE_RAN).map(str::trim) else { return false };
+fn fits(reported: &str, point: LogPoint, answered_ms: i64) -> bool {
+    let Some(commit) = reported.strip_prefix(FATE_RAN).map(str::trim) else { return false };
     point.at_ms <= answered_ms && (commit.is_empty() || commit.parse() == Ok(point.at_ms))
 }
--- a/host-support/src/routing_settings.rs
+++ b/host-support/src/routing_settings.rs
@@ -11,12 +11,12 @@
     /// A value must be above 0.
     #[error("{0}: must be above 0")]
     NotPositive(&'static str),
-    /// A word is not one of those that the key takes.
+    /// A value is not one of those that the key takes.
     #[error("{key}: {value:?} is not known")]
-    UnknownWord {
+    UnknownValue {
         /// The key.
         key: &'static str,
-        /// The word.
+        /// The value.
         value: String,
     },
     /// A list does not have one entry per method.
@@ -28,7 +28,7 @@
 }
 
 fn unknown(key: &'static str, value: &str) -> SettingsError {
-    SettingsError::UnknownWord { key, value: value.to_string() }
+    SettingsError::UnknownValue { key, value: value.to_string() }
 }
 
 /// Converts a bootstrap configuration.
--- a/operator-config/src/tokens.rs
+++ b/operator-config/src/tokens.rs
@@ -1,10 +1,10 @@
-//! The words of a line.
+//! Splitting a line of the operators' file into tokens.
 
 use std::iter::Peekable;
 use std::str::Chars;
 use thiserror::Error;
 
-/// Why the words of a line cannot be told apart.
+/// Why a line cannot be split into tokens.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum QuoteError {
     /// A backslash in quotes stands before anything else.
@@ -16,12 +16,12 @@
     /// Something stands right behind a closing quote.
     #[error("a blank must stand behind a closing quote")]
     NoBlankBehind,
-    /// A quote stands within a word.
+    /// A quote stands within a token.
     #[error("a quote may only stand at the beginning of a word")]
-    WithinWord,
+    WithinToken,
 }
 
-/// Splits a line into words. A word may be quoted, with `\"` and `\\` inside; outside quotes `#` begins a comment.
+/// Splits a line into tokens. A token may be quoted, with `\"` and `\\` inside; outside quotes `#` begins a comment.
 ///
 /// # Errors
 /// A quote is misplaced.
@@ -34,18 +34,18 @@
             blank if blank.is_whitespace() => {
                 chars.next();
             }
-            '"' => tokens.push(quoted_word(&mut chars)?),
-            _ => tokens.push(plain_word(&mut chars)?),
+            '"' => tokens.push(quoted_token(&mut chars)?),
+            _ => tokens.push(plain_token(&mut chars)?),
         }
     }
     Ok(tokens)
 }
 
-fn ends_word(char: char) -> bool {
+fn ends_token(char: char) -> bool {
     char.is_whitespace() || char == '#'
 }
 
-fn quoted_word(chars: &mut Peekable<Chars>) -> Result<String, QuoteError> {
+fn quoted_token(chars: &mut Peekable<Chars>) -> Result<String, QuoteError> {
     chars.next();
     let mut value = String::new();
     loop {
@@ -60,16 +60,16 @@
         }
     }
     match chars.peek() {
-        Some(&next) if !ends_word(next) => Err(QuoteError::NoBlankBehind),
+        Some(&next) if !ends_token(next) => Err(QuoteError::NoBlankBehind),
         _ => Ok(value),
     }
 }
 
-fn plain_word(chars: &mut Peekable<Chars>) -> Result<String, QuoteError> {
+fn plain_token(chars: &mut Peekable<Chars>) -> Result<String, QuoteError> {
     let mut value = String::new();
-    while let Some(&char) = chars.peek().filter(|char| !ends_word(**char)) {
+    while let Some(&char) = chars.peek().filter(|char| !ends_token(**char)) {
         if char == '"' {
-            return Err(QuoteError::WithinWord);
+            return Err(QuoteError::WithinToken);
         }
         value.push(char);
         chars.next();
--- a/recovery/src/watch_schedule.rs
+++ b/recovery/src/watch_schedule.rs
@@ -23,7 +23,7 @@
 /// The watch that is open, or the pause before the next.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchSchedule {
-    pushed: bool,
+    from_local_agent: bool,
     max_pause: TimeDelta,
     pause: TimeDelta,
     requested_at: Timestamp,
@@ -31,13 +31,13 @@
 }
 
 impl WatchSchedule {
-    /// `pushed`: lists come from an agent on this machine. `drain_grace`: within which attempts to a draining endpoint must
-    /// cease, if that is known.
-    pub fn new(pushed: bool, drain_grace: Option<TimeDelta>) -> WatchSchedule {
+    /// `from_local_agent`: lists come from an agent on this machine. `drain_grace`: within which attempts to a draining
+    /// endpoint must cease, if that is known.
+    pub fn new(from_local_agent: bool, drain_grace: Option<TimeDelta>) -> WatchSchedule {
         let within_grace =
-            drain_grace.filter(|_| pushed).map(|grace| (grace / 2).max(MIN_PAUSE).min(MAX_PAUSE));
+            drain_grace.filter(|_| from_local_agent).map(|grace| (grace / 2).max(MIN_PAUSE).min(MAX_PAUSE));
         WatchSchedule {
-            pushed,
+            from_local_agent,
             max_pause: within_grace.unwrap_or(MAX_PAUSE),
             pause: MIN_PAUSE,
             requested_at: Timestamp::DISTANT_PAST,
@@ -54,7 +54,7 @@
 
     /// When the answer must have begun.
     pub fn answer_due(&self) -> Timestamp {
-        self.requested_at + if self.pushed { OPEN_TIMEOUT } else { MAX_SILENCE }
+        self.requested_at + if self.from_local_agent { OPEN_TIMEOUT } else { MAX_SILENCE }
     }
 
     /// Its answer has begun; the next event must have come by the time that is returned.
--- a/routing/src/policy/endpoint_state.rs
+++ b/routing/src/policy/endpoint_state.rs
@@ -55,8 +55,8 @@
         }
         // The list's role is the weakest evidence: it counts only until the endpoint itself has answered.
         let claimed_at = endpoint.primary_claim.unwrap_or_default();
-        let heard_at = endpoint.answered_at.max(endpoint.primary_denied_at).max(claimed_at);
-        if heard_at == Timestamp::DISTANT_PAST {
+        let role_evidence_at = endpoint.answered_at.max(endpoint.primary_denied_at).max(claimed_at);
+        if role_evidence_at == Timestamp::DISTANT_PAST {
             endpoint.primary_claim = record.primary.then_some(Timestamp::DISTANT_PAST);
         }
     }
--- a/routing/src/policy/health_checks.rs
+++ b/routing/src/policy/health_checks.rs
@@ -125,7 +125,8 @@
         let outdated = endpoint.reported_at + max_age <= self.now && !fresh_known;
         let backoff = if endpoint.consecutive_failures > 1 { 2 } else { 1 };
         let interval = self.settings.tick_interval * 2 * backoff;
-        let too_soon = endpoint.health_check_in_flight || endpoint.health_checked_at + interval > self.now;
-        endpoint.serving && (ejection_over || outdated) && !too_soon
+        let checked_recently =
+            endpoint.health_check_in_flight || endpoint.health_checked_at + interval > self.now;
+        endpoint.serving && (ejection_over || outdated) && !checked_recently
     }
 }
