--- a/routing/src/policy/compiled_settings.rs
+++ b/routing/src/policy/compiled_settings.rs
@@ -32,6 +32,8 @@
 }
 
 impl CompiledSettings {
+    /// Derives the policy of each method, the tick interval, the report age and the concurrency limits from
+    /// `settings`. Without methods, the tightest latency objective is taken to be 100 ms.
     pub fn new(settings: &RoutingSettings) -> CompiledSettings {
         let methods = &settings.methods;
         let tightest_objective = methods.iter().map(|method| method.latency_objective).min();
