--- a/operator-config/src/keywords.rs
+++ b/operator-config/src/keywords.rs
@@ -18,81 +18,58 @@
     Keyword { name, set }
 }
 
+/// Stores a value that was taken from the operators' file, or passes on why it could not be taken.
+fn store<T>(field: &mut T, taken: Result<T, ValueError>) -> Result<(), ValueError> {
+    *field = taken?;
+    Ok(())
+}
+
 /// All keywords with one value, in the order of the operators' page.
 pub const KEYWORDS: &[Keyword] = &[
-    keyword("state-dir", |settings, value| {
-        settings.state_dir = Some(path(value)?);
-        Ok(())
-    }),
-    keyword("save-gap", |settings, value| {
-        settings.save_interval = duration(value, "100ms", "1h")?;
-        Ok(())
-    }),
+    keyword("state-dir", |settings, value| store(&mut settings.state_dir, path(value).map(Some))),
+    keyword("save-gap", |settings, value| store(&mut settings.save_interval, duration(value, "100ms", "1h"))),
     keyword("store-identity", |settings, value| {
         let known = [("none", EndpointIdentity::None), ("postgres", EndpointIdentity::Postgres)];
-        settings.endpoint_identity = one_of(value, &known)?;
-        Ok(())
-    }),
-    keyword("session-keys", |settings, value| {
-        settings.session_keys = Some(path(value)?);
-        Ok(())
+        store(&mut settings.endpoint_identity, one_of(value, &known))
     }),
+    keyword("session-keys", |settings, value| store(&mut settings.session_keys, path(value).map(Some))),
     keyword("session-lasts", |settings, value| {
-        settings.session_lifetime = duration(value, "1s", "30days")?;
-        Ok(())
+        store(&mut settings.session_lifetime, duration(value, "1s", "30days"))
     }),
     keyword("write-journal", |settings, value| {
         let known = [("off", JournalMode::Off), ("system", JournalMode::System), ("disk", JournalMode::Disk)];
-        settings.journal_mode = one_of(value, &known)?;
-        Ok(())
+        store(&mut settings.journal_mode, one_of(value, &known))
     }),
     keyword("write-journal-keeps", |settings, value| {
-        settings.journal_max_age = duration(value, "1m", "30days")?;
-        Ok(())
+        store(&mut settings.journal_max_age, duration(value, "1m", "30days"))
     }),
     keyword("write-journal-most", |settings, value| {
-        settings.journal_max_records = number(value, 1_000..=100_000_000)?;
-        Ok(())
+        store(&mut settings.journal_max_records, number(value, 1_000..=100_000_000))
     }),
     keyword("admit-prefix-4", |settings, value| {
-        settings.address_prefixes.v4 = number(value, 8..=32)?;
-        Ok(())
+        store(&mut settings.address_prefixes.v4, number(value, 8..=32))
     }),
     keyword("admit-prefix-6", |settings, value| {
-        settings.address_prefixes.v6 = number(value, 16..=64)?;
-        Ok(())
+        store(&mut settings.address_prefixes.v6, number(value, 16..=64))
     }),
     keyword("rpcs-at-once", |settings, value| {
-        settings.max_requests_in_flight = Some(number(value, 1..=100_000)?);
-        Ok(())
+        store(&mut settings.max_requests_in_flight, number(value, 1..=100_000).map(Some))
     }),
     keyword("rpcs-waiting", |settings, value| {
-        settings.max_requests_waiting = Some(number(value, 0..=100_000)?);
-        Ok(())
-    }),
-    keyword("rpcs-target", |settings, value| {
-        settings.target_wait = duration(value, "1ms", "1s")?;
-        Ok(())
-    }),
-    keyword("repeats", |settings, value| {
-        settings.retry_percent = Some(percentage(value)?);
-        Ok(())
-    }),
-    keyword("operators-socket", |settings, value| {
-        settings.admin_socket = Some(path(value)?);
-        Ok(())
+        store(&mut settings.max_requests_waiting, number(value, 0..=100_000).map(Some))
     }),
+    keyword("rpcs-target", |settings, value| store(&mut settings.target_wait, duration(value, "1ms", "1s"))),
+    keyword("repeats", |settings, value| store(&mut settings.retry_percent, percentage(value).map(Some))),
+    keyword("operators-socket", |settings, value| store(&mut settings.admin_socket, path(value).map(Some))),
     keyword("log-format", |settings, value| {
-        settings.log_format = one_of(value, &[("text", LogFormat::Text), ("json", LogFormat::Json)])?;
-        Ok(())
+        let known = [("text", LogFormat::Text), ("json", LogFormat::Json)];
+        store(&mut settings.log_format, one_of(value, &known))
     }),
     keyword("log-level", |settings, value| {
         let levels = ["error", "warn", "info", "debug"].map(|level| (level, level));
-        settings.log_level = one_of(value, &levels)?.to_string();
-        Ok(())
+        store(&mut settings.log_level, one_of(value, &levels).map(str::to_string))
     }),
     keyword("log-buffer", |settings, value| {
-        settings.log_buffer = size(value, ByteSize::kb(4), ByteSize::mb(16))?;
-        Ok(())
+        store(&mut settings.log_buffer, size(value, ByteSize::kb(4), ByteSize::mb(16)))
     }),
 ];
--- a/routing/src/time.rs
+++ b/routing/src/time.rs
@@ -49,33 +49,23 @@
     }
 }
 
-impl Add<TimeDelta> for Timestamp {
-    type Output = Timestamp;
-    fn add(self, delta: TimeDelta) -> Timestamp {
-        Timestamp(self.0.saturating_add(delta.0))
-    }
-}
-
-impl Sub<TimeDelta> for Timestamp {
-    type Output = Timestamp;
-    fn sub(self, delta: TimeDelta) -> Timestamp {
-        Timestamp(self.0.saturating_sub(delta.0))
-    }
+/// Implements an operator on the nanoseconds of both sides, saturating at the ends of `i64`.
+macro_rules! saturating_operator {
+    ($operator:ident, $method:ident, $saturating:ident: $left:ident, $right:ident => $output:ident) => {
+        impl $operator<$right> for $left {
+            type Output = $output;
+            fn $method(self, other: $right) -> $output {
+                $output(self.0.$saturating(other.0))
+            }
+        }
+    };
 }
 
-impl Sub for Timestamp {
-    type Output = TimeDelta;
-    fn sub(self, earlier: Timestamp) -> TimeDelta {
-        TimeDelta(self.0.saturating_sub(earlier.0))
-    }
-}
-
-impl Add for TimeDelta {
-    type Output = TimeDelta;
-    fn add(self, other: TimeDelta) -> TimeDelta {
-        TimeDelta(self.0.saturating_add(other.0))
-    }
-}
+saturating_operator!(Add, add, saturating_add: Timestamp, TimeDelta => Timestamp);
+saturating_operator!(Sub, sub, saturating_sub: Timestamp, TimeDelta => Timestamp);
+saturating_operator!(Sub, sub, saturating_sub: Timestamp, Timestamp => TimeDelta);
+saturating_operator!(Add, add, saturating_add: TimeDelta, TimeDelta => TimeDelta);
+saturating_operator!(Sub, sub, saturating_sub: TimeDelta, TimeDelta => TimeDelta);
 
 impl AddAssign for TimeDelta {
     fn add_assign(&mut self, other: TimeDelta) {
@@ -83,13 +73,6 @@
     }
 }
 
-impl Sub for TimeDelta {
-    type Output = TimeDelta;
-    fn sub(self, other: TimeDelta) -> TimeDelta {
-        TimeDelta(self.0.saturating_sub(other.0))
-    }
-}
-
 impl Mul<i64> for TimeDelta {
     type Output = TimeDelta;
     fn mul(self, factor: i64) -> TimeDelta {
