--- a/admission/src/concurrency_limiter/fair_queue.rs
+++ b/admission/src/concurrency_limiter/fair_queue.rs
@@ -85,14 +85,22 @@
     }
 }
 
+/// Where a client's flow stands in the orders of the limiter, before or after a change.
+#[derive(Clone, Copy)]
+pub struct FlowPlace {
+    /// Its requests that wait.
+    pub waiting: usize,
+    /// Its share of its class's queue, by [`ClassQueue::queue_share`].
+    pub queue_share: u64,
+    /// Since when it has had no request in flight and none waiting.
+    pub idle_since: Option<Timestamp>,
+}
+
 /// How a client's flow was changed.
 pub struct FlowChange {
-    pub waiting_before: usize,
-    pub waiting_after: usize,
-    pub share_before: u64,
-    pub share_after: u64,
-    pub idle_before: Option<Timestamp>,
-    pub idle_after: Option<Timestamp>,
+    pub before: FlowPlace,
+    pub after: FlowPlace,
+    /// When its oldest waiting request was due to expire before the change.
     pub head_expiry_before: Option<Timestamp>,
     /// Its oldest request that waits.
     pub oldest: Option<RequestId>,
@@ -164,6 +172,10 @@
         (waiting as u64).saturating_mul(SHARE_UNIT) / self.weight
     }
 
+    fn flow_place(&self, waiting: usize, idle_since: Option<Timestamp>) -> FlowPlace {
+        FlowPlace { waiting, queue_share: self.queue_share(waiting), idle_since }
+    }
+
     /// What is known of a client.
     pub fn flow(&self, address: ClientAddress) -> Option<&Flow> {
         self.flows.get(&address)
@@ -236,12 +248,8 @@
         }
         self.waiting = self.waiting + waiting_after - waiting_before;
         FlowChange {
-            waiting_before,
-            waiting_after,
-            share_before: self.queue_share(waiting_before),
-            share_after: self.queue_share(waiting_after),
-            idle_before,
-            idle_after,
+            before: self.flow_place(waiting_before, idle_before),
+            after: self.flow_place(waiting_after, idle_after),
             head_expiry_before,
             oldest,
             waiting_since,
--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -308,7 +308,7 @@
         let (changes, virtual_time) = (self.changes, self.virtual_time);
         let queue = self.queue(&client.class);
         let changed = queue.update_flow(now, client.address, changes, virtual_time, change);
-        self.waiting = self.waiting + changed.waiting_after - changed.waiting_before;
+        self.waiting = self.waiting + changed.after.waiting - changed.before.waiting;
         self.update_queue_share(client, &changed);
         self.update_idle(client, &changed);
         self.update_head_expiry(client, &changed);
@@ -316,19 +316,19 @@
     }
 
     fn update_queue_share(&mut self, client: &ClientKey, changed: &FlowChange) {
-        if changed.waiting_before > 0 {
-            self.queue_shares.remove(&(changed.share_before, client.clone()));
+        if changed.before.waiting > 0 {
+            self.queue_shares.remove(&(changed.before.queue_share, client.clone()));
         }
-        if changed.waiting_after > 0 {
-            self.queue_shares.insert((changed.share_after, client.clone()));
+        if changed.after.waiting > 0 {
+            self.queue_shares.insert((changed.after.queue_share, client.clone()));
         }
     }
 
     fn update_idle(&mut self, client: &ClientKey, changed: &FlowChange) {
-        if let Some(since) = changed.idle_before {
+        if let Some(since) = changed.before.idle_since {
             self.idle.remove(&(since, client.clone()));
         }
-        if let Some(since) = changed.idle_after {
+        if let Some(since) = changed.after.idle_since {
             self.idle.insert((since, client.clone()));
         }
     }
