--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -9,7 +9,8 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let method = &self.settings.methods[request.method];
         // An endpoint does not begin what is past its timeout, so work without value is not done.
-        let until = if method.is_write() { request.answer_by } else { request.useful_until };
+        let until =
+            if method.is_write() { request.deadlines.answer_by } else { request.deadlines.useful_until };
         let timeout = (until - self.now).max(TimeDelta(1));
         // The queue that any method leaves must suit the tightest objective, or patient methods crowd it out.
         let quick = self.quick_latency[request.method];
--- a/routing/src/policy/replica_selection.rs
+++ b/routing/src/policy/replica_selection.rs
@@ -108,7 +108,7 @@
         let half_objective = method.latency_objective / 2;
         let catches_up = |index: &EndpointIndex, within| self.may_catch_up(request, *index, within);
         let is_strong = method.access == Access::StrongRead;
-        let may_wait = !is_strong && self.now - request.arrived_at < half_objective;
+        let may_wait = !is_strong && self.now - request.deadlines.arrived_at < half_objective;
         let worth_waiting = may_wait && replicas.iter().any(|index| catches_up(index, half_objective));
         let first_try = request.eligibility_rejections == 0;
         match self.settings.settings.lag_handling {
--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -1,6 +1,6 @@
 //! The lifecycle of a request: a table of transitions, its arrival, its final answer, and requests that wait.
 
-use crate::state::request::{Request, RequestEvent, RequestPhase};
+use crate::state::request::{Request, RequestDeadlines, RequestEvent, RequestPhase};
 use crate::state::timer_tag::TimerTag;
 use crate::time::TimeDelta;
 use crate::{Access, Action, GroupIndex, RequestArrival, RequestId, RoutingPolicy};
@@ -43,8 +43,8 @@
         };
         let is_read = !method.is_write();
         let request = self.new_request(arrival);
-        self.set_timer(TimerTag::HalfTime(id), request.half_time());
-        self.set_timer(TimerTag::AnswerDue(id), request.answer_by);
+        self.set_timer(TimerTag::HalfTime(id), request.deadlines.half_time());
+        self.set_timer(TimerTag::AnswerDue(id), request.deadlines.answer_by);
         self.requests.insert(id, request);
         self.transition(id, RequestEvent::Progress);
         self.earn_health_check(group, arrival.client_retry);
@@ -65,9 +65,11 @@
         Request {
             method: arrival.method,
             group: arrival.group,
-            arrived_at: self.now,
-            useful_until: if method.useful_when_late { answer_by } else { answer_by.min(objective) },
-            answer_by,
+            deadlines: RequestDeadlines {
+                arrived_at: self.now,
+                useful_until: if method.useful_when_late { answer_by } else { answer_by.min(objective) },
+                answer_by,
+            },
             required_position: required.max(arrival.seen_position),
             recorded_session: arrival.session.filter(|_| method.is_write() && !clients_hold_positions),
             carries_position: arrival.seen_position.is_some(),
@@ -114,10 +116,10 @@
         let twice_quick = TimeDelta::from_secs_f64(self.quick_latency[request.method] * 2.0);
         // Never more than a third: a method that is no longer attempted would be taken for slow for ever.
         let needed = twice_quick.min(self.settings.methods[request.method].latency_objective / 3);
-        let too_late = self.now + needed >= request.useful_until;
+        let too_late = self.now + needed >= request.deadlines.useful_until;
         let retry_over = request.retry_until.is_some_and(|until| self.now >= until);
         // A client that has waited half of its time for nothing had better ask elsewhere.
-        let unsent = !request.reached_endpoint && self.now >= request.half_time();
+        let unsent = !request.reached_endpoint && self.now >= request.deadlines.half_time();
         retry_over || too_late || unsent || request.attempts >= self.settings.settings.max_attempts
     }
 
@@ -126,7 +128,7 @@
         let Some(request) = self.requests.get(&id) else { return };
         let may_have_run = request.retry_until.is_some() || request.in_flight.is_some();
         if self.settings.methods[request.method].client_may_retry || !may_have_run {
-            let left = (request.answer_by - self.now).max(TimeDelta::ZERO);
+            let left = (request.deadlines.answer_by - self.now).max(TimeDelta::ZERO);
             let retry_after = self.settings.settings.max_retry_after.map(|longest| left.min(longest));
             self.actions.push(Action::Reject { request: id, retry_after });
         } else {
--- a/routing/src/state/request.rs
+++ b/routing/src/state/request.rs
@@ -32,17 +32,30 @@
     AnswerDue,
 }
 
+/// When a request arrived, and the deadlines that count from its arrival.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct RequestDeadlines {
+    pub arrived_at: Timestamp,
+    /// An answer after this time has no value.
+    pub useful_until: Timestamp,
+    /// Its final answer must be given by then.
+    pub answer_by: Timestamp,
+}
+
+impl RequestDeadlines {
+    /// When half of the time that the request has is over.
+    pub fn half_time(&self) -> Timestamp {
+        self.arrived_at + (self.answer_by - self.arrived_at) / 2
+    }
+}
+
 /// An open request.
 #[derive(Default)]
 pub struct Request {
     pub phase: RequestPhase,
     pub method: MethodIndex,
     pub group: GroupIndex,
-    pub arrived_at: Timestamp,
-    /// An answer after this time has no value.
-    pub useful_until: Timestamp,
-    /// Its final answer must be given by then.
-    pub answer_by: Timestamp,
+    pub deadlines: RequestDeadlines,
     /// The position that a read must see however stale it may be: that of its arrival, or of what its session wrote or
     /// saw.
     pub required_position: Option<Timestamp>,
@@ -65,13 +78,6 @@
     pub avoid_endpoint: Option<EndpointIndex>,
 }
 
-impl Request {
-    /// When half of the time that it has is over.
-    pub fn half_time(&self) -> Timestamp {
-        self.arrived_at + (self.answer_by - self.arrived_at) / 2
-    }
-}
-
 /// An attempt that is in flight.
 pub struct InFlightAttempt {
     /// Among the attempts of its request, from 0.
