--- a/server/tests/histories.rs
+++ b/server/tests/histories.rs
@@ -18,14 +18,14 @@
         assert!(outcome.verdict.violations.is_empty(), "{plan:?}\n{:#?}", outcome.verdict.violations);
         sum.verdict.add(outcome.verdict);
         sum.writes_in_doubt += outcome.writes_in_doubt;
-        sum.fates_told += outcome.fates_told;
-        sum.losses_told += outcome.losses_told;
+        sum.fates_reported += outcome.fates_reported;
+        sum.losses_reported += outcome.losses_reported;
     }
-    let Outcome { verdict, writes_in_doubt, fates_told, losses_told, .. } = sum;
+    let Outcome { verdict, writes_in_doubt, fates_reported, losses_reported, .. } = sum;
     let requests = verdict.requests;
     println!(
-        "{requests} requests, {writes_in_doubt} writes in doubt, {fates_told} fates, {losses_told} losses"
+        "{requests} requests, {writes_in_doubt} writes in doubt, {fates_reported} fates, {losses_reported} losses"
     );
     // A run in which nothing was in doubt and nothing lost would show nothing.
-    assert!(writes_in_doubt > 0 && fates_told > 0 && losses_told > 0);
+    assert!(writes_in_doubt > 0 && fates_reported > 0 && losses_reported > 0);
 }
--- a/test-servers/src/bin/sessions.rs
+++ b/test-servers/src/bin/sessions.rs
@@ -69,11 +69,11 @@
         total(|run| run.kills)
     );
     println!(
-        "{name}: {} writes in doubt, {} fates told, {} served when sent again, {} losses told",
+        "{name}: {} writes in doubt, {} fates reported, {} served when sent again, {} losses reported",
         total(|run| run.writes_in_doubt),
-        total(|run| run.fates_told),
+        total(|run| run.fates_reported),
         total(|run| run.served_on_retry),
-        total(|run| run.losses_told)
+        total(|run| run.losses_reported)
     );
     broke > 0
 }
--- a/test-servers/src/bin/writes.rs
+++ b/test-servers/src/bin/writes.rs
@@ -26,8 +26,8 @@
 const RECONNECT_DELAY: Duration = Duration::from_millis(5);
 /// Starts on one journal.
 const STARTS: usize = 3;
-/// Sizes on disk follow with a delay, so they are looked at only after so many batches.
-const BATCHES_PER_LOOK: u64 = 20;
+/// Sizes on disk follow with a delay, so they are measured only after so many batches.
+const BATCHES_PER_MEASUREMENT: u64 = 20;
 const RECORDS_PER_BATCH: u64 = 8_192;
 
 /// The cost of recording writes.
@@ -83,7 +83,7 @@
     let mut journal = Journal::open(path, Durability::System, retention, 7).expect("it opens");
     let mut records = 0;
     while folder_bytes(path) < mb << 20 {
-        for _ in 0..BATCHES_PER_LOOK {
+        for _ in 0..BATCHES_PER_MEASUREMENT {
             let operations: Vec<Operation> =
                 (records..records + RECORDS_PER_BATCH).map(record_operation).collect();
             records += RECORDS_PER_BATCH;
--- a/test-servers/src/client.rs
+++ b/test-servers/src/client.rs
@@ -22,11 +22,11 @@
     stream: TcpStream,
     /// The token of its session as it was last given.
     pub token: Option<String>,
-    /// Where its writes are recorded, as it was told at its start.
+    /// Where its writes are recorded, as reported at its start.
     pub origin: Option<String>,
     /// The SQLSTATE with which its start was rejected.
     pub rejected_with: Option<String>,
-    /// When it was told to come back, in milliseconds.
+    /// The Retry-After it was given, in milliseconds.
     pub retry_after_ms: Option<i64>,
 }
 
@@ -88,7 +88,7 @@
         wire::read_message(&mut self.stream)
     }
 
-    /// Keeps the token and the origin that a ParameterStatus gives.
+    /// Stores the token and the origin that a ParameterStatus gives.
     fn keep_parameter(&mut self, tag: u8, body: &[u8]) {
         let text = String::from_utf8_lossy(body);
         let mut fields = text.split('\0');
--- a/test-servers/src/cluster.rs
+++ b/test-servers/src/cluster.rs
@@ -110,7 +110,7 @@
     Follows,
 }
 
-/// How started endpoints warm up and what overloads them: the rule that instances are told in their settings.
+/// How started endpoints warm up and what overloads them: the rule that instances are given in their settings.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartModel {
     /// The fraction of its capacity that an endpoint has right after its start.
@@ -271,7 +271,7 @@
 pub struct Cluster {
     /// How its endpoints warm up.
     pub slow_start: SlowStartModel,
-    /// How long statements may still come after a drain was told.
+    /// How long statements may still come after a drain was announced.
     pub drain_grace_ms: i64,
     state: Mutex<ClusterState>,
 }
--- a/test-servers/src/discovery.rs
+++ b/test-servers/src/discovery.rs
@@ -73,7 +73,7 @@
     state: Arc<Mutex<State>>,
 }
 
-/// One entry of the list, as discovery words it.
+/// One entry of the endpoint list, in discovery's format.
 pub fn list_entry(
     name: &str,
     address: &SocketAddr,
--- a/test-servers/src/endpoint.rs
+++ b/test-servers/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! A listening endpoint: it answers as its cluster stands, and records there what it executes.
+//! A listening endpoint: it answers from the present state of its cluster, and records there what it executes.
 
 use crate::cluster::{unix_ms, Cluster, ClusterState, EndpointIndex, Reachability};
 use crate::settings::DEDUP_WINDOW_MS;
@@ -32,7 +32,7 @@
     }
 }
 
-/// An address that nobody listens on: bound for a moment and given back. Each is an address of loopback's own, so that nobody
+/// An address that nobody listens on: bound briefly and given back. Each is an address of loopback's own, so that nobody
 /// else is given the port while what is to listen there is not up, or up no more.
 pub fn free_address() -> SocketAddr {
     static GIVEN: AtomicU32 = AtomicU32::new(0);
--- a/test-servers/src/restart/scenario.rs
+++ b/test-servers/src/restart/scenario.rs
@@ -19,7 +19,7 @@
 pub struct Scenario {
     pub cluster: Arc<Cluster>,
     pub served: Vec<ServedEndpoint>,
-    /// The list of before the faults, as discovery words it.
+    /// The endpoint list from before the faults, in discovery's format.
     pub old_list: Vec<Value>,
     /// The same, as an instance has cached it.
     pub cached: Vec<CachedEndpoint>,
--- a/test-servers/src/sessions.rs
+++ b/test-servers/src/sessions.rs
@@ -71,12 +71,12 @@
     pub kills: usize,
     /// Writes whose answer was lost, or which were aborted.
     pub writes_in_doubt: usize,
-    /// Of these, those that were told *ran* or *never* ...
-    pub fates_told: usize,
+    /// Of these, those whose fate was reported as *ran* or *never* ...
+    pub fates_reported: usize,
     /// ... and those that were served when they were sent again.
     pub served_on_retry: usize,
-    /// Sessions that were told that a failover had lost something.
-    pub losses_told: usize,
+    /// Sessions that were notified that a failover had lost something.
+    pub losses_reported: usize,
 }
 
 /// What clients and the thread that kills share.
@@ -227,11 +227,11 @@
 impl Outcome {
     fn add(&mut self, session: &Session) {
         let is_loss = |record: &&RequestRecord| record.answer == Answer::Error(SESSION_LOST.into());
-        let is_told = |fate: &&FateAnswer| matches!(fate.answer, Answer::Value(_));
+        let is_reported = |fate: &&FateAnswer| matches!(fate.answer, Answer::Value(_));
         self.writes_in_doubt += session.writes_in_doubt;
         self.served_on_retry += session.served_on_retry;
-        self.losses_told += session.records.iter().filter(is_loss).count();
-        self.fates_told += session.fates.iter().filter(is_told).count();
+        self.losses_reported += session.records.iter().filter(is_loss).count();
+        self.fates_reported += session.fates.iter().filter(is_reported).count();
     }
 }
 
--- a/test-servers/src/settings.rs
+++ b/test-servers/src/settings.rs
@@ -4,7 +4,7 @@
 
 /// How long a group drops duplicates of a write with an idempotency key.
 pub const DEDUP_WINDOW_MS: i64 = 1_500;
-/// How long statements may still come after a drain was told.
+/// How long statements may still come after a drain was announced.
 pub const DRAIN_GRACE_MS: i64 = 250;
 /// As the operators' deployments have it, with a shorter warm-up.
 pub const SLOW_START: SlowStartModel = SlowStartModel {
