--- a/server/tests/loopback/disconnects.rs
+++ b/server/tests/loopback/disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect, and what still comes while the instance shuts down; each rare moment is made to happen.
+//! Clients that disconnect, and what still comes while the instance shuts down; each rare interleaving is forced.
 
 use crate::fixture::*;
 use server::protocol::encode::{query, startup_message};
@@ -8,10 +8,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// So long after its client has left an RPC that waits may still be sent on.
-const MAY_GO_ON: Duration = Duration::from_millis(100);
+/// How long after its client has left a queued request might still be forwarded.
+const FORWARD_WINDOW: Duration = Duration::from_millis(100);
 
-/// A client's write whose connection to the endpoint comes up only on the word that is given back.
+/// A client's write whose connection to the endpoint comes up only when the returned sender is signalled.
 fn held_write(router: &RouterProcess) -> (Client, Sender<()>) {
     let (open, startup_gate) = channel();
     *router.primary.startup_gate.lock().expect("no panic") = Some(startup_gate);
@@ -21,19 +21,19 @@
     (client, open)
 }
 
-/// Lets the connection come up; true where the write is sent on all the same.
-fn is_sent_on(router: &RouterProcess, open: Sender<()>) -> bool {
-    thread::sleep(MAY_GO_ON);
-    open.send(()).expect("the store waits");
+/// Lets the connection come up; true where the write is forwarded all the same.
+fn is_forwarded(router: &RouterProcess, open: Sender<()>) -> bool {
+    thread::sleep(FORWARD_WINDOW);
+    open.send(()).expect("the endpoint waits");
     let mut other = Client::open(router.listen);
-    // What is sent behind it on the same endpoint has been through the same turns.
+    // A request sent after it to the same endpoint has passed through the same steps.
     while other.request("order", "good", 3000) != value() {}
     let statements = router.primary.statements.lock().expect("no panic");
     statements.len() > 1
 }
 
 #[test]
-fn what_waits_is_not_sent_on_once_its_client_has_left_however_it_leaves() {
+fn a_queued_request_is_not_forwarded_once_its_client_has_left_however_it_leaves() {
     let settings = SETTINGS
         .replace(r#""probes":true"#, r#""probes":false,"dialTimeoutNs":8000000000"#)
         .replace(r#""deadlineNs":3000000000"#, r#""deadlineNs":60000000000"#);
@@ -45,10 +45,10 @@
         |client| client.0.shutdown(Shutdown::Write).expect("still open"),
     ];
     for (index, close) in closes.into_iter().enumerate() {
-        let router = RouterProcess::within(1024, 192, &settings);
+        let router = RouterProcess::with_limits(1024, 192, &settings);
         let (client, open) = held_write(&router);
         close(client);
-        assert!(!is_sent_on(&router, open), "the {index}th way of leaving was not seen");
+        assert!(!is_forwarded(&router, open), "the {index}th way of leaving was not seen");
     }
 }
 
@@ -61,19 +61,19 @@
 }
 
 #[test]
-fn a_burst_of_leavers_takes_along_all_that_is_held_for_them_and_gives_everything_back() {
+fn a_burst_of_disconnecting_clients_releases_everything_held_for_them() {
     let router = RouterProcess::start();
     while Client::open(router.listen).request("order", "good", 1000) != value() {}
-    // As much as this endpoint is given at once, each for longer than the leavers have.
+    // As many as this endpoint's concurrency limit, each for longer than the disconnecting clients have.
     let mut busy: Vec<Client> = (0..4).map(|_| Client::open(router.listen)).collect();
     busy.iter_mut().for_each(|client| client.send(&statement("order", "slow", 3000)));
     (0..4).for_each(|_| router.arrivals.recv_timeout(LIMIT).expect("it is at work"));
     let before = descriptors(&router);
-    let mut leavers: Vec<Client> = (0..40).map(|_| Client::open(router.listen)).collect();
-    leavers.iter_mut().for_each(|client| client.send(&statement("order", "gone", 3000)));
-    // Behind them on the worker: they have been taken in by then.
+    let mut leaving: Vec<Client> = (0..40).map(|_| Client::open(router.listen)).collect();
+    leaving.iter_mut().for_each(|client| client.send(&statement("order", "gone", 3000)));
+    // Behind them on the worker: they have been accepted by then.
     Client::open(router.listen);
-    for (index, mut client) in leavers.into_iter().enumerate() {
+    for (index, mut client) in leaving.into_iter().enumerate() {
         match index % 4 {
             0 => drop(client),
             1 => reset(client),
@@ -97,36 +97,36 @@
 }
 
 #[test]
-fn a_client_that_leaves_behind_more_than_is_read_at_once_is_seen_to_leave() {
+fn a_client_that_disconnects_behind_more_than_one_read_is_detected() {
     let settings = SETTINGS
         .replace(r#""probes":true"#, r#""probes":false,"dialTimeoutNs":8000000000"#)
         .replace(r#""deadlineNs":3000000000"#, r#""deadlineNs":60000000000"#);
-    let router = RouterProcess::within(1024, 192, &settings);
+    let router = RouterProcess::with_limits(1024, 192, &settings);
     let (mut client, open) = held_write(&router);
     // The instance reads no further than to the 64th: its end lies behind those.
     let mut much = Vec::new();
     (0..100).for_each(|_| query(&mut much, ";"));
     client.0.write_all(&much).expect("sent");
     drop(client);
-    assert!(!is_sent_on(&router, open), "what it left behind hid its end");
+    assert!(!is_forwarded(&router, open), "what it left behind hid its end");
 }
 
-/// Waits until the instance has begun to leave.
-fn leaving(router: &RouterProcess) {
+/// Sends SIGTERM and waits until the instance has begun its graceful shutdown.
+fn begin_shutdown(router: &RouterProcess) {
     let mut idle = Client::open(router.listen);
     router.signal("-TERM");
     assert_eq!(idle.response(), ClientResponse::Ended);
 }
 
 #[test]
-fn a_client_whose_first_words_cross_the_beginning_of_the_leaving_is_served() {
+fn a_client_whose_first_bytes_cross_the_start_of_shutdown_is_served() {
     let mut router = RouterProcess::start();
     while Client::open(router.listen).request("order", "good", 1000) != value() {}
     let mut early = TcpStream::connect(router.listen).expect("a listener");
     early.set_read_timeout(Some(LIMIT)).expect("a time-out");
     // Behind it in the queue: once this one is served, the first has been accepted.
     Client::open(router.listen);
-    leaving(&router);
+    begin_shutdown(&router);
     early.write_all(&startup_message()).expect("sent");
     let mut early = Client(early);
     early.send(&statement("order", "good", 3000));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_client_that_always_has_the_next_query_out_is_let_go_and_what_it_then_sends_is_not_taken() {
+fn a_client_that_always_pipelines_the_next_query_is_closed_and_what_it_then_sends_is_not_read() {
     let mut router = RouterProcess::start();
     let mut client = Client::open(router.listen);
     while client.request("order", "good", 1000) != value() {}
@@ -172,7 +172,7 @@
         .filter(|text| text.contains("slow"))
         .count();
     assert!(answered >= 2 && answered < sent, "{answered} of {sent}");
-    assert!(ran <= answered, "{ran} were sent on, {answered} answered: what was read then was lost");
+    assert!(ran <= answered, "{ran} were forwarded, {answered} answered: what was read then was lost");
 }
 
 /// Whether the other side closed the connection while bytes that were sent to it lay unread: the system resets it then.
@@ -220,25 +220,25 @@
     assert_eq!(value.len(), 400_000);
     let mut rest = Vec::new();
     let _ = client.0.read_to_end(&mut rest);
-    assert!(rest.is_empty(), "and nothing is said about what crossed the close");
+    assert!(rest.is_empty(), "and nothing is sent about what crossed the close");
     assert!(router.ended().success());
 }
 
 #[test]
-fn stores_that_hang_while_the_front_leaves_cost_nobody_an_answer_in_time() {
-    let mut router = RouterProcess::without_probes();
+fn endpoints_that_hang_during_shutdown_cost_nobody_an_answer_in_time() {
+    let mut router = RouterProcess::without_health_checks();
     while Client::open(router.listen).request("order", "good", 1000) != value() {}
     let mut before = Client::open(router.listen);
     before.send(&statement("order", "silent", 1000));
     let sent = Instant::now();
-    // Two signals close together: the file is as it was, and the leaving counts all the same.
+    // Two signals close together: the file is unchanged, and the shutdown happens all the same.
     router.signal("-HUP");
-    leaving(&router);
+    begin_shutdown(&router);
     let mut during = Client::open(router.listen);
     during.send(&statement("order", "silent", 800));
     let mut read = Client::open(router.listen);
     read.send(&statement("read", "silent", 600));
-    // What may have run is no pushback; a read may always be asked for again.
+    // What may have run is not rejected; a read may always be retried.
     assert_eq!(before.response(), error("58000"));
     assert!(sent.elapsed() < Duration::from_millis(1_050), "{:?}", sent.elapsed());
     assert_eq!(during.response(), error("58000"));
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn who_rests_is_let_go_at_the_end_at_the_latest_and_a_query_half_sent_is_waited_for() {
+fn idle_connections_close_by_the_end_of_shutdown_and_a_half_sent_query_is_waited_for() {
     let mut router = RouterProcess::start();
     while Client::open(router.listen).request("order", "good", 1000) != value() {}
     // It has only connected, it has only begun its start-up, it has begun its first query.
@@ -270,7 +270,7 @@
     query(&mut bytes, &statement("order", "good", 3000));
     begun.0.write_all(&bytes[..bytes.len() / 2]).expect("sent");
     thread::sleep(Duration::from_millis(50));
-    leaving(&router);
+    begin_shutdown(&router);
     let began = Instant::now();
     // Beyond the close: what had begun by then is still taken.
     thread::sleep(Duration::from_millis(700));
@@ -278,7 +278,7 @@
     assert_eq!((begun.response(), begun.response()), (value(), ClientResponse::Ended));
     silent.set_read_timeout(Some(LIMIT)).expect("a time-out");
     assert_eq!(silent.read(&mut [0; 64]).expect("an orderly end"), 0);
-    // Its start-up is owed for 2.5 s, and then it is told so.
+    // Its start-up message is missing for 2.5 s, and then it gets an error.
     greeting.set_read_timeout(Some(LIMIT)).expect("a time-out");
     let _ = greeting.read_to_end(&mut Vec::new());
     assert!(router.ended().success());
@@ -286,8 +286,8 @@
 }
 
 #[test]
-fn a_store_is_told_no_more_time_than_its_client_has_left() {
-    let router = RouterProcess::without_probes();
+fn the_deadline_sent_to_an_endpoint_is_no_longer_than_its_client_has_left() {
+    let router = RouterProcess::without_health_checks();
     let (open, startup_gate) = channel();
     *router.primary.startup_gate.lock().expect("no panic") = Some(startup_gate);
     let mut client = Client::open(router.listen);
@@ -295,11 +295,11 @@
     client.send(&statement("order", "good", 3000));
     router.arrivals.recv_timeout(LIMIT).expect("its connection is being made");
     thread::sleep(Duration::from_millis(600));
-    open.send(()).expect("the store waits");
+    open.send(()).expect("the endpoint waits");
     let left = Duration::from_millis(3000).saturating_sub(sent.elapsed());
     assert_eq!(client.response(), value());
     let statements = router.primary.statements.lock().expect("no panic").remove(0);
-    let told = statements.split(",d=").nth(1).and_then(|rest| rest.split(',').next()).expect("a time");
-    let told = Duration::from_millis(told.parse().expect("a number"));
-    assert!(told <= left + Duration::from_millis(150), "{told:?} told, {left:?} left");
+    let deadline = statements.split(",d=").nth(1).and_then(|rest| rest.split(',').next()).expect("a time");
+    let deadline = Duration::from_millis(deadline.parse().expect("a number"));
+    assert!(deadline <= left + Duration::from_millis(150), "{deadline:?} sent, {left:?} left");
 }
--- a/server/tests/loopback/discovery_watch.rs
+++ b/server/tests/loopback/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! Rare moments of the watch on discovery: lists in an odd shape, a watch that never ends a word, or says none.
+//! Edge cases of the watch on discovery: lists in an odd shape, a watch that never ends an event, or sends none.
 
 use crate::fixture::*;
 use std::io::{Read, Write};
@@ -43,27 +43,27 @@
     (RouterProcess { child, listen, lines, primary, replica, arrivals, positions }, requests)
 }
 
-fn tells(stream: &mut TcpStream, list: &str) {
+fn sends_list(stream: &mut TcpStream, list: &str) {
     let _ = stream.write_all(format!("{HEAD}{list}").as_bytes());
     thread::sleep(LIMIT);
 }
 
-fn serves(router: &RouterProcess, within: Duration) {
+fn wait_until_served(router: &RouterProcess, within: Duration) {
     let (mut client, until) = (Client::open(router.listen), Instant::now() + within);
     while client.request("order", "good", 1000) != value() {
-        assert!(Instant::now() < until, "the list was not taken");
+        assert!(Instant::now() < until, "the list was not accepted");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn a_list_over_many_lines_with_empty_ones_in_it_is_taken() {
-    let (router, _asks) = router(vec![tells], true);
-    serves(&router, Duration::from_secs(2));
+fn a_list_over_many_lines_with_empty_ones_is_accepted() {
+    let (router, _asks) = router(vec![sends_list], true);
+    wait_until_served(&router, Duration::from_secs(2));
 }
 
 #[test]
-fn a_list_without_length_or_line_end_is_taken_whole_and_never_in_part() {
+fn a_list_without_length_or_line_end_is_accepted_whole_and_never_in_part() {
     let (router, requests) = router(
         vec![
             |stream, list| {
@@ -77,11 +77,11 @@
         false,
     );
     (0..3).for_each(|_| _ = requests.recv_timeout(LIMIT).expect("it is asked for again"));
-    serves(&router, Duration::from_secs(2));
+    wait_until_served(&router, Duration::from_secs(2));
 }
 
 #[test]
-fn a_watch_that_never_ends_its_word_or_never_answers_is_opened_anew_in_time() {
+fn a_watch_that_never_ends_its_event_or_never_answers_is_reopened_in_time() {
     let (router, requests) = router(
         vec![
             |stream, list| {
@@ -92,14 +92,14 @@
                 }
             },
             |_, _| thread::sleep(LIMIT),
-            tells,
+            sends_list,
         ],
         false,
     );
     let request = || requests.recv_timeout(LIMIT).expect("it is asked for again");
     let (first, second, third) = (request(), request(), request());
-    // Both together must leave some of the six seconds after which what was missed counts as told.
+    // Both together must leave some of the six seconds after which what was missed counts as notified.
     assert!(second - first < Duration::from_millis(3_500), "it drips: {:?}", second - first);
     assert!(third - second < Duration::from_millis(1_500), "it is mute: {:?}", third - second);
-    serves(&router, Duration::from_secs(2));
+    wait_until_served(&router, Duration::from_secs(2));
 }
--- a/server/tests/loopback/fixture.rs
+++ b/server/tests/loopback/fixture.rs
@@ -79,7 +79,7 @@
                 continue;
             }
             if text.is_empty() {
-                // A network's round trip: long enough for another call-out to want the connection.
+                // A network's round trip: long enough for another attempt to want the connection.
                 thread::sleep(Duration::from_millis(5));
                 stream.write_all(b"I\0\0\0\x04Z\0\0\0\x05I").ok()?;
                 continue;
@@ -102,7 +102,7 @@
                 "reset" => return None,
                 "full" => error_fields(&mut out, Severity::Error, "53300", "full", None),
                 "error" => error_fields(&mut out, Severity::Error, "XX000", "broken", None),
-                "spoilt" => out.extend([b'T', 127, 255, 255, 255]),
+                "malformed" => out.extend([b'T', 127, 255, 255, 255]),
                 _ => {
                     match key.as_str() {
                         "twice" => value.push(2),
@@ -127,7 +127,7 @@
             message(&mut out, b'Z', b"I");
             stream.write_all(&out).ok()?;
             if key == "twice" {
-                // What another RPC on this connection would take for its own value.
+                // What another request on this connection would take for its own value.
                 thread::sleep(Duration::from_millis(20));
                 stream.write_all(&out).ok()?;
             }
@@ -136,7 +136,7 @@
     }
 }
 
-/// The file that an instance is told by, one for each address.
+/// The configuration file of an instance, one for each address.
 pub fn config_at(listen: SocketAddr) -> std::path::PathBuf {
     std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{listen}.json"))
 }
@@ -145,13 +145,13 @@
 pub fn discovery() -> (SocketAddr, Sender<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("its address");
-    let (lines, told) = channel::<String>();
+    let (lines, events) = channel::<String>();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let _ = stream.read(&mut [0; 1024]);
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             loop {
-                let line = match told.recv_timeout(Duration::from_secs(1)) {
+                let line = match events.recv_timeout(Duration::from_secs(1)) {
                     Ok(line) => line + "\n",
                     Err(_) => "\n".to_string(),
                 };
@@ -212,17 +212,18 @@
 
 impl RouterProcess {
     pub fn start() -> RouterProcess {
-        RouterProcess::within(1024, 192, SETTINGS)
+        RouterProcess::with_limits(1024, 192, SETTINGS)
     }
 
-    /// All connections are call-outs' then, and may take their time.
-    pub fn without_probes() -> RouterProcess {
+    /// All connections are then made for attempts, and may take their time.
+    pub fn without_health_checks() -> RouterProcess {
         let settings = SETTINGS.replace(r#""probes":true"#, r#""probes":false,"dialTimeoutNs":8000000000"#);
-        RouterProcess::within(1024, 192, &settings)
+        RouterProcess::with_limits(1024, 192, &settings)
     }
 
-    /// Tells an entry, and waits until the instance has heard it: a group named behind it is known then.
-    pub fn list(&self, seq: u32, entry: &str) {
+    /// Sends an entry as a watch event, and waits until the instance has applied it: a group named in the event
+    /// sent behind it is known then.
+    pub fn publish_list(&self, seq: u32, entry: &str) {
         let mark = self.positions.fetch_add(1, Ordering::AcqRel);
         let marked = host(&self.replica, "m", "DRAINING").replace(":3,", &format!(":{mark},"));
         for (seq, entry) in [(seq, entry), (mark, &marked)] {
@@ -235,11 +236,11 @@
             if client.response() != error("42704") {
                 return;
             }
-            assert!(Instant::now() < until, "the list is not heard");
+            assert!(Instant::now() < until, "the list is not applied");
         }
     }
 
-    pub fn within(sockets: usize, memory_mb: usize, settings: &str) -> RouterProcess {
+    pub fn with_limits(sockets: usize, memory_mb: usize, settings: &str) -> RouterProcess {
         let ((primary, arrivals), (replica, _)) = (StubEndpoint::start(true), StubEndpoint::start(false));
         let (discovery, lines) = discovery();
         let hosts = [host(&primary, "p", "SERVING"), host(&replica, "r", "SERVING")].join(",");
@@ -273,10 +274,10 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let mut said = String::new();
+        let mut text = String::new();
         if let Some(log) = self.child.stderr.as_mut().filter(|_| thread::panicking()) {
-            let _ = log.read_to_string(&mut said);
-            eprintln!("the daemon's log:\n{said}");
+            let _ = log.read_to_string(&mut text);
+            eprintln!("the daemon's log:\n{text}");
         }
     }
 }
--- a/server/tests/loopback/main.rs
+++ b/server/tests/loopback/main.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn an_rpc_is_served_pushed_back_or_aborted() {
+fn a_request_is_served_rejected_or_aborted() {
     let router = RouterProcess::start();
     let mut client = Client::open(router.listen);
     let request = statement("order", "good", 3000);
@@ -23,22 +23,22 @@
     assert_eq!(client.request("read", "good", 1500), value());
     let statements = router.primary.statements.lock().expect("no panic").remove(0);
     let sent = statements.replace(",d=", "|").replace(",cluster", "|");
-    let [head, patience, tail] = sent.split('|').collect::<Vec<_>>()[..] else { panic!("{statements}") };
+    let [head, deadline, tail] = sent.split('|').collect::<Vec<_>>()[..] else { panic!("{statements}") };
     assert_eq!([head, tail].concat(), request.replace(",d=3000,cluster", ""), "only d changes");
-    assert!((1..=3000).contains(&patience.parse().expect("a number")), "{patience}");
+    assert!((1..=3000).contains(&deadline.parse().expect("a number")), "{deadline}");
 
     let ClientResponse::Error(code, Some(wait)) = client.request("order", "full", 400) else {
-        panic!("no pushback")
+        panic!("not rejected")
     };
     assert!(code == "53300" && wait.parse::<u32>().expect("milliseconds") <= 2000);
-    // What was turned away rests its endpoint; it comes back by a probe.
+    // A rejection ejects its endpoint; a health check brings it back.
     let until = Instant::now() + LIMIT;
     while client.request("order", "good", 1000) != value() {
-        assert!(Instant::now() < until, "a store that rested does not come back");
+        assert!(Instant::now() < until, "an ejected endpoint does not come back");
     }
     assert_eq!(client.request("order", "error", 3000), error("58000"), "it may have run");
     while client.request("order", "good", 1000) != value() {
-        assert!(Instant::now() < until, "a store that rested does not come back");
+        assert!(Instant::now() < until, "an ejected endpoint does not come back");
     }
     let began = Instant::now();
     assert_eq!(client.request("order", "silent", 500), error("58000"));
@@ -76,35 +76,35 @@
 }
 
 #[test]
-fn a_call_out_whose_store_drains_while_it_connects_is_not_sent() {
-    let router = RouterProcess::without_probes();
+fn an_attempt_whose_endpoint_drains_while_it_connects_is_not_sent() {
+    let router = RouterProcess::without_health_checks();
     let (open, startup_gate) = channel();
     *router.primary.startup_gate.lock().expect("no panic") = Some(startup_gate);
     let mut client = Client::open(router.listen);
     client.send(&statement("order", "good", 3000));
     router.arrivals.recv_timeout(LIMIT).expect("its connection is being made");
-    router.list(5, &host(&router.primary, "p", "DRAINING"));
-    open.send(()).expect("the store waits");
-    let ClientResponse::Error(code, _) = client.response() else { panic!("served by a store that drains") };
+    router.publish_list(5, &host(&router.primary, "p", "DRAINING"));
+    open.send(()).expect("the endpoint waits");
+    let ClientResponse::Error(code, _) = client.response() else { panic!("served by a draining endpoint") };
     assert_eq!(code, "53300", "it never ran");
     assert!(router.primary.statements.lock().expect("no panic").is_empty());
 }
 
 #[test]
-fn an_older_list_turns_nothing_back_and_a_new_start_ends_old_connections() {
-    let router = RouterProcess::without_probes();
+fn an_older_list_changes_nothing_and_an_endpoint_restart_ends_old_connections() {
+    let router = RouterProcess::without_health_checks();
     let mut client = Client::open(router.listen);
     assert_eq!(client.request("order", "good", 3000), value());
     assert_eq!(client.request("order", "good", 3000), value());
     assert_eq!(router.primary.connections.load(Ordering::Acquire), 1, "one connection for both");
-    router.list(5, &host(&router.primary, "p", "SERVING").replace('{', r#"{"born_ms":1000,"#));
-    router.list(3, &host(&router.primary, "p", "DRAINING"));
+    router.publish_list(5, &host(&router.primary, "p", "SERVING").replace('{', r#"{"born_ms":1000,"#));
+    router.publish_list(3, &host(&router.primary, "p", "DRAINING"));
     assert_eq!(client.request("order", "good", 3000), value());
     assert_eq!(router.primary.connections.load(Ordering::Acquire), 2);
 }
 
 #[test]
-fn a_call_out_right_behind_another_waits_for_its_connection_and_opens_none() {
+fn an_attempt_right_behind_another_waits_for_its_connection_and_opens_none() {
     let router = RouterProcess::start();
     let mut client = Client::open(router.listen);
     for _ in 0..20 {
@@ -112,12 +112,12 @@
         assert_eq!(client.request("order", "good", 3000), value());
     }
     let connections = [&router.primary, &router.replica].map(|stub| stub.connections.load(Ordering::Acquire));
-    assert_eq!(connections, [1, 1], "one connection to each, for probes and call-outs");
+    assert_eq!(connections, [1, 1], "one connection to each, for health checks and attempts");
 }
 
 #[test]
 fn a_connection_that_never_proves_itself_holds_up_nobody_for_long() {
-    let router = RouterProcess::without_probes();
+    let router = RouterProcess::without_health_checks();
     let mut client = Client::open(router.listen);
     for index in 1..4 {
         assert_eq!(client.request("order", "mute", 3000), value());
@@ -129,8 +129,8 @@
 }
 
 #[test]
-fn a_second_copy_behind_an_answer_reaches_nobody_and_a_spoilt_one_is_told_at_once() {
-    let router = RouterProcess::without_probes();
+fn a_duplicate_answer_reaches_nobody_and_a_malformed_one_is_reported_at_once() {
+    let router = RouterProcess::without_health_checks();
     let mut client = Client::open(router.listen);
     for _ in 0..3 {
         assert_eq!(client.request("order", "twice", 3000), ClientResponse::Value(vec![0, 255, b'\n', 7, 2]));
@@ -139,12 +139,12 @@
     }
     assert!(router.primary.connections.load(Ordering::Acquire) >= 3, "what had more behind it is closed");
     let began = Instant::now();
-    assert_eq!(client.request("order", "spoilt", 5000), error("58000"), "it may have run");
-    assert!(began.elapsed() < Duration::from_secs(2), "told by its head, not by its end");
+    assert_eq!(client.request("order", "malformed", 5000), error("58000"), "it may have run");
+    assert!(began.elapsed() < Duration::from_secs(2), "reported by its header, not by its end");
 }
 
 #[test]
-fn sigterm_answers_what_is_out_takes_what_still_comes_and_ends_soon() {
+fn sigterm_answers_requests_in_flight_serves_late_clients_and_ends_promptly() {
     let mut router = RouterProcess::start();
     let mut busy = Client::open(router.listen);
     let mut idle = Client::open(router.listen);
@@ -158,7 +158,7 @@
     assert_eq!(
         idle.response(),
         ClientResponse::Ended,
-        "idle sessions go first; a word behind an answer would be a second one"
+        "idle sessions close first; a message behind an answer would be a second answer"
     );
     let mut late = Client::open(router.listen);
     assert_eq!(late.request("read", "good", 1500), value());
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn sighup_turns_the_watch_to_the_address_in_the_file_and_an_unfit_file_changes_nothing() {
+fn sighup_moves_the_watch_to_the_address_in_the_file_and_an_invalid_file_changes_nothing() {
     let router = RouterProcess::start();
     let mut client = Client::open(router.listen);
     while client.request("order", "good", 1000) != value() {}
@@ -178,30 +178,30 @@
     router.arrivals.recv_timeout(LIMIT).expect("the statement arrives");
     let path = config_at(router.listen);
     let text = std::fs::read_to_string(&path).expect("the file of the start");
-    for unfit in
+    for invalid in
         [String::new(), text.clone(), text.replacen('{', r#"{"discovery":"nowhere","#, 1), "{".into()]
     {
-        std::fs::write(&path, unfit).expect("written");
+        std::fs::write(&path, invalid).expect("written");
         router.signal("-HUP");
     }
-    assert_eq!(client.response(), value(), "an RPC that is out across it");
-    router.list(5, &host(&router.replica, "r2", "SERVING"));
-    // The new one's versions go on from ours, and it speaks at once.
+    assert_eq!(client.response(), value(), "a request in flight across it");
+    router.publish_list(5, &host(&router.replica, "r2", "SERVING"));
+    // The new discovery's versions continue from the old one's, and it sends an event at once.
     let (addr, lines) = discovery();
     let file = text.replacen('{', &format!(r#"{{"discovery":"{addr}","name":"other","#), 1);
     std::fs::write(&path, file).expect("written");
     router.signal("-HUP");
-    let told = format!(r#"{{"seq":200,"hosts":[{}]}}"#, host(&router.primary, "p", "DRAINING"));
-    lines.send(told).expect("a watch");
+    let event = format!(r#"{{"seq":200,"hosts":[{}]}}"#, host(&router.primary, "p", "DRAINING"));
+    lines.send(event).expect("a watch");
     let until = Instant::now() + Duration::from_secs(2);
     while client.request("order", "good", 300) == value() {
-        assert!(Instant::now() < until, "the new address is not heard");
+        assert!(Instant::now() < until, "the new address is not used");
     }
     assert_eq!(client.request("read", "good", 1500), value());
 }
 
 #[test]
-fn a_killed_front_starts_again_on_its_address_and_serves_though_discovery_floods_it() {
+fn a_killed_instance_restarts_on_its_address_and_serves_though_discovery_floods_it() {
     let mut router = RouterProcess::start();
     let mut client = Client::open(router.listen);
     while client.request("order", "good", 1000) != value() {}
@@ -210,7 +210,7 @@
     let hosts = host(&router.primary, "p", "SERVING");
     let config =
         format!(r#"{{"seed":"1","known":{{"seq":4,"whole":true,"hosts":[{hosts}]}},"settings":{SETTINGS}}}"#);
-    // Nobody holds the other end of this one's lines: it sends empty ones without a pause, which must starve
+    // Nobody holds the other end of this discovery's lines: it sends empty ones without a pause, which must starve
     // nobody.
     router.child = launch(&config, router.listen, discovery().0);
     let mut client = Client::open(router.listen);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn what_is_wrong_at_the_start_ends_it_with_one_line_that_names_the_key() {
+fn an_invalid_configuration_ends_the_start_with_one_line_that_names_the_key() {
     let good = format!(r#"{{"seed":"1","settings":{SETTINGS}}}"#);
     for (config, key) in [
         ("{".to_string(), "ROUTER_CONFIG"),
@@ -230,8 +230,11 @@
     ] {
         let child = launch(&config, free_address(), free_address());
         let output = child.wait_with_output().expect("it ends");
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert!(!output.status.success() && said.lines().count() == 1 && said.contains(key), "{key}: {said}");
+        let stderr = String::from_utf8(output.stderr).expect("text");
+        assert!(
+            !output.status.success() && stderr.lines().count() == 1 && stderr.contains(key),
+            "{key}: {stderr}"
+        );
     }
     let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let output = launch(&good, taken.local_addr().expect("its address"), free_address()).wait_with_output();
@@ -240,7 +243,7 @@
 
 #[test]
 fn a_flood_costs_silent_clients_their_place_then_those_longest_idle_and_nobody_who_waits() {
-    let router = RouterProcess::within(100, 192, SETTINGS);
+    let router = RouterProcess::with_limits(100, 192, SETTINGS);
     let mut first = Client::open(router.listen);
     let silent: Vec<TcpStream> =
         (0..45).map(|_| TcpStream::connect(router.listen).expect("the listener goes on")).collect();
@@ -250,7 +253,11 @@
         stream.set_read_timeout(Some(Duration::from_secs(3))).expect("a time-out");
         let _ = stream.read_to_end(&mut Vec::new()).expect("an error or a close within three seconds");
     }
-    assert_eq!(first.request("read", "good", 1500), value(), "who has asked keeps its place as long as that");
+    assert_eq!(
+        first.request("read", "good", 1500),
+        value(),
+        "a client that has sent a query holds its place as long as that"
+    );
     thread::sleep(Duration::from_millis(2100));
     clients.extend((0..20).map(|_| Client::open(router.listen)));
     assert_eq!(
@@ -260,12 +267,12 @@
     );
     let last = clients.last_mut().expect("fifty");
     while last.request("order", "good", 1000) != value() {}
-    // Those with an RPC out are let be, and what comes on top of them is told so.
+    // Clients with a request in flight stay, and connections beyond them are rejected with a reason.
     clients.drain(..30).for_each(drop);
     for client in &mut clients {
         client.send(&statement("order", "silent", 5000));
     }
-    let mut turned_away = 0;
+    let mut rejected = 0;
     for _ in 0..40 {
         let mut stream = TcpStream::connect(router.listen).expect("the listener goes on");
         stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
@@ -276,18 +283,18 @@
         if client.0.peek(&mut [0]).expect("a greeting or an error") == 1
             && client.response() == error("53300")
         {
-            turned_away += 1;
+            rejected += 1;
         } else {
             clients.push(client);
         }
     }
-    assert!(turned_away >= 1, "never more than the descriptors allow");
+    assert!(rejected >= 1, "never more than the descriptors allow");
     clients.clear();
-    assert_eq!(Client::open(router.listen).request("read", "good", 1500), value(), "and room comes back");
+    assert_eq!(Client::open(router.listen).request("read", "good", 1500), value(), "and capacity comes back");
 }
 
 #[test]
-fn whoever_owes_a_message_or_lies_has_an_error_or_a_close_within_three_seconds() {
+fn a_client_that_stalls_or_sends_garbage_gets_an_error_or_a_close_within_three_seconds() {
     let router = RouterProcess::start();
     let mut usual = Client::open(router.listen);
     let startup_and_query = |text: &str| {
@@ -314,20 +321,20 @@
     let streams = streams.map(|bytes| {
         let mut stream = TcpStream::connect(router.listen).expect("the listener goes on");
         stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
-        // The last is reset while it still sends, or is told first: both are answers.
+        // The last is reset while it still sends, or gets an error first: both are answers.
         let _ = stream.write_all(&bytes);
         stream
     });
     for (index, mut stream) in streams.into_iter().enumerate() {
-        let mut said = Vec::new();
-        let _ = stream.read_to_end(&mut said);
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received);
         assert!(began.elapsed() < Duration::from_secs(3), "the {index}th is still here");
-        assert!(!said.windows(8).any(|part| part == b"SELECT 1"), "the {index}th was served");
+        assert!(!received.windows(8).any(|part| part == b"SELECT 1"), "the {index}th was served");
     }
     let mut dribble = TcpStream::connect(router.listen).expect("the listener goes on");
     let began = Instant::now();
     while dribble.write_all(b"\0").is_ok() {
-        assert!(began.elapsed() < Duration::from_secs(4), "byte after byte keeps it");
+        assert!(began.elapsed() < Duration::from_secs(4), "byte after byte holds the connection open");
         thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(usual.request("read", "good", 1500), value());
@@ -343,7 +350,7 @@
 
 #[test]
 fn buffers_beyond_the_memory_for_them_end_the_sessions_that_fill_them() {
-    let router = RouterProcess::within(1024, 1, SETTINGS);
+    let router = RouterProcess::with_limits(1024, 1, SETTINGS);
     let mut clients: Vec<Client> = (0..5).map(|_| Client::open(router.listen)).collect();
     let mut part = vec![b'Q'];
     part.extend(150_000u32.to_be_bytes());
