--- a/server/tests/loopback/disconnects.rs
+++ b/server/tests/loopback/disconnects.rs
@@ -137,8 +137,7 @@
 
 #[test]
 fn a_client_that_always_pipelines_the_next_query_is_closed_and_what_it_then_sends_is_not_read() {
-    let mut router = RouterProcess::start();
-    let mut client = Client::open(router.listen);
+    let (mut router, mut client) = RouterProcess::start().with_client();
     while client.request("order", "good", 1000) != value() {}
     let (began, mut sent, mut answered) = (Instant::now(), 0, 0);
     let slow = || statement("order", "slow", 3000);
@@ -201,8 +200,7 @@
 
 #[test]
 fn a_long_last_answer_is_not_cut_off_by_what_its_client_sends_meanwhile() {
-    let mut router = RouterProcess::start();
-    let mut client = Client::open(router.listen);
+    let (mut router, mut client) = RouterProcess::start().with_client();
     while client.request("order", "good", 1000) != value() {}
     let small = socket2::SockRef::from(&client.0);
     small.set_recv_buffer_size(4096).expect("a small window");
--- a/server/tests/loopback/discovery_watch.rs
+++ b/server/tests/loopback/discovery_watch.rs
@@ -43,11 +43,37 @@
     (RouterProcess { child, listen, lines, primary, replica, arrivals, positions }, requests)
 }
 
+/// Sends the whole list and holds the watch open.
 fn sends_list(stream: &mut TcpStream, list: &str) {
     let _ = stream.write_all(format!("{HEAD}{list}").as_bytes());
     thread::sleep(LIMIT);
 }
 
+/// Sends the whole list and closes the watch: no length and no line end tell where it ends.
+fn sends_list_and_closes(stream: &mut TcpStream, list: &str) {
+    let _ = stream.write_all(format!("{HEAD}{list}").as_bytes());
+}
+
+/// Sends the list without its last byte and closes the watch.
+fn sends_all_but_the_last_byte(stream: &mut TcpStream, list: &str) {
+    let _ = stream.write_all(format!("{HEAD}{}", &list[..list.len() - 1]).as_bytes());
+}
+
+/// Sends the head, the first bytes of the list and then spaces, a byte every 50 ms, and never ends the event.
+fn drips(stream: &mut TcpStream, list: &str) {
+    let mut drips = list.bytes().take(20).chain(std::iter::repeat(b' '));
+    let _ = stream.write_all(HEAD.as_bytes());
+    while stream.write_all(&[drips.next().unwrap_or_default()]).is_ok() {
+        thread::sleep(Duration::from_millis(50));
+    }
+}
+
+/// Takes the request and never answers.
+fn never_answers(_: &mut TcpStream, _: &str) {
+    thread::sleep(LIMIT);
+}
+
+/// Waits until the instance serves a write, at most `within`.
 fn wait_until_served(router: &RouterProcess, within: Duration) {
     let (mut client, until) = (Client::open(router.listen), Instant::now() + within);
     while client.request("order", "good", 1000) != value() {
@@ -64,38 +90,15 @@
 
 #[test]
 fn a_list_without_length_or_line_end_is_accepted_whole_and_never_in_part() {
-    let (router, requests) = router(
-        vec![
-            |stream, list| {
-                let _ = stream.write_all(format!("{HEAD}{}", &list[..list.len() - 1]).as_bytes());
-            },
-            |stream, list| {
-                let _ = stream.write_all(format!("{HEAD}{list}").as_bytes());
-            },
-            |_, _| thread::sleep(LIMIT),
-        ],
-        false,
-    );
+    let scripts = vec![sends_all_but_the_last_byte, sends_list_and_closes, never_answers];
+    let (router, requests) = router(scripts, false);
     (0..3).for_each(|_| _ = requests.recv_timeout(LIMIT).expect("it is asked for again"));
     wait_until_served(&router, Duration::from_secs(2));
 }
 
 #[test]
 fn a_watch_that_never_ends_its_event_or_never_answers_is_reopened_in_time() {
-    let (router, requests) = router(
-        vec![
-            |stream, list| {
-                let mut drips = list.bytes().take(20).chain(std::iter::repeat(b' '));
-                let _ = stream.write_all(HEAD.as_bytes());
-                while stream.write_all(&[drips.next().unwrap_or_default()]).is_ok() {
-                    thread::sleep(Duration::from_millis(50));
-                }
-            },
-            |_, _| thread::sleep(LIMIT),
-            sends_list,
-        ],
-        false,
-    );
+    let (router, requests) = router(vec![drips, never_answers, sends_list], false);
     let request = || requests.recv_timeout(LIMIT).expect("it is asked for again");
     let (first, second, third) = (request(), request(), request());
     // Both together must leave some of the six seconds after which what was missed counts as notified.
--- a/server/tests/loopback/fixture.rs
+++ b/server/tests/loopback/fixture.rs
@@ -1,139 +1,25 @@
 //! An instance as a child process, a client of it, stand-ins for two endpoints and for discovery.
 
+use crate::stub_endpoint::next;
+pub use crate::stub_endpoint::StubEndpoint;
 use server::protocol::decode::{error_field, only_column};
-use server::protocol::encode::{error_fields, query, startup_message, Severity};
+use server::protocol::encode::{query, startup_message};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, ExitStatus, Stdio};
-use std::sync::atomic::{AtomicU32, AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc::{channel, Receiver, Sender};
-use std::sync::{Arc, Mutex};
 use std::thread;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
 /// Far longer than anything here takes: reached only where something hangs.
 pub const LIMIT: Duration = Duration::from_secs(10);
 
-pub fn message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
-    out.push(tag);
-    out.extend((body.len() as u32 + 4).to_be_bytes());
-    out.extend(body);
-}
-
-/// The next message on a stream; none where it ended.
-pub fn next(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
-    let mut head = [0; 5];
-    stream.read_exact(&mut head).ok()?;
-    let mut body = vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
-    stream.read_exact(&mut body).ok()?;
-    Some((head[0], body))
-}
-
-/// An endpoint that does what the key of a statement says.
-#[derive(Clone)]
-pub struct StubEndpoint {
-    pub addr: SocketAddr,
-    pub primary: bool,
-    pub statements: Arc<Mutex<Vec<String>>>,
-    /// Where set, a start-up is answered only after a message from the test.
-    pub startup_gate: Arc<Mutex<Option<Receiver<()>>>>,
-    pub arrived: Sender<()>,
-    pub connections: Arc<AtomicUsize>,
-}
-
-impl StubEndpoint {
-    pub fn start(primary: bool) -> (StubEndpoint, Receiver<()>) {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let (arrived, arrivals) = channel();
-        let addr = listener.local_addr().expect("its address");
-        let (statements, startup_gate, connections) = Default::default();
-        let stub = StubEndpoint { addr, primary, statements, startup_gate, arrived, connections };
-        let serving = stub.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let stub = serving.clone();
-                thread::spawn(move || stub.serve(stream));
-            }
-        });
-        (stub, arrivals)
-    }
-
-    pub fn serve(&self, mut stream: TcpStream) -> Option<()> {
-        let mut length = [0; 4];
-        stream.read_exact(&mut length).ok()?;
-        stream.read_exact(&mut vec![0; u32::from_be_bytes(length) as usize - 4]).ok()?;
-        self.connections.fetch_add(1, Ordering::AcqRel);
-        let startup_gate = self.startup_gate.lock().expect("no panic").take();
-        if let Some(startup_gate) = startup_gate {
-            self.arrived.send(()).ok()?;
-            startup_gate.recv().ok()?;
-        }
-        let mut out = Vec::new();
-        message(&mut out, b'R', &[0; 4]);
-        message(&mut out, b'Z', b"I");
-        stream.write_all(&out).ok()?;
-        let mut mute = false;
-        while let Some((b'Q', body)) = next(&mut stream) {
-            let text = String::from_utf8(body).expect("text").trim_end_matches('\0').to_string();
-            if text.is_empty() && mute {
-                continue;
-            }
-            if text.is_empty() {
-                // A network's round trip: long enough for another attempt to want the connection.
-                thread::sleep(Duration::from_millis(5));
-                stream.write_all(b"I\0\0\0\x04Z\0\0\0\x05I").ok()?;
-                continue;
-            }
-            let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
-            let mut value = if text == "SHOW health" {
-                let role = u8::from(self.primary);
-                // A tenth of a second behind: a machine that sets its clock forward must not make it the
-                // future.
-                format!("x0={:.3},x1={role},load_share=0.1", unix.as_secs_f64() - 0.1).into_bytes()
-            } else {
-                self.statements.lock().expect("no panic").push(text.clone());
-                vec![0, 255, b'\n', 7]
-            };
-            let key = text.split('\'').nth(1).unwrap_or_default().to_string();
-            mute = key == "mute";
-            let mut out = Vec::new();
-            match key.as_str() {
-                "silent" => continue,
-                "reset" => return None,
-                "full" => error_fields(&mut out, Severity::Error, "53300", "full", None),
-                "error" => error_fields(&mut out, Severity::Error, "XX000", "broken", None),
-                "malformed" => out.extend([b'T', 127, 255, 255, 255]),
-                _ => {
-                    match key.as_str() {
-                        "twice" => value.push(2),
-                        "long" => value = vec![9; 400_000],
-                        _ => {}
-                    }
-                    if key == "slow" {
-                        self.arrived.send(()).ok()?;
-                        thread::sleep(Duration::from_millis(700));
-                    }
-                    let row = [&[0, 1], &(value.len() as u32).to_be_bytes()[..], &value].concat();
-                    message(
-                        &mut out,
-                        b'T',
-                        b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01",
-                    );
-                    message(&mut out, b'D', &row);
-                    message(&mut out, b'C', b"SELECT 1\0");
-                }
-            }
-            message(&mut out, b'S', if self.primary { b"recovery\0off\0" } else { b"recovery\0on\0" });
-            message(&mut out, b'Z', b"I");
-            stream.write_all(&out).ok()?;
-            if key == "twice" {
-                // What another request on this connection would take for its own value.
-                thread::sleep(Duration::from_millis(20));
-                stream.write_all(&out).ok()?;
-            }
-        }
-        Some(())
-    }
+/// A start-up message with one query straight behind it.
+pub fn startup_and_query(text: &str) -> Vec<u8> {
+    let mut out = startup_message();
+    query(&mut out, text);
+    out
 }
 
 /// The configuration file of an instance, one for each address.
@@ -164,6 +50,7 @@
     (addr, lines)
 }
 
+/// The routing settings of every instance here: two methods, one zone, health checks on.
 pub const SETTINGS: &str = r#"{"nInstances":2,"zone":0,"azs":["a"],"resolutionNs":5000000,"membershipMode":"push",
     "classes":[{"name":"read","aimNs":600000000,"deadlineNs":1500000000,"effect":"read_like"},
         {"name":"order","aimNs":500000000,"deadlineNs":3000000000,"effect":"non_idempotent","lateValue":0.5}],
@@ -171,16 +58,25 @@
     "allowed":{"maxAttempts":6,"mayCancel":true,"probes":true,"retryAfter":true,"maxRetryAfterNs":2000000000},
     "report":{"names":["x0","x1","load_share"]},"rules":{}}"#;
 
+/// An instance of the router as a child process, with its stub endpoints and its discovery.
 pub struct RouterProcess {
+    /// The process; killed when this is dropped.
     pub child: Child,
+    /// Where it listens for clients.
     pub listen: SocketAddr,
+    /// Lines of its discovery's watch.
     pub lines: Sender<String>,
+    /// The primary of group 3.
     pub primary: StubEndpoint,
+    /// The replica of group 3.
     pub replica: StubEndpoint,
+    /// What the primary's `arrived` is sent.
     pub arrivals: Receiver<()>,
+    /// The next group number and version that `publish_list` uses to mark its entries.
     pub positions: AtomicU32,
 }
 
+/// The endpoint list entry of a stub endpoint in group 3, with its name and health.
 pub fn host(stub: &StubEndpoint, name: &str, health: &str) -> String {
     let role = if stub.primary { "off" } else { "on" };
     format!(
@@ -189,6 +85,7 @@
     )
 }
 
+/// Starts the daemon with this bootstrap file, listen address and discovery address.
 pub fn launch(config: &str, listen: SocketAddr, discovery: SocketAddr) -> Child {
     let path = config_at(listen);
     std::fs::write(&path, config).expect("a writable folder");
@@ -211,6 +108,7 @@
 }
 
 impl RouterProcess {
+    /// An instance with the usual limits and settings.
     pub fn start() -> RouterProcess {
         RouterProcess::with_limits(1024, 192, SETTINGS)
     }
@@ -221,6 +119,12 @@
         RouterProcess::with_limits(1024, 192, &settings)
     }
 
+    /// The instance with one client connected to it.
+    pub fn with_client(self) -> (RouterProcess, Client) {
+        let client = Client::open(self.listen);
+        (self, client)
+    }
+
     /// Sends an entry as a watch event, and waits until the instance has applied it: a group named in the event
     /// sent behind it is known then.
     pub fn publish_list(&self, seq: u32, entry: &str) {
@@ -240,6 +144,7 @@
         }
     }
 
+    /// An instance limited to so many sockets and so many MB of memory, with these settings.
     pub fn with_limits(sockets: usize, memory_mb: usize, settings: &str) -> RouterProcess {
         let ((primary, arrivals), (replica, _)) = (StubEndpoint::start(true), StubEndpoint::start(false));
         let (discovery, lines) = discovery();
@@ -253,11 +158,13 @@
         RouterProcess { child, listen, lines, primary, replica, arrivals, positions: AtomicU32::new(100) }
     }
 
+    /// Sends the process a signal, named as `kill` takes it (`-TERM`).
     pub fn signal(&self, name: &str) {
         let done = Command::new("kill").args([name, &self.child.id().to_string()]).status();
         assert!(done.expect("a kill command").success());
     }
 
+    /// Waits until the process has ended, at most `LIMIT`.
     pub fn ended(&mut self) -> ExitStatus {
         let until = Instant::now() + LIMIT;
         loop {
@@ -282,13 +189,19 @@
     }
 }
 
+/// A client connection to an instance.
 pub struct Client(pub TcpStream);
 
+/// What a client received up to its next ReadyForQuery.
 #[derive(Debug, PartialEq)]
 pub enum ClientResponse {
+    /// No row and no error.
     Empty,
+    /// The value of the one column of the last row.
     Value(Vec<u8>),
+    /// The SQLSTATE of an error and its detail, which carries a Retry-After in milliseconds where there is one.
     Error(String, Option<String>),
+    /// The connection ended.
     Ended,
 }
 
@@ -315,6 +228,7 @@
         client
     }
 
+    /// Sends one query.
     pub fn send(&mut self, statement: &str) {
         let mut out = Vec::new();
         query(&mut out, statement);
@@ -342,22 +256,33 @@
         }
     }
 
+    /// Sends a statement of this method, key and deadline (ms), and reads its response.
     pub fn request(&mut self, class: &str, key: &str, d: u32) -> ClientResponse {
         self.send(&statement(class, key, d));
         self.response()
     }
+
+    /// Sends the request until it is served; fails the test with `failure` once `until` has passed.
+    pub fn request_until_served(&mut self, class: &str, key: &str, d: u32, until: Instant, failure: &str) {
+        while self.request(class, key, d) != value() {
+            assert!(Instant::now() < until, "{failure}");
+        }
+    }
 }
 
+/// A statement with a new id, this method and deadline (ms) in its comment, for group 3, naming `key`.
 pub fn statement(class: &str, key: &str, d: u32) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let id = NEXT.fetch_add(1, Ordering::AcqRel);
     format!("/* id={id:08x},c={class},d={d},cluster=3 */ SELECT content FROM kv WHERE name = '{key}'")
 }
 
+/// The value that a stub endpoint usually answers.
 pub fn value() -> ClientResponse {
     ClientResponse::Value(vec![0, 255, b'\n', 7])
 }
 
+/// An error with this SQLSTATE and no detail.
 pub fn error(code: &str) -> ClientResponse {
     ClientResponse::Error(code.to_string(), None)
 }
--- a/server/tests/loopback/main.rs
+++ b/server/tests/loopback/main.rs
@@ -3,6 +3,7 @@
 mod disconnects;
 mod discovery_watch;
 mod fixture;
+mod stub_endpoint;
 
 use fixture::*;
 use server::protocol::encode::{query, startup_message};
@@ -15,17 +16,14 @@
 
 #[test]
 fn a_request_is_served_rejected_or_aborted() {
-    let router = RouterProcess::start();
-    let mut client = Client::open(router.listen);
+    let (router, mut client) = RouterProcess::start().with_client();
     let request = statement("order", "good", 3000);
     client.send(&request);
     assert_eq!(client.response(), value());
     assert_eq!(client.request("read", "good", 1500), value());
     let statements = router.primary.statements.lock().expect("no panic").remove(0);
-    let sent = statements.replace(",d=", "|").replace(",cluster", "|");
-    let [head, deadline, tail] = sent.split('|').collect::<Vec<_>>()[..] else { panic!("{statements}") };
-    assert_eq!([head, tail].concat(), request.replace(",d=3000,cluster", ""), "only d changes");
-    assert!((1..=3000).contains(&deadline.parse().expect("a number")), "{deadline}");
+    let deadline = forwarded_deadline(&statements, &request);
+    assert!((1..=3000).contains(&deadline), "{deadline}");
 
     let ClientResponse::Error(code, Some(wait)) = client.request("order", "full", 400) else {
         panic!("not rejected")
@@ -33,13 +31,9 @@
     assert!(code == "53300" && wait.parse::<u32>().expect("milliseconds") <= 2000);
     // A rejection ejects its endpoint; a health check brings it back.
     let until = Instant::now() + LIMIT;
-    while client.request("order", "good", 1000) != value() {
-        assert!(Instant::now() < until, "an ejected endpoint does not come back");
-    }
+    client.request_until_served("order", "good", 1000, until, "an ejected endpoint does not come back");
     assert_eq!(client.request("order", "error", 3000), error("58000"), "it may have run");
-    while client.request("order", "good", 1000) != value() {
-        assert!(Instant::now() < until, "an ejected endpoint does not come back");
-    }
+    client.request_until_served("order", "good", 1000, until, "an ejected endpoint does not come back");
     let began = Instant::now();
     assert_eq!(client.request("order", "silent", 500), error("58000"));
     assert!(began.elapsed() < Duration::from_millis(500), "before its client gives up");
@@ -57,10 +51,17 @@
     assert_eq!((client.response(), client.response()), (error("08P01"), ClientResponse::Ended));
 }
 
+/// The deadline (ms) in a statement that an endpoint was sent; all else is as the client sent it in `request`.
+fn forwarded_deadline(forwarded: &str, request: &str) -> i32 {
+    let sent = forwarded.replace(",d=", "|").replace(",cluster", "|");
+    let [head, deadline, tail] = sent.split('|').collect::<Vec<_>>()[..] else { panic!("{forwarded}") };
+    assert_eq!([head, tail].concat(), request.replace(",d=3000,cluster", ""), "only d changes");
+    deadline.parse().expect("a number")
+}
+
 #[test]
 fn pipelined_queries_are_answered_in_order_whatever_comes_first() {
-    let router = RouterProcess::start();
-    let mut client = Client::open(router.listen);
+    let (router, mut client) = RouterProcess::start().with_client();
     let mut bytes = Vec::new();
     query(&mut bytes, &statement("order", "slow", 3000));
     query(&mut bytes, &statement("other", "good", 3000));
@@ -92,8 +93,7 @@
 
 #[test]
 fn an_older_list_changes_nothing_and_an_endpoint_restart_ends_old_connections() {
-    let router = RouterProcess::without_health_checks();
-    let mut client = Client::open(router.listen);
+    let (router, mut client) = RouterProcess::without_health_checks().with_client();
     assert_eq!(client.request("order", "good", 3000), value());
     assert_eq!(client.request("order", "good", 3000), value());
     assert_eq!(router.primary.connections.load(Ordering::Acquire), 1, "one connection for both");
@@ -105,8 +105,7 @@
 
 #[test]
 fn an_attempt_right_behind_another_waits_for_its_connection_and_opens_none() {
-    let router = RouterProcess::start();
-    let mut client = Client::open(router.listen);
+    let (router, mut client) = RouterProcess::start().with_client();
     for _ in 0..20 {
         assert_eq!(client.request("read", "good", 1500), value());
         assert_eq!(client.request("order", "good", 3000), value());
@@ -117,8 +116,7 @@
 
 #[test]
 fn a_connection_that_never_proves_itself_holds_up_nobody_for_long() {
-    let router = RouterProcess::without_health_checks();
-    let mut client = Client::open(router.listen);
+    let (router, mut client) = RouterProcess::without_health_checks().with_client();
     for index in 1..4 {
         assert_eq!(client.request("order", "mute", 3000), value());
         let began = Instant::now();
@@ -130,8 +128,7 @@
 
 #[test]
 fn a_duplicate_answer_reaches_nobody_and_a_malformed_one_is_reported_at_once() {
-    let router = RouterProcess::without_health_checks();
-    let mut client = Client::open(router.listen);
+    let (router, mut client) = RouterProcess::without_health_checks().with_client();
     for _ in 0..3 {
         assert_eq!(client.request("order", "twice", 3000), ClientResponse::Value(vec![0, 255, b'\n', 7, 2]));
         assert_eq!(client.request("order", "good", 3000), value(), "its own");
@@ -171,8 +168,7 @@
 
 #[test]
 fn sighup_moves_the_watch_to_the_address_in_the_file_and_an_invalid_file_changes_nothing() {
-    let router = RouterProcess::start();
-    let mut client = Client::open(router.listen);
+    let (router, mut client) = RouterProcess::start().with_client();
     while client.request("order", "good", 1000) != value() {}
     client.send(&statement("order", "slow", 3000));
     router.arrivals.recv_timeout(LIMIT).expect("the statement arrives");
@@ -202,8 +198,7 @@
 
 #[test]
 fn a_killed_instance_restarts_on_its_address_and_serves_though_discovery_floods_it() {
-    let mut router = RouterProcess::start();
-    let mut client = Client::open(router.listen);
+    let (mut router, mut client) = RouterProcess::start().with_client();
     while client.request("order", "good", 1000) != value() {}
     router.signal("-KILL");
     assert!(!router.ended().success());
@@ -295,30 +290,10 @@
 
 #[test]
 fn a_client_that_stalls_or_sends_garbage_gets_an_error_or_a_close_within_three_seconds() {
-    let router = RouterProcess::start();
-    let mut usual = Client::open(router.listen);
-    let startup_and_query = |text: &str| {
-        let mut out = startup_message();
-        query(&mut out, text);
-        out
-    };
-    let half = startup_and_query(&statement("order", "good", 60_000));
-    let mut behind = startup_and_query(&statement("order", "silent", 60_000));
-    behind.extend([b'Q', 255, 255, 255, 255]);
-    let mut huge = startup_message();
-    huge.extend([b'Q', 3, 147, 135, 4]);
-    huge.resize(8 << 20, b'a');
-    let streams = [
-        Vec::new(),
-        startup_message()[..7].to_vec(),
-        startup_message(),
-        half[..half.len() - 1].to_vec(),
-        b"GET / HTTP/1.1\r\n\r\n".to_vec(),
-        behind,
-        huge,
-    ];
+    let (router, mut usual) = RouterProcess::start().with_client();
+    let sent = misbehaving_clients();
     let began = Instant::now();
-    let streams = streams.map(|bytes| {
+    let streams = sent.map(|bytes| {
         let mut stream = TcpStream::connect(router.listen).expect("the listener goes on");
         stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
         // The last is reset while it still sends, or gets an error first: both are answers.
@@ -340,10 +315,29 @@
     assert_eq!(usual.request("read", "good", 1500), value());
 }
 
+/// What clients that stall or send garbage send: nothing, part of a start-up, a start-up alone, a query without its
+/// last byte, HTTP, a query behind an answer followed by a huge length, and a huge query.
+fn misbehaving_clients() -> [Vec<u8>; 7] {
+    let half = startup_and_query(&statement("order", "good", 60_000));
+    let mut behind = startup_and_query(&statement("order", "silent", 60_000));
+    behind.extend([b'Q', 255, 255, 255, 255]);
+    let mut huge = startup_message();
+    huge.extend([b'Q', 3, 147, 135, 4]);
+    huge.resize(8 << 20, b'a');
+    [
+        Vec::new(),
+        startup_message()[..7].to_vec(),
+        startup_message(),
+        half[..half.len() - 1].to_vec(),
+        b"GET / HTTP/1.1\r\n\r\n".to_vec(),
+        behind,
+        huge,
+    ]
+}
+
 #[test]
 fn long_values_go_out_whole() {
-    let router = RouterProcess::start();
-    let mut client = Client::open(router.listen);
+    let (_router, mut client) = RouterProcess::start().with_client();
     let ClientResponse::Value(value) = client.request("read", "long", 1500) else { panic!("not served") };
     assert!(value.len() == 400_000 && value.iter().all(|byte| *byte == 9));
 }
@@ -367,8 +361,5 @@
     assert!((1..5).contains(&ended), "{ended} of five were ended, a third of a megabyte is for all");
     drop(clients);
     let mut client = Client::open(router.listen);
-    let until = Instant::now() + LIMIT;
-    while client.request("read", "good", 1500) != value() {
-        assert!(Instant::now() < until, "the memory is not given back");
-    }
+    client.request_until_served("read", "good", 1500, Instant::now() + LIMIT, "the memory is not given back");
 }
