--- a/server/tests/loopback/disconnects.rs
+++ b/server/tests/loopback/disconnects.rs
@@ -89,7 +89,7 @@
     assert_eq!(statements.iter().filter(|text| text.contains("gone")).count(), 0, "nobody waits for these");
     drop(statements);
     let until = Instant::now() + LIMIT;
-    // A few more to endpoints may stand by now; each way of leaving had ten.
+    // A few more connections to endpoints may be open by now; each way of leaving had ten.
     while descriptors(&router) >= before + 10 {
         assert!(Instant::now() < until, "{} descriptors, {before} before", descriptors(&router));
         thread::sleep(Duration::from_millis(5));
@@ -151,12 +151,12 @@
             ClientResponse::Ended => break,
             ClientResponse::Value(_) => answered += 1,
             ClientResponse::Error(code, _) => {
-                assert_eq!(code, "53300", "what is not answered may be asked again");
+                assert_eq!(code, "53300", "what is not answered may be retried");
                 answered += 1;
             }
             ClientResponse::Empty => panic!("nothing empty was asked"),
         }
-        assert!(began.elapsed() < Duration::from_secs(5), "it is never let go");
+        assert!(began.elapsed() < Duration::from_secs(5), "it is never closed");
         let mut out = Vec::new();
         query(&mut out, &slow());
         sent += usize::from(client.0.write_all(&out).is_ok());
@@ -270,7 +270,7 @@
     thread::sleep(Duration::from_millis(50));
     begin_shutdown(&router);
     let began = Instant::now();
-    // Beyond the close: what had begun by then is still taken.
+    // Beyond the close: what had begun by then is still read.
     thread::sleep(Duration::from_millis(700));
     begun.0.write_all(&bytes[bytes.len() / 2..]).expect("it is waited for");
     assert_eq!((begun.response(), begun.response()), (value(), ClientResponse::Ended));
