--- a/server/tests/loopback/discovery_watch.rs
+++ b/server/tests/loopback/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! Rare moments of the watch on discovery: lists in an odd shape, a watch that never ends a word, or says none.
+//! Edge cases of the watch on discovery: lists in an odd shape, a watch that never ends an event, or sends none.
 
 use crate::fixture::*;
 use std::io::{Read, Write};
@@ -43,63 +43,66 @@
     (RouterProcess { child, listen, lines, primary, replica, arrivals, positions }, requests)
 }
 
-fn tells(stream: &mut TcpStream, list: &str) {
+/// Sends the whole list and holds the watch open.
+fn sends_list(stream: &mut TcpStream, list: &str) {
     let _ = stream.write_all(format!("{HEAD}{list}").as_bytes());
     thread::sleep(LIMIT);
 }
 
-fn serves(router: &RouterProcess, within: Duration) {
+/// Sends the whole list and closes the watch: no length and no line end tell where it ends.
+fn sends_list_and_closes(stream: &mut TcpStream, list: &str) {
+    let _ = stream.write_all(format!("{HEAD}{list}").as_bytes());
+}
+
+/// Sends the list without its last byte and closes the watch.
+fn sends_all_but_the_last_byte(stream: &mut TcpStream, list: &str) {
+    let _ = stream.write_all(format!("{HEAD}{}", &list[..list.len() - 1]).as_bytes());
+}
+
+/// Sends the head, the first bytes of the list and then spaces, a byte every 50 ms, and never ends the event.
+fn drips(stream: &mut TcpStream, list: &str) {
+    let mut drips = list.bytes().take(20).chain(std::iter::repeat(b' '));
+    let _ = stream.write_all(HEAD.as_bytes());
+    while stream.write_all(&[drips.next().unwrap_or_default()]).is_ok() {
+        thread::sleep(Duration::from_millis(50));
+    }
+}
+
+/// Takes the request and never answers.
+fn never_answers(_: &mut TcpStream, _: &str) {
+    thread::sleep(LIMIT);
+}
+
+/// Waits until the instance serves a write, at most `within`.
+fn wait_until_served(router: &RouterProcess, within: Duration) {
     let (mut client, until) = (Client::open(router.listen), Instant::now() + within);
     while client.request("order", "good", 1000) != value() {
-        assert!(Instant::now() < until, "the list was not taken");
+        assert!(Instant::now() < until, "the list was not accepted");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn a_list_over_many_lines_with_empty_ones_in_it_is_taken() {
-    let (router, _asks) = router(vec![tells], true);
-    serves(&router, Duration::from_secs(2));
+fn a_list_over_many_lines_with_empty_ones_is_accepted() {
+    let (router, _asks) = router(vec![sends_list], true);
+    wait_until_served(&router, Duration::from_secs(2));
 }
 
 #[test]
-fn a_list_without_length_or_line_end_is_taken_whole_and_never_in_part() {
-    let (router, requests) = router(
-        vec![
-            |stream, list| {
-                let _ = stream.write_all(format!("{HEAD}{}", &list[..list.len() - 1]).as_bytes());
-            },
-            |stream, list| {
-                let _ = stream.write_all(format!("{HEAD}{list}").as_bytes());
-            },
-            |_, _| thread::sleep(LIMIT),
-        ],
-        false,
-    );
+fn a_list_without_length_or_line_end_is_accepted_whole_and_never_in_part() {
+    let scripts = vec![sends_all_but_the_last_byte, sends_list_and_closes, never_answers];
+    let (router, requests) = router(scripts, false);
     (0..3).for_each(|_| _ = requests.recv_timeout(LIMIT).expect("it is asked for again"));
-    serves(&router, Duration::from_secs(2));
+    wait_until_served(&router, Duration::from_secs(2));
 }
 
 #[test]
-fn a_watch_that_never_ends_its_word_or_never_answers_is_opened_anew_in_time() {
-    let (router, requests) = router(
-        vec![
-            |stream, list| {
-                let mut drips = list.bytes().take(20).chain(std::iter::repeat(b' '));
-                let _ = stream.write_all(HEAD.as_bytes());
-                while stream.write_all(&[drips.next().unwrap_or_default()]).is_ok() {
-                    thread::sleep(Duration::from_millis(50));
-                }
-            },
-            |_, _| thread::sleep(LIMIT),
-            tells,
-        ],
-        false,
-    );
+fn a_watch_that_never_ends_its_event_or_never_answers_is_reopened_in_time() {
+    let (router, requests) = router(vec![drips, never_answers, sends_list], false);
     let request = || requests.recv_timeout(LIMIT).expect("it is asked for again");
     let (first, second, third) = (request(), request(), request());
-    // Both together must leave some of the six seconds after which what was missed counts as told.
+    // Both together must leave some of the six seconds after which what was missed counts as notified.
     assert!(second - first < Duration::from_millis(3_500), "it drips: {:?}", second - first);
     assert!(third - second < Duration::from_millis(1_500), "it is mute: {:?}", third - second);
-    serves(&router, Duration::from_secs(2));
+    wait_until_served(&router, Duration::from_secs(2));
 }
