--- a/server/tests/admission.rs
+++ b/server/tests/admission.rs
@@ -1,5 +1,8 @@
 //! Known clients and floods, on loopback's own addresses.
 
+mod common;
+
+use common::ROUTER;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -20,7 +23,7 @@
 
 impl Fixture {
     fn new() -> Fixture {
-        let program = PathBuf::from(env!("CARGO_BIN_EXE_query-router"));
+        let program = PathBuf::from(ROUTER);
         Fixture { single_endpoint: SingleEndpoint::new(1), listen: free_address(), program }
     }
 
@@ -49,50 +52,64 @@
 #[derive(Debug, Default)]
 struct Flooded {
     desk_served: usize,
-    rejected_with: usize,
-    told_when: usize,
-    let_in: usize,
-    rpcs_lost: usize,
+    rejected: usize,
+    with_retry_after: usize,
+    admitted: usize,
+    requests_lost: usize,
+}
+
+/// What the flood's clients count while they run.
+#[derive(Default)]
+struct FloodCounts {
+    rejected: AtomicUsize,
+    with_retry_after: AtomicUsize,
+    admitted: AtomicUsize,
+    requests_lost: AtomicUsize,
+}
+
+/// One of the flood's clients, from two addresses of its own by `index`, until `over` is set: once admitted it asks
+/// again and again, so that it is never idle, and connects again once it is rejected or closed.
+fn flood_client(index: u16, listen: SocketAddr, over: &AtomicBool, counts: &FloodCounts) {
+    for round in 0u16.. {
+        let from = Ipv4Addr::new(127, 50, (index % 2) as u8 + 2 * (round % 2) as u8, index as u8);
+        if over.load(Ordering::Acquire) {
+            return;
+        }
+        let Ok(mut client) = Client::from_address(&listen, from) else {
+            thread::sleep(Duration::from_millis(10));
+            continue;
+        };
+        if client.rejected_with.is_some() {
+            counts.rejected.fetch_add(1, Ordering::Relaxed);
+            counts
+                .with_retry_after
+                .fetch_add(usize::from(client.retry_after_ms.is_some()), Ordering::Relaxed);
+            thread::sleep(Duration::from_millis(20));
+            continue;
+        }
+        counts.admitted.fetch_add(1, Ordering::Relaxed);
+        for serial in 0.. {
+            if over.load(Ordering::Acquire) {
+                return;
+            }
+            let id = format!("f{index}-{round}-{serial}");
+            if client.request(&id, 1, Kind::Read, 400).answer == Answer::Missing {
+                // Closed between two queries is no loss; with one on the way it would be.
+                counts.requests_lost.fetch_add(usize::from(serial == 0), Ordering::Relaxed);
+                break;
+            }
+        }
+    }
 }
 
-/// Each of the flood's connections asks again and again, so that nobody is idle, and comes again once it is
-/// refused.
+/// A flood of 150 clients (see [`flood_client`]) while 60 desk apps each try one write.
 fn flood(fixture: &Fixture) -> Flooded {
     let over = Arc::new(AtomicBool::new(false));
-    let counts: Arc<[AtomicUsize; 4]> = Arc::default();
+    let counts: Arc<FloodCounts> = Arc::default();
     let flooding: Vec<_> = (0..150u16)
         .map(|index| {
             let (over, counts, listen) = (over.clone(), counts.clone(), fixture.listen);
-            thread::spawn(move || {
-                for round in 0u16.. {
-                    let from = Ipv4Addr::new(127, 50, (index % 2) as u8 + 2 * (round % 2) as u8, index as u8);
-                    if over.load(Ordering::Acquire) {
-                        return;
-                    }
-                    let Ok(mut client) = Client::from_address(&listen, from) else {
-                        thread::sleep(Duration::from_millis(10));
-                        continue;
-                    };
-                    if client.rejected_with.is_some() {
-                        counts[0].fetch_add(1, Ordering::Relaxed);
-                        counts[1].fetch_add(usize::from(client.retry_after_ms.is_some()), Ordering::Relaxed);
-                        thread::sleep(Duration::from_millis(20));
-                        continue;
-                    }
-                    counts[2].fetch_add(1, Ordering::Relaxed);
-                    for serial in 0.. {
-                        if over.load(Ordering::Acquire) {
-                            return;
-                        }
-                        let id = format!("f{index}-{round}-{serial}");
-                        if client.request(&id, 1, Kind::Read, 400).answer == Answer::Missing {
-                            // Let go between two queries is no loss; with one on the way it would be.
-                            counts[3].fetch_add(usize::from(serial == 0), Ordering::Relaxed);
-                            break;
-                        }
-                    }
-                }
-            })
+            thread::spawn(move || flood_client(index, listen, &over, &counts))
         })
         .collect();
     thread::sleep(Duration::from_millis(400));
@@ -100,13 +117,18 @@
     let desk_served = (0..60).filter(|&index| desk(index)).count();
     over.store(true, Ordering::Release);
     flooding.into_iter().for_each(|flooding| flooding.join().expect("no client panics"));
-    let [rejected_with, told_when, let_in, rpcs_lost] =
-        [0, 1, 2, 3].map(|index| counts[index].load(Ordering::Relaxed));
-    Flooded { desk_served, rejected_with, told_when, let_in, rpcs_lost }
+    let load = |count: &AtomicUsize| count.load(Ordering::Relaxed);
+    Flooded {
+        desk_served,
+        rejected: load(&counts.rejected),
+        with_retry_after: load(&counts.with_retry_after),
+        admitted: load(&counts.admitted),
+        requests_lost: load(&counts.requests_lost),
+    }
 }
 
 #[test]
-fn desk_apps_get_in_through_a_flood_that_keeps_them_out_without_classes() {
+fn desk_apps_are_admitted_through_a_flood_that_shuts_them_out_without_client_classes() {
     let fixture = Fixture::new();
     let daemon =
         fixture.start("admit desk from 127.9.0.0/16 keep 20\nadmit others each 3 rate 50 burst 10\n");
@@ -116,13 +138,13 @@
     let without = flood(&fixture);
     daemon.kill();
     println!("with classes {with:?}\nwithout {without:?}");
-    assert_eq!((with.desk_served, with.rpcs_lost), (60, 0), "{with:?}");
-    assert!(with.rejected_with > 0 && with.told_when > 0 && with.let_in > 20, "{with:?}");
+    assert_eq!((with.desk_served, with.requests_lost), (60, 0), "{with:?}");
+    assert!(with.rejected > 0 && with.with_retry_after > 0 && with.admitted > 20, "{with:?}");
     assert!(without.desk_served < 60, "it shows nothing: {without:?}");
 }
 
 #[test]
-fn limits_change_while_the_front_runs_and_nobody_who_may_stay_is_let_go() {
+fn limits_change_while_the_instance_runs_and_no_client_that_may_stay_is_disconnected() {
     let fixture = Fixture::new();
     let desk = "admit desk from 127.9.0.0/16 keep 5\n";
     let daemon = fixture.start(&format!("{desk}admit others each 4\n"));
@@ -164,7 +186,7 @@
 }
 
 #[test]
-fn a_full_class_has_its_own_idle_ones_make_way_and_nobody_elses() {
+fn a_full_client_class_closes_its_own_idle_connections_and_nobody_elses() {
     let fixture = Fixture::new();
     let daemon = fixture.start("admit desk from 127.9.0.0/16 keep 9\nadmit others most 3\n");
     let from = |net: u8, index: u8| {
@@ -173,7 +195,7 @@
     let mut desk = [from(9, 1), from(9, 2)];
     let held = [from(60, 1), from(60, 2), from(60, 3)];
     assert!(desk.iter().chain(&held).all(|client| client.rejected_with.is_none()));
-    // Who has not asked for anything is let be for a moment, and then had better make way.
+    // A connection that has sent no request is left alone for a short while, and then is closed for newcomers.
     let began = Instant::now();
     let mut came = 4;
     let mut newer = Vec::new();
@@ -194,8 +216,7 @@
 /// The daemon under a limit of the process's own, by the shell.
 fn limited(fixture: &Fixture, descriptors: usize) -> PathBuf {
     let path = fixture.single_endpoint.folder.path().join("limited");
-    let daemon = env!("CARGO_BIN_EXE_query-router");
-    let text = format!("#!/bin/sh\nulimit -n {descriptors}\nexec {daemon} \"$@\"\n");
+    let text = format!("#!/bin/sh\nulimit -n {descriptors}\nexec {ROUTER} \"$@\"\n");
     // By a process of its own: a child that another test starts while this one writes would hold the file open.
     let write = r#"printf %s "$1" > "$2" && chmod 755 "$2""#;
     let shell = std::process::Command::new("/bin/sh").args(["-c", write, "sh", &text]).arg(&path).status();
@@ -212,12 +233,12 @@
         .has_logged("descriptor limit of the process is lower than configured allowed=100 configured=200"));
     let flooded = flood(&fixture);
     let log = daemon.kill();
-    assert_eq!((flooded.desk_served, flooded.rpcs_lost), (60, 0), "{flooded:?}");
-    assert!(flooded.rejected_with > 0 && !log.contains("connection not accepted"), "{flooded:?} {log}");
+    assert_eq!((flooded.desk_served, flooded.requests_lost), (60, 0), "{flooded:?}");
+    assert!(flooded.rejected > 0 && !log.contains("connection not accepted"), "{flooded:?} {log}");
 }
 
 #[test]
-fn who_comes_while_no_descriptor_is_left_is_told_so_and_what_was_taken_is_answered() {
+fn a_client_that_connects_while_no_descriptor_is_left_is_rejected_and_admitted_ones_are_answered() {
     let fixture = Fixture::new();
     let daemon = fixture.start("admit desk from 127.9.0.0/16 keep 8\n");
     let open = || Client::from_address(&fixture.listen, Ipv4Addr::new(127, 9, 0, 1));
@@ -230,17 +251,17 @@
     let limit = |soft: u64| rlimit::prlimit(pid, rlimit::Resource::NOFILE, Some((soft, 4_096)), None);
     limit(used + 3).expect("an own process may be limited");
     let began = Instant::now();
-    let (mut held, mut told) = (Vec::new(), 0);
+    let (mut held, mut rejected) = (Vec::new(), 0);
     for _ in 0..30 {
-        // One whose word was lost to a reset was not left waiting either.
+        // One whose rejection was lost to a reset was not left waiting either.
         match open() {
             Ok(client) if client.rejected_with.is_none() => held.push(client),
-            Ok(client) => told += usize::from(client.rejected_with.as_deref() == Some("53300")),
+            Ok(client) => rejected += usize::from(client.rejected_with.as_deref() == Some("53300")),
             Err(_) => {}
         }
     }
     assert!(began.elapsed() < Duration::from_secs(3), "nobody waits in the queue: {:?}", began.elapsed());
-    assert!(held.len() <= 9 && told >= 20, "{} were let in, {told} told", held.len());
+    assert!(held.len() <= 9 && rejected >= 20, "{} were let in, {rejected} rejected", held.len());
     for (index, client) in [first].iter_mut().chain(&mut held).enumerate() {
         let answer = client.request(&format!("held{index}"), 1, Kind::Write, 800).answer;
         assert!(matches!(answer, Answer::Value(_) | Answer::Rejected(_)), "{answer:?}");
@@ -254,7 +275,7 @@
 }
 
 #[test]
-fn limits_that_do_not_fit_are_said_at_the_start() {
+fn limits_that_do_not_fit_are_reported_at_the_start() {
     let fixture = Fixture::new();
     let mut daemon = fixture.begin("admit desk from 127.9.0.0/16 keep 5000\n");
     assert_eq!(daemon.exit_status_within(Duration::from_secs(5)), Some(78));
--- a/server/tests/attempts.rs
+++ b/server/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts on real connections, without a control loop: what happens between the last look at a connection and the moment at
-//! which a request is sent on it.
+//! Attempts on real connections, without a control loop: what happens between the last check of a connection and the instant
+//! at which a request is sent on it.
 
 mod common;
 
--- a/server/tests/client_protocol.rs
+++ b/server/tests/client_protocol.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_header_is_read_and_says_where_its_timeout_stands() {
+fn a_header_is_parsed_and_reports_where_its_timeout_digits_are() {
     let body = [GET.as_bytes(), b"\0"].concat();
     let Statement::Request(header) = statement::parse(&body) else {
         panic!("a statement of the page's form")
@@ -138,12 +138,12 @@
 }
 
 #[test]
-fn first_messages_and_messages_that_are_not_supported_are_told_apart() {
+fn startup_messages_and_unsupported_messages_are_distinguished() {
     let long = [startup_message(), message(b'Q', &vec![b'a'; MAX_QUERY_BYTES])].concat();
     let too_long = ClientError::new(SqlState::PROGRAM_LIMIT_EXCEEDED, "message too long");
     assert_eq!(too_long.code.as_str(), "54000");
     let expected = [startup(), FrontendMessage::Invalid(too_long)];
-    assert_eq!(decode(&[&long[..200]]), expected, "told by its header alone");
+    assert_eq!(decode(&[&long[..200]]), expected, "recognised by its header alone");
 
     let opened = b"\0\0\0\x3c\0\x03\0\0user\0ann\0gingerwick.session\0new\0database\0x\0odd\0yes\0\0";
     let parameters =
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -34,7 +34,8 @@
 /// The group of the endpoint that every test has.
 const GROUP: GroupNumber = 3;
 const SECOND: TimeDelta = TimeDelta::from_millis(1000);
-const PATIENCE: Duration = Duration::from_secs(10);
+/// How long a test waits for the control loop before it fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Rig {
     control: Sender<ControlMessage>,
@@ -145,7 +146,7 @@
 
     /// So many responses, by request.
     fn responses(&self, count: usize) -> Vec<(RequestId, Response)> {
-        let give_up_at = Instant::now() + PATIENCE;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         let mut responses = Vec::new();
         while responses.len() < count {
             responses.extend(self.channel.take());
@@ -176,7 +177,7 @@
     let rig = rig(&silent, 100);
     rig.write(1, 60_000);
     rig.write(2, 60_000);
-    // An endpoint that the policy was never told of: its table has no such row.
+    // An endpoint that the policy was never notified of: its table has no such row.
     let (reply, _confirmed) = channel();
     rig.send(ControlMessage::Confirm(ConfirmAttempt { request: 1, attempt: 0, endpoint: 99, reply }));
     assert_eq!(rig.responses(2), [(1, Response::Aborted), (2, Response::Aborted)]);
@@ -193,10 +194,10 @@
     let rig = rig(&silent, 2);
     (1..=3).for_each(|request| rig.write(request, 60_000));
     let rejected = Response::Rejected { retry_after: Some(TimeDelta::from_millis(2000)) };
-    assert_eq!(rig.response_to(3), rejected, "and told when to come back");
+    assert_eq!(rig.response_to(3), rejected, "and given a Retry-After");
     (1..=2).for_each(|request| rig.send(ControlMessage::ClientGone { request }));
     // They are forgotten once their attempts have ended, which the silent endpoint takes a second for.
-    let give_up_at = Instant::now() + PATIENCE;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     for request in 4.. {
         rig.write(request, 200);
         if rig.response_to(request) != rejected {
@@ -233,7 +234,7 @@
     assert!(is_id_in_use(&second), "{second:?}");
     rig.send(ControlMessage::ClientGone { request: 1 });
     // Its attempt still waits for the silent endpoint, a second at most: until that has ended the id is in use.
-    let give_up_at = Instant::now() + PATIENCE;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     for request in 4.. {
         rig.write_as(request, "same", 400);
         if !is_id_in_use(&rig.response_to(request)) {
--- a/server/tests/endpoint_responses.rs
+++ b/server/tests/endpoint_responses.rs
@@ -21,7 +21,7 @@
     [&value_messages(value)[..], &parameters.concat(), &message(b'Z', b"I")].concat()
 }
 
-/// The tags of complete messages; a question mark if anything stands behind them.
+/// The tags of complete messages; a question mark if any bytes follow them.
 fn tags(bytes: &[u8]) -> String {
     let (mut tags, mut at) = (String::new(), 0);
     while let Ok(Some(frame)) = frame(bytes, at, MAX_VALUE_BYTES) {
@@ -119,10 +119,25 @@
 
 fn error(code: &str) -> Vec<u8> {
     let mut out = Vec::new();
-    error_fields(&mut out, Severity::Error, code, "words", None);
+    error_fields(&mut out, Severity::Error, code, "message", None);
     out
 }
 
+/// Each error code's outcome, with and without the end of the answer behind it.
+fn assert_error_code_outcomes(ready: &[u8]) {
+    for (code, outcome) in [
+        ("25006", AttemptOutcome::NotEligible),
+        ("72000", AttemptOutcome::NotEligible),
+        ("XX000", AttemptOutcome::Failed),
+        ("57P03", AttemptOutcome::Failed),
+        ("53300", AttemptOutcome::Rejected),
+    ] {
+        assert_eq!(outcome_of(&[&error(code), ready]), (outcome, true), "{code}");
+        assert_eq!(outcome_of(&[&error(code)]), (outcome, false), "{code}, fatal");
+        assert_eq!(outcome.proves_not_executed(), outcome != AttemptOutcome::Failed);
+    }
+}
+
 #[test]
 fn each_row_of_the_outcome_table_is_one_outcome() {
     use AttemptOutcome::{ConnectionLost, Failed, Succeeded};
@@ -131,16 +146,7 @@
     let complete = &message(b'C', b"SELECT 1\0")[..];
     let description = &message(b'T', ONE_COLUMN)[..];
     let parameter = &message(b'S', b"recovery\0on\0")[..];
-    let rejected = &error("53300")[..];
-    let half_description = &message(b'T', &ONE_COLUMN[..9])[..];
-    let short_column = &message(b'D', &[0, 1, 0, 0, 0, 2, 7])[..];
-    let two_columns = &message(b'D', &[0, 2, 0, 0, 0, 1, 7])[..];
-    let null = &message(b'D', &[0, 1, 255, 255, 255, 255])[..];
     let too_long = &message(b'D', &vec![7; MAX_VALUE_BYTES])[..];
-    let unknown_tag = &message(b'A', b"x\0")[..];
-    let error_without_end = &message(b'E', b"SERROR\0C53300\0")[..];
-    let error_without_code = &message(b'E', b"SERROR\0\0")[..];
-    let endless_parameters = &message(b'S', &vec![b'x'; 9000])[..];
     let rows: [(&[&[u8]], AttemptOutcome, bool, &str); 21] = [
         (&[description, row, complete, ready], Succeeded, true, "a value"),
         (&[parameter, description, row, parameter, complete, ready], Succeeded, true, "parameters beside it"),
@@ -152,32 +158,22 @@
         (&[description, row, row, complete, ready], Failed, false, "two rows"),
         (&[row, complete, ready], Failed, false, "a row without its description"),
         (&[description, row, complete, row], Failed, false, "a row behind the end"),
-        (&[description, row, rejected, ready], Failed, true, "rejected behind a row"),
-        (&[half_description, row], Failed, false, "half a description"),
-        (&[description, short_column], Failed, false, "a column cut short"),
-        (&[description, two_columns], Failed, false, "two columns announced"),
-        (&[description, null], Failed, false, "no value"),
-        (&[description, too_long], Failed, false, "too long, told by its header"),
-        (&[unknown_tag], Failed, false, "a tag that no answer has"),
-        (&[error_without_end], Failed, false, "an error without its end"),
-        (&[error_without_code], Failed, false, "an error without a code"),
-        (&[endless_parameters], Failed, false, "parameters without end"),
+        (&[description, row, &error("53300"), ready], Failed, true, "rejected behind a row"),
+        (&[&message(b'T', &ONE_COLUMN[..9]), row], Failed, false, "half a description"),
+        (&[description, &message(b'D', &[0, 1, 0, 0, 0, 2, 7])], Failed, false, "a column cut short"),
+        (&[description, &message(b'D', &[0, 2, 0, 0, 0, 1, 7])], Failed, false, "two columns announced"),
+        (&[description, &message(b'D', &[0, 1, 255, 255, 255, 255])], Failed, false, "no value"),
+        (&[description, too_long], Failed, false, "too long, recognised by its header"),
+        (&[&message(b'A', b"x\0")], Failed, false, "a tag that no answer has"),
+        (&[&message(b'E', b"SERROR\0C53300\0")], Failed, false, "an error without its end"),
+        (&[&message(b'E', b"SERROR\0\0")], Failed, false, "an error without a code"),
+        (&[&message(b'S', &vec![b'x'; 9000])], Failed, false, "parameters without end"),
         (&[ready], Failed, false, "an end with nothing before it"),
     ];
     for (messages, outcome, frees_connection, row) in rows {
         assert_eq!(outcome_of(messages), (outcome, frees_connection), "{row}");
     }
-    for (code, outcome) in [
-        ("25006", AttemptOutcome::NotEligible),
-        ("72000", AttemptOutcome::NotEligible),
-        ("XX000", Failed),
-        ("57P03", Failed),
-        ("53300", AttemptOutcome::Rejected),
-    ] {
-        assert_eq!(outcome_of(&[&error(code), ready]), (outcome, true), "{code}");
-        assert_eq!(outcome_of(&[&error(code)]), (outcome, false), "{code}, fatal");
-        assert_eq!(outcome.proves_not_executed(), outcome != Failed);
-    }
+    assert_error_code_outcomes(ready);
 }
 
 #[test]
--- a/server/tests/histories.rs
+++ b/server/tests/histories.rs
@@ -1,6 +1,9 @@
 //! Sessions and writes through kills of instances, moves between them, lag and a failover that loses the tail of a log: the
 //! checker judges what clients saw by what endpoints executed.
 
+mod common;
+
+use common::ROUTER;
 use std::path::Path;
 use test_servers::sessions::{run_plan, Outcome, Plan};
 use test_servers::Build;
@@ -9,7 +12,7 @@
 
 #[test]
 fn no_guarantee_breaks_through_kills_moves_lag_and_a_failover() {
-    let program = Path::new(env!("CARGO_BIN_EXE_query-router"));
+    let program = Path::new(ROUTER);
     let build = Build { program, has_operator_file: true };
     let mut sum = Outcome::default();
     for seed in 1..=6 {
--- a/server/tests/sessions.rs
+++ b/server/tests/sessions.rs
@@ -1,17 +1,18 @@
-//! Sessions that their clients carry, over two instances, lag, restarts and a failover that loses the tail of a
+//! Sessions whose tokens their clients hold, over two instances, lag, restarts and a failover that loses the tail of a
 //! log.
 
+mod common;
+
+use common::{connect, group_entry, one_group, start_router};
 use std::net::SocketAddr;
-use std::path::Path;
 use std::sync::Arc;
 use std::thread;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use test_servers::client::{Answer, Client, Kind, RequestRecord};
-use test_servers::cluster::{unix_ms, Branch, Cluster, EndpointModel, OldPrimary, Reachability};
-use test_servers::daemon::{Daemon, DaemonOptions};
-use test_servers::discovery::{list_entry, Discovery, DiscoveryMode};
-use test_servers::endpoint::{free_address, serve, ServedEndpoint};
-use test_servers::settings::{settings, DRAIN_GRACE_MS, NO_SLOW_START};
+use test_servers::cluster::{unix_ms, Cluster, OldPrimary, Reachability};
+use test_servers::daemon::Daemon;
+use test_servers::discovery::{Discovery, DiscoveryMode};
+use test_servers::endpoint::{free_address, ServedEndpoint};
 
 const KEYS: [&str; 2] = [
     "1 000102030405060708090a0b0c0d0e0f\n",
@@ -29,14 +30,7 @@
 
 impl Fixture {
     fn new(lags: [i64; 2]) -> Fixture {
-        let cluster = Arc::new(Cluster::new(NO_SLOW_START, DRAIN_GRACE_MS));
-        let endpoint = |index: usize| {
-            let lag_ms = if index == 0 { 0 } else { lags[index - 1] };
-            EndpointModel::new(format!("s-{index}"), 1, (index > 0).then_some(0), lag_ms)
-        };
-        cluster.lock().branches.insert(1, vec![Branch::initial()]);
-        cluster.lock().endpoints = (0..3).map(endpoint).collect();
-        let served: Vec<ServedEndpoint> = (0..3).map(|index| serve(&cluster, index)).collect();
+        let (cluster, served) = one_group(&[0, lags[0], lags[1]]);
         let folder = tempfile::tempdir().expect("a folder");
         std::fs::write(folder.path().join("keys"), KEYS[0]).expect("written");
         let discovery = Discovery::start(DiscoveryMode::Up, 1, Vec::new());
@@ -47,45 +41,50 @@
     }
 
     fn list(&self, version: i64, primary: usize) {
-        let entry = |index: usize| {
-            list_entry(&format!("s-{index}"), &self.served[index].addr, 1, index == primary, "SERVING", 0)
-        };
+        let entry = |index: usize| group_entry(&self.served, index, primary);
         self.discovery.set_list(version, (0..3).map(entry).collect());
     }
 
     fn start(&self, index: usize) -> Daemon {
         let folder = self.folder.path().join(format!("instance-{index}"));
         std::fs::create_dir_all(&folder).expect("made");
-        let bootstrap = format!(r#"{{"seed":"{index}","settings":{}}}"#, settings());
         let operator_file =
             format!("session-keys {}\nsession-lasts 10s\n", self.folder.path().join("keys").display());
-        let options = DaemonOptions {
-            program: Path::new(env!("CARGO_BIN_EXE_query-router")),
-            bootstrap: &bootstrap,
-            operator_file: Some(&operator_file),
-            folder: &folder,
-            listen: self.listen[index],
-            discovery: self.discovery.addr,
-        };
-        let daemon = Daemon::start(&options).expect("it starts");
+        let daemon = start_router(index, &operator_file, &folder, self.listen[index], self.discovery.addr);
         self.client(index, None);
         daemon
     }
 
-    /// A client of an instance, as soon as that takes it.
+    /// A session token that both instances remember: a write named `name` was served at each of them.
+    fn session_on_both(&self, name: &str) -> String {
+        let mut token = "new".to_string();
+        for index in 0..2 {
+            let mut client = self.client(index, Some(&token));
+            served(&mut client, Kind::Write, &format!("{name}{index}"));
+            token = client.token.expect("a token");
+        }
+        token
+    }
+
+    /// Replica `s-1` becomes the primary without what it lags behind, the sessions' writes among them; the old primary
+    /// is gone, and discovery lists the new one.
+    fn fail_over_to_replica_1(&self) {
+        {
+            let mut state = self.cluster.lock();
+            let forked_ms = state.position(1, unix_ms());
+            state.promote(1, OldPrimary::Follows, forked_ms);
+            state.endpoints[0].reachability = Reachability::Silent;
+        }
+        self.list(3, 1);
+    }
+
+    /// A client of an instance, once the instance accepts its connection.
     fn client(&self, index: usize, session: Option<&str>) -> Client {
         self.client_of(index, "backend", session)
     }
 
     fn client_of(&self, index: usize, user: &str, session: Option<&str>) -> Client {
-        let began = Instant::now();
-        loop {
-            match Client::with_session(&self.listen[index], user, session) {
-                Ok(client) => return client,
-                Err(error) => assert!(began.elapsed() < Duration::from_secs(10), "{error}"),
-            }
-            thread::sleep(Duration::from_millis(5));
-        }
+        connect(&self.listen[index], user, session)
     }
 }
 
@@ -157,44 +156,29 @@
 }
 
 #[test]
-fn a_failover_that_loses_what_a_session_saw_is_told_once() {
+fn a_failover_that_loses_what_a_session_saw_is_reported_once() {
     let fixture = Fixture::new([400, 400]);
     let mut daemons = [fixture.start(0), fixture.start(1)].map(Some);
     // Sessions that both instances remember.
-    let [token, read, write] = ["a", "b", "c"].map(|name| {
-        let mut token = "new".to_string();
-        for index in 0..2 {
-            let mut client = fixture.client(index, Some(&token));
-            served(&mut client, Kind::Write, &format!("{name}{index}"));
-            token = client.token.expect("a token");
-        }
-        token
-    });
-    // The successor lacks the last 400 ms, the session's write among them; the old primary is gone.
-    {
-        let mut state = fixture.cluster.lock();
-        let forked_ms = state.position(1, unix_ms());
-        state.promote(1, OldPrimary::Follows, forked_ms);
-        state.endpoints[0].reachability = Reachability::Silent;
-    }
-    fixture.list(3, 1);
-    // An instance that has just started has heard nothing of epochs, and the first that it gets is a write.
+    let [token, read, write] = ["a", "b", "c"].map(|name| fixture.session_on_both(name));
+    fixture.fail_over_to_replica_1();
+    // An instance that has just started has not yet been notified of any epoch, and its first request is a write.
     daemons[0].take().map(Daemon::kill);
     daemons[0] = Some(fixture.start(0));
-    let told = answered(&mut fixture.client(0, Some(&token)), Kind::Write, "first");
-    assert_eq!(told.answer, Answer::Error("ZG001".into()));
-    assert!(!fixture.cluster.lock().executions.contains_key(&told.id), "told of a loss, and it ran");
-    // Both instances hear of the new epoch by other clients.
+    let reported = answered(&mut fixture.client(0, Some(&token)), Kind::Write, "first");
+    assert_eq!(reported.answer, Answer::Error("ZG001".into()));
+    assert!(!fixture.cluster.lock().executions.contains_key(&reported.id), "reported as a loss, and it ran");
+    // Both instances are notified of the new epoch by the requests of other clients.
     for index in 0..2 {
         let mut other = fixture.client(index, None);
         served(&mut other, Kind::Write, &format!("o{index}"));
     }
     for (kind, token) in [(Kind::Read, read), (Kind::Write, write)] {
         let mut moved = fixture.client(0, Some(&token));
-        let told = moved.request(&format!("t-{kind:?}"), 1, kind, 800);
-        assert_eq!(told.answer, Answer::Error("ZG001".into()), "{kind:?}");
+        let reported = moved.request(&format!("t-{kind:?}"), 1, kind, 800);
+        assert_eq!(reported.answer, Answer::Error("ZG001".into()), "{kind:?}");
         let next = moved.token.clone().expect("a token without what was lost");
-        // Told once: the instance that remembers what was lost does not bring it back.
+        // Reported once: the instance that remembers what was lost does not report it again.
         for index in 0..2 {
             let mut again = fixture.client(index, Some(&next));
             let record = answered(&mut again, Kind::Read, &format!("a-{kind:?}-{index}"));
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -1,6 +1,9 @@
 //! Starts with and without discovery, on sockets: drawn faults, a state directory through kills, what the
 //! command line and the log say.
 
+mod common;
+
+use common::{group_entry, one_group, start_router, ROUTER};
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,21 +12,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use test_servers::client::{Answer, Client, Kind};
-use test_servers::cluster::{unix_ms, Branch, Cluster, EndpointModel};
-use test_servers::daemon::{Daemon, DaemonOptions};
+use test_servers::cluster::{unix_ms, Cluster};
+use test_servers::daemon::Daemon;
 use test_servers::discovery::{list_entry, Discovery, DiscoveryMode};
-use test_servers::endpoint::{free_address, serve, ServedEndpoint};
+use test_servers::endpoint::{free_address, ServedEndpoint};
 use test_servers::restart::{run_plan, Phases, Plan};
-use test_servers::settings::{settings, DRAIN_GRACE_MS, NO_SLOW_START};
+use test_servers::settings::settings;
 use test_servers::{each_seed, Build};
 
-const DAEMON: &str = env!("CARGO_BIN_EXE_query-router");
-
 #[test]
 fn no_rule_breaks_with_discovery_down_and_a_wrong_list_and_writes_are_served_once_they_may() {
     let phases =
         Phases { discovery_down: Duration::from_millis(1_500), discovery_back: Duration::from_millis(6_000) };
-    let build = Build { program: Path::new(DAEMON), has_operator_file: true };
+    let build = Build { program: Path::new(ROUTER), has_operator_file: true };
     // Daemons, endpoints and clients of one plan keep a core or two busy; starved of them answers are late.
     let cores = thread::available_parallelism().map_or(2, usize::from);
     let failed = each_seed(0..18, (cores / 2).clamp(1, 6), |seed| {
@@ -48,18 +49,9 @@
 
 impl Fixture {
     fn new(mode: DiscoveryMode) -> Fixture {
-        let cluster = Arc::new(Cluster::new(NO_SLOW_START, DRAIN_GRACE_MS));
-        let endpoint = |index: usize| {
-            let lag_ms = 20;
-            EndpointModel::new(format!("s-{index}"), 1, (index > 0).then_some(0), lag_ms)
-        };
-        cluster.lock().branches.insert(1, vec![Branch::initial()]);
-        cluster.lock().endpoints = (0..2).map(endpoint).collect();
-        let served: Vec<ServedEndpoint> = (0..2).map(|index| serve(&cluster, index)).collect();
-        let entry = |index: usize| {
-            list_entry(&format!("s-{index}"), &served[index].addr, 1, index == 0, "SERVING", 0)
-        };
-        let discovery = Discovery::start(mode, 7, vec![entry(0), entry(1)]);
+        let (cluster, served) = one_group(&[20, 20]);
+        let discovery =
+            Discovery::start(mode, 7, vec![group_entry(&served, 0, 0), group_entry(&served, 1, 0)]);
         let folder = tempfile::tempdir().expect("a folder");
         std::fs::create_dir(folder.path().join("state")).expect("made");
         Fixture { folder, listen: free_address(), discovery, cluster, _served: served }
@@ -70,16 +62,7 @@
     }
 
     fn start(&self, operator_file: &str) -> Daemon {
-        let bootstrap = format!(r#"{{"seed":"1","settings":{}}}"#, settings());
-        let options = DaemonOptions {
-            program: Path::new(DAEMON),
-            bootstrap: &bootstrap,
-            operator_file: Some(operator_file),
-            folder: self.folder.path(),
-            listen: self.listen,
-            discovery: self.discovery.addr,
-        };
-        Daemon::start(&options).expect("it starts")
+        start_router(1, operator_file, self.folder.path(), self.listen, self.discovery.addr)
     }
 
     fn operator_file(&self) -> String {
@@ -121,12 +104,12 @@
     let fixture = Fixture::new(DiscoveryMode::Up);
     let daemon = fixture.start(&fixture.operator_file());
     fixture.time_until_served(Kind::Write, "a");
-    let knows = |kept: &CachedEndpointList| {
-        kept.version == 7
-            && kept.endpoints.iter().filter_map(|store| store.report).any(|report| report.primary)
+    let knows = |cached: &CachedEndpointList| {
+        cached.version == 7
+            && cached.endpoints.iter().filter_map(|endpoint| endpoint.report).any(|report| report.primary)
     };
-    let kept = fixture.wait_for_cached(knows);
-    assert_eq!(kept.endpoints.len(), 2);
+    let cached = fixture.wait_for_cached(knows);
+    assert_eq!(cached.endpoints.len(), 2);
     daemon.kill();
     fixture.discovery.set_mode(DiscoveryMode::Down);
     // Killed again and again while it starts and saves: the list stays whole, and it serves each time.
@@ -138,16 +121,16 @@
         daemon.kill();
         fixture.wait_for_cached(knows);
     }
-    // Another life of discovery is taken, and kept.
+    // The endpoint list of a new incarnation of discovery is accepted, and cached.
     let daemon = fixture.start(&fixture.operator_file());
     let entries = fixture.wait_for_cached(knows).endpoints;
-    let hosts = entries.iter().enumerate().map(|(index, store)| {
-        let dial = store.dial.parse().expect("an address");
-        list_entry(&store.host, &dial, 1, index == 0, "SERVING", 0)
+    let hosts = entries.iter().enumerate().map(|(index, endpoint)| {
+        let dial = endpoint.dial.parse().expect("an address");
+        list_entry(&endpoint.host, &dial, 1, index == 0, "SERVING", 0)
     });
     fixture.discovery.set_list(2, hosts.collect());
     fixture.discovery.set_mode(DiscoveryMode::Up);
-    fixture.wait_for_cached(|kept| kept.version == 2);
+    fixture.wait_for_cached(|cached| cached.version == 2);
     assert!(daemon.has_logged("endpoint list of a new discovery incarnation accepted"), "{}", daemon.kill());
     assert!(fixture.cluster.lock().executions.values().flatten().all(|run| run.at_primary));
 }
@@ -169,17 +152,14 @@
     let other = second.start(&fixture.operator_file());
     second.time_until_served(Kind::Write, "c");
     assert!(other.has_logged("another process uses it"), "{}", other.kill());
-    // No room: saving fails from now on, and is said once.
-    let entries = fixture.wait_for_cached(|kept| kept.version == 7).endpoints;
+    // No space for the next save: saving fails from now on, and is logged once.
+    let entries = fixture.wait_for_cached(|cached| cached.version == 7).endpoints;
     let blocked = fixture.state().join("list.new");
     // A save may just be under way.
     while std::fs::create_dir(&blocked).is_err() {
         thread::sleep(Duration::from_millis(1));
     }
-    let only: Vec<_> = entries
-        .iter()
-        .map(|store| list_entry(&store.host, &store.dial.parse().expect("one"), 1, false, "SERVING", 0))
-        .collect();
+    let only = replica_entries(&entries);
     for seq in 8..12 {
         fixture.discovery.set_list(seq, only.clone());
         thread::sleep(Duration::from_millis(150));
@@ -187,7 +167,7 @@
     }
     first.has_logged("endpoint list not cached");
     std::fs::remove_dir(&blocked).expect("gone");
-    fixture.wait_for_cached(|kept| kept.version == 11);
+    fixture.wait_for_cached(|cached| cached.version == 11);
     first.has_logged("endpoint list cached again");
     let log = first.kill();
     assert_eq!(log.matches("endpoint list not cached").count(), 1, "{log}");
@@ -199,19 +179,20 @@
     let fixture = Fixture::new(DiscoveryMode::Up);
     let daemon = fixture.start(&fixture.operator_file());
     fixture.time_until_served(Kind::Write, "a");
-    let mut kept = fixture.wait_for_cached(|kept| kept.endpoints.iter().any(|store| store.report.is_some()));
+    let mut cached =
+        fixture.wait_for_cached(|cached| cached.endpoints.iter().any(|endpoint| endpoint.report.is_some()));
     daemon.kill();
     fixture.discovery.set_mode(DiscoveryMode::Down);
     let nobody = free_address().to_string();
-    kept.endpoints.extend((0..9_998).map(|index| CachedEndpoint {
+    cached.endpoints.extend((0..9_998).map(|index| CachedEndpoint {
         host: format!("a-{index:05}"),
         dial: nobody.clone(),
         block: 2 + index / 3,
         health: "SERVING".into(),
         ..CachedEndpoint::default()
     }));
-    kept.confirmed_ms = unix_ms() - 600_000;
-    CacheDirectory::open(&fixture.state()).expect("free again").0.save(&mut kept).expect("saved");
+    cached.confirmed_ms = unix_ms() - 600_000;
+    CacheDirectory::open(&fixture.state()).expect("free again").0.save(&mut cached).expect("saved");
     let daemon = fixture.start(&fixture.operator_file());
     let took = fixture.time_until_served(Kind::Write, "b");
     assert!(took < Duration::from_secs(5), "{took:?}");
@@ -220,38 +201,64 @@
     println!("first write after {took:?}, {} kB at most", resident.unwrap_or("?"));
 }
 
+/// The discovery entries of these cached endpoints, each of them a serving replica.
+fn replica_entries(endpoints: &[CachedEndpoint]) -> Vec<serde_json::Value> {
+    let entry = |endpoint: &CachedEndpoint| {
+        list_entry(&endpoint.host, &endpoint.dial.parse().expect("one"), 1, false, "SERVING", 0)
+    };
+    endpoints.iter().map(entry).collect()
+}
+
+/// Runs the router's command line with `args` and the bootstrap file `bootstrap`: its exit code, stdout and stderr.
 fn run(args: &[&str], bootstrap: &Path) -> (Option<i32>, String, String) {
-    let mut command = Command::new(DAEMON);
+    let mut command = Command::new(ROUTER);
     command.env_clear().env("ROUTER_CONFIG", bootstrap).env("ROUTER_LISTEN", "127.0.0.1:1");
     let output = command.env("ROUTER_DISCOVERY", "127.0.0.1:2").args(args).output().expect("it runs");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
+fn write_file(path: &Path, text: &str) {
+    std::fs::write(path, text).expect("written");
+}
+
+/// Saves an endpoint list of version 41, of one endpoint, confirmed two hours ago, in the state directory `state`.
+fn save_old_list(state: &Path) {
+    let (mut dir, _) = CacheDirectory::open(state).expect("it opens");
+    let endpoints = vec![CachedEndpoint { host: "s-1".into(), block: 4, ..CachedEndpoint::default() }];
+    let mut cached = CachedEndpointList {
+        version: 41,
+        confirmed_ms: unix_ms() - 7_200_000,
+        saved_ms: unix_ms(),
+        endpoints,
+        ..CachedEndpointList::default()
+    };
+    dir.save(&mut cached).expect("saved");
+}
+
 #[test]
 fn the_command_line_reports_all_errors_and_ends_with_the_statuses_of_sysexits() {
     let folder = tempfile::tempdir().expect("a folder");
     let [bootstrap, conf] = ["config.json", "gingerwick.conf"].map(|name| folder.path().join(name));
     let good = format!("{{\"seed\":\"1\",\n\"settings\":{}}}", settings());
-    std::fs::write(&bootstrap, &good).expect("written");
-    std::fs::write(&conf, "log-format json\n").expect("written");
+    write_file(&bootstrap, &good);
+    write_file(&conf, "log-format json\n");
     let with = conf.to_str().expect("text");
     assert_eq!(run(&["check", "--conf", with], &bootstrap).0, Some(0));
 
-    std::fs::write(&bootstrap, good.replace("\"seed\":\"1\"", "\"listen\":\"here\",\n\"seed\":\"xyz\""))
-        .expect("written");
-    std::fs::write(&conf, "log-fromat json\n\nstate-dir there\n").expect("written");
-    let (code, _, said) = run(&["check", "--conf", with], &bootstrap);
+    write_file(&bootstrap, &good.replace("\"seed\":\"1\"", "\"listen\":\"here\",\n\"seed\":\"xyz\""));
+    write_file(&conf, "log-fromat json\n\nstate-dir there\n");
+    let (code, _, stderr) = run(&["check", "--conf", with], &bootstrap);
     assert_eq!(code, Some(78));
-    for words in [
+    for expected in [
         format!("ROUTER_CONFIG: {}: 2: seed: not hex digits", bootstrap.display()),
         format!("{with}:1: log-fromat: is no keyword; is log-format meant?"),
         format!("{with}:3: state-dir: \"there\" is not an absolute path"),
     ] {
-        assert!(said.contains(&words), "{words} in {said}");
+        assert!(stderr.contains(&expected), "{expected} in {stderr}");
     }
-    let (code, _, said) = run(&["--conf", with], &bootstrap);
-    assert!(code == Some(78) && said.lines().count() == 3, "{said}");
+    let (code, _, stderr) = run(&["--conf", with], &bootstrap);
+    assert!(code == Some(78) && stderr.lines().count() == 3, "{stderr}");
 
     assert_eq!(run(&["frobnicate"], &bootstrap).0, Some(64));
     assert_eq!(run(&["--help"], &bootstrap).0, Some(0));
@@ -259,22 +266,13 @@
     let state = folder.path().to_str().expect("text");
     assert_eq!(run(&["list", "show", "/nowhere/at/all"], &bootstrap).0, Some(66));
     assert_eq!(run(&["list", "verify", state], &bootstrap).0, Some(65));
-    let (mut dir, _) = CacheDirectory::open(folder.path()).expect("it opens");
-    let endpoints = vec![CachedEndpoint { host: "s-1".into(), block: 4, ..CachedEndpoint::default() }];
-    let mut kept = CachedEndpointList {
-        version: 41,
-        confirmed_ms: unix_ms() - 7_200_000,
-        saved_ms: unix_ms(),
-        endpoints,
-        ..CachedEndpointList::default()
-    };
-    dir.save(&mut kept).expect("saved");
+    save_old_list(folder.path());
     let (code, shown, _) = run(&["list", "show", state], &bootstrap);
     assert!(code == Some(0) && shown.contains("version     41") && shown.contains("old"), "{shown}");
     assert_eq!(run(&["list", "verify", state], &bootstrap).0, Some(0));
     std::fs::write(folder.path().join("list"), "gingerwick-list 1 9").expect("written");
-    let (code, _, said) = run(&["list", "verify", state], &bootstrap);
-    assert!(code == Some(65) && said.contains("torn"), "{said}");
+    let (code, _, stderr) = run(&["list", "verify", state], &bootstrap);
+    assert!(code == Some(65) && stderr.contains("torn"), "{stderr}");
 }
 
 #[test]
@@ -297,16 +295,16 @@
     let log = daemon.kill();
     let lines: Vec<serde_json::Value> =
         log.lines().map(|line| serde_json::from_str(line).unwrap_or_else(|_| panic!("{line}"))).collect();
-    let said =
-        |words: &str| lines.iter().any(|line| line["message"].as_str().is_some_and(|m| m.contains(words)));
+    let logged =
+        |text: &str| lines.iter().any(|line| line["message"].as_str().is_some_and(|m| m.contains(text)));
     let waits = lines.iter().find(|line| line["setting"] == "store-identity");
     let waits = waits.unwrap_or_else(|| panic!("{log}"));
     assert_eq!(waits["message"], "reload: changed setting takes effect at the next start");
-    assert!(said("reload: operators' file not usable, nothing changed"), "{log}");
+    assert!(logged("reload: operators' file not usable, nothing changed"), "{log}");
     let reason =
         |line: &serde_json::Value| line["reason"].as_str().is_some_and(|it| it.contains("1: save-gap: "));
     assert!(lines.iter().any(reason), "{log}");
-    // The path of one call-out can be followed by its fields.
+    // The path of one attempt can be followed by its fields.
     let ended = lines.iter().find(|line| line["message"] == "attempt ended");
     let ended = ended.unwrap_or_else(|| panic!("{log}"));
     for field in ["request", "attempt", "endpoint", "group", "outcome"] {
