--- a/endpoint-cache/src/directory.rs
+++ b/endpoint-cache/src/directory.rs
@@ -1,12 +1,14 @@
 //! The directory: which file is which generation, the lock that keeps a second instance out, and the order of writes.
 
+use crate::cached_list::CachedEndpointList;
 use crate::encoding::{decode, encode, FileError, MAX_FILE_BYTES};
-use crate::CachedEndpointList;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
+/// Descriptors that a directory needs at most: its lock, the file that is written, the directory itself.
+pub const DESCRIPTORS: usize = 3;
 const CURRENT: &str = "list";
 const PREVIOUS: &str = "list.before";
 const NEXT: &str = "list.new";
--- a/endpoint-cache/src/encoding.rs
+++ b/endpoint-cache/src/encoding.rs
@@ -1,6 +1,6 @@
 //! One generation as bytes: a head line with name, format, length and checksum of what follows, then JSON.
 
-use crate::CachedEndpointList;
+use crate::cached_list::CachedEndpointList;
 use thiserror::Error;
 
 /// Raised whenever an older program would misread a newer file.
--- a/server/src/cli/cached_list.rs
+++ b/server/src/cli/cached_list.rs
@@ -1,6 +1,6 @@
 //! `query-router list`: the endpoint list that is cached on disk.
 
-use crate::cli::run::{print, print_error};
+use crate::cli::output::{print, print_error};
 use crate::exit_status::{ExitStatus, Failure};
 use crate::messages::endpoint_list::cache_times;
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport, LoadedCache};
--- a/server/src/cli/check.rs
+++ b/server/src/cli/check.rs
@@ -1,6 +1,6 @@
 //! `query-router check`: everything that is wrong with the configuration, at once.
 
-use crate::cli::run::print;
+use crate::cli::output::print;
 use crate::config::bootstrap::ReadAt;
 use crate::config::operator_file;
 use crate::exit_status::{ExitStatus, Failure};
--- a/server/src/cli/mod.rs
+++ b/server/src/cli/mod.rs
@@ -3,6 +3,7 @@
 mod arguments;
 mod cached_list;
 mod check;
+mod output;
 mod run;
 mod show;
 
--- a/server/src/cli/run.rs
+++ b/server/src/cli/run.rs
@@ -1,12 +1,14 @@
 //! The entry point: arguments are parsed, the command runs, and its result becomes an exit status.
 
 use crate::cli::arguments::{Arguments, Command, ListCommand};
-use crate::cli::{cached_list, check, show};
+use crate::cli::cached_list;
+use crate::cli::check;
+use crate::cli::output::print_error;
+use crate::cli::show;
 use crate::exit_status::{ExitStatus, Failure};
 use crate::startup;
 use clap::{CommandFactory, Parser};
 use clap_complete::Shell;
-use std::io::Write;
 
 /// Runs the command that the arguments of the process name.
 pub fn run() -> ExitStatus {
@@ -45,12 +47,3 @@
 fn print_completions(shell: Shell) {
     clap_complete::generate(shell, &mut Arguments::command(), "query-router", &mut std::io::stdout());
 }
-
-/// Prints to standard output. A reader that has closed it has seen what it wanted.
-pub(super) fn print(text: &str) {
-    let _ = writeln!(std::io::stdout(), "{text}");
-}
-
-pub(super) fn print_error(message: &str) {
-    eprintln!("query-router: {message}");
-}
--- a/server/src/cli/show.rs
+++ b/server/src/cli/show.rs
@@ -1,7 +1,7 @@
 //! `query-router show`: a page of a running server.
 
 use crate::admin::socket::request_page;
-use crate::cli::run::print;
+use crate::cli::output::print;
 use crate::config::operator_file;
 use crate::exit_status::{ExitStatus, Failure};
 use std::path::{Path, PathBuf};
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -1,32 +1,18 @@
 //! The control loop. Messages are handled in batches under one clock reading; what follows from them goes out as messages.
 
+use crate::control::recovery_options::RecoveryOptions;
 use crate::control::request_queue::{QueuedRequest, RequestQueue};
 use crate::control::router_state::{RouterSetup, RouterState};
 use crate::endpoints::dispatcher::AttemptDispatcher;
 use crate::log;
 use crate::messages::control::{ControlMessage, QueueLimits};
 use crate::messages::endpoint_list::ListedEndpoint;
-use crate::storage::endpoint_cache_writer::EndpointCacheWriter;
 use may::sync::mpsc::Receiver;
 use recovery::primary_discovery::{self, PrimaryDiscovery};
-use recovery::staleness::CacheTimes;
 use routing::time::Timestamp;
 use routing::{Event, RoutingSettings};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
-use std::sync::Arc;
-
-/// How primaries are discovered, if the endpoint list is cached over a restart.
-pub struct RecoveryOptions {
-    /// The times of the cached list; none if its age is not known.
-    pub cache_times: Option<CacheTimes>,
-    /// Endpoints can say who they are.
-    pub asks_identity: bool,
-    /// Descriptors for endpoints.
-    pub descriptors: usize,
-    /// The cache, if it can be written.
-    pub cache: Option<Arc<EndpointCacheWriter>>,
-}
 
 /// What a control loop is made from.
 pub struct ControlSetup {
--- a/server/src/control/mod.rs
+++ b/server/src/control/mod.rs
@@ -6,6 +6,7 @@
 pub mod control_loop;
 mod deadlines;
 mod primary_discovery;
+pub mod recovery_options;
 mod request_handling;
 pub mod request_queue;
 mod response_check;
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -1,8 +1,8 @@
 //! The state of the control loop that is lost with a routing policy that panicked.
 
 use crate::control::active_request::ActiveRequest;
-use crate::control::control_loop::RecoveryOptions;
 use crate::control::deadlines::Deadlines;
+use crate::control::recovery_options::RecoveryOptions;
 use crate::control::request_queue::RequestQueue;
 use crate::endpoints::dispatcher::AttemptDispatcher;
 use crate::log;
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -1,14 +1,14 @@
 //! Attempts: one coroutine each, from the connection that it takes to the outcome that it reports.
 
+use crate::endpoints::answer::{read_answer, Answer};
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
 use crate::endpoints::query::{send, HEALTH_STATEMENT};
-use crate::endpoints::response_parser::{AnswerReports, ResponseParser};
 use crate::messages::control::{AttemptJob, AttemptReport, ConfirmAttempt, ControlMessage};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::storage::journal::WriteJournal;
 use may::sync::mpsc::{channel, Sender};
-use routing::{AttemptOutcome, Role};
+use routing::AttemptOutcome;
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
 
@@ -26,24 +26,6 @@
     }
 }
 
-/// What came of an attempt, and the connection if it can be used again.
-pub struct Answer {
-    /// How it ended.
-    pub outcome: AttemptOutcome,
-    /// The messages of the value.
-    pub value: Vec<u8>,
-    /// What it said of the endpoint.
-    pub reports: AnswerReports,
-    /// The connection.
-    pub connection: Option<PeerConnection>,
-}
-
-impl Answer {
-    fn without_value(outcome: AttemptOutcome) -> Answer {
-        Answer { outcome, value: Vec::new(), reports: AnswerReports::default(), connection: None }
-    }
-}
-
 /// Makes an attempt and reports its end.
 pub fn run_attempt(
     pool: &ConnectionPool,
@@ -200,33 +182,3 @@
         IoStop::TimedOut | IoStop::Cancelled => Step::ended(AttemptOutcome::NotSent),
     }
 }
-
-/// Reads the answer to what was sent. Only an answer that was read to its end, with nothing behind it, gives the connection
-/// back: late bytes would reach another request.
-pub fn read_answer(mut connection: PeerConnection, limits: IoLimits) -> Answer {
-    let mut parser = ResponseParser::default();
-    let outcome = loop {
-        if let Some(outcome) = parser.parse(&connection.buffer) {
-            break outcome;
-        }
-        if let Err(stop) = connection.read(limits) {
-            break parser.outcome(cut_off_by(stop));
-        }
-    };
-    let is_free = parser.frees_connection(&connection.buffer);
-    let buffer = connection.take_buffer();
-    let value = if outcome == AttemptOutcome::Succeeded { parser.value(buffer) } else { Vec::new() };
-    let reports = parser.reports();
-    let is_primary = reports.answer.role == Some(Role::Primary);
-    connection.epoch_confirmed |= is_primary && reports.epoch.is_some();
-    Answer { outcome, value, reports, connection: is_free.then_some(connection) }
-}
-
-/// The request was sent, so it may have run.
-fn cut_off_by(stop: IoStop) -> AttemptOutcome {
-    match stop {
-        IoStop::ConnectionLost => AttemptOutcome::ConnectionLost,
-        IoStop::TimedOut => AttemptOutcome::TimedOut,
-        IoStop::Cancelled => AttemptOutcome::Cancelled,
-    }
-}
--- a/server/src/endpoints/mod.rs
+++ b/server/src/endpoints/mod.rs
@@ -1,5 +1,6 @@
 //! Connections to endpoints, and the attempts, health checks and queries that use them.
 
+pub mod answer;
 pub mod attempt;
 pub mod connection;
 pub mod dispatcher;
--- a/server/src/endpoints/query.rs
+++ b/server/src/endpoints/query.rs
@@ -1,6 +1,6 @@
 //! Queries of the server's own: one statement, one column.
 
-use crate::endpoints::attempt::read_answer;
+use crate::endpoints::answer::read_answer;
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
 use crate::messages::control::ConnectError;
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,42 +1,13 @@
 //! Hosts many instances of the routing policy behind the simulator's wire: reads its messages, one batch at a time, and
 //! collects the replies.
 
+use crate::error::HostError;
 use crate::instance::Instance;
-use crate::messages::{AttemptEnd, How, In, Inbound, Out, Record};
+use crate::messages::{append, AttemptEnd, How, In, Inbound, Out, Record};
 use routing::time::Timestamp;
 use routing::Event;
 use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
-use thiserror::Error;
-
-/// Why a message cannot be taken.
-#[derive(Debug, Error)]
-pub enum HostError {
-    /// It is not one of the wire's messages; the text names the field at fault.
-    #[error("{0}")]
-    Malformed(String),
-    /// A batch began before the one before it was closed.
-    #[error("Frame: the batch before it was not closed")]
-    NestedFrame,
-    /// It came outside any batch.
-    #[error("a message outside any batch")]
-    OutsideFrame,
-    /// It names an endpoint list that was not defined.
-    #[error("Discovery: page: no list {0} was defined")]
-    UnknownList(usize),
-    /// A session key is not sixteen hex digits.
-    #[error("Inbound: connKey: {0} is no key")]
-    BadSessionKey(String),
-    /// A peer's message is not in hex digits.
-    #[error("Inbox: bytes: not hex digits")]
-    BadBytes,
-    /// An instance cannot be started with its configuration.
-    #[error("Start: {0}")]
-    Settings(#[from] host_support::routing_settings::SettingsError),
-    /// The replies could not be written.
-    #[error(transparent)]
-    Io(#[from] std::io::Error),
-}
 
 /// All instances, and the batch that is open.
 #[derive(Default)]
@@ -178,12 +149,6 @@
     }
 }
 
-/// Appends a message as one line.
-pub fn append(replies: &mut Vec<u8>, message: &Out) {
-    serde_json::to_writer(&mut *replies, message).expect("plain values always serialise");
-    replies.push(b'\n');
-}
-
 /// Reads a faulty line once more, for the path to the field at fault.
 fn malformed(line: &[u8], error: &serde_json::Error) -> HostError {
     let mut deserializer = serde_json::Deserializer::from_slice(line);
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -1,7 +1,7 @@
 //! One instance of the routing policy, and the maps between the wire's identifiers and the policy's indices.
 
-use crate::host::{append, HostError};
-use crate::messages::{self, Availability, Inbound, Out, Record, Status};
+use crate::error::HostError;
+use crate::messages::{self, append, Availability, Inbound, Out, Record, Status};
 use host_support::bootstrap_config::BootstrapConfig;
 use host_support::id_interner::IdInterner;
 use host_support::request_registry::RequestRegistry;
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,6 +1,7 @@
 //! The adapter for the simulator's wire: reads its messages on standard input, reports them to one routing policy per
 //! instance, and writes what the policies ask for to standard output. No decision is made here.
 
+mod error;
 mod host;
 mod instance;
 mod messages;
--- a/simulator-adapter/src/messages.rs
+++ b/simulator-adapter/src/messages.rs
@@ -205,3 +205,9 @@
         serial: u64,
     },
 }
+
+/// Appends a message as one line.
+pub fn append(replies: &mut Vec<u8>, message: &Out) {
+    serde_json::to_writer(&mut *replies, message).expect("plain values always serialise");
+    replies.push(b'\n');
+}
