--- a/admission/src/concurrency_limiter/fair_queue.rs
+++ b/admission/src/concurrency_limiter/fair_queue.rs
@@ -1,7 +1,7 @@
 //! The requests of one class, in the order in which its clients are served: start-time fair queueing (Goyal, Vin, Cheng,
 //! SIGCOMM 1996) among the clients with fewest requests in flight. Classes are served alike among themselves.
 
-use super::RequestId;
+use super::types::RequestId;
 use crate::client_address::ClientAddress;
 use crate::client_class::ClientClass;
 use routing::time::Timestamp;
--- /dev/null
+++ b/server/tests/import_circles.rs
@@ -0,0 +1,174 @@
+//! No files of a package import each other in a circle, in any package of the workspace: each can be read after those that it
+//! imports. An item that is imported by way of a re-export counts as an import of the file that re-exports it.
+
+#[path = "common/source_files.rs"]
+mod source_files;
+#[path = "common/use_tree.rs"]
+mod use_tree;
+
+use source_files::source_files;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fs;
+use std::path::{Path, PathBuf};
+use use_tree::{imported_paths, ItemPath};
+
+/// The text of each module by its path from the root of its package. That of `lib.rs` or `main.rs` is empty.
+type Modules = BTreeMap<ItemPath, String>;
+/// For each module those that it imports.
+type Imports = BTreeMap<ItemPath, BTreeSet<ItemPath>>;
+
+/// The directories of the workspace's packages.
+fn package_directories() -> Vec<PathBuf> {
+    let workspace = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the workspace");
+    let entries = fs::read_dir(workspace).expect("the workspace").flatten();
+    let directories = entries.map(|entry| entry.path());
+    directories.filter(|path| path.join("Cargo.toml").is_file() && path.join("src").is_dir()).collect()
+}
+
+/// The path of the module in a file: `control/mod.rs` is `control`, `control/actions.rs` is `control::actions`.
+fn module_path(file: &Path) -> ItemPath {
+    let without_extension = file.with_extension("");
+    let names = without_extension.iter().map(|name| name.to_string_lossy().into_owned());
+    let mut path: ItemPath = names.collect();
+    if path.last().is_some_and(|name| ["lib", "main", "mod"].contains(&name.as_str())) {
+        path.pop();
+    }
+    path
+}
+
+/// The modules below a package's `src`. Where there are both, `lib.rs` is the root: `main.rs` is a crate of its own.
+fn read_modules(src: &Path) -> Modules {
+    let files = source_files(src);
+    let has_library = files.contains(&src.join("lib.rs"));
+    let files = files.iter().filter(|file| !has_library || **file != src.join("main.rs"));
+    let modules = files.map(|file| {
+        let path = module_path(file.strip_prefix(src).expect("below src"));
+        (path, fs::read_to_string(file).expect("text"))
+    });
+    modules.collect()
+}
+
+/// An import as a path from the root of the package; none if it is of another package.
+fn absolute_path(modules: &Modules, importer: &[String], import: &[String]) -> Option<ItemPath> {
+    let first = import.first()?;
+    let parent = || importer.split_last().map_or(&[][..], |(_, parent)| parent);
+    match first.as_str() {
+        "crate" => Some(import[1..].to_vec()),
+        "self" => Some([importer, &import[1..]].concat()),
+        // Only the first `super` is left to be followed by another.
+        "super" if import.get(1).is_some_and(|next| next == "super") => {
+            absolute_path(modules, parent(), &import[1..])
+        }
+        "super" => Some([parent(), &import[1..]].concat()),
+        child => {
+            let child_module = [importer, &[child.to_string()]].concat();
+            modules.contains_key(&child_module).then(|| [importer, import].concat())
+        }
+    }
+}
+
+/// The module that an item is imported from: the longest part of its path that is a file.
+fn module_of(modules: &Modules, item: &[String]) -> ItemPath {
+    let lengths = (0..=item.len()).rev();
+    let mut candidates = lengths.map(|length| item[..length].to_vec());
+    candidates.find(|path| modules.contains_key(path)).unwrap_or_default()
+}
+
+/// Which module imports which.
+fn imports(modules: &Modules) -> Imports {
+    let imports_of = |importer: &ItemPath, text: &str| {
+        let paths = imported_paths(text);
+        let items = paths.iter().filter_map(|path| absolute_path(modules, importer, path));
+        let imported = items.map(|item| module_of(modules, &item));
+        imported.filter(|module| module != importer).collect()
+    };
+    modules.iter().map(|(importer, text)| (importer.clone(), imports_of(importer, text))).collect()
+}
+
+/// Goes on from the last module of `path`; the circle that is met first.
+fn circle_from(
+    imports: &Imports,
+    path: &mut Vec<ItemPath>,
+    finished: &mut BTreeSet<ItemPath>,
+) -> Option<Vec<ItemPath>> {
+    let module = path.last()?.clone();
+    for imported in imports.get(&module).into_iter().flatten() {
+        if let Some(start) = path.iter().position(|earlier| earlier == imported) {
+            return Some(path[start..].to_vec());
+        }
+        if finished.contains(imported) {
+            continue;
+        }
+        path.push(imported.clone());
+        let circle = circle_from(imports, path, finished);
+        if circle.is_some() {
+            return circle;
+        }
+        path.pop();
+    }
+    finished.insert(module);
+    None
+}
+
+/// The modules of a circle, each imported by the one before it and the first by the last; none if there is no circle.
+fn find_circle(imports: &Imports) -> Option<Vec<ItemPath>> {
+    let mut finished = BTreeSet::new();
+    imports.keys().find_map(|module| circle_from(imports, &mut vec![module.clone()], &mut finished))
+}
+
+/// `crate::a -> crate::b -> crate::a`.
+fn describe(circle: &[ItemPath]) -> String {
+    let names = circle.iter().chain(circle.first());
+    let names: Vec<String> = names
+        .map(|path| {
+            ["crate"].into_iter().chain(path.iter().map(String::as_str)).collect::<Vec<_>>().join("::")
+        })
+        .collect();
+    names.join(" -> ")
+}
+
+/// A package from the texts of its modules.
+fn modules_of(texts: &[(&str, &str)]) -> Modules {
+    let modules = texts.iter().map(|(file, text)| (module_path(Path::new(file)), text.to_string()));
+    modules.collect()
+}
+
+fn circle_in(texts: &[(&str, &str)]) -> Option<String> {
+    find_circle(&imports(&modules_of(texts))).map(|circle| describe(&circle))
+}
+
+#[test]
+fn no_package_has_a_circle_of_imports() {
+    let mut import_count = 0;
+    let mut circles = Vec::new();
+    for directory in package_directories() {
+        let imports = imports(&read_modules(&directory.join("src")));
+        import_count += imports.values().map(BTreeSet::len).sum::<usize>();
+        let circle = find_circle(&imports);
+        circles.extend(circle.map(|circle| format!("{}: {}", directory.display(), describe(&circle))));
+    }
+    assert!(circles.is_empty(), "files that import each other:\n{}", circles.join("\n"));
+    assert!(import_count > 300, "{import_count} imports were found");
+}
+
+#[test]
+fn a_circle_is_named_whatever_way_it_is_imported() {
+    let by_crate = [("a.rs", "use crate::b::B;"), ("b.rs", "use crate::a::A;"), ("c.rs", "use crate::a::A;")];
+    assert_eq!(circle_in(&by_crate).as_deref(), Some("crate::a -> crate::b -> crate::a"));
+    let by_super = [("a/b.rs", "use super::c::{C, D};"), ("a/c.rs", "fn f() { super::super::a::b::g(); }")];
+    assert_eq!(circle_in(&by_super).as_deref(), Some("crate::a::b -> crate::a::c -> crate::a::b"));
+    let by_re_export = [("lib.rs", "mod a;\npub use a::A;"), ("a.rs", "use crate::A;")];
+    assert_eq!(circle_in(&by_re_export).as_deref(), Some("crate -> crate::a -> crate"));
+    let in_a_group =
+        [("a.rs", "use crate::{\n    b::{self, B as Other},\n    c,\n};"), ("c.rs", "use crate::a::*;")];
+    assert_eq!(circle_in(&in_a_group).as_deref(), Some("crate::a -> crate::c -> crate::a"));
+}
+
+#[test]
+fn imports_one_way_and_comments_are_no_circle() {
+    let one_way =
+        [("a.rs", "use crate::b::B;\nuse crate::c::C;"), ("b.rs", "use crate::c::C;"), ("c.rs", "")];
+    assert_eq!(circle_in(&one_way), None);
+    let comments = [("a.rs", "use crate::b::B;"), ("b.rs", "/// [`A`](crate::a::A)\nuse other::a::A;")];
+    assert_eq!(circle_in(&comments), None);
+}
--- a/server/tests/layers.rs
+++ b/server/tests/layers.rs
@@ -1,7 +1,11 @@
 //! The layers of the server: a module uses only those that stand before it in this list.
 
+#[path = "common/source_files.rs"]
+mod source_files;
+
+use source_files::source_files;
 use std::fs;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
 /// From the bottom up, as the crate's documentation lists them.
 const LAYERS: [&str; 13] = [
@@ -20,17 +24,6 @@
     "cli",
 ];
 
-fn source_files(folder: &Path, files: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(folder).expect("a folder").flatten() {
-        let path = entry.path();
-        if path.is_dir() {
-            source_files(&path, files);
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            files.push(path);
-        }
-    }
-}
-
 /// The layer of a file: its first folder, or its own name.
 fn layer_of(file: &Path, root: &Path) -> String {
     let first = file.strip_prefix(root).expect("below the root").components().next();
@@ -45,10 +38,8 @@
 #[test]
 fn no_layer_uses_one_above_it() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let mut files = Vec::new();
-    source_files(&root, &mut files);
     let mut uses = 0;
-    for file in files {
+    for file in source_files(&root) {
         let layer = layer_of(&file, &root);
         if layer == "lib" || layer == "main" {
             continue;
