--- a/server/src/endpoints/pool.rs
+++ b/server/src/endpoints/pool.rs
@@ -29,8 +29,8 @@
 /// Whether an idle connection can be reused.
 enum Reusability {
     Now,
-    /// Once the answer to the empty query has come.
-    Soon,
+    /// Not before the answer to the empty query has come.
+    Verifying,
     Never,
 }
 
@@ -46,7 +46,7 @@
             return if is_quiet { Reusability::Now } else { Reusability::Never };
         };
         match verification.parse(&self.connection.buffer) {
-            None if age < pool.connect_timeout => Reusability::Soon,
+            None if age < pool.connect_timeout => Reusability::Verifying,
             Some(AttemptOutcome::Succeeded) if verification.frees_connection(&self.connection.buffer) => {
                 self.connection.take_buffer();
                 self.verification = None;
@@ -106,7 +106,7 @@
             while idle.connection.read(limits).is_ok() {
                 match idle.check(self.timers.now(), self) {
                     Reusability::Now => return Some(idle.connection),
-                    Reusability::Soon => {}
+                    Reusability::Verifying => {}
                     Reusability::Never => break,
                 }
             }
@@ -121,7 +121,7 @@
         for index in (0..connections.len()).rev() {
             match connections[index].check(now, self) {
                 Reusability::Now => return Some(connections.remove(index)),
-                Reusability::Soon => unverified = Some(index),
+                Reusability::Verifying => unverified = Some(index),
                 Reusability::Never => {
                     drop(connections.remove(index));
                     unverified = unverified.map(|later| later - 1);
--- a/server/src/protocol/frontend_codec.rs
+++ b/server/src/protocol/frontend_codec.rs
@@ -6,8 +6,8 @@
 };
 use crate::protocol::sqlstate::{ClientError, SqlState};
 
-/// Small buffers are kept between the queries of a busy client, larger ones are not.
-const KEPT_BUFFER_BYTES: usize = 1 << 12;
+/// Small buffers are retained between the queries of a busy client, larger ones are not.
+const RETAINED_BUFFER_BYTES: usize = 1 << 12;
 
 /// A message of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -89,7 +89,7 @@
     fn compact(&mut self) {
         self.bytes.drain(..self.at);
         self.at = 0;
-        self.bytes.shrink_to(self.bytes.len().max(KEPT_BUFFER_BYTES));
+        self.bytes.shrink_to(self.bytes.len().max(RETAINED_BUFFER_BYTES));
     }
 
     fn next_startup_message(&mut self) -> Result<Option<FrontendMessage>, FrameError> {
--- a/server/src/runtime/tasks.rs
+++ b/server/src/runtime/tasks.rs
@@ -1,8 +1,13 @@
 //! Starting coroutines, and how much stack each kind gets.
 
-/// The stack of a coroutine in words of eight bytes; `docs/design.md` has what was measured.
-pub const STACK_WORDS: usize = 8 << 10;
-const LONG_LIVED_STACK_WORDS: usize = 32 << 10;
+/// The stack of a coroutine; `docs/design.md` has what was measured.
+pub const STACK_BYTES: usize = 64 << 10;
+const LONG_LIVED_STACK_BYTES: usize = 256 << 10;
+
+/// A stack's size in the unit of `may`, the size of a pointer.
+pub const fn stack_size(bytes: usize) -> usize {
+    bytes / size_of::<usize>()
+}
 
 /// Starts a coroutine for one connection, attempt or health check.
 pub fn spawn(task: impl FnOnce() + Send + 'static) {
@@ -16,5 +21,6 @@
 /// There is no memory for its stack.
 pub fn spawn_long_lived(task: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
     // SAFETY: as above.
-    unsafe { may::coroutine::Builder::new().stack_size(LONG_LIVED_STACK_WORDS).spawn(task) }.map(drop)
+    unsafe { may::coroutine::Builder::new().stack_size(stack_size(LONG_LIVED_STACK_BYTES)).spawn(task) }
+        .map(drop)
 }
--- a/server/src/startup/foundation.rs
+++ b/server/src/startup/foundation.rs
@@ -8,7 +8,7 @@
 use crate::runtime::descriptors::available_descriptors;
 use crate::runtime::metrics::{install_recorder, Metrics};
 use crate::runtime::resource_limits::ResourceLimits;
-use crate::runtime::tasks::STACK_WORDS;
+use crate::runtime::tasks::{stack_size, STACK_BYTES};
 use crate::startup::configuration::Configuration;
 use metrics_exporter_prometheus::PrometheusHandle;
 use operator_config::{JournalMode, OperatorSettings};
@@ -66,7 +66,7 @@
     config
         .set_workers(1)
         .set_pool_capacity(POOLED_COROUTINES)
-        .set_stack_size(STACK_WORDS)
+        .set_stack_size(stack_size(STACK_BYTES))
         .set_worker_pin(false);
     std::panic::set_hook(Box::new(|panic| log!(WARN; "{panic}")));
 }
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -45,8 +45,8 @@
 const LAST_SAVE_TIMEOUT: Duration = Duration::from_millis(50);
 /// The journal of writes, within the state directory.
 const JOURNAL_DIRECTORY: &str = "writes";
-/// The word of the bootstrap file for an agent on this machine that pushes endpoint lists.
-const PUSHED_LISTS: &str = "push";
+/// The membership mode, in the bootstrap file, of an agent on this machine that sends endpoint lists as they change.
+const LOCAL_AGENT_MODE: &str = "push";
 
 /// Stops the accept loop.
 struct AcceptStop {
@@ -202,7 +202,7 @@
     fn start_discovery(&self, incarnation: IncarnationTracker) -> Result<Arc<DiscoveryTarget>, Failure> {
         let bootstrap = &self.configuration.bootstrap;
         let config = &bootstrap.config;
-        let pushed = config.membership_mode == PUSHED_LISTS;
+        let from_local_agent = config.membership_mode == LOCAL_AGENT_MODE;
         let target = Arc::new(DiscoveryTarget::new(bootstrap.discovery));
         let watch = DiscoveryWatch {
             target: target.clone(),
@@ -210,7 +210,7 @@
             resources: self.foundation.resources.clone(),
             control: self.control.clone(),
             incarnation,
-            schedule: WatchSchedule::new(pushed, config.rules.drain_grace()),
+            schedule: WatchSchedule::new(from_local_agent, config.rules.drain_grace()),
             needs_complete_list: self.cache.is_some(),
             cache: self.cache_writer(),
             rng: Mwc::new(bootstrap.seed),
