--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -121,7 +121,7 @@
         }
         while let Some(request) = self.deadlines.next_overdue_request(now) {
             if self.requests.is_open(request) && !self.is_answer_pending(request) {
-                log!(WARN, request = request; "request still open at its last resort, aborted");
+                log!(WARN, request = request; "request still open at its abort time, aborted");
                 self.answer(now, request, Response::Aborted);
                 self.report(now, Event::ClientGone { request });
             }
