--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -3,7 +3,8 @@
 
 use crate::messages::response::ResponseChannel;
 use crate::runtime::clock::Timers;
-use crate::runtime::resource_limits::{DescriptorClass, RequestClose, ResourceLimits};
+use crate::runtime::idle_clients::RequestClose;
+use crate::runtime::resource_limits::{DescriptorClass, ResourceLimits};
 use admission::client_class::DEFAULT_CLASS;
 use admission::concurrency_limiter::ClientKey;
 use admission::connection_limiter::ConnectionLimits;
--- a/server/src/clients/closing.rs
+++ b/server/src/clients/closing.rs
@@ -1,7 +1,7 @@
 //! The end of a connection that the server closes.
 
 use crate::clients::connection::{ClientConnection, CLIENT_TIMEOUT};
-use crate::runtime::resource_limits::IdleRank;
+use crate::runtime::idle_clients::IdleRank;
 use routing::time::{TimeDelta, Timestamp};
 
 /// How long a client has to read what it was sent last.
--- a/server/src/control/mod.rs
+++ b/server/src/control/mod.rs
@@ -3,6 +3,7 @@
 
 mod actions;
 mod active_request;
+mod attempt_handling;
 pub mod control_loop;
 mod deadlines;
 mod primary_discovery;
--- a/server/src/messages/response.rs
+++ b/server/src/messages/response.rs
@@ -3,7 +3,7 @@
 
 use crate::log;
 use crate::protocol::sqlstate::ClientError;
-use crate::runtime::resource_limits::RequestClose;
+use crate::runtime::idle_clients::RequestClose;
 use may::io::WaitIoWaker;
 use routing::time::TimeDelta;
 use routing::RequestId;
--- a/server/src/runtime/mod.rs
+++ b/server/src/runtime/mod.rs
@@ -3,6 +3,7 @@
 pub mod cancellation;
 pub mod clock;
 pub mod descriptors;
+pub mod idle_clients;
 pub mod log;
 pub mod metrics;
 pub mod resource_limits;
--- a/server/src/runtime/resource_limits.rs
+++ b/server/src/runtime/resource_limits.rs
@@ -1,8 +1,9 @@
 //! The limits on descriptors and on memory in buffers: a descriptor is acquired before every socket is opened and given back
 //! when it is dropped, and every buffer is charged.
 
-use routing::time::{TimeDelta, Timestamp};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use crate::runtime::idle_clients::{IdleClients, IdleRank, IdleRegistration, RequestClose};
+use routing::time::Timestamp;
+use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -20,41 +21,6 @@
     RejectedClients,
 }
 
-/// Which idle client is closed first if descriptors run short.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum IdleRank {
-    /// It is being closed already, and only has time to read what it was sent.
-    Closing,
-    /// It has not sent any request yet.
-    NeverAsked,
-    /// Everything that it asked for was answered.
-    Idle,
-}
-
-impl IdleRank {
-    /// How long it is left alone: a client that has just connected is about to ask, one that was just answered may ask again.
-    fn grace(self) -> TimeDelta {
-        match self {
-            IdleRank::Closing => TimeDelta::ZERO,
-            IdleRank::NeverAsked => TimeDelta::from_millis(100),
-            IdleRank::Idle => TimeDelta::from_millis(2_000),
-        }
-    }
-}
-
-/// A client's connection that can be asked to close.
-pub trait RequestClose: Send + Sync {
-    /// Asks it, once.
-    fn request_close(&self);
-}
-
-/// The registration of an idle client, by which it is removed again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct IdleRegistration {
-    rank: IdleRank,
-    serial: u64,
-}
-
 /// Descriptors of the process's own: standard streams, the listener, the event loop's, the signal pipe.
 const PROCESS_DESCRIPTORS: usize = 24;
 const DISCOVERY_DESCRIPTORS: usize = 4;
@@ -65,46 +31,12 @@
 /// Idle clients are asked to close once fewer than one in so many of the clients' descriptors are free.
 const RECLAIM_SHARE: usize = 16;
 
-struct IdleClient {
-    since: Timestamp,
-    connection: Arc<dyn RequestClose>,
-    /// Its class, if clients have classes.
-    class: Option<Arc<str>>,
-}
-
 #[derive(Default)]
 struct State {
     in_use: [usize; CLASSES],
     /// Descriptors for endpoints, by address.
     by_endpoint: HashMap<SocketAddr, usize>,
-    /// Idle clients, those that are closed first in front.
-    idle: BTreeMap<IdleRegistration, IdleClient>,
-    /// Those that were asked to close and have neither closed yet nor become busy.
-    asked: BTreeSet<u64>,
-    serial: u64,
-}
-
-impl State {
-    /// Asks the first idle client to close that may be and was not asked yet.
-    fn reclaim(&mut self, now: Timestamp, may_close: impl Fn(IdleRank, &IdleClient) -> bool) {
-        let candidate = self.idle.iter().find(|(registration, client)| {
-            may_close(registration.rank, client)
-                && now - client.since >= registration.rank.grace()
-                && !self.asked.contains(&registration.serial)
-        });
-        if let Some((registration, client)) = candidate {
-            self.asked.insert(registration.serial);
-            client.connection.request_close();
-        }
-    }
-
-    /// Idle clients whose descriptors will be free soon.
-    fn closing(&self) -> usize {
-        let is_closing = |registration: &&IdleRegistration| {
-            registration.rank == IdleRank::Closing || self.asked.contains(&registration.serial)
-        };
-        self.idle.keys().filter(is_closing).count()
-    }
+    idle: IdleClients,
 }
 
 /// The limits, and what of them is in use.
@@ -237,12 +169,12 @@
         let mut admitted = true;
         if in_use + limit / RECLAIM_SHARE >= limit {
             // A client that is being closed is told to hurry; its place is counted as free already.
-            state.reclaim(now, |rank, _| rank == IdleRank::Closing);
+            state.idle.hurry_closing(now);
             if in_use >= limit + self.overflow {
                 return None;
             }
-            state.reclaim(now, |rank, _| rank != IdleRank::Closing);
-            admitted = in_use < limit + state.closing();
+            state.idle.reclaim(now);
+            admitted = in_use < limit + state.idle.closing();
         }
         state.in_use[DescriptorClass::Clients as usize] += 1;
         let descriptor = self.descriptor(DescriptorClass::Clients, None);
@@ -251,8 +183,7 @@
 
     /// Asks one idle client of a class to close.
     pub fn reclaim_idle_of_class(&self, now: Timestamp, class: &str) {
-        let is_of_class = |client: &IdleClient| client.class.as_deref() == Some(class);
-        self.lock().reclaim(now, |rank, client| rank != IdleRank::Closing && is_of_class(client));
+        self.lock().idle.reclaim_of_class(now, class);
     }
 
     /// The limit of a class.
@@ -293,17 +224,11 @@
         connection: Arc<dyn RequestClose>,
         class: Option<Arc<str>>,
     ) -> IdleRegistration {
-        let mut state = self.lock();
-        state.serial += 1;
-        let registration = IdleRegistration { rank, serial: state.serial };
-        state.idle.insert(registration, IdleClient { since, connection, class });
-        registration
+        self.lock().idle.register(rank, since, connection, class)
     }
 
     /// The client has something to do, or is gone.
     pub fn unregister_idle(&self, registration: IdleRegistration) {
-        let mut state = self.lock();
-        state.idle.remove(&registration);
-        state.asked.remove(&registration.serial);
+        self.lock().idle.unregister(registration);
     }
 }
