--- a/server/src/control/mod.rs
+++ b/server/src/control/mod.rs
@@ -3,9 +3,11 @@
 
 mod actions;
 mod active_request;
+mod attempt_handling;
 pub mod control_loop;
 mod deadlines;
 mod primary_discovery;
+pub mod recovery_options;
 mod request_handling;
 pub mod request_queue;
 mod response_check;
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -1,8 +1,8 @@
 //! The state of the control loop that is lost with a routing policy that panicked.
 
 use crate::control::active_request::ActiveRequest;
-use crate::control::control_loop::RecoveryOptions;
 use crate::control::deadlines::Deadlines;
+use crate::control::recovery_options::RecoveryOptions;
 use crate::control::request_queue::RequestQueue;
 use crate::endpoints::dispatcher::AttemptDispatcher;
 use crate::log;
@@ -121,7 +121,7 @@
         }
         while let Some(request) = self.deadlines.next_overdue_request(now) {
             if self.requests.is_open(request) && !self.is_answer_pending(request) {
-                log!(WARN, request = request; "request still open at its last resort, aborted");
+                log!(WARN, request = request; "request still open at its abort time, aborted");
                 self.answer(now, request, Response::Aborted);
                 self.report(now, Event::ClientGone { request });
             }
