--- a/server/src/clients/acceptor.rs
+++ b/server/src/clients/acceptor.rs
@@ -1,8 +1,9 @@
-//! The accept loop: whatever can go wrong with accepting neither keeps the worker busy nor the queue standing. Once it is to
-//! stop it still accepts every connection that waits in the queue: its client has connected, and what it sent is taken.
+//! The accept loop. A failing accept(2) neither busies the worker thread nor blocks the listen queue. After a stop
+//! request the loop still drains the listen queue, because those clients are connected already and may have sent a
+//! query.
 
 use crate::clients::connection;
-use crate::clients::context::{ClientContext, NewConnection, Reception};
+use crate::clients::context::{AdmissionDecision, ClientContext, NewConnection};
 use crate::clients::rejection::reject_without_waiting;
 use crate::endpoints::connection::BURST_PAUSE;
 use crate::log;
@@ -22,43 +23,54 @@
 use std::sync::Arc;
 
 const NO_DESCRIPTOR: &str = "no descriptor is free";
-/// Connections accepted in a row: in a flood the worker would serve nobody else.
-const MAX_ACCEPTED_IN_ROW: usize = 8;
-/// How long a client waits for a descriptor to be rejected with.
-const DESCRIPTOR_WAIT: TimeDelta = TimeDelta::from_millis(2);
+/// Connections accepted without a pause. More would starve the other coroutines of the single worker thread in a flood.
+const MAX_ACCEPT_BURST: usize = 8;
+/// Pause between two attempts to acquire a descriptor for a client that is to be rejected.
+const DESCRIPTOR_RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(2);
 
-/// Where connections come from.
+/// A connection from the listen queue.
+pub struct AcceptedConnection {
+    /// The socket, registered with the coroutine runtime.
+    pub stream: TcpStream,
+    /// The client's IP address.
+    pub client_address: IpAddr,
+}
+
+/// The source of new connections.
 pub trait AcceptQueue {
-    /// Waits for the next connection; none once it is to stop and no connection waits.
+    /// Waits for the next connection; `None` once the listener is stopping and its queue is empty.
     ///
     /// # Errors
-    /// A connection could not be accepted.
-    fn accept(&mut self) -> Result<Option<(TcpStream, IpAddr)>>;
-    /// Rejects one client for lack of a descriptor; false if that failed.
+    /// accept(2) failed, or the socket could not be registered with the runtime.
+    fn accept(&mut self) -> Result<Option<AcceptedConnection>>;
+    /// Accepts and rejects one client for lack of a descriptor; returns false if none could be accepted.
     fn reject_one(&mut self) -> bool;
-    /// Waits.
+    /// Suspends the calling coroutine.
     fn pause(&self, time: TimeDelta);
 }
 
-/// The listener, with a descriptor in reserve.
+/// A listening socket, with a reserve descriptor for rejections.
 pub struct ListenerQueue {
-    /// The listener.
+    /// The listening socket.
     pub listener: TcpListener,
-    /// The descriptor in reserve.
+    /// Released to accept and reject one client when the process is out of descriptors.
     pub reserve: ReserveDescriptor,
-    /// The timers.
+    /// The timers that pauses use.
     pub timers: Arc<Timers>,
-    /// Set before the listener is woken to stop.
+    /// Set before the listener is woken up to stop.
     pub stopping: Arc<AtomicBool>,
 }
 
 impl AcceptQueue for ListenerQueue {
-    fn accept(&mut self) -> Result<Option<(TcpStream, IpAddr)>> {
+    fn accept(&mut self) -> Result<Option<AcceptedConnection>> {
         loop {
-            // Read first: connections that come in between are in the queue.
+            // Read before accept(2), so that a connection that arrives in between is still accepted.
             let stopping = self.stopping.load(Ordering::Acquire);
             match self.listener.inner().accept() {
-                Ok((stream, from)) => return Ok(Some((register(stream)?, from.ip()))),
+                Ok((stream, address)) => {
+                    let stream = register(stream)?;
+                    return Ok(Some(AcceptedConnection { stream, client_address: address.ip() }));
+                }
                 Err(error) if error.kind() == ErrorKind::WouldBlock && stopping => return Ok(None),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => _ = self.listener.wait_io(),
                 Err(error) => return Err(error),
@@ -79,27 +91,27 @@
     }
 }
 
-/// Registers an accepted connection with the runtime.
+/// Registers an accepted connection with the coroutine runtime.
 fn register(stream: std::net::TcpStream) -> Result<TcpStream> {
     let descriptor = stream.into_raw_fd();
-    // SAFETY: the descriptor is a stream's and was given up by it.
+    // SAFETY: `into_raw_fd` has transferred ownership of the descriptor, so nothing else closes it.
     let registered = catch_unwind(AssertUnwindSafe(|| unsafe { TcpStream::from_raw_fd(descriptor) }));
-    // It panics if the system has no memory to watch another one; the connection is closed then.
+    // `from_raw_fd` panics if epoll has no memory for another descriptor; the unwinding closes the connection.
     registered.map_err(|_| Error::from_raw_os_error(libc::ENOMEM))
 }
 
-/// Accepts until the queue is to stop.
-pub fn run(queue: &mut impl AcceptQueue, mut take: impl FnMut(TcpStream, IpAddr)) {
+/// Accepts connections and passes them to `on_accepted` until the queue has stopped.
+pub fn run(queue: &mut impl AcceptQueue, mut on_accepted: impl FnMut(AcceptedConnection)) {
     let mut backoff = AcceptBackoff::default();
-    let mut accepted_in_row = 0;
+    let mut burst = 0;
     loop {
         match queue.accept() {
             Ok(None) => return,
-            Ok(Some((stream, from))) => {
+            Ok(Some(accepted)) => {
                 backoff.accepted();
-                take(stream, from);
-                accepted_in_row = (accepted_in_row + 1) % MAX_ACCEPTED_IN_ROW;
-                if accepted_in_row == 0 {
+                on_accepted(accepted);
+                burst = (burst + 1) % MAX_ACCEPT_BURST;
+                if burst == 0 {
                     queue.pause(BURST_PAUSE);
                 }
             }
@@ -111,6 +123,7 @@
     }
 }
 
+/// Carries out the backoff step that follows a failed accept(2).
 fn recover(queue: &mut impl AcceptQueue, step: AcceptStep) {
     match step {
         AcceptStep::RetryNow => {}
@@ -122,49 +135,57 @@
     }
 }
 
-/// Takes an accepted connection and runs it in a coroutine of its own.
-pub fn take_connection(context: &Arc<ClientContext>, stream: TcpStream, from: IpAddr) {
-    if let Some((descriptor, reception)) = receive(context, &stream, from) {
-        // Registered before its coroutine runs: the process must not end between the two.
-        let connection = NewConnection::register(context, stream, from, descriptor);
+/// Decides on the admission of a connection and runs it in its own coroutine.
+pub fn spawn_connection(context: &Arc<ClientContext>, accepted: AcceptedConnection) {
+    if let Some((descriptor, decision)) = decide_admission(context, &accepted) {
+        // Registered before the coroutine is spawned, so that the process cannot exit in between.
+        let connection =
+            NewConnection::register(context, accepted.stream, accepted.client_address, descriptor);
         let context = context.clone();
-        spawn(move || connection::run(context, connection, reception));
+        spawn(move || connection::run(context, connection, decision));
     }
 }
 
-/// How a client is received; none if it was rejected already. A client that comes while all descriptors for rejections are in
-/// use is rejected at once: the rejection may be lost to one that goes on sending.
-fn receive(context: &ClientContext, stream: &TcpStream, from: IpAddr) -> Option<(Descriptor, Reception)> {
-    let permit = context.admission.as_ref().map(|admission| admission.arrive(from)).transpose();
+/// Decides whether a connection is admitted, and acquires its descriptor; `None` if the client was rejected here.
+///
+/// While all descriptors for rejections are in use, a client is rejected without a coroutine. If it keeps sending, the
+/// close resets the connection and the client may lose the error message.
+fn decide_admission(
+    context: &ClientContext,
+    accepted: &AcceptedConnection,
+) -> Option<(Descriptor, AdmissionDecision)> {
+    let admission = context.admission.as_ref();
+    let permit = admission.map(|admission| admission.arrive(accepted.client_address)).transpose();
     let permit = match permit {
         Ok(permit) => permit,
         Err(rejection) => {
             let retry_after = context.max_retry_after.map(|_| rejection.retry_after);
             let reason = rejection.reason.message();
             let Some(descriptor) = context.resources.acquire(DescriptorClass::RejectedClients) else {
-                reject_without_waiting(stream.inner(), reason, retry_after);
+                reject_without_waiting(accepted.stream.inner(), reason, retry_after);
                 return None;
             };
-            return Some((descriptor, Reception::Rejected { reason, retry_after }));
+            return Some((descriptor, AdmissionDecision::Rejected { reason, retry_after }));
         }
     };
     let ClientDescriptor { descriptor, admitted } = acquire_descriptor(context);
-    let reception = if admitted {
-        Reception::Admitted(permit)
+    let decision = if admitted {
+        AdmissionDecision::Admitted(permit)
     } else {
-        Reception::Rejected { reason: NO_DESCRIPTOR, retry_after: None }
+        AdmissionDecision::Rejected { reason: NO_DESCRIPTOR, retry_after: None }
     };
-    Some((descriptor, reception))
+    Some((descriptor, decision))
 }
 
-/// Dropping the connection would lose what came with it, so if there is no descriptor even beyond the limit, the accept loop
-/// waits for a client that is being closed.
+/// Acquires a descriptor for a client, and waits for one if even the overflow descriptors are in use.
+///
+/// Closing the connection instead would discard the query that the client may have sent with it.
 fn acquire_descriptor(context: &ClientContext) -> ClientDescriptor {
     loop {
         if let Some(descriptor) = context.resources.acquire_for_client(context.timers.now()) {
             return descriptor;
         }
         log!(WARN, reason = "all descriptors for rejections in use"; "clients wait to be rejected");
-        context.timers.sleep(DESCRIPTOR_WAIT);
+        context.timers.sleep(DESCRIPTOR_RETRY_INTERVAL);
     }
 }
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -1,5 +1,5 @@
-//! The admission of connections, if operators set classes of clients. An admitted connection holds a [`ConnectionPermit`],
-//! whose drop gives its place back.
+//! Admission control for connections, used if the operators' file defines client classes. An admitted connection
+//! holds a [`ConnectionPermit`], which is released when it is dropped.
 
 use crate::messages::response::ResponseChannel;
 use crate::runtime::clock::Timers;
@@ -18,19 +18,19 @@
 struct State {
     limiter: ConnectionLimiter,
     handshakes: HandshakeQueue,
-    /// How to reach connections in the handshake queue.
+    /// The channels of the connections in the handshake queue, to request a close when one is displaced.
     channels: HashMap<HandshakeId, Arc<ResponseChannel>>,
 }
 
 impl State {
-    /// A connection leaves the handshake queue; false if it was displaced before.
+    /// Removes a connection from the handshake queue; returns false if it was displaced before.
     fn leave_handshake(&mut self, id: HandshakeId) -> bool {
         self.channels.remove(&id);
         self.handshakes.leave(id)
     }
 }
 
-/// The admission of connections.
+/// The connection limits per client class and address, and the handshake queue.
 pub struct AdmissionControl {
     state: Mutex<State>,
     timers: Arc<Timers>,
@@ -38,26 +38,28 @@
 }
 
 enum PermitState {
-    /// Its client has not identified itself yet.
+    /// In the handshake queue: the startup message, which names the user, has not arrived yet.
     Handshake(HandshakeId),
+    /// Counted against the limits of its client class.
     Admitted(AdmittedConnection),
+    /// Not counted any more.
     Released,
 }
 
-/// A connection's place in the handshake queue, or in its class.
+/// The right of one connection to a slot in the handshake queue, or in its client class.
 pub struct ConnectionPermit {
     control: Arc<AdmissionControl>,
-    from: IpAddr,
+    client_address: IpAddr,
     state: PermitState,
 }
 
 impl ConnectionPermit {
-    /// The class of its client, once that is known.
+    /// The client's class, once admitted.
     pub fn class(&self) -> Option<Arc<str>> {
         self.client().map(|client| client.class)
     }
 
-    /// Whom its requests are counted for, once that is known.
+    /// The client that requests are attributed to, once admitted.
     pub fn client(&self) -> Option<ClientKey> {
         match &self.state {
             PermitState::Admitted(connection) => Some(connection.client()),
@@ -65,12 +67,13 @@
         }
     }
 
-    /// Whether its client has not identified itself yet.
+    /// Whether the connection is still in the handshake queue.
     pub fn is_handshake(&self) -> bool {
         matches!(self.state, PermitState::Handshake(_))
     }
 
-    /// Says how to reach the connection while it is in the handshake queue. False if it was displaced already.
+    /// Registers the channel by which the handshake queue can request a close; returns false if the connection was
+    /// displaced already.
     pub fn set_channel(&self, channel: &Arc<ResponseChannel>) -> bool {
         let PermitState::Handshake(id) = self.state else { return true };
         let mut state = self.control.lock();
@@ -81,10 +84,11 @@
         is_waiting
     }
 
-    /// Its client has named its user. A connection that was admitted by its address alone stays.
+    /// Admits a connection from the handshake queue, now that its startup message has named the user. Has no effect
+    /// on a connection that was admitted by address alone.
     ///
     /// # Errors
-    /// It is rejected.
+    /// The connection was displaced from the handshake queue, or its client class is at its limit.
     pub fn identify(&mut self, user: &str) -> Result<(), Rejection> {
         let PermitState::Handshake(id) = self.state else { return Ok(()) };
         self.state = PermitState::Released;
@@ -92,12 +96,12 @@
         if !was_waiting {
             return Err(self.control.reject_handshake());
         }
-        self.state = PermitState::Admitted(self.control.admit(self.from, Some(user))?);
+        self.state = PermitState::Admitted(self.control.admit(self.client_address, Some(user))?);
         Ok(())
     }
 
-    /// The rejection of a connection that was displaced before its client identified itself.
-    pub fn displacement(&self) -> Rejection {
+    /// Counts and returns the rejection of a connection that was displaced from the handshake queue.
+    pub fn reject_displaced(&self) -> Rejection {
         self.control.reject_handshake()
     }
 }
@@ -114,36 +118,36 @@
     }
 }
 
-/// Connections by class and address, for operators.
+/// The state of admission control, as the admin socket reports it.
 pub struct AdmissionSnapshot {
-    /// The classes.
+    /// The configured client classes.
     pub classes: Vec<ClientClass>,
-    /// Connections held, by class.
+    /// Open connections by class.
     pub connections: Vec<(String, usize)>,
-    /// Connections rejected since the start: class, reason, how many.
+    /// Connections rejected since the start: class, reason, count.
     pub rejections: Vec<(String, &'static str, u64)>,
-    /// The addresses with most connections.
+    /// The addresses with the most connections.
     pub top_addresses: Vec<(IpAddr, usize)>,
     /// Connections in the handshake queue.
     pub handshakes: usize,
-    /// Addresses of which anything is remembered.
+    /// Addresses for which the limiter holds state.
     pub remembered_addresses: usize,
 }
 
-/// How admission control is set.
+/// The settings of admission control.
 #[derive(Clone)]
 pub struct ClassSettings {
-    /// The classes of clients.
+    /// The client classes.
     pub classes: Vec<ClientClass>,
-    /// How much of an address identifies a client.
+    /// The prefix lengths that identify a client by its address.
     pub prefixes: AddressPrefixes,
 }
 
 impl AdmissionControl {
-    /// For a server that may tell clients to stay away for `max_retry_after` at most.
+    /// Creates admission control whose rejections carry a Retry-After of at most `max_retry_after`.
     ///
     /// # Errors
-    /// All that is wrong with the classes.
+    /// Every fault of the classes.
     pub fn new(
         settings: ClassSettings,
         max_retry_after: TimeDelta,
@@ -162,27 +166,28 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Changes the classes.
+    /// Replaces the client classes.
     ///
     /// # Errors
-    /// As [`AdmissionControl::new`]; nothing changes then.
+    /// Every fault of the new classes, as for [`AdmissionControl::new`]; the present ones stay in effect.
     pub fn set_classes(&self, settings: ClassSettings) -> Result<(), Vec<ClassError>> {
         let capacity = self.resources.limit(DescriptorClass::Clients);
         self.lock().limiter.set_limits(limits(settings, capacity))
     }
 
-    /// A connection has come. If it matters which user its client names, it waits in the handshake queue until that is known.
+    /// Admits a new connection, or places it in the handshake queue if its class depends on the user that it names.
     ///
     /// # Errors
-    /// It is rejected.
-    pub fn arrive(self: &Arc<Self>, from: IpAddr) -> Result<ConnectionPermit, Rejection> {
-        let permit = |state| ConnectionPermit { control: self.clone(), from, state };
+    /// The client's class or the handshake queue is at its limit.
+    pub fn arrive(self: &Arc<Self>, client_address: IpAddr) -> Result<ConnectionPermit, Rejection> {
+        let permit = |state| ConnectionPermit { control: self.clone(), client_address, state };
         let mut state = self.lock();
         if !state.limiter.needs_user() {
             drop(state);
-            return self.admit(from, None).map(|connection| permit(PermitState::Admitted(connection)));
+            let admitted = self.admit(client_address, None)?;
+            return Ok(permit(PermitState::Admitted(admitted)));
         }
-        let address = state.limiter.client_address(from);
+        let address = state.limiter.client_address(client_address);
         match state.handshakes.enqueue(address) {
             Enqueued::Free(id) => Ok(permit(PermitState::Handshake(id))),
             Enqueued::Displacing { entered, displaced } => {
@@ -198,10 +203,11 @@
         }
     }
 
-    /// If its class is full, an idle connection of that class is asked to close for the next one.
-    fn admit(&self, from: IpAddr, user: Option<&str>) -> Result<AdmittedConnection, Rejection> {
+    /// Admits a connection to its client class. If the class is full, an idle connection of it is asked to close,
+    /// so that the next client can be admitted.
+    fn admit(&self, client_address: IpAddr, user: Option<&str>) -> Result<AdmittedConnection, Rejection> {
         let now = self.timers.now();
-        let result = self.lock().limiter.admit(now, from, user);
+        let result = self.lock().limiter.admit(now, client_address, user);
         if let Err(rejection) = &result {
             count_rejection(rejection.class.to_string(), rejection);
             if rejection.reason.reclaims_idle() {
@@ -217,7 +223,7 @@
         rejection
     }
 
-    /// What there is, with so many of the addresses with most connections.
+    /// The present state, with the `top_addresses` addresses that have the most connections.
     pub fn snapshot(&self, top_addresses: usize) -> AdmissionSnapshot {
         let state = self.lock();
         let limiter = &state.limiter;
@@ -235,7 +241,7 @@
         }
     }
 
-    /// The connections by class, and those that were rejected, as one line.
+    /// The open and the rejected connections by class, as one line of text.
     pub fn summary(&self) -> String {
         let snapshot = self.snapshot(0);
         let connections = snapshot.connections.iter().map(|(class, count)| format!("{class} {count}"));
@@ -256,7 +262,8 @@
     metrics::counter!("gingerwick_connections_refused_total", "class" => class, "why" => reason).increment(1);
 }
 
-/// The connections that classes share: if the handshake queue is needed, its places are not theirs.
+/// The limits of the connection limiter. If the classes need the handshake queue, its descriptors are deducted from the
+/// capacity that the classes share.
 fn limits(settings: ClassSettings, capacity: usize) -> ConnectionLimits {
     let ClassSettings { classes, prefixes } = settings;
     let needs_users = classes.iter().any(|class| !class.users.is_empty());
--- a/server/src/clients/closing.rs
+++ b/server/src/clients/closing.rs
@@ -1,61 +1,67 @@
-//! The end of a connection that the server closes.
+//! The graceful close of a connection by the server.
 
 use crate::clients::connection::{ClientConnection, CLIENT_TIMEOUT};
 use crate::runtime::idle_clients::IdleRank;
 use routing::time::{TimeDelta, Timestamp};
 
-/// How long a client has to read what it was sent last.
+/// The time that a client has to read its last responses and close its side.
 const CLOSE_TIMEOUT: TimeDelta = TimeDelta::from_millis(500);
-/// The part of it that a client has whose descriptor is needed.
-const HURRIED_PART: i64 = 10;
-/// How often the system is asked whether the client's has acknowledged the last byte.
-const ACKNOWLEDGEMENT_POLL: TimeDelta = TimeDelta::from_millis(20);
+/// The timeout is divided by this if the descriptor is needed for another client.
+const RECLAIM_TIMEOUT_DIVISOR: i64 = 10;
+/// How often the kernel is polled for acknowledgements of the last bytes by the client.
+const ACKNOWLEDGEMENT_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(20);
 
-/// How far the client's system has acknowledged what it was sent.
+/// The progress of the client's TCP acknowledgements.
 struct AcknowledgementProgress {
-    fewest_bytes: usize,
-    since: Timestamp,
+    /// The fewest unacknowledged bytes seen so far.
+    min_unacknowledged: usize,
+    /// When that number last decreased.
+    last_progress_at: Timestamp,
 }
 
 impl AcknowledgementProgress {
-    /// Whether it has stopped for too long.
+    /// Whether there was no progress for [`CLIENT_TIMEOUT`].
     fn has_stalled(&mut self, unacknowledged: usize, now: Timestamp) -> bool {
-        if unacknowledged < self.fewest_bytes {
-            self.fewest_bytes = unacknowledged;
-            self.since = now;
+        if unacknowledged < self.min_unacknowledged {
+            self.min_unacknowledged = unacknowledged;
+            self.last_progress_at = now;
         }
-        now >= self.since + CLIENT_TIMEOUT
+        now >= self.last_progress_at + CLIENT_TIMEOUT
     }
 }
 
 impl ClientConnection {
-    /// Ends sending and waits for the client's end, reading nothing: a query that crosses the close is left unread, and so never
-    /// taken. A close over unread bytes resets the connection, which takes with it what the client's system has not
-    /// acknowledged; so over such bytes it waits for longer.
+    /// Shuts down the sending side and waits for the client to close its own, without reading.
+    ///
+    /// A query that crosses the close stays unread, so it is never executed. Closing a socket with unread bytes
+    /// resets the connection, which discards response bytes that the client has not acknowledged; in that case the
+    /// wait is longer.
     pub fn close_gracefully(&mut self) {
         if self.socket.shutdown_write().is_err() {
             return;
         }
         self.unregister_idle();
-        let began = self.context.timers.now();
-        let hurried = self.channel.take_close_request();
-        let timeout = if hurried { CLOSE_TIMEOUT / HURRIED_PART } else { CLOSE_TIMEOUT };
+        let started_at = self.context.timers.now();
+        let is_descriptor_needed = self.channel.take_close_request();
+        let timeout =
+            if is_descriptor_needed { CLOSE_TIMEOUT / RECLAIM_TIMEOUT_DIVISOR } else { CLOSE_TIMEOUT };
         self.register_idle(IdleRank::Closing, None);
-        self.wake_at(began + timeout);
-        let mut progress = AcknowledgementProgress { fewest_bytes: usize::MAX, since: began };
+        self.wake_at(started_at + timeout);
+        let mut progress =
+            AcknowledgementProgress { min_unacknowledged: usize::MAX, last_progress_at: started_at };
         while !self.socket.has_ended() {
             let now = self.context.timers.now();
-            if now >= began + timeout || self.channel.is_close_requested() {
+            if now >= started_at + timeout || self.channel.is_close_requested() {
                 if self.may_close(&mut progress, now) {
                     return;
                 }
-                self.wake_at(now + ACKNOWLEDGEMENT_POLL);
+                self.wake_at(now + ACKNOWLEDGEMENT_POLL_INTERVAL);
             }
             self.socket.wait();
         }
     }
 
-    /// Whether a close loses nothing that the client could still get.
+    /// Whether a close loses no response bytes, or the client has stopped acknowledging them.
     fn may_close(&self, progress: &mut AcknowledgementProgress, now: Timestamp) -> bool {
         let unacknowledged = self.socket.unacknowledged_bytes();
         let has_stalled = progress.has_stalled(unacknowledged, now);
--- a/server/src/clients/connection.rs
+++ b/server/src/clients/connection.rs
@@ -1,9 +1,9 @@
-//! A client's connection: one coroutine, which owns the socket, takes what the client sends and writes the responses in the
-//! order of its queries. It goes on reading while requests are open, so a client that closes is noticed; where it may not read
-//! on, it asks the system whether the client has ended the connection.
+//! A client connection: one coroutine that owns the socket, reads the client's messages and writes the responses in
+//! the order of the queries. It keeps reading while requests are open, so that a closed connection is noticed;
+//! where it must not read more, it polls the socket for the client's close instead.
 
 use crate::clients::admission_control::ConnectionPermit;
-use crate::clients::context::{ClientContext, NewConnection, Reception};
+use crate::clients::context::{AdmissionDecision, ClientContext, NewConnection};
 use crate::clients::graceful_shutdown::ConnectionGuard;
 use crate::clients::response_encoding::encode_response;
 use crate::clients::response_queue::ResponseQueue;
@@ -23,64 +23,67 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
 
-/// Queries of one client that are answered side by side; what it sends beyond them stays unread.
+/// Queries of one client that are in progress at the same time; bytes beyond them stay in the socket's receive buffer.
 const MAX_PIPELINED_QUERIES: usize = 64;
-/// How long a client may take for its startup and first query from when it connects, for the rest of a message from when it
-/// began it, and for reading its responses.
+/// Timeout of a client, for its startup and first query (from the connect), for the rest of a message (from its first
+/// bytes), and for reading its responses.
 pub(super) const CLIENT_TIMEOUT: TimeDelta = TimeDelta::from_millis(2_500);
 
-/// How a connection ends.
+/// How a connection is closed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum ConnectionEnd {
-    /// The client has time to read what it was sent.
+enum CloseMode {
+    /// The client gets time to read its last responses.
     Graceful,
-    /// The connection is dead.
+    /// The client has closed or does not respond.
     Immediate,
 }
 
-/// Whether the loop goes on at once.
+/// What the connection loop does after a read.
 enum ReadStep {
-    GoOn,
+    /// Bytes were read; process them at once.
+    Continue,
+    /// Nothing can be read now; wait for the socket.
     Wait,
+    /// The client has closed the connection.
     Closed,
 }
 
-/// A client's connection.
+/// The state of a client connection.
 pub(super) struct ClientConnection {
     pub context: Arc<ClientContext>,
     pub socket: ClientSocket,
     pub channel: Arc<ResponseChannel>,
     pub codec: FrontendCodec,
     pub responses: ResponseQueue,
-    /// Nothing more is taken; what is pending is still answered.
-    pub is_last: bool,
-    /// A request of it was answered.
-    served: bool,
-    /// It has sent a query, if only an empty one.
-    pub has_asked: bool,
-    /// Since when the client has owed its next message.
+    /// No further messages are processed; pending requests are still answered.
+    pub input_closed: bool,
+    /// At least one request was answered.
+    has_served: bool,
+    /// The client has sent at least one query, possibly an empty one.
+    pub has_queried: bool,
+    /// When the wait for the client's next message, or the rest of one, began.
     pub message_due_since: Option<Timestamp>,
-    /// Since when the client does not read its responses.
+    /// When the socket's send buffer became full because the client does not read its responses.
     stalled_since: Option<Timestamp>,
-    /// Bytes read since it last waited.
+    /// Bytes read since the coroutine last waited.
     burst_bytes: usize,
     pub idle: Option<IdleRegistration>,
     charge: BufferCharge,
-    /// The session that its client carries, if it asked for one.
+    /// The session that the client carries by a token, if it asked for one.
     pub session: Option<ClientSession>,
     pub permit: Option<ConnectionPermit>,
-    /// Whom its requests are counted for.
+    /// The client that requests are attributed to.
     pub client: Option<ClientKey>,
-    /// Dropped last: the process may end with it.
+    /// The last field, because the process may exit when it is dropped.
     guard: ConnectionGuard,
 }
 
 /// Runs a connection from its first byte to its close.
-pub fn run(context: Arc<ClientContext>, connection: NewConnection, reception: Reception) {
-    // The descriptor is given back once the socket is closed.
-    let NewConnection { stream, channel, guard, from, descriptor: _descriptor } = connection;
+pub fn run(context: Arc<ClientContext>, connection: NewConnection, decision: AdmissionDecision) {
+    // The descriptor is released when this function returns, after the socket was closed.
+    let NewConnection { stream, channel, guard, client_address, descriptor: _descriptor } = connection;
     let connected_at = context.timers.now();
-    let client = context.client_prefixes.map(|prefixes| ClientKey::unclassified(from, prefixes));
+    let client = context.client_prefixes.map(|prefixes| ClientKey::unclassified(client_address, prefixes));
     let mut connection = ClientConnection {
         charge: context.resources.buffer_charge(),
         context,
@@ -88,9 +91,9 @@
         channel,
         codec: FrontendCodec::default(),
         responses: ResponseQueue::default(),
-        is_last: false,
-        served: false,
-        has_asked: false,
+        input_closed: false,
+        has_served: false,
+        has_queried: false,
         message_due_since: Some(connected_at),
         stalled_since: None,
         burst_bytes: 0,
@@ -101,19 +104,19 @@
         guard,
     };
     connection.wake_at(connected_at + CLIENT_TIMEOUT);
-    match reception {
-        Reception::Admitted(permit) => connection.take_permit(permit),
-        Reception::Rejected { reason, retry_after } => connection.reject(reason, retry_after),
+    match decision {
+        AdmissionDecision::Admitted(permit) => connection.set_permit(permit),
+        AdmissionDecision::Rejected { reason, retry_after } => connection.reject(reason, retry_after),
     }
-    let end = catch_unwind(AssertUnwindSafe(|| connection.serve()));
-    let end = end.unwrap_or_else(|_| connection.end_after_panic());
-    if end == ConnectionEnd::Graceful {
+    let close_mode = catch_unwind(AssertUnwindSafe(|| connection.serve()));
+    let close_mode = close_mode.unwrap_or_else(|_| connection.fail_after_panic());
+    if close_mode == CloseMode::Graceful {
         connection.close_gracefully();
     }
 }
 
 impl Drop for ClientConnection {
-    /// However the connection ends, the control loop is told of what it still waited for.
+    /// Notifies the control loop of the requests that are still pending, however the connection ended.
     fn drop(&mut self) {
         self.unregister_idle();
         for pending in self.responses.pending() {
@@ -124,7 +127,7 @@
 }
 
 impl ClientConnection {
-    fn take_permit(&mut self, permit: Option<ConnectionPermit>) {
+    fn set_permit(&mut self, permit: Option<ConnectionPermit>) {
         let Some(permit) = permit else { return };
         if !permit.set_channel(&self.channel) {
             self.reject_displaced(&permit);
@@ -133,38 +136,39 @@
         self.permit = Some(permit);
     }
 
-    /// Sets whom its requests are counted for, if that is known.
+    /// Sets the client that requests are attributed to, if it is known.
     pub fn set_client(&mut self, client: Option<ClientKey>) {
         if client.is_some() {
             self.client = client;
         }
     }
 
-    /// Others come, and its client has not identified itself yet.
+    /// Rejects a connection that a newer one has displaced from the handshake queue.
     fn reject_displaced(&mut self, permit: &ConnectionPermit) {
-        self.reject_with(&permit.displacement());
+        self.reject_with(&permit.reject_displaced());
     }
 
-    /// Tells the client why it is rejected.
+    /// Sends the client the reason for its rejection, and the Retry-After if one may be sent.
     pub fn reject_with(&mut self, rejection: &Rejection) {
         let retry_after = self.context.max_retry_after.map(|_| rejection.retry_after);
         self.reject(rejection.reason.message(), retry_after);
     }
 
-    fn serve(&mut self) -> ConnectionEnd {
+    /// Serves the client until the connection is to be closed.
+    fn serve(&mut self) -> CloseMode {
         loop {
-            self.take_messages();
-            self.leave_if_displaced();
+            self.handle_messages();
+            self.reject_if_displaced();
             self.collect_responses();
-            let Ok(flushed) = self.socket.flush() else { return ConnectionEnd::Immediate };
+            let Ok(flushed) = self.socket.flush() else { return CloseMode::Immediate };
             let now = self.context.timers.now();
             if self.is_stalled(flushed, now) {
-                return ConnectionEnd::Immediate;
+                return CloseMode::Immediate;
             }
             if self.exceeds_memory() {
                 if flushed == FlushOutcome::Blocked {
                     log!(WARN, reason = "buffer memory used up"; "connection of a client that does not read closed");
-                    return ConnectionEnd::Immediate;
+                    return CloseMode::Immediate;
                 }
                 if self.codec.buffer_bytes() > SMALL_BUFFER_BYTES {
                     self.fail(SqlState::OUT_OF_MEMORY, "the memory for buffers is used up");
@@ -172,8 +176,8 @@
                 }
             }
             match self.read() {
-                ReadStep::GoOn => continue,
-                ReadStep::Closed => return ConnectionEnd::Immediate,
+                ReadStep::Continue => continue,
+                ReadStep::Closed => return CloseMode::Immediate,
                 ReadStep::Wait => {}
             }
             if self.is_message_overdue(now) {
@@ -181,26 +185,28 @@
                 continue;
             }
             if self.responses.is_empty() && self.socket.queued() == 0 {
-                // Without a message: one behind the last response would be a second one to that request. A query that crosses
-                // the close did not run, and its client sends it again elsewhere.
-                if self.is_last || (self.codec.is_empty() && self.should_close()) {
-                    return ConnectionEnd::Graceful;
+                // Closed without an error message, which the client would take for a second response to its last
+                // request. A query that crosses the close was not executed; its client retries it on another
+                // instance.
+                if self.input_closed || (self.codec.is_empty() && self.should_close()) {
+                    return CloseMode::Graceful;
                 }
-                self.rest();
+                self.become_idle();
             }
             self.burst_bytes = 0;
             self.socket.wait();
         }
     }
 
-    fn leave_if_displaced(&mut self) {
-        let close_requested = !self.is_last && self.channel.is_close_requested();
+    /// Rejects the connection if it was displaced from the handshake queue.
+    fn reject_if_displaced(&mut self) {
+        let close_requested = !self.input_closed && self.channel.is_close_requested();
         if let Some(permit) = self.permit.take_if(|permit| close_requested && permit.is_handshake()) {
             self.reject_displaced(&permit);
         }
     }
 
-    /// Whether the client has not read its responses for too long.
+    /// Whether the client has not read its responses for [`CLIENT_TIMEOUT`].
     fn is_stalled(&mut self, flushed: FlushOutcome, now: Timestamp) -> bool {
         if flushed == FlushOutcome::Complete {
             self.stalled_since = None;
@@ -213,10 +219,11 @@
         now >= since + CLIENT_TIMEOUT
     }
 
+    /// Reads what the client has sent, as far as it may be processed now.
     fn read(&mut self) -> ReadStep {
         let max_bytes = self.max_read_bytes();
         if max_bytes == 0 {
-            return if self.has_client_left() { ReadStep::Closed } else { ReadStep::Wait };
+            return if self.has_client_disconnected() { ReadStep::Closed } else { ReadStep::Wait };
         }
         let codec = &mut self.codec;
         match self.socket.read(max_bytes, |bytes| codec.feed(bytes)) {
@@ -227,28 +234,30 @@
                     self.burst_bytes = 0;
                     self.context.timers.sleep(BURST_PAUSE);
                 }
-                ReadStep::GoOn
+                ReadStep::Continue
             }
             ReadOutcome::WouldBlock => ReadStep::Wait,
             ReadOutcome::Closed => ReadStep::Closed,
         }
     }
 
-    /// Whether more of what the client sends may be taken.
-    pub fn may_take_more(&self) -> bool {
+    /// Whether the pipeline has room to read more from the client.
+    fn may_read_more(&self) -> bool {
         self.responses.len() < MAX_PIPELINED_QUERIES && self.socket.queued() < MAX_PIPELINED_QUERIES
     }
 
-    /// Whether the next message may be answered beside the others.
-    pub fn may_take_message(&self) -> bool {
-        !self.is_last && self.responses.len() < MAX_PIPELINED_QUERIES
+    /// Whether the next message that was read may be processed.
+    pub fn may_handle_message(&self) -> bool {
+        !self.input_closed && self.responses.len() < MAX_PIPELINED_QUERIES
     }
 
-    /// How much may be read now. Once the server is closed no more than what completes a query that has begun: what is read
-    /// must be answered, and a client that always sends the next one would never be closed. What stays unread its client sends
-    /// again elsewhere.
+    /// The number of bytes that may be read now.
+    ///
+    /// After the shutdown has closed the server, only the rest of a partial message is read: every query that was
+    /// read must be answered, so a client that keeps sending would keep the connection open. The client retries an
+    /// unread query on another instance.
     fn max_read_bytes(&self) -> usize {
-        if self.is_last || !self.may_take_more() {
+        if self.input_closed || !self.may_read_more() {
             0
         } else if self.context.shutdown.is_closed() {
             self.codec.missing_bytes()
@@ -257,15 +266,15 @@
         }
     }
 
-    /// Whether a client that still waits for something has ended the connection.
-    fn has_client_left(&self) -> bool {
+    /// Whether the client has closed the connection while requests are pending.
+    fn has_client_disconnected(&self) -> bool {
         self.responses.pending().next().is_some() && self.socket.has_ended()
     }
 
-    /// Whether the client has owed its next message, or the rest of one, for too long.
+    /// Whether the client's next message, or the rest of one, has not arrived within [`CLIENT_TIMEOUT`].
     fn is_message_overdue(&mut self, now: Timestamp) -> bool {
-        let between_queries = self.has_asked && self.codec.is_empty();
-        if self.is_last || !self.may_take_more() || between_queries {
+        let between_queries = self.has_queried && self.codec.is_empty();
+        if self.input_closed || !self.may_read_more() || between_queries {
             self.message_due_since = None;
             return false;
         }
@@ -276,27 +285,29 @@
         now >= since + CLIENT_TIMEOUT
     }
 
+    /// Whether an idle connection is to be closed, for its descriptor or for the shutdown.
     fn should_close(&self) -> bool {
-        self.channel.is_close_requested() || self.guard.should_close(self.has_asked, self.served)
+        self.channel.is_close_requested() || self.guard.should_close(self.has_queried, self.has_served)
     }
 
-    /// Wakes the connection at a time.
+    /// Schedules a wake-up of the connection's coroutine.
     pub fn wake_at(&self, at: Timestamp) {
         let waker = self.socket.waker();
         self.context.timers.call_at(at, move || waker.wakeup());
     }
 
-    /// Charges its buffers; true if all connections' are too much and this one's are no small part of that.
+    /// Updates the charge for the connection's buffers. Returns true if all buffers together exceed the memory
+    /// limit and this connection's are larger than [`SMALL_BUFFER_BYTES`].
     fn exceeds_memory(&mut self) -> bool {
         let bytes = self.codec.buffer_bytes() + self.responses.ready_bytes() + self.socket.queued_bytes();
         self.charge.set(bytes);
-        bytes > SMALL_BUFFER_BYTES && !self.is_last && self.context.resources.is_memory_short()
+        bytes > SMALL_BUFFER_BYTES && !self.input_closed && self.context.resources.is_memory_short()
     }
 
-    /// There is nothing to do: buffers are freed, and the connection may be asked to close.
-    fn rest(&mut self) {
+    /// Registers the connection as idle and frees its buffers.
+    fn become_idle(&mut self) {
         if self.idle.is_none() {
-            let rank = if self.has_asked { IdleRank::Idle } else { IdleRank::NeverAsked };
+            let rank = if self.has_queried { IdleRank::Idle } else { IdleRank::NeverQueried };
             let class = self.permit.as_ref().and_then(ConnectionPermit::class);
             self.register_idle(rank, class);
         }
@@ -305,52 +316,53 @@
         self.charge.set(self.codec.buffer_bytes());
     }
 
-    /// The client may be asked to close for others.
+    /// Registers the connection as one that can be asked to close when descriptors run short.
     pub fn register_idle(&mut self, rank: IdleRank, class: Option<Arc<str>>) {
         let now = self.context.timers.now();
         let registration = self.context.resources.register_idle(rank, now, self.channel.clone(), class);
         self.idle = Some(registration);
     }
 
-    /// The client has something to do.
+    /// Removes the idle registration, because the connection is in use again or closed.
     pub fn unregister_idle(&mut self) {
         if let Some(registration) = self.idle.take() {
             self.context.resources.unregister_idle(registration);
         }
     }
 
-    /// Puts responses that have come in their places, and those whose turn it is in the outbox.
+    /// Moves received responses into the response queue, and those that are next in order to the socket's outbox.
     fn collect_responses(&mut self) {
         let now = self.context.timers.now();
         let tokens = self.context.session_tokens.clone();
         for (request, response) in self.channel.take() {
             let session = self.session.as_mut();
-            // In the order in which responses come: a token may show more than its response, never less.
+            // Tokens are issued in the order in which responses arrive, which may differ from the order of the
+            // queries. So a token may cover later responses too, but always covers its own.
             let completed = self.responses.complete(request, |group| {
                 let session_and_tokens = tokens.as_ref().zip(session);
                 let token = session_and_tokens
                     .and_then(|(tokens, session)| tokens.record_response(now, session, group, &response));
                 encode_response(response, token.as_deref())
             });
-            self.served |= completed;
+            self.has_served |= completed;
         }
         while let Some(response) = self.responses.pop_ready() {
             self.socket.push(response);
         }
     }
 
-    /// A fault of this program: all that is pending is aborted, as far as the client still takes it.
-    fn end_after_panic(&mut self) -> ConnectionEnd {
+    /// Aborts all pending requests after a panic, and sends as much of that as the socket accepts without waiting.
+    fn fail_after_panic(&mut self) -> CloseMode {
         self.fail(SqlState::INTERNAL_ERROR, "internal fault");
         self.collect_responses();
         match self.socket.flush() {
-            Ok(FlushOutcome::Complete) => ConnectionEnd::Graceful,
-            _ => ConnectionEnd::Immediate,
+            Ok(FlushOutcome::Complete) => CloseMode::Graceful,
+            _ => CloseMode::Immediate,
         }
     }
 
-    /// A fatal error, and nothing is taken behind it. What is pending is aborted, or a request that takes its time would hold
-    /// the error back.
+    /// Queues a fatal error and stops processing messages. Pending requests are aborted, because responses are sent
+    /// in order and a slow request would delay the error.
     pub fn fail(&mut self, code: SqlState, reason: &str) {
         let aborted = encode_response(Response::Aborted, None);
         for pending in self.responses.complete_all(&aborted) {
@@ -358,6 +370,6 @@
             let _ = self.context.control.send(ControlMessage::ClientGone { request });
         }
         self.push_fatal(code, reason);
-        self.is_last = true;
+        self.input_closed = true;
     }
 }
--- a/server/src/clients/context.rs
+++ b/server/src/clients/context.rs
@@ -1,4 +1,4 @@
-//! What all client connections share, and what a connection begins with.
+//! The context that all client connections share, and the initial state of a connection.
 
 use crate::clients::admission_control::{AdmissionControl, ConnectionPermit};
 use crate::clients::graceful_shutdown::{ConnectionGuard, GracefulShutdown};
@@ -18,66 +18,66 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
 
-/// What all connections share.
+/// The context that all client connections share.
 pub struct ClientContext {
-    /// The timers.
+    /// The timers of the process.
     pub timers: Arc<Timers>,
-    /// The limits.
+    /// The limits on descriptors and buffer memory.
     pub resources: Arc<ResourceLimits>,
-    /// The control loop.
+    /// The channel to the control loop.
     pub control: Sender<ControlMessage>,
-    /// The methods by their names.
+    /// The methods by name.
     pub methods: MethodTable,
-    /// The longest Retry-After, if one may be told.
+    /// The longest Retry-After; `None` if rejections carry none.
     pub max_retry_after: Option<TimeDelta>,
-    /// The shutdown.
+    /// The state of the graceful shutdown.
     pub shutdown: Arc<GracefulShutdown>,
-    /// Tokens, if clients may carry their sessions.
+    /// Session tokens, if session keys are configured.
     pub session_tokens: Option<Arc<SessionTokens>>,
-    /// Admission control, if clients have classes.
+    /// Admission control, if client classes are configured.
     pub admission: Option<Arc<AdmissionControl>>,
-    /// Whom the requests of an address are counted for, if clients have no classes and requests are limited.
+    /// The address prefixes by which requests are attributed to a client without a class, if requests are limited.
     pub client_prefixes: Option<AddressPrefixes>,
-    /// The journal, if writes are recorded.
+    /// The write journal, if writes are recorded.
     pub journal: Option<Arc<WriteJournal>>,
-    /// The number of the next request.
+    /// The id of the next request, unique within the process.
     pub next_request: AtomicU64,
-    /// The number of the next connection.
+    /// The id of the next connection, as its BackendKeyData message carries it.
     pub next_connection: AtomicU64,
 }
 
-/// An accepted connection that the shutdown waits for.
+/// An accepted connection, registered with the graceful shutdown.
 pub struct NewConnection {
     pub(super) stream: TcpStream,
     pub(super) channel: Arc<ResponseChannel>,
     pub(super) guard: ConnectionGuard,
-    pub(super) from: IpAddr,
+    pub(super) client_address: IpAddr,
     pub(super) descriptor: Descriptor,
 }
 
 impl NewConnection {
-    /// Registers a connection with the shutdown.
+    /// Registers a connection with the graceful shutdown, which waits for it.
     pub fn register(
         context: &ClientContext,
         stream: TcpStream,
-        from: IpAddr,
+        client_address: IpAddr,
         descriptor: Descriptor,
     ) -> NewConnection {
         let channel = ResponseChannel::new(stream.waker());
         let guard = context.shutdown.register(&channel);
-        NewConnection { stream, channel, guard, from, descriptor }
+        NewConnection { stream, channel, guard, client_address, descriptor }
     }
 }
 
-/// How a client is received.
-pub enum Reception {
-    /// With its place in its class, if it has one.
+/// Whether a new connection is served or rejected.
+pub enum AdmissionDecision {
+    /// It is served, with its permit if admission control is in use.
     Admitted(Option<ConnectionPermit>),
-    /// It is told why it is rejected.
+    /// It is sent an error and closed.
     Rejected {
-        /// Why.
+        /// The message of the error.
         reason: &'static str,
-        /// When to come back, if that may be told.
+        /// The Retry-After, if one may be sent.
         retry_after: Option<TimeDelta>,
     },
 }
--- a/server/src/clients/graceful_shutdown.rs
+++ b/server/src/clients/graceful_shutdown.rs
@@ -1,6 +1,6 @@
-//! Graceful shutdown: after SIGTERM connections still arrive for a while, so the server goes on accepting, closes idle
-//! connections at once and the others once they are answered. Then it closes: every connection that has arrived by then is
-//! waited for, nothing more is taken, and the process ends as soon as none is left.
+//! Graceful shutdown, in two phases. After SIGTERM the server keeps accepting connections for a grace period, and
+//! closes connections as they become idle. Then it is closed: no further queries are read, and the process exits as
+//! soon as every connection that arrived before has ended.
 
 use crate::log;
 use crate::messages::response::ResponseChannel;
@@ -10,16 +10,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Connections arrive for up to 0.4 s after the signal.
-const ACCEPT_FOR: TimeDelta = TimeDelta::from_millis(500);
+/// How long connections are accepted after the signal. New ones arrive for up to 0.4 s.
+const ACCEPT_GRACE_PERIOD: TimeDelta = TimeDelta::from_millis(500);
 
+/// The registered connections.
 #[derive(Default)]
 struct Connections {
     channels: BTreeMap<u64, Arc<ResponseChannel>>,
-    serial: u64,
+    /// The id that was assigned last.
+    last_id: u64,
 }
 
-/// The shutdown, and the connections that it waits for.
+/// The state of the shutdown, and the connections that it waits for.
 pub struct GracefulShutdown {
     begun: AtomicBool,
     closed: AtomicBool,
@@ -28,20 +30,22 @@
     on_end: Box<dyn Fn() + Send + Sync>,
 }
 
-/// A connection that the shutdown waits for, until this is dropped.
+/// The registration of a connection; the shutdown waits until it is dropped.
 pub struct ConnectionGuard {
     shutdown: Arc<GracefulShutdown>,
-    serial: u64,
-    /// It was there before the shutdown began.
-    is_early: bool,
+    connection_id: u64,
+    /// The connection was accepted before the shutdown began.
+    accepted_before_shutdown: bool,
 }
 
 impl ConnectionGuard {
-    /// Whether the connection should close once none of its requests is open: when the shutdown begins, if it has had what it
-    /// came for, an answer to an empty query at least (`answered`) or to a request (`served`), and after the close in any case.
-    /// A client that arrives during the shutdown may send one request; so may one that had only just arrived.
-    pub fn should_close(&self, answered: bool, served: bool) -> bool {
-        let finished = served || (answered && self.is_early);
+    /// Whether the connection should be closed once it has no open request.
+    ///
+    /// Once the server is closed, always. Before that, only if a request was answered (`has_served`), or the client
+    /// has sent any query (`has_queried`) on a connection from before the shutdown. So a client that has only just
+    /// connected, before or during the shutdown, may still send one request.
+    pub fn should_close(&self, has_queried: bool, has_served: bool) -> bool {
+        let finished = has_served || (has_queried && self.accepted_before_shutdown);
         self.shutdown.is_closed() || (self.shutdown.has_begun() && finished)
     }
 }
@@ -49,13 +53,13 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let mut connections = self.shutdown.lock();
-        connections.channels.remove(&self.serial);
+        connections.channels.remove(&self.connection_id);
         self.shutdown.end_if_empty(connections);
     }
 }
 
 impl GracefulShutdown {
-    /// `on_end` is called once the server is closed and no connection is left.
+    /// Creates a shutdown that has not begun; `on_end` is called once the server is closed and no connection is left.
     pub fn new(on_end: impl Fn() + Send + Sync + 'static) -> Arc<GracefulShutdown> {
         Arc::new(GracefulShutdown {
             begun: AtomicBool::new(false),
@@ -69,43 +73,45 @@
         self.connections.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Whether it has begun.
+    /// Whether the shutdown has begun.
     pub fn has_begun(&self) -> bool {
         self.begun.load(Ordering::Acquire)
     }
 
-    /// Whether nothing more is taken.
+    /// Whether the server is closed: no further queries are read.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::Acquire)
     }
 
-    /// Connections that are there.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
         self.lock().channels.len()
     }
 
-    /// Registers a connection. Called right after it was accepted, before anything else can run: an accepted connection is
-    /// waited for.
+    /// Registers a connection. Called right after it was accepted, before another coroutine can run, so that the
+    /// shutdown waits for every accepted connection.
     pub fn register(self: &Arc<Self>, channel: &Arc<ResponseChannel>) -> ConnectionGuard {
         let mut connections = self.lock();
-        connections.serial += 1;
-        let serial = connections.serial;
-        connections.channels.insert(serial, channel.clone());
-        ConnectionGuard { shutdown: self.clone(), serial, is_early: !self.has_begun() }
+        connections.last_id += 1;
+        let connection_id = connections.last_id;
+        connections.channels.insert(connection_id, channel.clone());
+        let accepted_before_shutdown = !self.has_begun();
+        ConnectionGuard { shutdown: self.clone(), connection_id, accepted_before_shutdown }
     }
 
-    /// Begins the shutdown. Called once, from the thread that waits for signals.
+    /// Begins the shutdown, and schedules `stop_accepting` for the end of the grace period. Called once, from the
+    /// thread that waits for signals.
     pub fn begin(&self, timers: &Timers, stop_accepting: impl FnOnce() + Send + 'static) {
         let connections = self.lock();
         log!(INFO, connections = connections.channels.len(); "shutting down");
         self.begun.store(true, Ordering::Release);
         connections.channels.values().for_each(|channel| channel.wake());
         drop(connections);
-        timers.call_at(timers.now() + ACCEPT_FOR, stop_accepting);
+        timers.call_at(timers.now() + ACCEPT_GRACE_PERIOD, stop_accepting);
     }
 
-    /// Closes the server. Called once, by the accept loop, when no connection waits to be accepted: none is registered after
-    /// this.
+    /// Closes the server. Called once, by the accept loop, when the listen queue is empty, so no connection is
+    /// registered after it.
     pub fn close(&self) {
         let connections = self.lock();
         self.closed.store(true, Ordering::Release);
@@ -114,9 +120,9 @@
     }
 
     fn end_if_empty(&self, connections: MutexGuard<'_, Connections>) {
-        let is_over = connections.channels.is_empty() && self.is_closed();
+        let has_ended = connections.channels.is_empty() && self.is_closed();
         drop(connections);
-        if is_over {
+        if has_ended {
             (self.on_end)();
         }
     }
--- a/server/src/clients/mod.rs
+++ b/server/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: how they are accepted and admitted, their protocol, and how they end.
+//! Client connections: accepting and admission, protocol, sessions, and graceful close.
 
 pub mod acceptor;
 pub mod admission_control;
--- a/server/src/clients/rejection.rs
+++ b/server/src/clients/rejection.rs
@@ -1,15 +1,15 @@
-//! The rejection of a client for which there is no connection state.
+//! Rejection of a client without a coroutine or connection state.
 
 use crate::clients::response_encoding::encode_rejection;
 use routing::time::TimeDelta;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 
-/// Bytes of a rejected client that are read at most: what is unread turns the close into a reset, which may take the
-/// rejection with it.
+/// Bytes that are read from a rejected client. Unread bytes would turn the close into a reset, which may discard the
+/// rejection before the client reads it.
 const READ_BYTES: usize = 4096;
 
-/// Tells a client why it is rejected, without waiting for anything.
+/// Sends a client the reason for its rejection and shuts the connection down, without ever blocking.
 pub fn reject_without_waiting(mut stream: &TcpStream, reason: &str, retry_after: Option<TimeDelta>) {
     let mut rejection = Vec::new();
     encode_rejection(&mut rejection, reason, retry_after);
--- a/server/src/clients/requests.rs
+++ b/server/src/clients/requests.rs
@@ -1,4 +1,4 @@
-//! A client's messages: its startup and its queries.
+//! Handling of a client's messages: startup, queries and everything else of the frontend protocol.
 
 use crate::clients::connection::ClientConnection;
 use crate::clients::response_encoding::{encode_rejection, encode_response};
@@ -10,42 +10,45 @@
 use crate::protocol::encode::{self, Greeting, Severity};
 use crate::protocol::frontend_codec::FrontendMessage;
 use crate::protocol::sqlstate::{ClientError, SqlState};
-use crate::protocol::statement::{self, RequestHeader, Statement};
+use crate::protocol::statement::{self, Statement};
 use routing::time::TimeDelta;
 use routing::RequestId;
+use sessions::positions::GroupNumber;
 use sessions::token::TokenError;
 use std::sync::atomic::Ordering;
 use write_journal::record_state::Origin;
 
-/// The answer to SSLRequest and GSSENCRequest: no.
+/// The response to SSLRequest and GSSENCRequest: encryption is not supported.
 const NO_ENCRYPTION: u8 = b'N';
+/// The group number of a pending fate query, which concerns no group.
+const NO_GROUP: GroupNumber = 0;
 const ONLY_SIMPLE_QUERIES: &str = "only simple queries are taken";
 
 impl ClientConnection {
-    /// Takes the complete messages that were read.
-    pub fn take_messages(&mut self) {
-        while self.may_take_message() {
+    /// Handles the complete messages that were read.
+    pub fn handle_messages(&mut self) {
+        while self.may_handle_message() {
             match self.codec.next_message() {
-                Some(message) => self.take_message(message),
+                Some(message) => self.handle_message(message),
                 None => return,
             }
         }
     }
 
-    fn take_message(&mut self, message: FrontendMessage) {
+    fn handle_message(&mut self, message: FrontendMessage) {
         match message {
             FrontendMessage::EncryptionRequest => self.responses.push_ready(vec![NO_ENCRYPTION]),
             FrontendMessage::Startup { minor_version, parameters } => {
                 self.start_session(minor_version, &parameters);
             }
             FrontendMessage::Query(body) => {
-                self.has_asked = true;
+                self.has_queried = true;
                 self.message_due_since = None;
-                self.take_query(body);
+                self.handle_query(body);
             }
             FrontendMessage::Sync => self.push(encode::ready_for_query),
             FrontendMessage::Unsupported { standalone } => self.reject_unsupported(standalone),
-            FrontendMessage::CancelRequest | FrontendMessage::Terminate => self.is_last = true,
+            FrontendMessage::CancelRequest | FrontendMessage::Terminate => self.input_closed = true,
             FrontendMessage::Invalid(error) => self.fail(error.code, error.message),
         }
     }
@@ -86,7 +89,11 @@
         });
     }
 
-    /// Starts or resumes the session that the client carries, if it asked for one and there are any; its token.
+    /// Starts or resumes the client's session, if it asked for one and session keys are configured; returns the
+    /// session's token.
+    ///
+    /// # Errors
+    /// The client's token is rejected.
     fn open_session(&mut self, parameters: &StartupParameters) -> Result<Option<String>, TokenError> {
         let (Some(tokens), Some(token)) = (&self.context.session_tokens, &parameters.session) else {
             return Ok(None);
@@ -98,7 +105,7 @@
         Ok(token)
     }
 
-    fn take_query(&mut self, body: Vec<u8>) {
+    fn handle_query(&mut self, body: Vec<u8>) {
         let now = self.context.timers.now();
         let request = match statement::parse(&body) {
             Statement::Empty => return self.push_with_ready(encode::empty_query_response),
@@ -110,7 +117,7 @@
                 return self.query_fate(id.to_string(), origin);
             }
             Statement::Invalid(error) => Err(error),
-            Statement::Request(header) => self.request(now, &header),
+            Statement::Request(header) => ClientRequest::new(&self.context.methods, now, &header),
         };
         match request {
             Ok(request) => self.send_request(request, body),
@@ -118,25 +125,19 @@
         }
     }
 
-    fn request(
-        &self,
-        now: routing::time::Timestamp,
-        header: &RequestHeader,
-    ) -> Result<ClientRequest, ClientError> {
-        ClientRequest::new(&self.context.methods, now, header)
-    }
-
     fn next_request_id(&self) -> RequestId {
         self.context.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
+    /// Asks the control loop for the fate of a write.
     fn query_fate(&mut self, id: String, origin: Option<Origin>) {
         let request = self.next_request_id();
-        self.responses.push_pending(request, 0);
+        self.responses.push_pending(request, NO_GROUP);
         let ticket = ResponseTicket::new(request, self.channel.clone());
         let _ = self.context.control.send(ControlMessage::QueryFate(FateQuery { id, origin, ticket }));
     }
 
+    /// Sends a request to the control loop, or rejects it if buffer memory is short.
     fn send_request(&mut self, mut header: ClientRequest, body: Vec<u8>) {
         if self.context.resources.is_memory_short() {
             let response = Response::Rejected { retry_after: self.context.max_retry_after };
@@ -152,12 +153,12 @@
         charge.set(body.len());
         let text = RequestText { body, timeout_digits: header.timeout_digits.clone(), charge };
         let ticket = ResponseTicket::new(request, self.channel.clone());
-        // If the control loop is gone, the ticket is dropped and aborts.
+        // If the control loop has ended, the dropped ticket answers the request as aborted.
         let incoming = IncomingRequest { header, text, ticket };
         let _ = self.context.control.send(ControlMessage::Request(Box::new(incoming)));
     }
 
-    /// Queues messages as a response.
+    /// Queues the messages that `write` appends as one response.
     fn push(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
         let mut out = Vec::new();
         write(&mut out);
@@ -177,14 +178,14 @@
         });
     }
 
-    /// Queues a fatal error behind all other responses.
+    /// Queues a fatal error after all other responses.
     pub fn push_fatal(&mut self, code: SqlState, reason: &str) {
         self.push(|out| encode::error_response(out, Severity::Fatal, code, reason, None));
     }
 
-    /// Rejects the connection: it was never admitted.
+    /// Queues the rejection of a connection that was not admitted, and stops processing messages.
     pub fn reject(&mut self, reason: &str, retry_after: Option<TimeDelta>) {
         self.push(|out| encode_rejection(out, reason, retry_after));
-        self.is_last = true;
+        self.input_closed = true;
     }
 }
--- a/server/src/clients/response_encoding.rs
+++ b/server/src/clients/response_encoding.rs
@@ -1,4 +1,4 @@
-//! Responses as messages.
+//! Encoding of responses as messages of the wire protocol.
 
 use crate::messages::response::Response;
 use crate::protocol::encode::{self, Severity, SESSION_PARAMETER};
@@ -9,7 +9,7 @@
 const NANOS_PER_MILLI: i64 = 1_000_000;
 const FATE_COLUMN: &str = "fate";
 
-/// A response, with the session's token if that has changed.
+/// Encodes a response and its ReadyForQuery, with the session's token if it has changed.
 pub fn encode_response(response: Response, token: Option<&str>) -> Vec<u8> {
     let mut out = Vec::new();
     match response {
@@ -36,6 +36,7 @@
     out
 }
 
+/// Appends an ErrorResponse that leaves the connection open.
 fn error(out: &mut Vec<u8>, code: SqlState, reason: &str, detail: Option<&str>) {
     encode::error_response(out, Severity::Error, code, reason, detail);
 }
@@ -55,11 +56,12 @@
     }
 }
 
+/// A Retry-After in whole milliseconds, as the detail of an error carries it.
 fn millis(retry_after: Option<TimeDelta>) -> Option<String> {
     retry_after.map(|wait| (wait.0 / NANOS_PER_MILLI).max(0).to_string())
 }
 
-/// The rejection of a connection.
+/// Appends the ErrorResponse that rejects a connection.
 pub fn encode_rejection(out: &mut Vec<u8>, reason: &str, retry_after: Option<TimeDelta>) {
     let detail = millis(retry_after);
     let code = SqlState::TOO_MANY_CONNECTIONS;
--- a/server/src/clients/response_queue.rs
+++ b/server/src/clients/response_queue.rs
@@ -1,49 +1,54 @@
-//! The responses of one connection in the order of its queries, whatever order they come in.
+//! The response queue of one connection: responses arrive in any order and leave in the order of the queries.
 
 use routing::RequestId;
 use sessions::positions::GroupNumber;
 use std::collections::VecDeque;
 
-/// A request whose response has not come.
+/// A request that is waiting for its response.
 #[derive(Clone, Copy)]
 pub struct PendingRequest {
+    /// The request's id within the process.
     pub request: RequestId,
+    /// The group that the request was sent to.
     pub group: GroupNumber,
 }
 
+/// The response to one query.
 enum Slot {
+    /// It has not arrived.
     Pending(PendingRequest),
+    /// It is encoded and waits for the responses before it.
     Ready(Vec<u8>),
 }
 
-/// The responses.
+/// The responses that were not moved to the socket's outbox yet.
 #[derive(Default)]
 pub struct ResponseQueue {
     slots: VecDeque<Slot>,
 }
 
 impl ResponseQueue {
-    /// A request was taken whose response will come.
+    /// Appends a request whose response will arrive later.
     pub fn push_pending(&mut self, request: RequestId, group: GroupNumber) {
         self.slots.push_back(Slot::Pending(PendingRequest { request, group }));
     }
 
-    /// A message was answered at once.
+    /// Appends a response that is known already.
     pub fn push_ready(&mut self, response: Vec<u8>) {
         self.slots.push_back(Slot::Ready(response));
     }
 
-    /// Responses that were not sent yet.
+    /// The number of responses in the queue, pending ones included.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether there are none.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Requests whose responses have not come.
+    /// The requests that are waiting for their responses, in order.
     pub fn pending(&self) -> impl Iterator<Item = PendingRequest> + '_ {
         self.slots.iter().filter_map(|slot| match slot {
             Slot::Pending(pending) => Some(*pending),
@@ -51,7 +56,8 @@
         })
     }
 
-    /// The response of a request has come: `encode` makes it, given the group. False if it is not pending here.
+    /// Sets the response of a pending request to what `encode` returns for its group; returns false if the request
+    /// is not pending here.
     pub fn complete(&mut self, request: RequestId, encode: impl FnOnce(GroupNumber) -> Vec<u8>) -> bool {
         for slot in &mut self.slots {
             if let Slot::Pending(pending) = slot {
@@ -64,7 +70,7 @@
         false
     }
 
-    /// Gives all pending requests the same response; those requests.
+    /// Sets the same response for all pending requests, and returns those requests.
     pub fn complete_all(&mut self, response: &[u8]) -> Vec<PendingRequest> {
         let pending: Vec<PendingRequest> = self.pending().collect();
         for slot in &mut self.slots {
@@ -75,7 +81,7 @@
         pending
     }
 
-    /// The next response whose turn it is.
+    /// Removes the first response, if it is ready.
     pub fn pop_ready(&mut self) -> Option<Vec<u8>> {
         match self.slots.pop_front()? {
             Slot::Ready(response) => Some(response),
@@ -86,7 +92,7 @@
         }
     }
 
-    /// Bytes of responses that have come and wait for their turn.
+    /// Bytes of the responses that are ready but not first in order.
     pub fn ready_bytes(&self) -> usize {
         let bytes = |slot: &Slot| match slot {
             Slot::Ready(response) => response.len(),
--- a/server/src/clients/session_tokens.rs
+++ b/server/src/clients/session_tokens.rs
@@ -1,4 +1,5 @@
-//! Sessions that their clients carry: tokens opened and issued, and what this instance remembers beside them.
+//! Sessions that clients carry as authenticated tokens: opening and issuing tokens, and this instance's cache of
+//! session positions.
 
 use crate::messages::response::{Response, SessionEvidence};
 use crate::protocol::sqlstate::SqlState;
@@ -12,17 +13,19 @@
 use thiserror::Error;
 
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
-/// What a client gives to start a session, or nothing.
+/// The parameter value by which a client starts a session; an empty value does the same.
 const NEW_SESSION: &str = "new";
+/// The number of values of a byte, as the exclusive bound of a random one.
+const BYTE_VALUES: usize = 1 << u8::BITS;
 
-/// One connection's session.
+/// The session of one connection.
 pub struct ClientSession {
     session: SessionId,
     audience: String,
     positions: SessionPositions,
 }
 
-/// The SQLSTATE of a token that is rejected.
+/// The SQLSTATE for a rejected token.
 pub fn rejection_code(error: TokenError) -> SqlState {
     match error {
         TokenError::Expired => SqlState::TOKEN_EXPIRED,
@@ -30,38 +33,38 @@
     }
 }
 
-/// Why a file of keys cannot be used.
+/// An error in reading a key file.
 #[derive(Debug, Error)]
 pub enum ReadKeysError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: {error}", path.display())]
     Io {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The system's error.
         error: std::io::Error,
     },
-    /// A line of it is wrong.
+    /// A line of the file is invalid.
     #[error("{}:{error}", path.display())]
     Keys {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// The line and its fault.
         error: KeyFileError,
     },
 }
 
-/// Reads a file of keys.
+/// Reads the keys of session tokens from a file.
 ///
 /// # Errors
-/// It cannot be used.
+/// The file cannot be read, or holds an invalid line.
 pub fn read_keys(path: &Path) -> Result<Keys, ReadKeysError> {
     let text = std::fs::read_to_string(path);
     let text = text.map_err(|error| ReadKeysError::Io { path: path.to_path_buf(), error })?;
     Keys::parse(&text).map_err(|error| ReadKeysError::Keys { path: path.to_path_buf(), error })
 }
 
-/// The sessions that clients carry.
+/// The keys of session tokens, and the cache of session positions.
 pub struct SessionTokens {
     keys: Mutex<Keys>,
     lifetime: TimeDelta,
@@ -78,7 +81,7 @@
 }
 
 impl SessionTokens {
-    /// With these keys; tokens are valid for `lifetime`.
+    /// Creates a set of session tokens that are valid for `lifetime`; `seed` is for session ids.
     pub fn new(keys: Keys, lifetime: TimeDelta, seed: u64) -> SessionTokens {
         SessionTokens {
             keys: Mutex::new(keys),
@@ -88,15 +91,15 @@
         }
     }
 
-    /// Changes the keys.
+    /// Replaces the keys.
     pub fn set_keys(&self, keys: Keys) {
         *lock(&self.keys) = keys;
     }
 
-    /// Opens a token, or starts a session if none is given.
+    /// Opens a token, or starts a new session if `token` is empty or `new`.
     ///
     /// # Errors
-    /// The token is rejected.
+    /// The token is invalid, has expired, or was issued for another audience.
     pub fn open(&self, now: Timestamp, token: &str, audience: &str) -> Result<ClientSession, TokenError> {
         let audience = audience.to_string();
         if token.is_empty() || token == NEW_SESSION {
@@ -111,12 +114,12 @@
         let mut id = SessionId::default();
         let mut rng = lock(&self.ids);
         for byte in &mut id {
-            *byte = rng.below(256) as u8;
+            *byte = rng.below(BYTE_VALUES) as u8;
         }
         id
     }
 
-    /// What the session has seen of a group, here or elsewhere.
+    /// The position in a group's log that the session has seen, on this instance or by its token.
     pub fn seen(
         &self,
         now: Timestamp,
@@ -127,7 +130,7 @@
         session.positions.get(group)
     }
 
-    /// Takes what a response has shown; the token that goes with it, if that has changed.
+    /// Updates the session's positions from a response; returns the new token if they have changed.
     pub fn record_response(
         &self,
         now: Timestamp,
@@ -136,7 +139,7 @@
         response: &Response,
     ) -> Option<String> {
         match response {
-            // A position that is lost stays until the client was told.
+            // A lost position is kept until `Response::SessionLost` has reported the loss to the client.
             Response::Value {
                 evidence: SessionEvidence { position: Some(position), session_lost: false },
                 ..
@@ -154,7 +157,7 @@
         self.issue(now, session)
     }
 
-    /// The session's token.
+    /// Issues a token for the session's present positions; `None` if it cannot be sealed.
     pub fn issue(&self, now: Timestamp, session: &ClientSession) -> Option<String> {
         let issued = unix_seconds(now);
         let token = Token {
--- a/server/src/clients/socket.rs
+++ b/server/src/clients/socket.rs
@@ -1,4 +1,4 @@
-//! A client's socket, and the responses that are on their way out.
+//! A client's socket, and the outbox of encoded responses.
 
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::TcpStream;
@@ -7,65 +7,65 @@
 use std::net::Shutdown;
 use std::os::fd::AsRawFd;
 
-/// Bytes of one read at most.
+/// Size of the read buffer, on the coroutine's stack.
 const READ_BYTES: usize = 4096;
-/// Responses that go out in one write at most.
+/// Responses in one vectored write.
 const MAX_WRITE_SLICES: usize = 16;
 
-/// What a read came to.
+/// The result of a read.
 pub enum ReadOutcome {
-    /// So many bytes.
+    /// This many bytes were read.
     Bytes(usize),
-    /// Nothing is there.
+    /// No bytes are available.
     WouldBlock,
-    /// The client has ended the connection.
+    /// The client has closed the connection, or it is broken.
     Closed,
 }
 
-/// Whether all responses have left.
+/// Whether the outbox was written completely.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum FlushOutcome {
-    /// They have.
+    /// The outbox is empty.
     Complete,
-    /// The client must read first.
+    /// The socket's send buffer is full: the client must read first.
     Blocked,
 }
 
-/// A client's socket.
+/// A client's socket and its outbox.
 pub struct ClientSocket {
     stream: TcpStream,
     outbox: VecDeque<Vec<u8>>,
-    /// How much of the first response in the outbox was written.
+    /// Bytes of the first response in the outbox that were written.
     written: usize,
 }
 
 impl ClientSocket {
-    /// A socket that nothing was read from yet.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> ClientSocket {
-        // Small writes must not wait for others.
+        // Without Nagle's algorithm, which would delay small responses.
         let _ = stream.set_nodelay(true);
         ClientSocket { stream, outbox: VecDeque::new(), written: 0 }
     }
 
-    /// Wakes the coroutine that waits for this socket.
+    /// A handle that wakes the coroutine in [`ClientSocket::wait`].
     pub fn waker(&self) -> WaitIoWaker {
         self.stream.waker()
     }
 
-    /// Waits until something happens on the socket, or it is woken.
+    /// Waits for an event of the socket, or a wake-up.
     pub fn wait(&self) {
         self.stream.wait_io();
     }
 
-    /// Reads up to `max_bytes` and hands them to `take`.
-    pub fn read(&self, max_bytes: usize, take: impl FnOnce(&[u8])) -> ReadOutcome {
+    /// Reads up to `max_bytes` without waiting, and passes them to `consume`.
+    pub fn read(&self, max_bytes: usize, consume: impl FnOnce(&[u8])) -> ReadOutcome {
         let mut bytes = [0; READ_BYTES];
         let max_bytes = max_bytes.min(bytes.len());
         loop {
             match self.stream.inner().read(&mut bytes[..max_bytes]) {
                 Ok(0) => return ReadOutcome::Closed,
                 Ok(count) => {
-                    take(&bytes[..count]);
+                    consume(&bytes[..count]);
                     return ReadOutcome::Bytes(count);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadOutcome::WouldBlock,
@@ -75,27 +75,30 @@
         }
     }
 
-    /// Queues a response.
+    /// Appends a response to the outbox.
     pub fn push(&mut self, response: Vec<u8>) {
         self.outbox.push_back(response);
     }
 
-    /// Responses that have not left.
+    /// The number of responses in the outbox.
     pub fn queued(&self) -> usize {
         self.outbox.len()
     }
 
-    /// Bytes of them.
+    /// Bytes of the responses in the outbox.
     pub fn queued_bytes(&self) -> usize {
         self.outbox.iter().map(Vec::len).sum()
     }
 
-    /// Frees the buffers of an empty outbox.
+    /// Frees the memory of an empty outbox.
     pub fn free_outbox(&mut self) {
         self.outbox = VecDeque::new();
     }
 
-    /// Writes what it can.
+    /// Writes as much of the outbox as the socket accepts without waiting.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn flush(&mut self) -> io::Result<FlushOutcome> {
         while !self.outbox.is_empty() {
             match self.stream.inner().write_vectored(&self.unwritten()) {
@@ -126,15 +129,18 @@
         }
     }
 
-    /// Ends sending.
+    /// Shuts down the sending side of the connection.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn shutdown_write(&self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// What the system reports of the socket now, of these events and of its end.
+    /// The present events of the socket among `events`, errors and hang-ups, by poll(2).
     fn poll(&self, events: i16) -> i16 {
         let mut request = libc::pollfd { fd: self.stream.as_raw_fd(), events, revents: 0 };
-        // SAFETY: it is given one entry, and does not wait.
+        // SAFETY: the pointer is valid for the one entry that is passed; the timeout is zero.
         let ready = unsafe { libc::poll(&mut request, 1, 0) };
         if ready > 0 {
             request.revents
@@ -143,20 +149,20 @@
         }
     }
 
-    /// Whether the client has ended the connection, whatever it sent before that is still unread.
+    /// Whether the client has closed the connection, even if bytes that it sent before are still unread.
     pub fn has_ended(&self) -> bool {
         self.poll(libc::POLLRDHUP) & (libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR) != 0
     }
 
-    /// Whether bytes are unread: a close would reset the connection.
+    /// Whether there are unread bytes, so that a close would reset the connection.
     pub fn has_unread(&self) -> bool {
         self.poll(libc::POLLIN) & libc::POLLIN != 0
     }
 
-    /// Bytes sent that the client's system has not acknowledged; none if that is not known.
+    /// Bytes in the socket's send queue that the client's kernel has not acknowledged; 0 if unknown.
     pub fn unacknowledged_bytes(&self) -> usize {
         let mut bytes: libc::c_int = 0;
-        // SAFETY: the request writes one integer.
+        // SAFETY: `TIOCOUTQ` writes one integer through the pointer.
         let result = unsafe { libc::ioctl(self.stream.as_raw_fd(), libc::TIOCOUTQ, &mut bytes) };
         if result < 0 {
             0
--- a/server/src/runtime/idle_clients.rs
+++ b/server/src/runtime/idle_clients.rs
@@ -16,7 +16,7 @@
     /// It is being closed already, and only has time to read what it was sent.
     Closing,
     /// It has not sent any request yet.
-    NeverAsked,
+    NeverQueried,
     /// Everything that it asked for was answered.
     Idle,
 }
@@ -26,7 +26,7 @@
     fn grace(self) -> TimeDelta {
         match self {
             IdleRank::Closing => TimeDelta::ZERO,
-            IdleRank::NeverAsked => TimeDelta::from_millis(100),
+            IdleRank::NeverQueried => TimeDelta::from_millis(100),
             IdleRank::Idle => TimeDelta::from_millis(2_000),
         }
     }
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -254,7 +254,7 @@
         let timers = self.foundation.timers.clone();
         let mut queue = ListenerQueue { listener, reserve, timers, stopping: accept_stop.stopping.clone() };
         spawn(move || {
-            acceptor::run(&mut queue, |stream, from| acceptor::take_connection(&context, stream, from));
+            acceptor::run(&mut queue, |accepted| acceptor::spawn_connection(&context, accepted));
             drop(queue);
             context.shutdown.close();
         });
