--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks: whether an attempt may be sent, and what follows from its end.
+//! Handling of attempts and health checks: the confirmation right before a send, and the report at the end.
 
 use crate::control::active_request::ActiveRequest;
 use crate::control::control_loop::ControlLoop;
@@ -15,23 +15,28 @@
 use write_journal::record_state::RecordEvent;
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
+const NANOS_PER_MICRO: i64 = 1_000;
+/// The error for an id that the journal holds for another write.
 const ID_RECORDED: ClientError =
     ClientError::new(SqlState::DUPLICATE_OBJECT, "id is that of a write on record: ask for its fate");
 
 impl ControlLoop {
-    pub(super) fn on_confirm(&mut self, now: Timestamp, question: &ConfirmAttempt) {
-        let ConfirmAttempt { request, attempt, endpoint, .. } = *question;
-        let holds = self.state.requests.is_open(request)
+    /// Replies whether an attempt may still be sent.
+    pub(super) fn on_confirm(&mut self, now: Timestamp, confirm: &ConfirmAttempt) {
+        let ConfirmAttempt { request, attempt, endpoint, .. } = *confirm;
+        let is_confirmed = self.state.requests.is_open(request)
             && self.state.policy.confirm_attempt(now, request, attempt, endpoint);
-        let _ = question.reply.send(holds && self.state.session_is_consistent(now, request));
+        let _ = confirm.reply.send(is_confirmed && self.state.check_session(now, request));
     }
 
+    /// Records the epoch that an endpoint has reported before an attempt.
     pub(super) fn on_epoch_reported(&mut self, request: RequestId, epoch: Epoch) {
         if let Some(active) = self.state.requests.get(request) {
             self.state.epochs.record(active.group, epoch);
         }
     }
 
+    /// Handles the end of an attempt, and reports the endpoint's role to primary discovery.
     pub(super) fn on_attempt_ended(&mut self, now: Timestamp, report: AttemptReport) {
         let (endpoint, queried_at) = (report.endpoint, report.started_at);
         let answer_report = report.answer_report;
@@ -39,11 +44,13 @@
         self.observe_report(now, endpoint, queried_at, answer_report);
     }
 
+    /// Handles the end of a health check, and reports the endpoint's role to primary discovery.
     pub(super) fn on_health_check_ended(&mut self, now: Timestamp, end: HealthCheckEnd) {
         let HealthCheckEnd { endpoint, outcome, elapsed, report } = end;
         if tracing::enabled!(tracing::Level::DEBUG) {
-            let (name, took_us) = (self.state.endpoints.id(endpoint), elapsed.0 / 1_000);
-            let lag_us = report.position.map_or(-1, |position| (now - position).0 / 1_000);
+            let (name, took_us) = (self.state.endpoints.id(endpoint), elapsed.0 / NANOS_PER_MICRO);
+            // A value that was not reported is logged as -1.
+            let lag_us = report.position.map_or(-1, |position| (now - position).0 / NANOS_PER_MICRO);
             let load = report.load.unwrap_or(-1.0);
             tracing::debug!(endpoint = %name, ?outcome, took_us, lag_us, load, "health check ended");
         }
@@ -54,6 +61,8 @@
 }
 
 impl RouterState {
+    /// Ends an attempt: answers its request if it succeeded, and reports the end to the routing policy.
+    /// `retry_after` is for a read whose answer is staler than its session allows.
     pub(super) fn end_attempt(
         &mut self,
         now: Timestamp,
@@ -68,7 +77,7 @@
         }
         let mut end = attempt_end(active, &report, now);
         if report.outcome == AttemptOutcome::Succeeded {
-            self.take_response(now, report, retry_after);
+            self.handle_answer(now, report, retry_after);
         }
         self.metrics.attempt_ended(end.outcome, end.elapsed);
         end.request_closed = self.requests.get(end.request).is_none_or(|active| active.ticket.is_none());
@@ -79,8 +88,9 @@
         self.finish(request, removed);
     }
 
-    /// Takes the response of an attempt that succeeded: its epoch counts, and its request is answered unless it was before.
-    fn take_response(&mut self, now: Timestamp, report: AttemptReport, retry_after: Option<TimeDelta>) {
+    /// Handles the answer of an attempt that succeeded: records its epoch, and answers the request if that is still
+    /// open.
+    fn handle_answer(&mut self, now: Timestamp, report: AttemptReport, retry_after: Option<TimeDelta>) {
         let Some(active) = self.requests.get_mut(report.request) else { return };
         if let Some(epoch) = report.epoch {
             self.epochs.record(active.group, epoch);
@@ -91,6 +101,7 @@
         }
     }
 
+    /// Writes a debug line for the end of an attempt.
     fn trace_attempt_end(&self, end: &AttemptEnd) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
@@ -98,15 +109,15 @@
         let Some(active) = self.requests.get(end.request) else { return };
         let (request, attempt, group) = (end.request, end.attempt, active.group);
         let (endpoint, outcome) = (self.endpoints.id(end.endpoint), end.outcome);
-        let took_us = end.elapsed.0 / 1_000;
+        let took_us = end.elapsed.0 / NANOS_PER_MICRO;
         tracing::debug!(
             request, request_id = %active.id, attempt, %endpoint, group, ?outcome, took_us, "attempt ended"
         );
     }
 
-    /// Whether what a request's session has seen is still on the log, by all that was reported until now; if not, its client is
-    /// told.
-    fn session_is_consistent(&mut self, now: Timestamp, request: RequestId) -> bool {
+    /// Checks that the position that a request's session has seen is still on the group's log, by the epochs
+    /// reported until now. If not, answers the request with [`Response::SessionLost`] and returns false.
+    fn check_session(&mut self, now: Timestamp, request: RequestId) -> bool {
         let Some(active) = self.requests.get_mut(request) else { return false };
         let is_lost = is_session_lost(&self.epochs, active);
         if is_lost {
@@ -117,7 +128,7 @@
     }
 }
 
-/// The end of an attempt as the routing policy has it, for a request that is still open.
+/// The routing policy's view of the end of an attempt, for a request that is still open.
 fn attempt_end(active: &ActiveRequest, report: &AttemptReport, now: Timestamp) -> AttemptEnd {
     AttemptEnd {
         request: report.request,
@@ -132,8 +143,10 @@
     }
 }
 
-/// Keeps what an attempt shows of its request, in the journal too. If an attempt before may have run, the answer may be that to
-/// a retry, and its position no commit's.
+/// Updates the request's state from an attempt's outcome, and records a success in the journal.
+///
+/// The commit position is recorded only if no earlier attempt may have been executed: otherwise the answer may be to a
+/// duplicate, and its position is not that of the commit.
 fn record_outcome(active: &mut ActiveRequest, report: &AttemptReport, journal: Option<&WriteJournal>) {
     active.is_duplicate |= report.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
     let is_first = !active.is_duplicate && !active.may_have_run;
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -1,4 +1,5 @@
-//! The control loop. Messages are handled in batches under one clock reading; what follows from them goes out as messages.
+//! The control loop. It handles messages in batches, each with one reading of the clock, and sends the results as
+//! messages.
 
 use crate::control::recovery_options::RecoveryOptions;
 use crate::control::request_queue::{QueuedRequest, RequestQueue};
@@ -14,25 +15,25 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// What a control loop is made from.
+/// The parameters of a control loop.
 pub struct ControlSetup {
     /// The settings of the routing policy.
     pub settings: RoutingSettings,
-    /// For randomness.
+    /// The seed of the routing policy's random numbers.
     pub seed: u64,
-    /// The names of the zones.
+    /// The names of the zones; a zone's index is its position here.
     pub zones: Vec<String>,
-    /// Open requests at most.
+    /// The limit on open requests.
     pub max_open_requests: usize,
-    /// Starts attempts.
+    /// Starts attempts, health checks and discovery queries.
     pub dispatcher: AttemptDispatcher,
-    /// What comes.
+    /// The messages to handle.
     pub messages: Receiver<ControlMessage>,
-    /// How primaries are discovered after a start.
+    /// The options of primary discovery, if the endpoint list is cached.
     pub recovery: Option<RecoveryOptions>,
 }
 
-/// The control loop.
+/// The state of the control loop.
 pub struct ControlLoop {
     pub(super) settings: RoutingSettings,
     seed: u64,
@@ -40,13 +41,13 @@
     pub(super) max_open_requests: usize,
     pub(super) dispatcher: AttemptDispatcher,
     messages: Receiver<ControlMessage>,
-    /// The endpoint list as it was given last, by name: what a new router state starts with.
+    /// The latest endpoint list by name, from which a new router state is restored.
     pub(super) listed: BTreeMap<String, ListedEndpoint>,
-    /// The next wake-up that is set and has not come yet.
+    /// The earliest scheduled wake-up whose message was not received yet.
     pub(super) wake_up: Option<Timestamp>,
-    /// The router state is new and does not know the list.
+    /// The router state was replaced and must be restored from the list.
     needs_list: bool,
-    /// The state that was lost had a list that discovery had confirmed.
+    /// Discovery had confirmed the list when the router state was replaced.
     list_was_confirmed: bool,
     pub(super) recovery: Option<RecoveryOptions>,
     pub(super) queue_limits: Option<QueueLimits>,
@@ -54,7 +55,7 @@
 }
 
 impl ControlLoop {
-    /// A control loop that has handled nothing yet.
+    /// Creates a control loop without endpoints and requests.
     pub fn new(setup: ControlSetup) -> ControlLoop {
         let ControlSetup { settings, seed, zones, max_open_requests, dispatcher, messages, recovery } = setup;
         let state = RouterState::new(RouterSetup {
@@ -81,8 +82,10 @@
         }
     }
 
-    /// Runs for the life of the process. A panic of the routing policy loses its state: what was open is aborted by its ticket,
-    /// and a new policy starts from the list, as after a restart.
+    /// Runs for the life of the process.
+    ///
+    /// If the routing policy panics, its state is dropped, which aborts the open requests by their tickets. A new
+    /// policy is started from the endpoint list, as after a restart.
     pub fn run(mut self) {
         loop {
             if catch_unwind(AssertUnwindSafe(|| self.handle_batch())).is_err() {
@@ -92,6 +95,7 @@
         }
     }
 
+    /// Replaces the router state after a panic.
     fn reset(&mut self) {
         self.seed = self.seed.wrapping_add(1);
         self.list_was_confirmed =
@@ -104,13 +108,13 @@
             queue_limits: self.queue_limits.clone(),
         });
         self.needs_list = true;
-        // The message that it had come may have been lost with the batch.
+        // The pending wake-up's message may have been lost with the batch.
         self.wake_up = None;
         let at = self.dispatcher.timers().now();
         let _ = self.dispatcher.control.send(ControlMessage::WakeUp { at });
     }
 
-    /// Waits for a message, then handles all that have come.
+    /// Waits for a message, then handles all messages in the channel.
     fn handle_batch(&mut self) {
         let Ok(first) = self.messages.recv() else { return };
         let now = self.dispatcher.timers().now();
@@ -137,12 +141,13 @@
         self.schedule_wake_up(now);
     }
 
+    /// Restores the endpoint list in a new router state. A list that discovery has not confirmed is verified first.
     fn restore_list(&mut self, now: Timestamp) {
         let endpoints: Vec<ListedEndpoint> = self.listed.values().cloned().collect();
         if self.recovery.is_some() && !self.list_was_confirmed {
-            self.state.take_cached_list(endpoints, Vec::new(), now);
+            self.state.apply_cached_list(endpoints, Vec::new(), now);
         } else {
-            self.state.take_list(true, &endpoints, &self.zones, now);
+            self.state.apply_list(true, &endpoints, &self.zones, now);
         }
     }
 
@@ -152,7 +157,7 @@
                 self.on_request(now, QueuedRequest { incoming, received_at: now });
             }
             ControlMessage::ClientGone { request } => self.on_client_gone(now, request),
-            ControlMessage::Confirm(question) => self.on_confirm(now, &question),
+            ControlMessage::Confirm(confirm) => self.on_confirm(now, &confirm),
             ControlMessage::EpochReported { request, epoch } => self.on_epoch_reported(request, epoch),
             ControlMessage::AttemptEnded(report) => self.on_attempt_ended(now, *report),
             ControlMessage::HealthCheckEnded(end) => self.on_health_check_ended(now, end),
@@ -164,7 +169,7 @@
             ControlMessage::CachedList(list) => self.on_cached_list(now, &list),
             ControlMessage::QueryEnded(end) => self.on_query_ended(now, end),
             ControlMessage::SetQueueLimits(limits) => self.on_queue_limits(now, limits),
-            // Whoever asked may be gone.
+            // Sending fails if the requester has given up.
             ControlMessage::Snapshot { reply } => _ = reply.send(self.state.snapshot(now)),
             ControlMessage::WakeUp { at } => {
                 self.wake_up = self.wake_up.filter(|set| *set != at);
@@ -173,6 +178,7 @@
         }
     }
 
+    /// Applies new limits on requests. If limits were removed, all waiting requests are admitted.
     fn on_queue_limits(&mut self, now: Timestamp, limits: Option<QueueLimits>) {
         self.queue_limits.clone_from(&limits);
         let mut admitted = Vec::new();
@@ -191,8 +197,11 @@
         self.admit(now, admitted);
     }
 
-    /// Sets a wake-up for what is due next. One that comes while its batch is under way meets a clock reading from before it:
-    /// only its own message says that it has come, or what is due behind it would wait for a message that may never come.
+    /// Schedules a wake-up for the next deadline, unless an earlier one is pending.
+    ///
+    /// A wake-up remains pending until its message is handled. Its timer may fire during a batch whose clock
+    /// reading is from before it; comparing times instead would drop the wake-up then, and nothing else might ever
+    /// trigger the deadline.
     fn schedule_wake_up(&mut self, now: Timestamp) {
         let state = &self.state;
         let discovery = state.discovery.as_ref().and_then(|discovery| discovery.due(now));
--- a/server/src/control/mod.rs
+++ b/server/src/control/mod.rs
@@ -1,5 +1,5 @@
 //! The control loop: one coroutine that owns the routing policy, primary discovery, the open requests and their timers.
-//! Everything that happens comes to it as a [`ControlMessage`](crate::messages::control::ControlMessage).
+//! It receives every event as a [`ControlMessage`](crate::messages::control::ControlMessage).
 
 mod actions;
 mod active_request;
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -1,7 +1,8 @@
-//! Endpoint lists, cached and discovery's, and what primary discovery asks for and is told.
+//! Handling of endpoint lists, cached or from discovery, and the events and actions of primary discovery.
 
 use crate::control::control_loop::ControlLoop;
 use crate::control::router_state::RouterState;
+use crate::endpoints::health_check::DiscoveryQuery;
 use crate::messages::control::{ConnectError, QueryAnswer, QueryEnd};
 use crate::messages::endpoint_list::ListedEndpoint;
 use endpoint_cache::CachedEndpointList;
@@ -16,12 +17,15 @@
 const NANOS_PER_MILLI: i64 = 1_000_000;
 
 impl ControlLoop {
+    /// Handles the list that was cached before the start.
     pub(super) fn on_cached_list(&mut self, now: Timestamp, list: &CachedEndpointList) {
         let endpoints: Vec<ListedEndpoint> = list.endpoints.iter().map(ListedEndpoint::from).collect();
         self.listed = endpoints.iter().map(|listed| (listed.name.clone(), listed.clone())).collect();
-        self.state.take_cached_list(endpoints, minimum_positions(list), now);
+        self.state.apply_cached_list(endpoints, minimum_positions(list), now);
     }
 
+    /// Handles a list from discovery, and closes idle connections to endpoints that were restarted, are draining or
+    /// were removed.
     pub(super) fn on_endpoint_list(
         &mut self,
         now: Timestamp,
@@ -36,16 +40,17 @@
         for listed in &endpoints {
             self.listed.insert(listed.name.clone(), listed.clone());
         }
-        for addr in self.state.take_list(complete, &endpoints, &self.zones, now) {
+        for addr in self.state.apply_list(complete, &endpoints, &self.zones, now) {
             self.dispatcher.pool.close_idle(&addr);
         }
         let addrs: BTreeSet<SocketAddr> = self.state.listed.iter().filter_map(|listed| listed.addr).collect();
         self.dispatcher.pool.retain_addresses(&addrs);
     }
 
+    /// Handles the end of a discovery query. Its load report counts as a health check too.
     pub(super) fn on_query_ended(&mut self, now: Timestamp, end: QueryEnd) {
         let QueryEnd { endpoint, queried_at, answer } = end;
-        let succeeded = match answer {
+        let answered_report = match answer {
             Ok(QueryAnswer { outcome: AttemptOutcome::Succeeded, report, identity }) => {
                 self.on_query_answered(now, endpoint, queried_at, report, identity.as_deref());
                 Some(report)
@@ -57,9 +62,9 @@
             }
         };
         self.perform_discovery_actions(now);
-        // An answer that another endpoint gave is no health check of this one.
+        // If the identity does not match, another endpoint has answered at this address.
         let is_identified = self.recovering(endpoint).is_some_and(RecoveringEndpoint::is_identified);
-        if let Some(report) = succeeded.filter(|_| is_identified) {
+        if let Some(report) = answered_report.filter(|_| is_identified) {
             let outcome = AttemptOutcome::Succeeded;
             let elapsed = now - queried_at;
             self.state.report(now, Event::HealthCheckEnded { endpoint, outcome, elapsed, report });
@@ -67,6 +72,7 @@
         }
     }
 
+    /// Reports the answer to a discovery query to primary discovery.
     fn on_query_answered(
         &mut self,
         now: Timestamp,
@@ -76,21 +82,24 @@
         identity: Option<&str>,
     ) {
         let name = self.state.endpoints.id(endpoint);
-        let (identity, timeline) = identify(identity.filter(|_| self.asks_identity()), name);
+        let IdentityReport { identity, timeline } =
+            parse_identity(identity.filter(|_| self.queries_identity()), name);
         let report = RoleReport::new(report, timeline);
         let event = DiscoveryEvent::Answered { endpoint, queried_at, identity, report };
         self.state.report_to_discovery(now, event);
     }
 
-    fn asks_identity(&self) -> bool {
-        self.recovery.as_ref().is_some_and(|options| options.asks_identity)
+    /// Whether endpoints are queried for their identity.
+    fn queries_identity(&self) -> bool {
+        self.recovery.as_ref().is_some_and(|options| options.queries_identity)
     }
 
+    /// The state of an endpoint in primary discovery.
     fn recovering(&self, endpoint: EndpointIndex) -> Option<&RecoveringEndpoint> {
         self.state.discovery.as_ref()?.endpoint(endpoint)
     }
 
-    /// What an endpoint reported to the routing policy is primary discovery's too.
+    /// Passes a report that an endpoint sent with an answer or health check to primary discovery and the cache.
     pub(super) fn observe_report(
         &mut self,
         now: Timestamp,
@@ -105,6 +114,7 @@
         }
     }
 
+    /// Saves an endpoint's latest report with the cached endpoint list.
     fn cache_report(&self, endpoint: EndpointIndex) {
         let cache = self.recovery.as_ref().and_then(|options| options.cache.as_ref());
         if let (Some(cache), Some(recovering)) = (cache, self.recovering(endpoint)) {
@@ -112,7 +122,7 @@
         }
     }
 
-    /// Carries out what primary discovery asks for, in order.
+    /// Performs the pending actions of primary discovery, in order.
     pub(super) fn perform_discovery_actions(&mut self, now: Timestamp) {
         for action in std::mem::take(&mut self.state.discovery_actions) {
             match action {
@@ -126,9 +136,13 @@
         }
     }
 
+    /// Starts a discovery query; it fails at once if the endpoint has no address.
     fn query(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         match self.state.addr(endpoint) {
-            Some(addr) => self.dispatcher.query(endpoint, addr, self.asks_identity()),
+            Some(addr) => {
+                let with_identity = self.queries_identity();
+                self.dispatcher.query(DiscoveryQuery { endpoint, addr, with_identity });
+            }
             None => {
                 let failure = QueryFailure::NoAnswer;
                 self.state.report_to_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
@@ -136,7 +150,8 @@
         }
     }
 
-    /// An endpoint of a cached list may be used. It may have started only just now: nobody has seen it before.
+    /// Makes an endpoint of a cached list known to the routing policy. Its start time is presumed to be now,
+    /// because it is unknown when the endpoint was started.
     fn admit_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.state.not_admitted.remove(&endpoint) else { return };
         let record = self.state.record(&listed, &self.zones);
@@ -144,6 +159,7 @@
         self.state.report(now, Event::EndpointList { complete: false, records: vec![record] });
     }
 
+    /// Withdraws an endpoint from the routing policy, as if it were draining.
     fn withdraw_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.listed.get(self.state.endpoints.id(endpoint)) else { return };
         let record = self.state.record(listed, &self.zones);
@@ -157,9 +173,9 @@
 }
 
 impl RouterState {
-    /// Takes a list from before this start: its endpoints get their indices, and primary discovery decides from when on the
-    /// routing policy may know of them.
-    pub(super) fn take_cached_list(
+    /// Applies a list from before the start. Its endpoints are assigned indices, and reported to the routing policy
+    /// only when primary discovery admits them.
+    pub(super) fn apply_cached_list(
         &mut self,
         endpoints: Vec<ListedEndpoint>,
         minimum_positions: Vec<(i64, MinimumPosition)>,
@@ -177,7 +193,7 @@
         self.report_to_discovery(now, DiscoveryEvent::CachedList { members, minimum_positions });
     }
 
-    /// What discovery's list is to primary discovery, before the routing policy is told of it.
+    /// Reports a list from discovery to primary discovery, which happens before the routing policy is notified.
     fn report_list_to_discovery(&mut self, complete: bool, endpoints: &[ListedEndpoint], now: Timestamp) {
         if self.discovery.is_none() || (complete && endpoints.is_empty()) {
             return;
@@ -195,8 +211,9 @@
         self.report_to_discovery(now, DiscoveryEvent::Listed { complete, members, removed });
     }
 
-    /// Reports a list to the routing policy; the addresses to which earlier connections are of no use any more.
-    pub(super) fn take_list(
+    /// Reports a list from discovery to the routing policy. Returns the addresses whose idle connections are outdated,
+    /// because the endpoint was restarted, is draining or was removed.
+    pub(super) fn apply_list(
         &mut self,
         complete: bool,
         endpoints: &[ListedEndpoint],
@@ -218,7 +235,8 @@
     }
 }
 
-/// An endpoint's own word that it is overloaded, is starting or does not know the query: it runs, and reported nothing.
+/// The failure of a discovery query that has no usable answer. A query that was not sent, or was rejected for lack of
+/// capacity, tells nothing about the endpoint.
 fn query_failure(answer: &Result<QueryAnswer, ConnectError>) -> QueryFailure {
     match answer {
         Err(ConnectError { refused: true, .. }) => QueryFailure::Refused,
@@ -229,16 +247,27 @@
     }
 }
 
-/// Who an endpoint says that it is, and its timeline, given the name that the list has for it.
-fn identify(identity: Option<&str>, name: &str) -> (Identity, Option<u32>) {
-    let Some(identity) = identity else { return (Identity::Unknown, None) };
-    match identity.rsplit_once(',') {
-        Some((own_name, timeline)) if own_name == name => (Identity::Confirmed, timeline.parse().ok()),
-        _ => (Identity::Mismatch, None),
+/// The identity that an endpoint has reported.
+struct IdentityReport {
+    identity: Identity,
+    /// The timeline of the endpoint's log, if it is known.
+    timeline: Option<u32>,
+}
+
+/// Compares an endpoint's answer, `name,timeline`, with the name that it has in the list.
+fn parse_identity(answer: Option<&str>, listed_name: &str) -> IdentityReport {
+    let Some(answer) = answer else {
+        return IdentityReport { identity: Identity::Unknown, timeline: None };
+    };
+    match answer.rsplit_once(',') {
+        Some((own_name, timeline)) if own_name == listed_name => {
+            IdentityReport { identity: Identity::Confirmed, timeline: timeline.parse().ok() }
+        }
+        _ => IdentityReport { identity: Identity::Mismatch, timeline: None },
     }
 }
 
-/// What a group's true primary has at the least, by what its members reported before this start.
+/// The least position that the primary of each group must have, by the reports of the group's members before the start.
 fn minimum_positions(list: &CachedEndpointList) -> Vec<(i64, MinimumPosition)> {
     let mut minimums: BTreeMap<i64, MinimumPosition> = BTreeMap::new();
     for endpoint in &list.endpoints {
--- a/server/src/control/recovery_options.rs
+++ b/server/src/control/recovery_options.rs
@@ -1,17 +1,17 @@
-//! How the control loop starts from an endpoint list that was cached over a restart.
+//! Options of the control loop for recovery from an endpoint list that was cached before a restart.
 
 use crate::storage::endpoint_cache_writer::EndpointCacheWriter;
 use recovery::staleness::CacheTimes;
 use std::sync::Arc;
 
-/// How primaries are discovered, if the endpoint list is cached over a restart.
+/// The options of primary discovery after a restart.
 pub struct RecoveryOptions {
-    /// The times of the cached list; none if its age is not known.
+    /// When the cached list was confirmed and saved; `None` if that is unknown.
     pub cache_times: Option<CacheTimes>,
-    /// Endpoints can say who they are.
-    pub asks_identity: bool,
-    /// Descriptors for endpoints.
+    /// Endpoints are queried for their identity.
+    pub queries_identity: bool,
+    /// The limit on descriptors for endpoints.
     pub descriptors: usize,
-    /// The cache, if it can be written.
+    /// The cached endpoint list, if it can be written.
     pub cache: Option<Arc<EndpointCacheWriter>>,
 }
--- a/server/src/control/request_handling.rs
+++ b/server/src/control/request_handling.rs
@@ -1,4 +1,4 @@
-//! Requests: their admission, clients that are gone, and what became of a write.
+//! Handling of requests: admission, disconnected clients, and queries for the fate of a write.
 
 use crate::control::active_request::ActiveRequest;
 use crate::control::control_loop::ControlLoop;
@@ -16,11 +16,14 @@
 use write_journal::record_state::{Deduplication, Fate};
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
+/// The error for a group that is not in the endpoint list.
 const UNKNOWN_GROUP: ClientError =
     ClientError::new(SqlState::UNDEFINED_OBJECT, "cluster names no listed group");
+/// The error for an id that another open request has.
 const ID_IN_USE: ClientError = ClientError::new(SqlState::DUPLICATE_OBJECT, "id is that of an open query");
 
 impl ControlLoop {
+    /// Queues a new request for admission, or admits it at once if requests are not limited.
     pub(super) fn on_request(&mut self, now: Timestamp, queued: QueuedRequest) {
         let mut admitted = Vec::new();
         match &mut self.state.queue {
@@ -30,7 +33,7 @@
         self.admit(now, admitted);
     }
 
-    /// Passes admitted requests on to the routing policy, and those that may go on because of that.
+    /// Passes admitted requests to the routing policy, and further ones that are admitted as earlier ones finish.
     pub(super) fn admit(&mut self, now: Timestamp, mut admitted: Vec<QueuedRequest>) {
         loop {
             for queued in admitted.drain(..) {
@@ -39,8 +42,8 @@
                     let retry_after = self.settings.max_retry_after;
                     queued.incoming.ticket.answer(Response::Rejected { retry_after });
                     self.state.finished.push(request);
-                } else if !self.state.take_request(now, queued, &self.settings) {
-                    // Unless it is open, nothing else would tell that nothing more comes of it.
+                } else if !self.state.open_request(now, queued, &self.settings) {
+                    // An open request is added to `finished` when it is closed; this one was never opened.
                     self.state.finished.push(request);
                 }
             }
@@ -52,6 +55,7 @@
         }
     }
 
+    /// Discards a request whose client has disconnected.
     pub(super) fn on_client_gone(&mut self, now: Timestamp, request: RequestId) {
         let mut admitted = Vec::new();
         let queue = self.state.queue.as_mut();
@@ -66,6 +70,7 @@
         }
     }
 
+    /// Answers a query for the fate of a write from the journal.
     pub(super) fn on_fate_query(&mut self, query: FateQuery) {
         let FateQuery { id, origin, ticket } = query;
         let request_open = self.state.ids.contains(id.as_str());
@@ -79,8 +84,8 @@
 }
 
 impl RouterState {
-    /// Takes a request; false if it was answered instead.
-    fn take_request(&mut self, now: Timestamp, queued: QueuedRequest, settings: &RoutingSettings) -> bool {
+    /// Opens a request and reports it to the routing policy; returns false if it was answered with an error instead.
+    fn open_request(&mut self, now: Timestamp, queued: QueuedRequest, settings: &RoutingSettings) -> bool {
         let QueuedRequest { incoming, received_at } = queued;
         let arrival = match self.check_request(&incoming, received_at, settings) {
             Ok(arrival) => arrival,
@@ -101,10 +106,11 @@
         true
     }
 
-    /// A request as the routing policy has it.
+    /// Checks a request, and returns the routing policy's view of it.
     ///
     /// # Errors
-    /// The response, if it cannot be taken.
+    /// The response to a request that cannot be routed: no list is known yet, the group is unknown, the session's
+    /// position is lost, or the id is in use.
     fn check_request(
         &self,
         incoming: &IncomingRequest,
@@ -113,7 +119,7 @@
     ) -> Result<RequestArrival, Response> {
         let header = &incoming.header;
         if self.groups.is_empty() {
-            // No list has come yet: which groups there are is not known.
+            // Without an endpoint list no group is known.
             return Err(Response::Rejected { retry_after: settings.max_retry_after });
         }
         let group = self.groups.get(&header.group).ok_or(Response::Error(UNKNOWN_GROUP))?;
@@ -125,7 +131,7 @@
             Some(PositionStatus::OnLog(position) | PositionStatus::UnknownEpoch(position)) => Some(position),
             None => None,
         };
-        // An endpoint would take the second request for a duplicate of the first.
+        // An endpoint would treat the second request as a duplicate of the first.
         if self.ids.contains(&header.id) {
             return Err(Response::Error(ID_IN_USE));
         }
@@ -142,6 +148,7 @@
         })
     }
 
+    /// The control loop's state of a new request.
     fn active_request(
         &self,
         incoming: IncomingRequest,
@@ -175,7 +182,7 @@
     }
 }
 
-/// Where and for how long duplicates of a write are dropped, if it has an idempotency key.
+/// The scope and window of a write's deduplication, if it has an idempotency key.
 fn deduplication(
     idempotency: Option<Idempotency>,
     group: GroupNumber,
--- a/server/src/control/request_queue.rs
+++ b/server/src/control/request_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for admission, with all that they came with, if operators limit how many are in flight.
+//! The queue of requests that wait for admission, used if the operators' file limits the requests in flight.
 
 use crate::messages::control::{IncomingRequest, QueueLimits};
 use crate::messages::response::Response;
@@ -8,61 +8,67 @@
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// A table with this capacity or less is never shrunk.
+/// The table of waiting requests is not shrunk below this capacity.
 const MIN_CAPACITY: usize = 1_024;
+/// The table is shrunk when it holds less than this fraction of its capacity.
+const SHRINK_DIVISOR: usize = 4;
+/// The capacity after shrinking, as a multiple of the entries.
+const SHRINK_HEADROOM: usize = 2;
 
-/// A request on its way to the routing policy.
+/// A request that was received and not yet passed to the routing policy.
 pub struct QueuedRequest {
     /// The request.
     pub incoming: Box<IncomingRequest>,
-    /// When it came.
+    /// When the control loop received it.
     pub received_at: Timestamp,
 }
 
 impl QueuedRequest {
-    /// Its number.
+    /// The request's id within the process.
     pub fn request(&self) -> RequestId {
         self.incoming.ticket.request
     }
 }
 
-/// The requests that wait.
+/// The queue of waiting requests, and the concurrency limiter that admits them.
 pub struct RequestQueue {
     limiter: ConcurrencyLimiter,
     waiting: HashMap<RequestId, QueuedRequest>,
-    may_tell_retry_after: bool,
+    /// Rejections carry a Retry-After.
+    sends_retry_after: bool,
+    /// Decisions of the limiter that were not applied yet.
     decisions: Vec<Decision>,
 }
 
 impl RequestQueue {
-    /// `max_retry_after`: clients may be told to stay away for so long at most, if they may be told at all.
+    /// Creates an empty queue. Rejections carry a Retry-After of at most `max_retry_after`, or none if that is `None`.
     pub fn new(limits: QueueLimits, max_retry_after: Option<TimeDelta>, seed: u64) -> RequestQueue {
-        let longest = max_retry_after.unwrap_or(TimeDelta::ZERO);
+        let limiter_max = max_retry_after.unwrap_or(TimeDelta::ZERO);
         RequestQueue {
-            limiter: ConcurrencyLimiter::new(limits.limits, limits.classes, longest, seed),
+            limiter: ConcurrencyLimiter::new(limits.limits, limits.classes, limiter_max, seed),
             waiting: HashMap::new(),
-            may_tell_retry_after: max_retry_after.is_some(),
+            sends_retry_after: max_retry_after.is_some(),
             decisions: Vec::new(),
         }
     }
 
-    /// There are no limits any more: all requests that wait are admitted.
+    /// Removes the limits: returns all waiting requests in the order of their ids.
     pub fn into_waiting(self) -> Vec<QueuedRequest> {
         let mut waiting: Vec<QueuedRequest> = self.waiting.into_values().collect();
         waiting.sort_by_key(QueuedRequest::request);
         waiting
     }
 
-    /// The limits have changed.
+    /// Replaces the limits; requests that are admitted by that are appended to `admitted`.
     pub fn set_limits(&mut self, now: Timestamp, limits: QueueLimits, admitted: &mut Vec<QueuedRequest>) {
         self.limiter.set_limits(now, limits.limits, limits.classes, &mut self.decisions);
         self.apply_decisions(admitted);
     }
 
-    /// A request has come; requests that may go on are appended to `admitted`.
+    /// Adds a request; requests that are admitted are appended to `admitted`.
     pub fn arrive(&mut self, now: Timestamp, queued: QueuedRequest, admitted: &mut Vec<QueuedRequest>) {
         let header = &queued.incoming.header;
-        // Clients that are not told apart are admitted as if there were no limits.
+        // Requests that are not attributed to a client are not limited.
         let Some(client) = header.client.clone() else { return admitted.push(queued) };
         let request = queued.request();
         let (is_retry, deadline) = (header.client_retry, header.deadline);
@@ -72,13 +78,13 @@
         self.apply_decisions(admitted);
     }
 
-    /// Nothing more can come of a request.
+    /// Releases the slot of a request that has finished; requests that are admitted by that are appended to `admitted`.
     pub fn remove(&mut self, now: Timestamp, request: RequestId, admitted: &mut Vec<QueuedRequest>) {
         self.limiter.remove(now, request, &mut self.decisions);
         self.apply_decisions(admitted);
     }
 
-    /// The client of a request is gone; false if the request does not wait here.
+    /// Discards a waiting request whose client has disconnected; returns false if the request is not in the queue.
     pub fn client_gone(
         &mut self,
         now: Timestamp,
@@ -91,7 +97,7 @@
         true
     }
 
-    /// Time has passed.
+    /// Rejects the requests that have waited for too long.
     pub fn tick(&mut self, now: Timestamp, admitted: &mut Vec<QueuedRequest>) {
         self.limiter.tick(now, &mut self.decisions);
         self.apply_decisions(admitted);
@@ -102,6 +108,7 @@
         self.limiter.due()
     }
 
+    /// Applies the limiter's decisions, and shrinks a table that has become mostly empty.
     fn apply_decisions(&mut self, admitted: &mut Vec<QueuedRequest>) {
         for decision in std::mem::take(&mut self.decisions) {
             match decision {
@@ -113,21 +120,22 @@
             }
         }
         let capacity = self.waiting.capacity();
-        if capacity > MIN_CAPACITY && self.waiting.len() < capacity / 4 {
-            self.waiting.shrink_to(self.waiting.len() * 2);
+        if capacity > MIN_CAPACITY && self.waiting.len() < capacity / SHRINK_DIVISOR {
+            self.waiting.shrink_to(self.waiting.len() * SHRINK_HEADROOM);
         }
     }
 
+    /// Rejects a request that the limiter has shed.
     fn reject(&mut self, shed: LoadShed) {
         let (class, reason) = (shed.class.to_string(), shed.reason.label());
         metrics::counter!("gingerwick_rpcs_shed_total", "class" => class, "why" => reason).increment(1);
-        let retry_after = self.may_tell_retry_after.then_some(shed.retry_after);
+        let retry_after = self.sends_retry_after.then_some(shed.retry_after);
         if let Some(queued) = self.waiting.remove(&shed.request) {
             queued.incoming.ticket.answer(Response::Rejected { retry_after });
         }
     }
 
-    /// What there is, with so many of the clients with most requests.
+    /// The present state, with the `top_clients` clients that have the most requests.
     pub fn snapshot(&self, top_clients: usize) -> QueueSnapshot {
         let limiter = &self.limiter;
         let classes = limiter.requests_by_class().map(|(class, counts)| (class.to_string(), counts));
@@ -143,7 +151,9 @@
             classes: classes.collect(),
             shed: shed.collect(),
             top_clients: clients.collect(),
-            waiting: waiting.map(|it| (it.incoming.header.id.to_string(), it.received_at)).collect(),
+            waiting: waiting
+                .map(|queued| (queued.incoming.header.id.to_string(), queued.received_at))
+                .collect(),
         }
     }
 }
--- a/server/src/discovery/mod.rs
+++ b/server/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list as it is known at the start, then a watch that is opened again whenever it ends.
+//! Discovery: a watch on the endpoint list, which is reopened whenever it ends.
 
 pub mod stream;
 pub mod watch;
--- a/server/src/discovery/stream.rs
+++ b/server/src/discovery/stream.rs
@@ -1,89 +1,95 @@
-//! The answer of discovery to a watch, in pieces split anywhere: HTTP head, chunks, and the events in them. No socket is used
-//! here.
+//! An incremental parser of discovery's response to a watch: the HTTP head, the chunked encoding, and the events in
+//! the body. It does no I/O, and accepts the bytes in pieces of any size.
 
 use httparse::{parse_chunk_size, Response, Status, EMPTY_HEADER};
 use thiserror::Error;
 
-/// More than any list takes.
+/// The longest list that is accepted, in bytes; real lists are much shorter.
 const MAX_LIST_BYTES: usize = 4 << 20;
+/// The longest HTTP head that is accepted, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
+/// The most HTTP headers that are accepted.
 const MAX_HEADERS: usize = 32;
 const HTTP_OK: u16 = 200;
 
-/// What a watch reports.
+/// An event of the watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// An empty line: nothing has changed.
+    /// A heartbeat, which is an empty line: the list has not changed.
     Unchanged,
-    /// The text of one object, whatever white space is in it.
+    /// The text of one JSON object, with any white space inside it.
     List(Vec<u8>),
 }
 
-/// Why an answer cannot be followed.
+/// Why a response cannot be parsed any further.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum StreamError {
-    /// Its head is no HTTP.
+    /// The head is not valid HTTP.
     #[error("unreadable response head")]
     BadHead,
-    /// It is not 200.
+    /// The status is not 200.
     #[error("response status is not 200")]
     BadStatus,
-    /// The size of a chunk is none.
+    /// The size of a chunk is not a number.
     #[error("unreadable chunk size")]
     BadChunkSize,
-    /// A chunk has no line end behind it.
+    /// A chunk is not followed by a line end.
     #[error("chunk without an end")]
     UnterminatedChunk,
-    /// A list is too long.
+    /// A list is longer than the limit.
     #[error("endpoint list too long")]
     ListTooLong,
-    /// Something that is no list.
+    /// The body contains something other than JSON objects.
     #[error("event is not a list")]
     NotAList,
-    /// It ended within a list.
+    /// The response ended within a list.
     #[error("response ended within a list")]
     CutOff,
 }
 
-/// How far the text has been scanned for the end of the object that has begun.
+/// The progress of the search for the end of a JSON object.
 #[derive(Default)]
 struct Scanner {
+    /// The offset of the next byte to scan.
     at: usize,
+    /// The number of open braces and brackets.
     depth: usize,
     in_string: bool,
     escaped: bool,
-    /// An object has ended on this line: the end of the line says nothing more.
-    behind_object: bool,
+    /// An object has ended on the present line, so the end of the line is not a heartbeat.
+    after_object: bool,
 }
 
-/// An answer to a watch.
+/// An incremental parser of one response to a watch.
 #[derive(Default)]
 pub struct WatchStream {
+    /// Bytes that were received but not decoded from HTTP.
     raw: Vec<u8>,
+    /// The decoded body.
     text: Vec<u8>,
-    /// The text up to here was given out.
+    /// The number of bytes of `text` that were returned as events.
     consumed: usize,
     scanner: Scanner,
     head_complete: bool,
     chunked: bool,
-    /// What of the present chunk, or of a body of known length, is still to come.
+    /// Bytes that are missing of the present chunk, or of a body of known length.
     remaining: usize,
-    /// The line end behind a chunk is still to come.
+    /// The line end after a chunk has not arrived yet.
     expects_chunk_end: bool,
     ended: bool,
 }
 
 impl WatchStream {
-    /// Adds bytes that were read.
+    /// Adds bytes that were received.
     ///
     /// # Errors
-    /// They cannot be followed.
+    /// The response is not valid HTTP with status 200, or a list is too long.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), StreamError> {
         self.raw.extend_from_slice(bytes);
         if !self.head_complete && !self.parse_head()? {
             return Ok(());
         }
-        // What is done with is removed once: chunk by chunk, a flood of small ones would cost the worker their square.
+        // Decoded bytes are removed once per call: removing each chunk would take quadratic time for many small chunks.
         let mut at = 0;
         let result = self.parse_body(&mut at);
         self.raw.drain(..at);
@@ -94,7 +100,7 @@
         Ok(())
     }
 
-    /// Parses the body from `at` on.
+    /// Decodes the body from offset `at` of `raw`, and advances `at` past the decoded bytes.
     fn parse_body(&mut self, at: &mut usize) -> Result<(), StreamError> {
         loop {
             if self.remaining > 0 {
@@ -123,6 +129,7 @@
         }
     }
 
+    /// Moves the available part of the present chunk to `text`.
     fn take_body_part(&mut self, at: &mut usize) {
         let available = self.remaining.min(self.raw.len() - *at);
         self.text.extend_from_slice(&self.raw[*at..*at + available]);
@@ -130,7 +137,7 @@
         self.remaining -= available;
     }
 
-    /// The line end behind a chunk; false if it is not there yet.
+    /// Skips the line end after a chunk; returns false if it has not arrived yet.
     fn take_chunk_end(&mut self, at: &mut usize) -> Result<bool, StreamError> {
         match self.raw[*at..].first_chunk::<2>() {
             None => Ok(false),
@@ -143,7 +150,7 @@
         }
     }
 
-    /// The head; false if not all of it is there.
+    /// Parses the head; returns false if it is incomplete.
     fn parse_head(&mut self) -> Result<bool, StreamError> {
         let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let mut response = Response::new(&mut headers);
@@ -167,20 +174,20 @@
         Ok(true)
     }
 
-    /// Whether the answer has begun.
+    /// Whether the head is complete.
     pub fn has_begun(&self) -> bool {
         self.head_complete
     }
 
-    /// Whether the answer is complete.
+    /// Whether the response is complete.
     pub fn has_ended(&self) -> bool {
         self.ended
     }
 
-    /// The next complete event.
+    /// The next complete event, if there is one.
     ///
     /// # Errors
-    /// What comes is no event.
+    /// The body contains something other than JSON objects, or ended within one.
     pub fn next_event(&mut self) -> Result<Option<WatchEvent>, StreamError> {
         while let Some(&byte) = self.text.get(self.scanner.at) {
             self.scanner.at += 1;
@@ -196,7 +203,7 @@
         Ok(None)
     }
 
-    /// Scans one byte; an event if it ends with it.
+    /// Scans one byte; returns the event that ends with it, if any.
     fn scan(&mut self, byte: u8) -> Result<Option<WatchEvent>, StreamError> {
         if self.scanner.depth > 0 {
             let object_ended = self.scanner.scan_object(byte);
@@ -206,7 +213,7 @@
             b'{' => self.scanner.depth = 1,
             b'\n' => {
                 self.consumed = self.scanner.at;
-                if !std::mem::take(&mut self.scanner.behind_object) {
+                if !std::mem::take(&mut self.scanner.after_object) {
                     return Ok(Some(WatchEvent::Unchanged));
                 }
             }
@@ -216,8 +223,9 @@
         Ok(None)
     }
 
+    /// Takes the object that ends at the scanner's offset.
     fn take_object(&mut self) -> WatchEvent {
-        self.scanner.behind_object = true;
+        self.scanner.after_object = true;
         let object = self.text[self.consumed..self.scanner.at].to_vec();
         self.consumed = self.scanner.at;
         WatchEvent::List(object)
@@ -225,7 +233,7 @@
 }
 
 impl Scanner {
-    /// Scans one byte of an object; true if the object ends with it.
+    /// Scans one byte of an object; returns true if the object ends with it.
     fn scan_object(&mut self, byte: u8) -> bool {
         match byte {
             _ if self.escaped => self.escaped = false,
@@ -240,6 +248,7 @@
     }
 }
 
+/// The value of a header by its name.
 fn header<'a>(response: &'a Response, name: &str) -> Option<&'a str> {
     let header = response.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(header.value).ok()
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery: opened again whenever it ends, at the address that is set then.
+//! The watch on discovery, which is reopened whenever it ends, at the address that is configured then.
 
 use crate::discovery::stream::{StreamError, WatchEvent, WatchStream};
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
@@ -19,18 +19,19 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use thiserror::Error;
 
-/// Where discovery is. It may change at any time, whatever the watch waits for.
+/// The address of discovery. It can be changed at any time, which interrupts the present watch.
 pub struct DiscoveryTarget(Mutex<Target>);
 
+/// One address of discovery.
 #[derive(Clone)]
 struct Target {
     addr: SocketAddr,
-    /// Cancelled once the address has changed.
+    /// Cancelled when the address is changed.
     changed: Arc<CancellationToken>,
 }
 
 impl DiscoveryTarget {
-    /// At an address.
+    /// Creates a target with an address.
     pub fn new(addr: SocketAddr) -> DiscoveryTarget {
         DiscoveryTarget(Mutex::new(Target { addr, changed: Arc::default() }))
     }
@@ -39,20 +40,20 @@
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Changes the address; false if it is the present one.
+    /// Changes the address and interrupts the present watch; returns false if the address is the same.
     pub fn set(&self, addr: SocketAddr) -> bool {
         let mut target = self.lock();
         if target.addr == addr {
             return false;
         }
-        let before = std::mem::replace(&mut *target, Target { addr, changed: Arc::default() });
+        let previous = std::mem::replace(&mut *target, Target { addr, changed: Arc::default() });
         drop(target);
-        before.changed.cancel();
+        previous.changed.cancel();
         true
     }
 }
 
-/// Why a watch has ended.
+/// Why one watch has ended. The messages are part of a log line.
 #[derive(Debug, Error)]
 enum WatchEnd {
     #[error("no descriptor for discovery is free")]
@@ -75,30 +76,30 @@
     Complete,
 }
 
-/// The watch on discovery.
+/// The watch on discovery, with everything that it needs.
 pub struct DiscoveryWatch {
-    /// Where discovery is.
+    /// The address of discovery.
     pub target: Arc<DiscoveryTarget>,
-    /// The timers.
+    /// The timers of the process.
     pub timers: Arc<Timers>,
-    /// The descriptors.
+    /// The limits on descriptors.
     pub resources: Arc<ResourceLimits>,
-    /// Who is told of lists.
+    /// The channel to the control loop, for lists.
     pub control: Sender<ControlMessage>,
-    /// Which lists are accepted.
+    /// Decides which lists are accepted.
     pub incarnation: IncarnationTracker,
-    /// When the watch is opened again.
+    /// Decides when the watch is reopened.
     pub schedule: WatchSchedule,
-    /// No list of discovery is known since this start: the complete list is fetched before it is watched.
+    /// No complete list was received since the start, so one is fetched before changes are watched.
     pub needs_complete_list: bool,
-    /// The cache, if there is one.
+    /// The cached endpoint list, if one is kept.
     pub cache: Option<Arc<EndpointCacheWriter>>,
-    /// Jitter.
+    /// The source of jitter.
     pub rng: Mwc,
 }
 
 impl DiscoveryWatch {
-    /// Watches for the life of the process.
+    /// Runs for the life of the process.
     pub fn run(mut self) {
         loop {
             let version_before = self.incarnation.version();
@@ -116,6 +117,7 @@
         }
     }
 
+    /// Waits before the watch is reopened, unless the address is changed.
     fn pause(&mut self, target: &Target) {
         let now = self.timers.now();
         let pause = match self.incarnation.poll_again_at() {
@@ -129,7 +131,7 @@
         self.timers.sleep_unless_cancelled(pause, &target.changed);
     }
 
-    /// One watch, from its connection to its end.
+    /// Runs one watch, from the connect to its end.
     fn watch_once(&mut self, target: &Target) -> WatchEnd {
         match self.open(target).and_then(|connection| self.follow(connection, target)) {
             Ok(()) => WatchEnd::Complete,
@@ -137,6 +139,10 @@
         }
     }
 
+    /// Connects to discovery and sends the request.
+    ///
+    /// # Errors
+    /// No descriptor is free, the connect failed, or the request was not sent.
     fn open(&mut self, target: &Target) -> Result<PeerConnection, WatchEnd> {
         let descriptor = self.resources.acquire(DescriptorClass::Discovery).ok_or(WatchEnd::NoDescriptor)?;
         let deadline = self.timers.now() + OPEN_TIMEOUT;
@@ -150,7 +156,8 @@
         Ok(connection)
     }
 
-    /// A list from before this start may stem from another incarnation of discovery: changes since it prove nothing.
+    /// The HTTP request. Without a complete list since the start, it asks for one: a list from before may be of another
+    /// incarnation of discovery, so changes since its version would not apply.
     fn request(&self, addr: SocketAddr) -> String {
         let query = if self.needs_complete_list {
             String::new()
@@ -160,7 +167,10 @@
         format!("GET /discovery/hosts{query} HTTP/1.1\r\nHost: {addr}\r\nAccept: application/json\r\n\r\n")
     }
 
-    /// Follows the answer to its end.
+    /// Reads events until the response is complete.
+    ///
+    /// # Errors
+    /// The connection or the response failed, or a list was not accepted.
     fn follow(&mut self, mut connection: PeerConnection, target: &Target) -> Result<(), WatchEnd> {
         let mut stream = WatchStream::default();
         let mut deadline = self.schedule.answer_due();
@@ -183,6 +193,10 @@
         }
     }
 
+    /// Handles one event.
+    ///
+    /// # Errors
+    /// A list is unreadable, empty or older than the present one.
     fn handle_event(&mut self, event: &WatchEvent) -> Result<(), WatchEnd> {
         match event {
             WatchEvent::Unchanged => {
@@ -195,6 +209,10 @@
         }
     }
 
+    /// Parses a list, and passes it to the cache and the control loop if it is accepted.
+    ///
+    /// # Errors
+    /// The list is unreadable, empty or older than the present one.
     fn handle_list(&mut self, text: &[u8]) -> Result<(), WatchEnd> {
         let list: EndpointListUpdate = serde_json::from_slice(text).map_err(|error| {
             log!(WARN, reason = error; "unreadable endpoint list");
--- a/server/src/endpoints/answer.rs
+++ b/server/src/endpoints/answer.rs
@@ -1,30 +1,32 @@
-//! The answer to what was sent to an endpoint, read to its end.
+//! Reading of an endpoint's answer to its end.
 
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
 use crate::endpoints::response_parser::{AnswerReports, ResponseParser};
 use routing::{AttemptOutcome, Role};
 
-/// What came of an attempt, and the connection if it can be used again.
+/// The answer to one query, and the connection if it can be reused.
 pub struct Answer {
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The messages of the value.
+    /// The messages of the value; empty unless the attempt succeeded.
     pub value: Vec<u8>,
-    /// What it said of the endpoint.
+    /// What the answer reported about the endpoint.
     pub reports: AnswerReports,
-    /// The connection.
+    /// The connection, if it can be reused.
     pub connection: Option<PeerConnection>,
 }
 
 impl Answer {
-    /// Of an attempt that got none.
+    /// The result of an attempt that received no answer.
     pub fn without_value(outcome: AttemptOutcome) -> Answer {
         Answer { outcome, value: Vec::new(), reports: AnswerReports::default(), connection: None }
     }
 }
 
-/// Reads the answer to what was sent. Only an answer that was read to its end, with nothing behind it, gives the connection
-/// back: late bytes would reach another request.
+/// Reads the answer to the query that was sent.
+///
+/// The connection is returned only if the answer is complete and no bytes follow it, because leftover bytes would
+/// be taken for the answer to the next request.
 pub fn read_answer(mut connection: PeerConnection, limits: IoLimits) -> Answer {
     let mut parser = ResponseParser::default();
     let outcome = loop {
@@ -32,20 +34,20 @@
             break outcome;
         }
         if let Err(stop) = connection.read(limits) {
-            break parser.outcome(cut_off_by(stop));
+            break parser.outcome(incomplete_outcome(stop));
         }
     };
-    let is_free = parser.frees_connection(&connection.buffer);
+    let is_reusable = parser.frees_connection(&connection.buffer);
     let buffer = connection.take_buffer();
     let value = if outcome == AttemptOutcome::Succeeded { parser.value(buffer) } else { Vec::new() };
     let reports = parser.reports();
     let is_primary = reports.answer.role == Some(Role::Primary);
     connection.epoch_confirmed |= is_primary && reports.epoch.is_some();
-    Answer { outcome, value, reports, connection: is_free.then_some(connection) }
+    Answer { outcome, value, reports, connection: is_reusable.then_some(connection) }
 }
 
-/// The request was sent, so it may have run.
-fn cut_off_by(stop: IoStop) -> AttemptOutcome {
+/// The outcome of an attempt whose answer is incomplete. The request was sent, so it may have been executed.
+fn incomplete_outcome(stop: IoStop) -> AttemptOutcome {
     match stop {
         IoStop::ConnectionLost => AttemptOutcome::ConnectionLost,
         IoStop::TimedOut => AttemptOutcome::TimedOut,
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: one coroutine each, from the connection that it takes to the outcome that it reports.
+//! Attempts. Each runs in its own coroutine: it acquires a connection, sends the request, and reports the outcome.
 
 use crate::endpoints::answer::{read_answer, Answer};
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
@@ -6,13 +6,17 @@
 use crate::endpoints::query::{send, HEALTH_STATEMENT};
 use crate::messages::control::{AttemptJob, AttemptReport, ConfirmAttempt, ControlMessage};
 use crate::messages::journal_entry::JournalVerdict;
+use crate::protocol::framing::LENGTH_BYTES;
 use crate::storage::journal::WriteJournal;
 use may::sync::mpsc::{channel, Sender};
 use routing::AttemptOutcome;
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
+/// The shortest timeout that is sent to an endpoint, in milliseconds: zero would not be valid.
+const MIN_TIMEOUT_MS: i64 = 1;
 
-/// Reports the end of an attempt exactly once: one that is dropped by a panic may have run.
+/// Reports the end of an attempt exactly once. If the coroutine panics, the report says that the request may have been
+/// executed.
 struct AttemptGuard {
     control: Sender<ControlMessage>,
     report: Option<AttemptReport>,
@@ -26,7 +30,7 @@
     }
 }
 
-/// Makes an attempt and reports its end.
+/// Runs an attempt and reports its end to the control loop.
 pub fn run_attempt(
     pool: &ConnectionPool,
     journal: Option<&WriteJournal>,
@@ -49,23 +53,26 @@
     }
     drop(guard);
     if let Some(connection) = answer.connection {
-        pool.give_back(job.addr, connection);
+        pool.return_used(job.addr, connection);
     }
 }
 
+/// An attempt in progress.
 struct Attempt<'a> {
     pool: &'a ConnectionPool,
     journal: Option<&'a WriteJournal>,
     control: &'a Sender<ControlMessage>,
     job: &'a AttemptJob,
+    /// The journal's verdict, once the attempt was recorded.
     journal_verdict: Option<JournalVerdict>,
 }
 
-/// What follows from one connection.
+/// The result of an attempt on one connection.
 enum Step {
+    /// The attempt has ended.
     Ended(Box<Answer>),
-    /// A connection from before had ended, and nothing was sent: another is taken.
-    TryAnother,
+    /// The reused connection was closed by the endpoint before anything was sent; the attempt can use another one.
+    TryAnotherConnection,
 }
 
 impl Step {
@@ -79,6 +86,7 @@
         IoLimits { deadline: self.job.deadline, cancellation: &self.job.cancellation }
     }
 
+    /// Runs the attempt on one connection after another until it has ended.
     fn run(&mut self) -> Answer {
         loop {
             let reused = self.pool.reuse(&self.job.addr, self.limits());
@@ -93,11 +101,12 @@
             };
             match self.run_on(connection, is_reused) {
                 Step::Ended(answer) => return *answer,
-                Step::TryAnother => {}
+                Step::TryAnotherConnection => {}
             }
         }
     }
 
+    /// Runs the attempt on one connection.
     fn run_on(&mut self, mut connection: PeerConnection, is_reused: bool) -> Step {
         connection.arm(self.limits());
         if self.job.needs_epoch && !connection.epoch_confirmed {
@@ -106,15 +115,14 @@
                 Err(stop) => return unsent(stop, is_reused),
             };
         }
-        // Recorded first: the confirmation must be the last thing before it is sent. Connecting took its time: what held when
-        // this attempt was started may not hold any more.
-        if !self.is_recorded() || !self.is_confirmed() {
-            self.pool.give_back_unused(self.job.addr, connection);
+        // The confirmation comes right before the send, after the record: connecting and recording take time, in
+        // which the conditions under which the attempt was started may have changed.
+        if !self.record() || !self.confirm() {
+            self.pool.return_unused(self.job.addr, connection);
             return Step::ended(AttemptOutcome::NotSent);
         }
-        // What has come by now is no answer to this attempt, since nothing of it was sent. Read with the answer it would pass
-        // for a part of it, or for all.
-        if !connection.is_quiet() {
+        // Bytes that arrive before the request was sent cannot belong to its answer, but would be parsed as part of it.
+        if !connection.is_open_without_data() {
             return unsent(IoStop::ConnectionLost, is_reused);
         }
         match self.send(&mut connection) {
@@ -123,20 +131,21 @@
         }
     }
 
-    /// Sends the request with the time that is left of it.
+    /// Sends the request, with its timeout replaced by the time that remains until the deadline.
     fn send(&self, connection: &mut PeerConnection) -> Result<(), IoStop> {
         let text = &self.job.text;
         let remaining = self.job.deadline - self.pool.timers.now();
-        let timeout_ms = (remaining.0 / NANOS_PER_MILLI).max(1).to_string();
+        let timeout_ms = (remaining.0 / NANOS_PER_MILLI).max(MIN_TIMEOUT_MS).to_string();
         let head = &text.body[..text.timeout_digits.start];
         let tail = &text.body[text.timeout_digits.end..];
-        let length = (4 + head.len() + timeout_ms.len() + tail.len()) as u32;
+        let length = (LENGTH_BYTES + head.len() + timeout_ms.len() + tail.len()) as u32;
         let parts: [&[u8]; 5] = [b"Q", &length.to_be_bytes(), head, timeout_ms.as_bytes(), tail];
         connection.write(&parts, self.limits())
     }
 
-    /// Whether the attempt is recorded, if it must be. It is recorded once, whatever connection it is sent on.
-    fn is_recorded(&mut self) -> bool {
+    /// Records the attempt in the write journal if it must be, once for all connections that it uses; returns
+    /// whether it may be sent.
+    fn record(&mut self) -> bool {
         let (Some(entry), Some(journal)) = (&self.job.journal_entry, self.journal) else { return true };
         if self.journal_verdict.is_none() {
             self.journal_verdict = Some(journal.record_send(entry));
@@ -144,7 +153,8 @@
         self.journal_verdict.is_some_and(JournalVerdict::allows_sending)
     }
 
-    fn is_confirmed(&self) -> bool {
+    /// Asks the control loop whether the attempt may still be sent.
+    fn confirm(&self) -> bool {
         let (reply, confirmed) = channel();
         let question = ConfirmAttempt {
             request: self.job.request,
@@ -156,8 +166,12 @@
         asked.is_ok() && confirmed.recv().unwrap_or(false)
     }
 
-    /// Has the endpoint report its epoch, for the control loop to judge before the attempt is sent; the connection, if it can
-    /// still be used. An endpoint that reports none is gone on with: a loss cannot be seen there.
+    /// Queries the endpoint's epoch and reports it to the control loop, which checks it before the attempt is sent.
+    ///
+    /// An endpoint that reports no epoch is used all the same: no loss can be detected there.
+    ///
+    /// # Errors
+    /// The connection cannot be used any more.
     fn query_epoch(&self, mut connection: PeerConnection) -> Result<PeerConnection, IoStop> {
         send(&mut connection, HEALTH_STATEMENT, self.limits())?;
         let answer = read_answer(connection, self.limits());
@@ -173,11 +187,11 @@
     }
 }
 
-/// What follows if the last byte of an attempt was not sent: it did not run.
+/// The result of an attempt whose last byte was not sent, so that it was not executed.
 fn unsent(stop: IoStop, is_reused: bool) -> Step {
     match stop {
-        // The endpoint closed the connection while it was idle here.
-        IoStop::ConnectionLost if is_reused => Step::TryAnother,
+        // The endpoint closed the connection while it was idle in the pool.
+        IoStop::ConnectionLost if is_reused => Step::TryAnotherConnection,
         IoStop::ConnectionLost => Step::ended(AttemptOutcome::Unreachable),
         IoStop::TimedOut | IoStop::Cancelled => Step::ended(AttemptOutcome::NotSent),
     }
--- a/server/src/endpoints/connection.rs
+++ b/server/src/endpoints/connection.rs
@@ -1,4 +1,5 @@
-//! A connection that the server opened: its one owner reads and writes it, each with a deadline.
+//! A connection that the server opened to an endpoint or to discovery. Every read and write has a deadline and can be
+//! cancelled.
 
 use crate::log;
 use crate::runtime::cancellation::CancellationToken;
@@ -12,21 +13,24 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Bytes from one peer without a wait: while there is always more to read, the worker would serve nobody else.
+/// Bytes read from one peer without a pause. A peer that sends without end would starve the other coroutines of the
+/// single worker thread.
 pub const MAX_BURST_BYTES: usize = 256 << 10;
-/// The pause behind so many bytes.
+/// The pause after [`MAX_BURST_BYTES`].
 pub const BURST_PAUSE: TimeDelta = TimeDelta::from_millis(1);
-/// Bytes of one read at most.
+/// Bytes of one read.
 const READ_BYTES: u64 = 64 << 10;
-/// Smaller buffers are left alone when memory runs short.
+/// Buffers up to this size are kept when buffer memory runs short.
 pub const SMALL_BUFFER_BYTES: usize = 16 << 10;
-/// Bytes that may come on an idle connection.
+/// Bytes accepted on an idle connection; more than the answer to an empty query takes.
 const MAX_IDLE_BYTES: usize = 4 << 10;
+/// Bytes of one read on an idle connection, on the stack.
+const IDLE_READ_BYTES: usize = 512;
 
-/// Why a read or a write did not succeed.
+/// Why a read or a write has failed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum IoStop {
-    /// The peer closed or broke the connection.
+    /// The peer closed the connection, or it is broken.
     #[error("connection lost")]
     ConnectionLost,
     /// The deadline has passed.
@@ -37,12 +41,12 @@
     Cancelled,
 }
 
-/// When the work on a connection ends, whatever comes.
+/// The conditions under which a read or a write is given up.
 #[derive(Clone, Copy)]
 pub struct IoLimits<'a> {
-    /// The deadline.
+    /// When the operation times out.
     pub deadline: Timestamp,
-    /// Cancels it.
+    /// Cancels the operation.
     pub cancellation: &'a CancellationToken,
 }
 
@@ -50,22 +54,22 @@
 pub struct PeerConnection {
     stream: TcpStream,
     timers: Arc<Timers>,
-    /// What was read and not used yet.
+    /// Bytes that were read but not consumed.
     pub buffer: Vec<u8>,
     charge: BufferCharge,
-    /// Bytes read since it last waited.
+    /// Bytes read since the coroutine last waited.
     burst_bytes: usize,
     descriptor: Descriptor,
-    /// The endpoint has reported, as a primary, the epoch that it is in. One that is no longer primary closes its
-    /// connections, so this holds as long as the connection does.
+    /// The endpoint has reported its epoch as a primary on this connection. An endpoint closes its connections when
+    /// it ceases to be primary, so this holds for the life of the connection.
     pub epoch_confirmed: bool,
 }
 
 impl PeerConnection {
-    /// Connects by a deadline.
+    /// Connects to a peer.
     ///
     /// # Errors
-    /// The peer does not answer or refuses.
+    /// The peer refused the connection, or did not accept it before the deadline (`ErrorKind::TimedOut`).
     pub fn connect(
         timers: &Arc<Timers>,
         addr: &SocketAddr,
@@ -89,14 +93,18 @@
         })
     }
 
-    /// Makes the reads and writes that follow wake up at these limits.
+    /// Schedules wake-ups of the following reads and writes for the deadline and the cancellation. Must be called
+    /// before operations with new limits.
     pub fn arm(&self, limits: IoLimits) {
         let waker = self.stream.waker();
         self.timers.call_at(limits.deadline, move || waker.wakeup());
         limits.cancellation.wake_socket(self.stream.waker());
     }
 
-    /// Waits until the socket may go on, unless it is to stop.
+    /// Waits for an event of the socket, the deadline or the cancellation.
+    ///
+    /// # Errors
+    /// The deadline has passed, or the operation was cancelled.
     fn wait(&self, limits: IoLimits) -> Result<(), IoStop> {
         if limits.cancellation.is_cancelled() {
             return Err(IoStop::Cancelled);
@@ -108,10 +116,10 @@
         Ok(())
     }
 
-    /// Appends what comes next to the buffer.
+    /// Waits for bytes and appends them to the buffer.
     ///
     /// # Errors
-    /// Nothing more comes within the limits.
+    /// The connection was lost, timed out or cancelled before any byte arrived, or buffer memory is used up.
     pub fn read(&mut self, limits: IoLimits) -> Result<(), IoStop> {
         loop {
             let length_before = self.buffer.len();
@@ -130,6 +138,10 @@
         }
     }
 
+    /// Charges the bytes that were read, and pauses after a burst.
+    ///
+    /// # Errors
+    /// Buffer memory is used up, and the buffer is larger than [`SMALL_BUFFER_BYTES`].
     fn account_read(&mut self, bytes: usize) -> Result<(), IoStop> {
         self.charge.set(self.buffer.len());
         if self.buffer.len() > SMALL_BUFFER_BYTES && self.descriptor.is_memory_critical() {
@@ -144,16 +156,16 @@
         Ok(())
     }
 
-    /// Gives the buffer away; it is charged where it goes.
+    /// Takes the buffer out of the connection, and releases its charge: the caller charges it where needed.
     pub fn take_buffer(&mut self) -> Vec<u8> {
         self.charge.set(0);
         std::mem::take(&mut self.buffer)
     }
 
-    /// Writes all parts.
+    /// Writes all parts, waiting while the socket's send buffer is full.
     ///
     /// # Errors
-    /// The last byte was not sent.
+    /// The connection was lost, timed out or cancelled before the last byte was sent.
     pub fn write(&mut self, parts: &[&[u8]], limits: IoLimits) -> Result<(), IoStop> {
         let total: usize = parts.iter().map(|part| part.len()).sum();
         let mut written = 0;
@@ -169,10 +181,10 @@
         Ok(())
     }
 
-    /// Appends what has come on an idle connection to the buffer without waiting; false if the connection has ended, or more
-    /// has come than can belong there.
+    /// Appends the bytes that have arrived on an idle connection to the buffer, without waiting. Returns false if the
+    /// connection was closed, or the buffer exceeds [`MAX_IDLE_BYTES`].
     pub fn read_available(&mut self) -> bool {
-        let mut bytes = [0; 512];
+        let mut bytes = [0; IDLE_READ_BYTES];
         while self.buffer.len() <= MAX_IDLE_BYTES {
             match self.stream.inner().read(&mut bytes) {
                 Ok(0) => return false,
@@ -185,18 +197,18 @@
         false
     }
 
-    /// Whether the connection stands, and nothing has come on it unasked.
-    pub fn is_quiet(&mut self) -> bool {
+    /// Whether the connection is open and has received no unsolicited bytes.
+    pub fn is_open_without_data(&mut self) -> bool {
         self.read_available() && self.buffer.is_empty()
     }
 
-    /// Writes a few bytes without waiting; false if they were not sent.
+    /// Writes a few bytes without waiting; returns false if not all of them were accepted.
     pub fn try_write(&mut self, bytes: &[u8]) -> bool {
         self.stream.inner().write(bytes).is_ok_and(|written| written == bytes.len())
     }
 }
 
-/// The rest of some parts, behind so many bytes.
+/// The slices of `parts` that follow the first `written` bytes.
 fn unwritten<'a>(parts: &[&'a [u8]], mut written: usize) -> Vec<IoSlice<'a>> {
     let mut slices = Vec::with_capacity(parts.len());
     for part in parts {
--- a/server/src/endpoints/dispatcher.rs
+++ b/server/src/endpoints/dispatcher.rs
@@ -1,7 +1,7 @@
-//! Starts attempts, health checks and queries, each in a coroutine of its own.
+//! Starts attempts, health checks and discovery queries, each in its own coroutine.
 
 use crate::endpoints::attempt::run_attempt;
-use crate::endpoints::health_check::{check_health, query_for_discovery};
+use crate::endpoints::health_check::{check_health, query_for_discovery, DiscoveryQuery};
 use crate::endpoints::pool::ConnectionPool;
 use crate::messages::control::{AttemptJob, ControlMessage};
 use crate::runtime::clock::Timers;
@@ -14,23 +14,23 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What attempts, health checks and queries need.
+/// Starts attempts, health checks and discovery queries with the resources that they share.
 #[derive(Clone)]
 pub struct AttemptDispatcher {
-    /// Their connections.
+    /// The connections to endpoints.
     pub pool: Arc<ConnectionPool>,
-    /// Whom they report to.
+    /// The channel to the control loop, for reports.
     pub control: Sender<ControlMessage>,
-    /// How long health checks and queries may take.
+    /// The timeout of health checks and discovery queries.
     pub health_check_timeout: TimeDelta,
-    /// The journal of writes, if there is one.
+    /// The write journal, if writes are recorded.
     pub journal: Option<Arc<WriteJournal>>,
-    /// What is counted.
+    /// The counters of the process.
     pub metrics: Arc<Metrics>,
 }
 
 impl AttemptDispatcher {
-    /// The timers.
+    /// The timers of the process.
     pub fn timers(&self) -> &Arc<Timers> {
         &self.pool.timers
     }
@@ -48,11 +48,8 @@
     }
 
     /// Starts a query of primary discovery.
-    pub fn query(&self, endpoint: EndpointIndex, addr: SocketAddr, asks_identity: bool) {
+    pub fn query(&self, query: DiscoveryQuery) {
         let this = self.clone();
-        let timeout = self.health_check_timeout;
-        spawn(move || {
-            query_for_discovery(&this.pool, this.control, endpoint, addr, timeout, asks_identity);
-        });
+        spawn(move || query_for_discovery(&this.pool, this.control, &query, this.health_check_timeout));
     }
 }
--- a/server/src/endpoints/health_check.rs
+++ b/server/src/endpoints/health_check.rs
@@ -1,4 +1,5 @@
-//! Health checks, and the queries of primary discovery: one coroutine each. They share the attempts' connections.
+//! Health checks and the queries of primary discovery. Each runs in its own coroutine, on connections from the same
+//! pool as attempts.
 
 use crate::endpoints::connection::IoLimits;
 use crate::endpoints::load_report;
@@ -11,11 +12,13 @@
 use routing::{AttemptOutcome, EndpointIndex, EndpointReport};
 use std::net::SocketAddr;
 
-/// Who the endpoint is and how often its log passed to a new primary, by PostgreSQL's own functions.
+/// The statement that returns an endpoint's cluster name and timeline, `name,timeline`, by PostgreSQL's own
+/// functions. The timeline increases with each promotion.
 const IDENTITY_STATEMENT: &str =
     "SELECT concat_ws(',', current_setting('cluster_name'), timeline_id) FROM pg_control_checkpoint()";
 
-/// Reports the end of a health check exactly once: an endpoint whose check never ended would not be checked again.
+/// Reports the end of a health check exactly once, even if its coroutine panics: an endpoint is not checked again
+/// before its last check has ended.
 struct HealthCheckGuard {
     control: Sender<ControlMessage>,
     end: Option<HealthCheckEnd>,
@@ -29,7 +32,7 @@
     }
 }
 
-/// Asks an endpoint for its load report.
+/// Queries an endpoint's load report and reports the end of the health check to the control loop.
 pub fn check_health(
     pool: &ConnectionPool,
     control: Sender<ControlMessage>,
@@ -37,7 +40,7 @@
     addr: SocketAddr,
     timeout: TimeDelta,
 ) {
-    // Until it has ended otherwise.
+    // The result if the coroutine panics.
     let end = HealthCheckEnd {
         endpoint,
         outcome: AttemptOutcome::ConnectionLost,
@@ -59,6 +62,10 @@
     }
 }
 
+/// Queries an endpoint's load report.
+///
+/// # Errors
+/// No connection could be opened, or the statement was not sent.
 fn query_health(
     pool: &ConnectionPool,
     addr: SocketAddr,
@@ -71,7 +78,7 @@
     Ok(QueryAnswer { outcome: result.outcome, report, identity: None })
 }
 
-/// Reports the end of a query exactly once, however its coroutine ends.
+/// Reports the end of a discovery query exactly once, even if its coroutine panics.
 struct QueryGuard {
     control: Sender<ControlMessage>,
     end: Option<QueryEnd>,
@@ -85,36 +92,53 @@
     }
 }
 
-/// Asks an endpoint what primary discovery has to know of it.
+/// A query of primary discovery.
+#[derive(Clone, Copy, Debug)]
+pub struct DiscoveryQuery {
+    /// The endpoint to query.
+    pub endpoint: EndpointIndex,
+    /// The endpoint's address.
+    pub addr: SocketAddr,
+    /// Query the endpoint's identity as well as its load report.
+    pub with_identity: bool,
+}
+
+/// Queries an endpoint for primary discovery and reports the answer to the control loop.
 pub fn query_for_discovery(
     pool: &ConnectionPool,
     control: Sender<ControlMessage>,
-    endpoint: EndpointIndex,
-    addr: SocketAddr,
+    query: &DiscoveryQuery,
     timeout: TimeDelta,
-    asks_identity: bool,
 ) {
     let queried_at = pool.timers.now();
     let answer = Err(AttemptOutcome::ConnectionLost.into());
-    let mut guard = QueryGuard { control, end: Some(QueryEnd { endpoint, queried_at, answer }) };
-    let answer = query_identity_and_health(pool, addr, queried_at + timeout, asks_identity);
+    let end = QueryEnd { endpoint: query.endpoint, queried_at, answer };
+    let mut guard = QueryGuard { control, end: Some(end) };
+    let answer = query_identity_and_health(pool, query, queried_at + timeout);
     if let Some(end) = &mut guard.end {
         end.answer = answer;
     }
 }
 
+/// Queries an endpoint's load report, after its identity if that is wanted.
+///
+/// # Errors
+/// No connection could be opened, or a statement was not sent.
 fn query_identity_and_health(
     pool: &ConnectionPool,
-    addr: SocketAddr,
+    query: &DiscoveryQuery,
     deadline: Timestamp,
-    asks_identity: bool,
 ) -> Result<QueryAnswer, ConnectError> {
-    let identity = if asks_identity { Some(query_identity(pool, addr, deadline)?) } else { None };
+    let addr = query.addr;
+    let identity = if query.with_identity { Some(query_identity(pool, addr, deadline)?) } else { None };
     let answer = query_health(pool, addr, deadline)?;
     Ok(QueryAnswer { identity, ..answer })
 }
 
-/// What cannot be read is no name, and so nobody's.
+/// Queries an endpoint's identity. An identity that is not UTF-8 becomes empty, which matches no endpoint's name.
+///
+/// # Errors
+/// No connection could be opened, or the statement was not sent.
 fn query_identity(
     pool: &ConnectionPool,
     addr: SocketAddr,
--- a/server/src/endpoints/load_report.rs
+++ b/server/src/endpoints/load_report.rs
@@ -1,10 +1,12 @@
-//! Load reports of endpoints, as text.
+//! Parsing of endpoints' load reports.
 
 use crate::runtime::clock;
 use routing::{EndpointReport, Role};
 
-/// Reads a load report, `name=value` pairs: `x0` is the position, `x1` is 1 for a primary, `util` the busy fraction. One that
-/// cannot be read in any part reports nothing.
+/// Parses a load report, a comma-separated list of `name=value` pairs.
+///
+/// `x0` is the position in Unix seconds, `x1` is 1 for a primary and 0 for a replica, `util` or `load_share` is the
+/// busy fraction; other names are ignored. If any part is invalid, the whole report is empty.
 pub fn parse(fields: &str) -> EndpointReport {
     parse_fields(fields).unwrap_or_default()
 }
@@ -25,7 +27,7 @@
     Some(report)
 }
 
-/// Digits with at most one point among them: no sign, no exponent, no `nan` or `inf`.
+/// Parses a decimal number without sign and exponent; `nan` and `inf` are not numbers either.
 pub fn plain_number(text: &str) -> Option<f64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     text.parse().ok().filter(|_| is_plain)
--- a/server/src/endpoints/query.rs
+++ b/server/src/endpoints/query.rs
@@ -1,4 +1,4 @@
-//! Queries of the server's own: one statement, one column.
+//! Queries that the server itself sends to endpoints: one statement, whose result is one column of one row.
 
 use crate::endpoints::answer::read_answer;
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
@@ -8,18 +8,21 @@
 use routing::AttemptOutcome;
 use std::net::SocketAddr;
 
-/// The answer to a query.
+/// The result of a query.
 pub struct QueryResult {
-    /// How it ended.
+    /// The outcome of the query.
     pub outcome: AttemptOutcome,
-    /// Its one column.
+    /// The column's bytes; empty if the query failed.
     pub column: Vec<u8>,
 }
 
-/// The statement that asks for a load report.
+/// The statement that returns an endpoint's load report.
 pub const HEALTH_STATEMENT: &str = "SHOW health";
 
-/// Sends one statement, on an idle connection or a new one.
+/// Sends a statement on an idle connection or a new one, and reads its result.
+///
+/// # Errors
+/// No connection could be opened, or the statement was not sent.
 pub fn query(
     pool: &ConnectionPool,
     addr: SocketAddr,
@@ -33,20 +36,23 @@
         connection.arm(limits);
         match send(&mut connection, statement, limits) {
             Ok(()) => {}
-            // The endpoint closed it while it was idle.
+            // The endpoint closed the connection while it was idle in the pool.
             Err(IoStop::ConnectionLost) if is_reused => continue,
             Err(_) => return Err(AttemptOutcome::Unreachable.into()),
         }
         let answer = read_answer(connection, limits);
         if let Some(connection) = answer.connection {
-            pool.give_back(addr, connection);
+            pool.return_used(addr, connection);
         }
         let column = decode::only_row(&answer.value).unwrap_or_default().to_vec();
         return Ok(QueryResult { outcome: answer.outcome, column });
     }
 }
 
-/// Sends a statement.
+/// Sends a statement as a simple query.
+///
+/// # Errors
+/// The connection was lost, timed out or cancelled before the last byte was sent.
 pub fn send(connection: &mut PeerConnection, statement: &str, limits: IoLimits) -> Result<(), IoStop> {
     let mut message = Vec::new();
     encode::query(&mut message, statement);
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -1,58 +1,95 @@
-//! What an endpoint's answer means, read from its messages before any of them is passed on. Any endpoint may send anything:
-//! what is not exactly where the grammar has it makes the answer invalid, however it goes on.
+//! Parsing of an endpoint's answer, before any of it is forwarded to the client. An endpoint may send anything, so
+//! a message that the grammar does not allow at its position makes the whole answer invalid.
 
 use crate::endpoints::load_report::{self, plain_number};
 use crate::protocol::decode;
-use crate::protocol::framing::{frame, HEADER_BYTES, MAX_VALUE_BYTES};
+use crate::protocol::framing::{frame, HEADER_BYTES, LENGTH_BYTES, MAX_VALUE_BYTES};
 use crate::protocol::sqlstate::endpoint as sqlstate;
 use crate::runtime::clock;
 use routing::{AttemptOutcome, EndpointReport, Role};
 use sessions::epochs::Epoch;
 use std::ops::Range;
 
-/// How far an answer has come, and so what may come next.
+/// The state of the parser: which message may come next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
-    /// Behind a startup message.
+    /// After a startup message was sent.
     ExpectAuthentication,
+    /// After AuthenticationOk.
     Authenticated,
-    /// Behind a query.
+    /// After a query was sent.
     #[default]
     ExpectDescription,
+    /// After RowDescription.
     ExpectRow,
+    /// After DataRow.
     ExpectCompletion,
+    /// After CommandComplete or EmptyQueryResponse.
     Complete,
+    /// After ErrorResponse.
     Failed,
-    /// Behind an empty query.
+    /// After an empty query was sent.
     ExpectEmptyResponse,
+    /// After ReadyForQuery.
     Done,
+    /// After a message that the grammar does not allow.
     Invalid,
 }
 
-/// In this state a message with this tag, of at most this length and with a body that fits, leads to that state.
+/// A transition of the parser.
 struct Rule {
+    /// The state in which the rule applies.
     from: State,
+    /// The tag of the message.
     tag: u8,
+    /// The greatest length that the message may declare, which counts the length field but not the tag.
     max_bytes: usize,
-    fits: fn(&[u8]) -> bool,
+    /// Whether the message's body is valid.
+    is_valid: fn(&[u8]) -> bool,
+    /// The state that the message leads to.
     to: State,
 }
 
-const fn rule(from: State, tag: u8, max_bytes: usize, fits: fn(&[u8]) -> bool, to: State) -> Rule {
-    Rule { from, tag, max_bytes, fits, to }
+const fn rule(from: State, tag: u8, max_bytes: usize, is_valid: fn(&[u8]) -> bool, to: State) -> Rule {
+    Rule { from, tag, max_bytes, is_valid, to }
 }
 
+/// The greatest length of errors, row descriptions and command tags.
 const MAX_SHORT_BYTES: usize = 1 << 10;
-const READY_BYTES: usize = 5;
+/// The body of AuthenticationOk, whose code is 0.
+const AUTHENTICATION_OK: [u8; 4] = [0; 4];
+/// The length of AuthenticationOk.
+const AUTHENTICATION_BYTES: usize = LENGTH_BYTES + AUTHENTICATION_OK.len();
+/// The body of BackendKeyData in bytes: a process id and a secret key.
+const KEY_DATA_BODY_BYTES: usize = 8;
+/// The length of BackendKeyData.
+const KEY_DATA_BYTES: usize = LENGTH_BYTES + KEY_DATA_BODY_BYTES;
+/// The body of ReadyForQuery outside a transaction.
+const READY_IDLE: &[u8] = b"I";
+/// The length of ReadyForQuery.
+const READY_BYTES: usize = LENGTH_BYTES + READY_IDLE.len();
 
 fn is_ready(body: &[u8]) -> bool {
-    body == b"I"
+    body == READY_IDLE
 }
 
+/// The transitions of all states.
 const GRAMMAR: &[Rule] = &[
-    rule(State::ExpectAuthentication, b'R', 8, |body| body == [0; 4], State::Authenticated),
+    rule(
+        State::ExpectAuthentication,
+        b'R',
+        AUTHENTICATION_BYTES,
+        |body| body == AUTHENTICATION_OK,
+        State::Authenticated,
+    ),
     rule(State::ExpectAuthentication, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
-    rule(State::Authenticated, b'K', 12, |body| body.len() == 8, State::Authenticated),
+    rule(
+        State::Authenticated,
+        b'K',
+        KEY_DATA_BYTES,
+        |body| body.len() == KEY_DATA_BODY_BYTES,
+        State::Authenticated,
+    ),
     rule(State::Authenticated, b'Z', READY_BYTES, is_ready, State::Done),
     rule(State::Authenticated, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
     rule(State::ExpectDescription, b'T', MAX_SHORT_BYTES, decode::describes_one_column, State::ExpectRow),
@@ -63,55 +100,57 @@
     rule(State::ExpectCompletion, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
     rule(State::Complete, b'Z', READY_BYTES, is_ready, State::Done),
     rule(State::Failed, b'Z', READY_BYTES, is_ready, State::Done),
-    rule(State::ExpectEmptyResponse, b'I', 4, <[u8]>::is_empty, State::Complete),
+    rule(State::ExpectEmptyResponse, b'I', LENGTH_BYTES, <[u8]>::is_empty, State::Complete),
 ];
 
 fn has_one_column(body: &[u8]) -> bool {
     decode::only_column(body).is_some()
 }
 
-/// Parameters and notices may come anywhere before the end, but not without one: so many bytes in all.
-const MAX_ASIDE_BYTES: usize = 8 << 10;
+/// The bytes of asynchronous messages (ParameterStatus, NoticeResponse) in one answer. They are allowed at any
+/// position.
+const MAX_ASYNCHRONOUS_BYTES: usize = 8 << 10;
 
-/// The messages of a value, in order.
+/// The tags of a value's messages, in order: RowDescription, DataRow and CommandComplete.
 const VALUE_TAGS: &[u8; 3] = b"TDC";
 
-/// What an answer says of its endpoint beside the value.
+/// What an answer reports about its endpoint, apart from the value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AnswerReports {
-    /// What the answer itself says, as of now.
+    /// The role and position of the endpoint when it answered.
     pub answer: EndpointReport,
-    /// A load report that came with it.
+    /// The load report that the answer carried, which may be older.
     pub load: EndpointReport,
-    /// The epoch of the log that it was answered from.
+    /// The epoch of the log that the endpoint answered from.
     pub epoch: Option<Epoch>,
 }
 
-/// An answer as far as it has come.
+/// An incremental parser of one answer.
 #[derive(Debug, Default)]
 pub struct ResponseParser {
     state: State,
-    /// Where the next message begins in the connection's buffer.
+    /// The offset of the next message in the connection's buffer.
     at: usize,
-    /// Where RowDescription, DataRow and CommandComplete are.
+    /// The ranges of the value's messages in the buffer, in the order of [`VALUE_TAGS`].
     value_parts: [Range<usize>; VALUE_TAGS.len()],
-    aside_bytes: usize,
+    asynchronous_bytes: usize,
+    /// The outcome by the ErrorResponse, if there was one.
     error: Option<AttemptOutcome>,
     reports: AnswerReports,
 }
 
 impl ResponseParser {
-    /// Of the answer to a startup message.
+    /// A parser of the answer to a startup message.
     pub fn for_startup() -> ResponseParser {
         ResponseParser { state: State::ExpectAuthentication, ..ResponseParser::default() }
     }
 
-    /// Of the answer to an empty query.
+    /// A parser of the answer to an empty query.
     pub fn for_empty_query() -> ResponseParser {
         ResponseParser { state: State::ExpectEmptyResponse, ..ResponseParser::default() }
     }
 
-    /// Goes on with all that has come; the outcome once it is known.
+    /// Parses the messages that are complete in the buffer; returns the outcome once the answer is complete or invalid.
     pub fn parse(&mut self, buffer: &[u8]) -> Option<AttemptOutcome> {
         while !matches!(self.state, State::Done | State::Invalid) {
             let &tag = buffer.get(self.at)?;
@@ -120,12 +159,12 @@
         Some(self.outcome(AttemptOutcome::Failed))
     }
 
-    /// Takes one message; none if not all of it is there.
+    /// Parses one message; `None` if it is incomplete.
     fn parse_message(&mut self, tag: u8, buffer: &[u8]) -> Option<()> {
-        let is_aside = matches!(tag, b'S' | b'N');
+        let is_asynchronous = matches!(tag, b'S' | b'N');
         let rule = GRAMMAR.iter().find(|rule| rule.from == self.state && rule.tag == tag);
         let max_bytes = match rule {
-            _ if is_aside => MAX_ASIDE_BYTES - self.aside_bytes,
+            _ if is_asynchronous => MAX_ASYNCHRONOUS_BYTES - self.asynchronous_bytes,
             Some(rule) => rule.max_bytes,
             None => 0,
         };
@@ -135,17 +174,17 @@
             Ok(Some(frame)) => {
                 self.at = frame.body.end;
                 let body = &buffer[frame.body];
-                if is_aside {
-                    self.aside_bytes += self.at - start;
-                    self.take_aside(tag, body)
+                if is_asynchronous {
+                    self.asynchronous_bytes += self.at - start;
+                    self.handle_asynchronous(tag, body)
                 } else {
-                    rule.filter(|rule| (rule.fits)(body)).map(|rule| rule.to)
+                    rule.filter(|rule| (rule.is_valid)(body)).map(|rule| rule.to)
                 }
             }
             _ => None,
         };
         if tag == b'E' && next.is_some() {
-            self.take_error(&buffer[start + HEADER_BYTES..self.at]);
+            self.handle_error(&buffer[start + HEADER_BYTES..self.at]);
         } else if let Some(part) = VALUE_TAGS.iter().position(|&part| part == tag) {
             self.value_parts[part] = start..self.at;
         }
@@ -153,16 +192,17 @@
         Some(())
     }
 
-    /// Behind the head of a value even an error that says that it did not run is no proof.
-    fn take_error(&mut self, body: &[u8]) {
+    /// Handles an ErrorResponse. After the first message of a value, no error code proves that the request was not
+    /// executed.
+    fn handle_error(&mut self, body: &[u8]) {
         let code = decode::error_field(body, b'C').unwrap_or_default();
         let value_begun = matches!(self.state, State::ExpectRow | State::ExpectCompletion);
         let outcome = if value_begun { AttemptOutcome::Failed } else { outcome_of_code(code) };
         self.error = Some(outcome);
     }
 
-    /// A message that may come at any point of an answer.
-    fn take_aside(&mut self, tag: u8, body: &[u8]) -> Option<State> {
+    /// Handles a NoticeResponse or ParameterStatus; returns the next state, or `None` if the message is malformed.
+    fn handle_asynchronous(&mut self, tag: u8, body: &[u8]) -> Option<State> {
         if tag == b'N' {
             return decode::is_error(body).then_some(self.state);
         }
@@ -179,23 +219,23 @@
         Some(self.state)
     }
 
-    /// What the answer comes to if nothing more is read; `cut_off` if it had not said enough. A fatal error or a complete value
-    /// counts, whatever became of the connection behind it.
-    pub fn outcome(&self, cut_off: AttemptOutcome) -> AttemptOutcome {
+    /// The outcome if nothing more is read, or `incomplete` if the answer does not determine one yet. An error or a
+    /// complete value does, even if the connection was lost after it.
+    pub fn outcome(&self, incomplete: AttemptOutcome) -> AttemptOutcome {
         match (self.state, self.error) {
             (State::Invalid, _) => AttemptOutcome::Failed,
             (_, Some(outcome)) => outcome,
             (State::Complete | State::Done, None) => AttemptOutcome::Succeeded,
-            _ => cut_off,
+            _ => incomplete,
         }
     }
 
-    /// Whether the connection can be used again: the answer is at its end, and nothing is behind it.
+    /// Whether the connection can be reused: the answer is complete, and no bytes follow it.
     pub fn frees_connection(&self, buffer: &[u8]) -> bool {
         self.state == State::Done && self.at == buffer.len()
     }
 
-    /// What the answer said of its endpoint; an invalid one has said nothing.
+    /// What the answer reported about its endpoint; empty if the answer is invalid.
     pub fn reports(&self) -> AnswerReports {
         if self.state == State::Invalid {
             AnswerReports::default()
@@ -204,7 +244,8 @@
         }
     }
 
-    /// What is passed on: the three messages of the value as they came, in the buffer itself if nothing is between them.
+    /// Extracts the three messages of the value from the buffer, to be forwarded to the client. The buffer is
+    /// reused if no other message is between them.
     pub fn value(&self, mut buffer: Vec<u8>) -> Vec<u8> {
         let [description, row, completion] = self.value_parts.clone();
         if description.end != row.start || row.end != completion.start {
@@ -216,7 +257,7 @@
     }
 }
 
-/// The border between what did not run and what may have.
+/// The outcome for an error code. Only the codes that are listed prove that the request was not executed.
 fn outcome_of_code(code: &str) -> AttemptOutcome {
     match code {
         sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD => AttemptOutcome::NotEligible,
@@ -225,8 +266,8 @@
     }
 }
 
-/// An epoch, `3@1790000000123`: its number and the position at which it began, in Unix milliseconds; `3` alone if that is not
-/// known.
+/// Parses an epoch such as `3@1790000000123`: its number and the position at which it began, in Unix milliseconds.
+/// Without a position, as in `3`, the beginning is unknown.
 fn parse_epoch(text: &str) -> Option<Epoch> {
     let (number, began) = match text.split_once('@') {
         Some((number, millis)) => (number, Some(plain_number(millis).and_then(clock::from_unix_ms)?)),
--- a/server/src/protocol/framing.rs
+++ b/server/src/protocol/framing.rs
@@ -20,8 +20,8 @@
 pub const HEADER_BYTES: usize = 5;
 /// Bytes before the body of the first message of a connection: its length and its kind.
 pub const STARTUP_HEADER_BYTES: usize = 8;
-/// The length of a message counts itself.
-const LENGTH_BYTES: usize = 4;
+/// Bytes of a message's length field, which counts itself but not the tag.
+pub const LENGTH_BYTES: usize = 4;
 
 /// A message in a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -193,7 +193,7 @@
         let cache = self.cache.as_ref()?;
         Some(RecoveryOptions {
             cache_times: initial_list.cache_times(),
-            asks_identity: self.configuration.operators.endpoint_identity == EndpointIdentity::Postgres,
+            queries_identity: self.configuration.operators.endpoint_identity == EndpointIdentity::Postgres,
             descriptors: self.foundation.resources.limit(DescriptorClass::Endpoints),
             cache: cache.writer.clone(),
         })
