--- a/server/src/config/bootstrap.rs
+++ b/server/src/config/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The bootstrap file: what the platform tells an instance at its start, and again on SIGHUP.
+//! The bootstrap file, by which the platform configures an instance at its start, and again on SIGHUP.
 
 use crate::messages::endpoint_list::EndpointListUpdate;
 use host_support::bootstrap_config::BootstrapConfig;
@@ -15,10 +15,13 @@
 const NAME_VARIABLE: &str = "ROUTER_NAME";
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
-/// Keys that belong to one start: that they differ in a newer file changes no setting.
+/// The base of the seed's digits.
+const HEXADECIMAL: u32 = 16;
+/// Keys that may differ in a newer file without a warning: `discovery` is applied, `known` and `seed` are of use
+/// only at a start.
 const KEYS_OF_ONE_START: [&str; 3] = ["discovery", "known", "seed"];
 
-/// The file as it is written.
+/// The content of the file.
 #[derive(Deserialize)]
 struct BootstrapFile {
     #[serde(default)]
@@ -34,46 +37,51 @@
     settings: BootstrapConfig,
 }
 
-/// What the process may use.
+/// The number of descriptors that the process may open, unless the file sets one.
+const DEFAULT_DESCRIPTORS: usize = 1024;
+/// The memory in MiB that the process may use, unless the file sets one.
+const DEFAULT_MEMORY_MB: usize = 192;
+
+/// The resource limits of the process.
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct ProcessLimits {
-    /// Descriptors.
+    /// The number of descriptors.
     pub sockets: usize,
-    /// Memory, in MiB.
+    /// The memory in MiB.
     pub memory_mb: usize,
 }
 
 impl Default for ProcessLimits {
     fn default() -> ProcessLimits {
-        ProcessLimits { sockets: 1024, memory_mb: 192 }
+        ProcessLimits { sockets: DEFAULT_DESCRIPTORS, memory_mb: DEFAULT_MEMORY_MB }
     }
 }
 
-/// What an instance is told, checked.
+/// The validated settings of the bootstrap file and its environment variables.
 pub struct Bootstrap {
     /// The name of the instance.
     pub name: String,
-    /// Where it listens.
+    /// The address on which clients are accepted.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// For randomness.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// What the process may use.
+    /// The resource limits of the process.
     pub limits: ProcessLimits,
     /// An endpoint list from before the start.
     pub known_endpoints: Option<EndpointListUpdate>,
-    /// The deployment.
+    /// The settings of the deployment.
     pub config: BootstrapConfig,
-    /// The settings of the routing policy that follow from it.
+    /// The settings of the routing policy, derived from `config`.
     pub settings: RoutingSettings,
-    /// The keys that hold for the life of the process, as they are written.
+    /// The keys that cannot be changed at run time, with their values.
     fixed: Map<String, Value>,
 }
 
-/// When the file is read. A variable cannot be changed while the process runs, the file can: at a reload the file's address of
-/// discovery goes before the variable's.
+/// The occasion on which the file is read. On a reload, the file's address of discovery takes precedence over the
+/// environment variable, which cannot be changed while the process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadAt {
     /// At the start.
@@ -82,7 +90,7 @@
     Reload,
 }
 
-/// What is wrong with one key or variable.
+/// The fault of one key or variable.
 #[derive(Debug, Error)]
 enum Problem {
     #[error(transparent)]
@@ -97,48 +105,52 @@
     Settings(#[from] SettingsError),
 }
 
-/// What is wrong with a bootstrap file, or with the variables beside it.
+/// An error in the bootstrap file or its environment variables.
 #[derive(Debug, Error)]
 pub enum BootstrapError {
-    /// No variable names the file.
+    /// The variable with the file's path is not set.
     #[error("{CONFIG_VARIABLE}: not set")]
     NotSet,
     /// The file cannot be read.
     #[error("{CONFIG_VARIABLE}: {path}: {error}")]
     Io {
-        /// The file.
+        /// The path of the file.
         path: String,
         /// The system's error.
         error: std::io::Error,
     },
-    /// A variable is wrong.
+    /// A variable is invalid.
     #[error("{name}: {problem}")]
     Variable {
-        /// The variable.
+        /// The name of the variable.
         name: &'static str,
-        /// What is wrong.
+        /// The fault.
         problem: String,
     },
-    /// The file is wrong.
+    /// The file is invalid.
     #[error("{CONFIG_VARIABLE}: {path}: {location}{problem}")]
     Key {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The line and the key, each with a colon behind it, where they are known.
+        /// The line and the key, each followed by a colon, as far as they are known.
         location: String,
-        /// What is wrong.
+        /// The fault.
         problem: String,
     },
 }
 
-/// Where a value comes from.
+/// The source of a value.
 #[derive(Clone, Copy)]
 enum Source {
+    /// The file as a whole.
     File,
+    /// A key of the file.
     Key(&'static str),
+    /// An environment variable.
     Variable(&'static str),
 }
 
+/// A fault and its source.
 struct Fault {
     source: Source,
     problem: Problem,
@@ -149,6 +161,7 @@
         Fault { source, problem: problem.into() }
     }
 
+    /// Adds the path of the file, and the line of the key.
     fn locate(self, path: &str, text: &[u8]) -> BootstrapError {
         let problem = self.problem.to_string();
         let key = match self.source {
@@ -164,10 +177,10 @@
 }
 
 impl Bootstrap {
-    /// Reads the file that `ROUTER_CONFIG` names; `variable` looks up environment variables.
+    /// Reads the file whose path `ROUTER_CONFIG` holds; `variable` looks up environment variables.
     ///
     /// # Errors
-    /// All that is wrong with the file and the variables.
+    /// Every fault of the file and the variables.
     pub fn read(
         at: ReadAt,
         variable: impl Fn(&str) -> Option<String>,
@@ -193,7 +206,7 @@
         let listen = address(variable(LISTEN_VARIABLE), LISTEN_VARIABLE, "listen", file.listen);
         let discovery = variable(DISCOVERY_VARIABLE).filter(|_| at == ReadAt::Start);
         let discovery = address(discovery, DISCOVERY_VARIABLE, "discovery", file.discovery);
-        let seed = u64::from_str_radix(&file.seed, 16);
+        let seed = u64::from_str_radix(&file.seed, HEXADECIMAL);
         let seed = seed.map_err(|error| Fault::new(Source::Key("seed"), error));
         let settings = routing_settings(&file.settings);
         let settings = settings.map_err(|error| Fault::new(Source::Key("settings"), error));
@@ -219,14 +232,14 @@
         }
     }
 
-    /// The keys in which a newer file differs and which only a start can apply.
+    /// The keys that differ in a newer file and take effect only at a start.
     pub fn changed_keys(&self, newer: &Bootstrap) -> BTreeSet<String> {
         let keys = self.fixed.keys().chain(newer.fixed.keys());
         keys.filter(|key| self.fixed.get(*key) != newer.fixed.get(*key)).cloned().collect()
     }
 }
 
-/// An address from its variable, or from its key if the variable is not set.
+/// Parses an address from its variable, or from its key if the variable is not set.
 fn address(
     variable: Option<String>,
     name: &'static str,
@@ -240,7 +253,7 @@
     text.parse().map_err(|_| Fault::new(source, Problem::NoAddress(text)))
 }
 
-/// The line on which a key stands first, from 1.
+/// The line of the first occurrence of a key, counted from 1.
 fn line_of(text: &[u8], key: &str) -> Option<usize> {
     let quoted = format!("\"{key}\"");
     let start = text.windows(quoted.len()).position(|window| window == quoted.as_bytes())?;
--- a/server/src/config/mod.rs
+++ b/server/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What the server is told: the bootstrap file of the platform, and the operators' file.
+//! The configuration files: the platform's bootstrap file and the operators' file.
 
 pub mod bootstrap;
 pub mod operator_file;
--- a/server/src/config/operator_file.rs
+++ b/server/src/config/operator_file.rs
@@ -1,45 +1,46 @@
-//! The operators' file, read from disk. Without one, everything that it sets is off.
+//! Reading of the operators' file. Without one, all its features are off.
 
 use crate::runtime::log::LogStyle;
 use operator_config::{ConfigError, LogFormat, OperatorSettings};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
+/// The greatest length of an operators' file in bytes.
 const MAX_BYTES: u64 = 1 << 20;
 
 /// Why an operators' file cannot be used.
 #[derive(Debug, Error)]
 pub enum OperatorFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: {error}", path.display())]
     Io {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
         /// The system's error.
         error: std::io::Error,
     },
-    /// It is too long.
+    /// The file is too long.
     #[error("{}: {bytes} bytes, more than {MAX_BYTES}", path.display())]
     TooLong {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Its length.
+        /// The length of the file.
         bytes: u64,
     },
-    /// A line of it is wrong.
+    /// A line of the file is invalid.
     #[error("{}:{error}", path.display())]
     Line {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The line, and what is wrong with it.
+        /// The line and its fault.
         error: Box<ConfigError>,
     },
 }
 
-/// Reads the file, if there is one.
+/// Reads the operators' file; without a path, returns the default settings.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// The file cannot be read or is too long, or every fault of its lines.
 pub fn read(path: Option<&Path>) -> Result<OperatorSettings, Vec<OperatorFileError>> {
     let Some(path) = path else { return Ok(OperatorSettings::default()) };
     let text = read_text(path).map_err(|error| vec![error])?;
@@ -56,7 +57,7 @@
     std::fs::read_to_string(path).map_err(io_error)
 }
 
-/// How the log is written.
+/// The format and limits of the log.
 pub fn log_style(settings: &OperatorSettings) -> LogStyle {
     LogStyle {
         json: settings.log_format == LogFormat::Json,
--- a/server/src/protocol/framing.rs
+++ b/server/src/protocol/framing.rs
@@ -1,56 +1,66 @@
-//! Where messages begin and end.
+//! Framing: finding the boundaries of messages in a buffer.
 
 use std::ops::Range;
 use thiserror::Error;
 
-/// Values take up to 64 KiB by the operators' page, and were met with six times as many bytes: room for more than that, in hex
-/// digits if it comes in a statement. What all of them may take together is limited elsewhere.
+/// The greatest length of a client's message in bytes. By the operators' page values have up to 64 KiB, and six
+/// times as much was observed; a statement may contain a value in hexadecimal digits. The total of all buffers is
+/// limited by [`ResourceLimits`](crate::runtime::resource_limits::ResourceLimits).
 pub const MAX_QUERY_BYTES: usize = 1 << 20;
-/// The longest message of an endpoint.
+/// The greatest length of an endpoint's message in bytes.
 pub const MAX_VALUE_BYTES: usize = 4 << 20;
+/// The greatest length of a startup message in bytes, as in PostgreSQL.
 const MAX_STARTUP_BYTES: usize = 10_000;
 
+/// The major version of the protocol that is supported.
+const MAJOR_VERSION: u32 = 3;
+/// The bits of a protocol version that hold the minor version.
+const MINOR_VERSION_BITS: u32 = 16;
 /// Version 3.0 of the protocol.
-pub const VERSION_3: u32 = 196_608;
+pub const VERSION_3: u32 = MAJOR_VERSION << MINOR_VERSION_BITS;
+/// The code of CancelRequest, in place of a version.
 const CANCEL_REQUEST: u32 = 80_877_102;
+/// The code of SSLRequest, in place of a version.
 const SSL_REQUEST: u32 = 80_877_103;
+/// The code of GSSENCRequest, in place of a version.
 const GSSENC_REQUEST: u32 = 80_877_104;
 
 /// Bytes before the body of a tagged message: its tag and its length.
 pub const HEADER_BYTES: usize = 5;
-/// Bytes before the body of the first message of a connection: its length and its kind.
+/// Bytes before the body of a startup packet: its length and its version or request code.
 pub const STARTUP_HEADER_BYTES: usize = 8;
 /// Bytes of a message's length field, which counts itself but not the tag.
 pub const LENGTH_BYTES: usize = 4;
 
-/// A message in a buffer.
+/// A complete message in a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Its tag.
+    /// The tag of the message.
     pub tag: u8,
-    /// Where its body is.
+    /// The range of the message's body in the buffer.
     pub body: Range<usize>,
 }
 
-/// Why a message cannot be taken.
+/// Why a message is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// It is too long.
+    /// The message is longer than the limit.
     #[error("message too long")]
     TooLong,
-    /// It is none.
+    /// The bytes are not a message.
     #[error("malformed message")]
     Malformed,
 }
 
+/// Reads a big-endian number from the first bytes.
 fn read_u32(bytes: &[u8]) -> Option<u32> {
     Some(u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?))
 }
 
-/// The message that begins at `from`, once all of it is there.
+/// The message that begins at offset `from`; `None` if it is incomplete.
 ///
 /// # Errors
-/// It cannot be a message of at most `max_bytes`.
+/// The message's length is invalid, or greater than `max_bytes`.
 pub fn frame(bytes: &[u8], from: usize, max_bytes: usize) -> Result<Option<Frame>, FrameError> {
     let Some(header) = bytes.get(from..from + HEADER_BYTES) else { return Ok(None) };
     let Some(length) = read_u32(&header[1..]) else { return Ok(None) };
@@ -65,37 +75,37 @@
     Ok((body.end <= bytes.len()).then_some(Frame { tag: header[0], body }))
 }
 
-/// What the first message of a connection is.
+/// The kind of a startup packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupKind {
-    /// The start of a session, with this minor version of the protocol.
+    /// StartupMessage of protocol version 3.
     Session {
-        /// The minor version.
+        /// The minor version of the protocol.
         minor_version: u16,
     },
     /// SSLRequest or GSSENCRequest.
     Encryption,
-    /// A cancel request.
+    /// CancelRequest.
     Cancel,
-    /// Another version of the protocol.
+    /// StartupMessage of another major version of the protocol.
     OtherVersion,
 }
 
-/// The first message of a connection, which has no tag.
+/// A packet before the session has started. It has no tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartupPacket {
-    /// What it is.
+    /// The kind of the packet.
     pub kind: StartupKind,
-    /// Its length in bytes.
+    /// The length of the packet in bytes, including the header.
     pub length: usize,
 }
 
-/// The first message of a connection, once all of it is there.
+/// The startup packet at the beginning of `bytes`; `None` if it is incomplete.
 ///
 /// # Errors
-/// It cannot be one.
+/// The packet's length is invalid or too great.
 pub fn startup_packet(bytes: &[u8]) -> Result<Option<StartupPacket>, FrameError> {
-    let (Some(length), Some(kind)) = (read_u32(bytes), bytes.get(4..).and_then(read_u32)) else {
+    let (Some(length), Some(kind)) = (read_u32(bytes), bytes.get(LENGTH_BYTES..).and_then(read_u32)) else {
         return Ok(None);
     };
     let length = length as usize;
@@ -111,7 +121,9 @@
     let kind = match kind {
         SSL_REQUEST | GSSENC_REQUEST => StartupKind::Encryption,
         CANCEL_REQUEST => StartupKind::Cancel,
-        version if version >> 16 == 3 => StartupKind::Session { minor_version: version as u16 },
+        version if version >> MINOR_VERSION_BITS == MAJOR_VERSION => {
+            StartupKind::Session { minor_version: version as u16 }
+        }
         _ => StartupKind::OtherVersion,
     };
     Ok(Some(StartupPacket { kind, length }))
--- a/server/src/protocol/frontend_codec.rs
+++ b/server/src/protocol/frontend_codec.rs
@@ -1,12 +1,13 @@
-//! A client's bytes, split anywhere, become complete messages in their order. No socket is used here.
+//! An incremental decoder of a client's messages. It does no I/O, and accepts the bytes in pieces of any size.
 
 use crate::protocol::decode::{startup_parameters, StartupParameters};
 use crate::protocol::framing::{
-    frame, startup_packet, FrameError, StartupKind, HEADER_BYTES, MAX_QUERY_BYTES, STARTUP_HEADER_BYTES,
+    frame, startup_packet, FrameError, StartupKind, HEADER_BYTES, LENGTH_BYTES, MAX_QUERY_BYTES,
+    STARTUP_HEADER_BYTES,
 };
 use crate::protocol::sqlstate::{ClientError, SqlState};
 
-/// Small buffers are retained between the queries of a busy client, larger ones are not.
+/// A buffer of up to this size is kept between the queries of a busy client; a larger one is shrunk to it.
 const RETAINED_BUFFER_BYTES: usize = 1 << 12;
 
 /// A message of a client.
@@ -14,45 +15,49 @@
 pub enum FrontendMessage {
     /// SSLRequest or GSSENCRequest.
     EncryptionRequest,
-    /// The startup message of a session.
+    /// StartupMessage.
     Startup {
         /// The minor version of the protocol.
         minor_version: u16,
-        /// What else it says.
+        /// The parameters of the session.
         parameters: StartupParameters,
     },
-    /// A cancel request.
+    /// CancelRequest.
     CancelRequest,
-    /// The body of a simple query.
+    /// The body of a simple Query.
     Query(Vec<u8>),
     /// Sync.
     Sync,
     /// A message of the extended protocol, or a function call.
     Unsupported {
-        /// No Sync follows it.
+        /// The message is a function call, which is not followed by a Sync.
         standalone: bool,
     },
     /// Terminate.
     Terminate,
-    /// It cannot be taken, and nothing is taken behind it.
+    /// An invalid message, after which no others are decoded.
     Invalid(ClientError),
 }
 
+/// The phase of the connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Phase {
+    /// Before the StartupMessage.
     #[default]
     Startup,
+    /// In a session.
     Ready,
-    /// Behind a message of the extended protocol: everything up to a Sync is skipped.
+    /// After a message of the extended protocol: all messages before the next Sync are skipped.
     SkippingToSync,
+    /// After Terminate, CancelRequest or an invalid message: further bytes are discarded.
     Closed,
 }
 
-/// The bytes of one client that were read and not taken yet.
+/// The decoder of one client's messages, with the bytes that were not decoded yet.
 #[derive(Default)]
 pub struct FrontendCodec {
     bytes: Vec<u8>,
-    /// The next message begins here.
+    /// The offset of the next message.
     at: usize,
     phase: Phase,
 }
@@ -65,7 +70,7 @@
         }
     }
 
-    /// The next complete message.
+    /// Decodes the next message; `None` if it is incomplete.
     pub fn next_message(&mut self) -> Option<FrontendMessage> {
         let message = match self.phase {
             Phase::Closed => Ok(None),
@@ -86,6 +91,7 @@
         message
     }
 
+    /// Removes the decoded bytes, and shrinks a large buffer.
     fn compact(&mut self) {
         self.bytes.drain(..self.at);
         self.at = 0;
@@ -127,7 +133,7 @@
                     self.phase = Phase::SkippingToSync;
                     FrontendMessage::Unsupported { standalone: false }
                 }
-                // What is skipped, and the data of a copy that was not asked for.
+                // Skipped messages, and data of a COPY that was never started.
                 b'Q' | b'F' | b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'd' | b'c' | b'f' => continue,
                 _ => return Err(FrameError::Malformed),
             };
@@ -136,32 +142,34 @@
         Ok(None)
     }
 
-    /// How many bytes at the least are missing of the message that has begun; none if none has.
+    /// The least number of bytes that are missing of a partial message; 0 if there is none.
     pub fn missing_bytes(&self) -> usize {
         let rest = &self.bytes[self.at..];
-        let header_bytes = if self.phase == Phase::Startup { 4 } else { HEADER_BYTES };
+        // Up to the end of the length field; startup packets have no tag.
+        let header_bytes = if self.phase == Phase::Startup { LENGTH_BYTES } else { HEADER_BYTES };
         if rest.is_empty() || self.phase == Phase::Closed {
             return 0;
         }
-        let length = rest.get(header_bytes - 4..header_bytes).and_then(|bytes| bytes.try_into().ok());
+        let tag_bytes = header_bytes - LENGTH_BYTES;
+        let length = rest.get(tag_bytes..header_bytes).and_then(|bytes| bytes.try_into().ok());
         let message_bytes = match length.map(u32::from_be_bytes) {
-            Some(length) => header_bytes - 4 + length as usize,
+            Some(length) => tag_bytes + length as usize,
             None => header_bytes,
         };
         message_bytes.saturating_sub(rest.len()).max(1)
     }
 
-    /// Whether no message has begun.
+    /// Whether there are no undecoded bytes.
     pub fn is_empty(&self) -> bool {
         self.bytes.len() == self.at
     }
 
-    /// Bytes of its buffer.
+    /// The memory of the buffer in bytes.
     pub fn buffer_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 
-    /// Frees the buffer if there is nothing in it.
+    /// Frees the buffer if it has no undecoded bytes.
     pub fn free_buffer(&mut self) {
         if self.is_empty() {
             self.bytes = Vec::new();
@@ -170,6 +178,7 @@
     }
 }
 
+/// The error that a client is sent for an invalid message.
 fn invalid(error: FrameError) -> ClientError {
     match error {
         FrameError::TooLong => ClientError::new(SqlState::PROGRAM_LIMIT_EXCEEDED, "message too long"),
--- a/server/src/protocol/mod.rs
+++ b/server/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL's messages, version 3, as bytes in memory: nothing here reads or writes a socket.
+//! The PostgreSQL frontend/backend protocol, version 3: encoding and decoding of messages in memory, without I/O.
 
 pub mod decode;
 pub mod encode;
--- a/server/src/protocol/sqlstate.rs
+++ b/server/src/protocol/sqlstate.rs
@@ -1,5 +1,5 @@
-//! The SQLSTATEs that clients are told, and those of endpoints that mean something here. See PostgreSQL's documentation,
-//! appendix A; `ZG` is this project's own class.
+//! The SQLSTATEs that are sent to clients, and those of endpoints that the server interprets. See appendix A of
+//! PostgreSQL's documentation; class `ZG` is this project's own.
 
 use std::fmt;
 
@@ -8,40 +8,40 @@
 pub struct SqlState(&'static str);
 
 impl SqlState {
-    /// A message is malformed, or was begun and not ended.
+    /// A message is malformed, or was not completed in time.
     pub const PROTOCOL_VIOLATION: SqlState = SqlState("08P01");
-    /// Something that is not supported.
+    /// A feature of the protocol is not supported.
     pub const FEATURE_NOT_SUPPORTED: SqlState = SqlState("0A000");
     /// A position is out of range.
     pub const DATETIME_FIELD_OVERFLOW: SqlState = SqlState("22008");
     /// A statement is not UTF-8.
     pub const CHARACTER_NOT_IN_REPERTOIRE: SqlState = SqlState("22021");
-    /// What became of a write is not known.
+    /// The fate of a write is unknown.
     pub const STATEMENT_COMPLETION_UNKNOWN: SqlState = SqlState("40003");
-    /// The comment of a statement cannot be read.
+    /// The comment of a statement is invalid.
     pub const SYNTAX_ERROR: SqlState = SqlState("42601");
-    /// A method or group is not known.
+    /// A method or group is unknown.
     pub const UNDEFINED_OBJECT: SqlState = SqlState("42704");
-    /// An id is in use.
+    /// An id is in use by an open request or a recorded write.
     pub const DUPLICATE_OBJECT: SqlState = SqlState("42710");
-    /// There is no memory for buffers.
+    /// Buffer memory is used up.
     pub const OUT_OF_MEMORY: SqlState = SqlState("53200");
-    /// A connection or a request is rejected: it did not run, or may be sent again.
+    /// A connection or a request is rejected: it was not executed, or is safe to retry.
     pub const TOO_MANY_CONNECTIONS: SqlState = SqlState("53300");
     /// A message is too long.
     pub const PROGRAM_LIMIT_EXCEEDED: SqlState = SqlState("54000");
-    /// A request is aborted: it may have run.
+    /// A request is aborted: it may have been executed.
     pub const SYSTEM_ERROR: SqlState = SqlState("58000");
-    /// A fault of this program.
+    /// The server has a fault (a panic).
     pub const INTERNAL_ERROR: SqlState = SqlState("XX000");
-    /// What a session has seen is lost.
+    /// The position that a session has seen is lost.
     pub const SESSION_LOST: SqlState = SqlState("ZG001");
     /// A session's token is rejected.
     pub const TOKEN_REJECTED: SqlState = SqlState("ZG002");
     /// A session's token has expired.
     pub const TOKEN_EXPIRED: SqlState = SqlState("ZG003");
 
-    /// Its five characters.
+    /// The five characters of the code.
     pub const fn as_str(self) -> &'static str {
         self.0
     }
@@ -53,17 +53,17 @@
     }
 }
 
-/// SQLSTATEs by which an endpoint says that a request did not run.
+/// The SQLSTATEs of endpoints that prove that a request was not executed.
 pub mod endpoint {
-    /// It is not the primary.
+    /// The endpoint is not the primary.
     pub const READ_ONLY_SQL_TRANSACTION: &str = "25006";
-    /// Its data is too stale.
+    /// The endpoint's data is too stale.
     pub const SNAPSHOT_TOO_OLD: &str = "72000";
-    /// It is overloaded or draining.
+    /// The endpoint is overloaded or draining.
     pub const TOO_MANY_CONNECTIONS: &str = "53300";
 }
 
-/// What a client is told is wrong. Code and message are part of the wire.
+/// An error that is sent to a client. Code and message are part of the wire protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{code}: {message}")]
 pub struct ClientError {
@@ -74,7 +74,7 @@
 }
 
 impl ClientError {
-    /// An error with this code and message.
+    /// Creates an error with this code and message.
     pub const fn new(code: SqlState, message: &'static str) -> ClientError {
         ClientError { code, message }
     }
--- a/server/src/protocol/statement.rs
+++ b/server/src/protocol/statement.rs
@@ -1,56 +1,61 @@
-//! Statements of clients. What the operators' page words in its own way (`id`, `c`, `d`, `cluster`, `after`, `r`) is read here
-//! and nowhere else.
+//! Parsing of clients' statements. Only this module knows the names of the operators' page: `id`, `c`, `d`,
+//! `cluster`, `after` and `r`.
 
 use crate::protocol::sqlstate::{ClientError, SqlState};
 use std::ops::Range;
 
-/// The longest id that is kept for as long as its request is open.
+/// The longest id in bytes; ids are kept in memory while their requests are open.
 const MAX_ID_BYTES: usize = 64;
+/// The group of a comment without `cluster`, which is rejected as unknown.
+const NO_GROUP: i64 = -1;
+/// The commands that are acknowledged without effect.
+const COMMANDS_WITHOUT_EFFECT: [&str; 3] = ["SET", "RESET", "DISCARD"];
+/// The statement that queries the fate of a write.
 const FATE_STATEMENT: &str = "SHOW gingerwick.fate";
 const FATE_SYNTAX: &str = "a fate is asked for by /* fate=ID,at=ORIGIN */ SHOW gingerwick.fate";
 
-/// What the comment at the head of a statement says.
+/// The contents of the comment at the head of a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHeader<'a> {
-    /// `id`: names the request among the open ones of all clients.
+    /// `id`: the request's id, unique among the open requests of all clients.
     pub id: &'a str,
-    /// `c`: its method.
+    /// `c`: the name of the method.
     pub method: &'a str,
-    /// `cluster`: its group.
+    /// `cluster`: the number of the group.
     pub group: i64,
-    /// `d`: how long its client waits, in milliseconds.
+    /// `d`: the client's timeout in milliseconds.
     pub timeout_ms: i64,
-    /// Where the digits of `d` are in the statement.
+    /// The range of the digits of `d` in the statement.
     pub timeout_digits: Range<usize>,
-    /// `after`: the position of its session's last write, in Unix milliseconds.
+    /// `after`: the position of the session's last write, in Unix milliseconds.
     pub after_ms: Option<i64>,
-    /// `r`: its client sent it before.
+    /// `r`: the request is a retry by the client.
     pub is_retry: bool,
-    /// The first quoted text behind the comment.
+    /// The first quoted string after the comment.
     pub key: Option<&'a str>,
 }
 
 /// A client's statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement<'a> {
-    /// It is empty.
+    /// An empty statement.
     Empty,
-    /// It is answered by this command tag and has no effect.
+    /// A command without effect, answered by this command tag.
     NoEffect(&'static str),
-    /// It is to be routed.
+    /// A request to be routed.
     Request(RequestHeader<'a>),
-    /// It asks what became of a write.
+    /// A query for the fate of a write.
     QueryFate {
         /// The write's id.
         id: &'a str,
-        /// Where it was sent.
+        /// The origin of the write: the journal in which it was recorded.
         origin: Option<&'a str>,
     },
-    /// It cannot be taken.
+    /// An invalid statement.
     Invalid(ClientError),
 }
 
-/// Reads the body of a Query message, in place.
+/// Parses the body of a Query message without copying it.
 pub fn parse(body: &[u8]) -> Statement<'_> {
     let text = match text(body) {
         Ok(text) => text,
@@ -61,7 +66,8 @@
         return Statement::Empty;
     }
     let first = trimmed.split_ascii_whitespace().next().unwrap_or_default();
-    if let Some(command) = ["SET", "RESET", "DISCARD"].into_iter().find(|it| first.eq_ignore_ascii_case(it)) {
+    let mut commands = COMMANDS_WITHOUT_EFFECT.into_iter();
+    if let Some(command) = commands.find(|command| first.eq_ignore_ascii_case(command)) {
         return Statement::NoEffect(command);
     }
     if let Some(comment) = trimmed.strip_suffix(FATE_STATEMENT) {
@@ -76,6 +82,10 @@
     }
 }
 
+/// The text of a Query message's body.
+///
+/// # Errors
+/// The text is not UTF-8, or does not have exactly one zero byte, at its end.
 fn text(body: &[u8]) -> Result<&str, ClientError> {
     let violation = |message| ClientError::new(SqlState::PROTOCOL_VIOLATION, message);
     let Some((&0, bytes)) = body.split_last() else {
@@ -89,6 +99,7 @@
     Ok(text)
 }
 
+/// Parses the id and the origin in the comment of a fate query.
 fn fate_comment(comment: &str) -> Option<(&str, Option<&str>)> {
     let inner = comment.trim().strip_prefix("/*")?.strip_suffix("*/")?;
     let (mut id, mut origin) = (None, None);
@@ -106,25 +117,34 @@
     Some((id.filter(|id| is_id(id))?, origin))
 }
 
+/// Whether an id has a valid length and only printable ASCII characters.
 fn is_id(id: &str) -> bool {
     (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// Where the comment at the head of a statement is, without its delimiters.
+/// The range of the comment at the head of a statement, without its delimiters.
+///
+/// # Errors
+/// The message for the client, if there is no such comment.
 fn header_comment(text: &str) -> Result<Range<usize>, &'static str> {
     const NO_COMMENT: &str = "no comment at the head of the statement";
-    let open = text.find("/*").ok_or(NO_COMMENT)?;
+    const COMMENT_START: &str = "/*";
+    let open = text.find(COMMENT_START).ok_or(NO_COMMENT)?;
     if !text[..open].trim().is_empty() {
         return Err(NO_COMMENT);
     }
-    let start = open + 2;
+    let start = open + COMMENT_START.len();
     let length = text[start..].find("*/").ok_or("comment without an end")?;
     Ok(start..start + length)
 }
 
+/// Parses the comment at the head of a request.
+///
+/// # Errors
+/// The message for the client, if the comment is missing or invalid.
 fn request_header(text: &str) -> Result<RequestHeader<'_>, &'static str> {
     let comment = header_comment(text)?;
-    let mut header = RequestHeader { group: -1, ..RequestHeader::default() };
+    let mut header = RequestHeader { group: NO_GROUP, ..RequestHeader::default() };
     let mut seen = Vec::new();
     let mut at = comment.start;
     for pair in text[comment.clone()].split(',') {
@@ -144,6 +164,7 @@
 }
 
 impl<'a> RequestHeader<'a> {
+    /// Sets the field of a name; unknown names are ignored. `value_at` is the offset of the value in the statement.
     fn set(&mut self, name: &str, value: &'a str, value_at: usize) -> Result<(), &'static str> {
         match name {
             "id" => self.id = value,
@@ -161,6 +182,7 @@
         Ok(())
     }
 
+    /// Checks that the required fields are present and valid.
     fn check(&self) -> Result<(), &'static str> {
         if !is_id(self.id) {
             return Err("comment without a fit id");
@@ -175,7 +197,7 @@
     }
 }
 
-/// A number in plain digits: no sign, and none that does not fit.
+/// Parses a number in decimal digits without a sign; `None` if it is out of range.
 fn number(text: &str) -> Option<i64> {
     text.parse().ok().filter(|_| text.bytes().all(|byte| byte.is_ascii_digit()))
 }
