--- a/server/src/runtime/cancellation.rs
+++ b/server/src/runtime/cancellation.rs
@@ -1,18 +1,18 @@
-//! Cancellation of a coroutine's work: whoever cancels it never touches the socket that the coroutine waits for.
+//! Cancellation of a coroutine's work from another coroutine or thread, without access to the socket that it waits for.
 
 use may::coroutine::Coroutine;
 use may::io::WaitIoWaker;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// Cancels the work of one coroutine at a time.
+/// A token that cancels the work of one coroutine at a time.
 #[derive(Default)]
 pub struct CancellationToken {
     cancelled: AtomicBool,
     waiter: Mutex<Option<Waiter>>,
 }
 
-/// What is woken when the token is cancelled.
+/// What is woken up when the token is cancelled.
 enum Waiter {
     Socket(WaitIoWaker),
     Coroutine(Coroutine),
@@ -23,7 +23,7 @@
         self.waiter.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Cancels the work, and wakes whoever waits.
+    /// Cancels the work, and wakes up the coroutine that is registered.
     pub fn cancel(&self) {
         self.cancelled.store(true, Ordering::Release);
         match &*self.lock() {
@@ -38,12 +38,12 @@
         self.cancelled.load(Ordering::Acquire)
     }
 
-    /// Wakes the calling coroutine on cancellation; it is about to park.
+    /// Registers the calling coroutine, which is about to park, to be woken up on cancellation.
     pub fn wake_current_coroutine(&self) {
         *self.lock() = Some(Waiter::Coroutine(may::coroutine::current()));
     }
 
-    /// Wakes the coroutine that waits for a socket on cancellation.
+    /// Registers the coroutine that waits for a socket to be woken up on cancellation.
     pub fn wake_socket(&self, waker: WaitIoWaker) {
         *self.lock() = Some(Waiter::Socket(waker));
     }
--- a/server/src/runtime/clock.rs
+++ b/server/src/runtime/clock.rs
@@ -1,4 +1,4 @@
-//! Time: a monotonic clock set once by the wall clock, and timers that fire on a thread of their own.
+//! Time: a monotonic clock that is set once by the wall clock, and timers that fire on a separate thread.
 
 use crate::runtime::cancellation::CancellationToken;
 use routing::time::{TimeDelta, Timestamp};
@@ -10,13 +10,14 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
-/// Unix milliseconds beyond this are no times.
+const MILLIS_PER_SECOND: f64 = 1e3;
+/// Unix milliseconds from this on are invalid; in nanoseconds, they would come close to the range of an `i64`.
 const MAX_UNIX_MS: f64 = 9.0e12;
-/// How long the timer thread waits if no timer is set.
+/// The timer thread's wait if no timer is set; a new timer wakes it earlier.
 const IDLE_WAIT: Duration = Duration::from_secs(3600);
 
-/// The clock of the process. Timestamps are nanoseconds of Unix time; steps of the wall clock after the start do not move
-/// them.
+/// The clock of the process. Timestamps are nanoseconds of Unix time, unaffected by steps of the wall clock after
+/// the start.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started_at: Timestamp,
@@ -30,40 +31,46 @@
         Clock { started_at: Timestamp(unix.as_nanos() as i64), started: Instant::now() }
     }
 
-    /// The time.
+    /// The present time.
     pub fn now(&self) -> Timestamp {
         self.started_at + TimeDelta(self.started.elapsed().as_nanos() as i64)
     }
 }
 
-/// The wall clock as it stands, in Unix milliseconds.
+/// The present wall-clock time in Unix milliseconds.
 pub fn wall_ms() -> i64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64
 }
 
-/// A time in Unix milliseconds, as sockets carry it; none if it cannot be a time.
+/// Converts Unix milliseconds, as the wire protocol carries them; `None` if the value is out of range.
 pub fn from_unix_ms(millis: f64) -> Option<Timestamp> {
     let is_time = millis.is_finite() && millis > 0.0 && millis < MAX_UNIX_MS;
     is_time.then(|| Timestamp((millis as i64) * NANOS_PER_MILLI))
 }
 
-/// A time in Unix seconds with a fraction of whole milliseconds, as load reports carry it.
+/// Converts Unix seconds, as load reports carry them, rounded to milliseconds; `None` if the value is out of range.
 pub fn from_unix_s(secs: f64) -> Option<Timestamp> {
-    from_unix_ms((secs * 1e3).round())
+    from_unix_ms((secs * MILLIS_PER_SECOND).round())
 }
 
-/// A time difference as the standard library has it; negative ones are zero.
+/// Converts a time difference to a [`Duration`]; a negative one becomes zero.
 pub fn to_duration(delta: TimeDelta) -> Duration {
     Duration::from_nanos(delta.0.max(0) as u64)
 }
 
 type Callback = Box<dyn FnOnce() + Send>;
 
-/// Calls back at a time. Coroutines never sleep by their own runtime: that would resume them on its timer thread, beside the
-/// worker.
+/// A timer that was set.
+struct TimerRequest {
+    at: Timestamp,
+    callback: Callback,
+}
+
+/// The timers of the process. Coroutines sleep by these instead of the coroutine runtime's own timers, which would
+/// resume them on the runtime's timer thread, in parallel with the worker thread.
 pub struct Timers {
     clock: Clock,
-    requests: Mutex<Sender<(Timestamp, Callback)>>,
+    requests: Mutex<Sender<TimerRequest>>,
 }
 
 impl Timers {
@@ -74,15 +81,15 @@
         Timers { clock, requests: Mutex::new(requests) }
     }
 
-    /// The time.
+    /// The present time.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Calls back at a time, on the timer thread.
+    /// Runs a callback on the timer thread at a time. The callback must not block.
     pub fn call_at(&self, at: Timestamp, callback: impl FnOnce() + Send + 'static) {
         let requests = self.requests.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        let _ = requests.send((at, Box::new(callback)));
+        let _ = requests.send(TimerRequest { at, callback: Box::new(callback) });
     }
 
     /// Suspends the calling coroutine for a time.
@@ -102,13 +109,14 @@
     }
 }
 
-fn run_timers(clock: Clock, requests: &Receiver<(Timestamp, Callback)>) {
+/// The timer thread: runs callbacks in the order of their times, until the [`Timers`] are dropped.
+fn run_timers(clock: Clock, requests: &Receiver<TimerRequest>) {
     let mut due: BTreeMap<(Timestamp, u64), Callback> = BTreeMap::new();
     let mut serial = 0;
     loop {
         let wait = due.keys().next().map(|(at, _)| to_duration(*at - clock.now()));
         match requests.recv_timeout(wait.unwrap_or(IDLE_WAIT)) {
-            Ok((at, callback)) => {
+            Ok(TimerRequest { at, callback }) => {
                 serial += 1;
                 due.insert((at, serial), callback);
             }
@@ -117,7 +125,7 @@
         }
         let now = clock.now();
         while let Some(first) = due.first_entry().filter(|first| first.key().0 <= now) {
-            // Every timer depends on this thread: a panic of one callback must not end it.
+            // A panic in one callback must not end the thread, on which all other timers depend.
             let _ = catch_unwind(AssertUnwindSafe(first.remove()));
         }
     }
--- a/server/src/runtime/descriptors.rs
+++ b/server/src/runtime/descriptors.rs
@@ -1,12 +1,12 @@
-//! The machine's own limit of descriptors, and one that is held in reserve for when they run out all the same.
+//! The operating system's limit on descriptors, and a reserve descriptor for when they run out all the same.
 
 use crate::log;
 use admission::accept_backoff::AcceptError;
 use std::fs::File;
 use std::io::Error;
 
-/// The descriptors that the server may count on: as many as its settings say, or fewer if the process may not open so many
-/// even after its limit was raised as far as the machine allows.
+/// Raises the process's limit on descriptors to `wanted` if possible, and returns how many the process may open,
+/// `wanted` at most.
 pub fn available_descriptors(wanted: usize) -> usize {
     match rlimit::increase_nofile_limit(wanted as u64) {
         Ok(allowed) if allowed < wanted as u64 => {
@@ -21,13 +21,13 @@
     }
 }
 
-/// What hindered accept(2).
+/// Classifies an error of accept(2).
 pub fn accept_error(error: &Error) -> AcceptError {
     match error.raw_os_error() {
         Some(libc::EMFILE | libc::ENFILE) => AcceptError::NoDescriptor,
         Some(libc::ENOBUFS | libc::ENOMEM) => AcceptError::NoMemory,
         Some(libc::EINTR) => AcceptError::Interrupted,
-        // What accept(2) of Linux passes on of a connection that is over.
+        // Network errors of a connection that has ended already, which Linux's accept(2) returns.
         Some(
             libc::ECONNABORTED
             | libc::EPROTO
@@ -44,17 +44,19 @@
     }
 }
 
-/// One descriptor in reserve, so that a client that cannot be admitted is told so and not left in the accept queue.
+/// A descriptor in reserve. When the process has run out of descriptors, it is released to accept and reject a
+/// client, which would otherwise stay in the listen queue.
 #[derive(Default)]
 pub struct ReserveDescriptor(Option<File>);
 
 impl ReserveDescriptor {
-    /// Opens one.
+    /// Reserves a descriptor.
     pub fn open() -> ReserveDescriptor {
         ReserveDescriptor(File::open("/dev/null").ok())
     }
 
-    /// Closes it while `action` runs, and opens it again; it may have gone to something else meanwhile.
+    /// Releases the descriptor while `action` runs, and then reserves one again. That fails if another part of the
+    /// process has taken the descriptor meanwhile.
     pub fn release_during<T>(&mut self, action: impl FnOnce() -> T) -> T {
         self.0 = None;
         let result = action();
--- a/server/src/runtime/idle_clients.rs
+++ b/server/src/runtime/idle_clients.rs
@@ -1,38 +1,44 @@
-//! Idle clients, and which of them is asked to close if descriptors run short.
+//! The registry of idle clients, which selects the one to close when descriptors run short.
 
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A client's connection that can be asked to close.
+/// How long a client is not close_requested to close after it has connected, because it is about to send its first
+/// query.
+const NEW_CLIENT_GRACE: TimeDelta = TimeDelta::from_millis(100);
+/// How long a client is not close_requested to close after its last response, because it may send another query soon.
+const IDLE_CLIENT_GRACE: TimeDelta = TimeDelta::from_millis(2_000);
+
+/// A connection that can be close_requested to close.
 pub trait RequestClose: Send + Sync {
-    /// Asks it, once.
+    /// Requests the close of the connection.
     fn request_close(&self);
 }
 
-/// Which idle client is closed first if descriptors run short.
+/// The state of an idle client. Clients are closed in the order of the variants when descriptors run short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum IdleRank {
-    /// It is being closed already, and only has time to read what it was sent.
+    /// The connection is being closed, and the client has time to read its last responses.
     Closing,
-    /// It has not sent any request yet.
+    /// The client has not sent a query yet.
     NeverQueried,
-    /// Everything that it asked for was answered.
+    /// All queries of the client were answered.
     Idle,
 }
 
 impl IdleRank {
-    /// How long it is left alone: a client that has just connected is about to ask, one that was just answered may ask again.
+    /// The time for which a client is not close_requested to close after it has become idle.
     fn grace(self) -> TimeDelta {
         match self {
             IdleRank::Closing => TimeDelta::ZERO,
-            IdleRank::NeverQueried => TimeDelta::from_millis(100),
-            IdleRank::Idle => TimeDelta::from_millis(2_000),
+            IdleRank::NeverQueried => NEW_CLIENT_GRACE,
+            IdleRank::Idle => IDLE_CLIENT_GRACE,
         }
     }
 }
 
-/// The registration of an idle client, by which it is removed again.
+/// The registration of an idle client, needed to remove it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleRegistration {
     rank: IdleRank,
@@ -42,22 +48,23 @@
 struct IdleClient {
     since: Timestamp,
     connection: Arc<dyn RequestClose>,
-    /// Its class, if clients have classes.
+    /// The client class, if classes are configured.
     class: Option<Arc<str>>,
 }
 
-/// The idle clients.
+/// The registry of idle clients.
 #[derive(Default)]
 pub struct IdleClients {
-    /// Those that are closed first in front.
+    /// The idle clients, in the order in which they are closed.
     clients: BTreeMap<IdleRegistration, IdleClient>,
-    /// Those that were asked to close and have neither closed yet nor become busy.
-    asked: BTreeSet<u64>,
-    serial: u64,
+    /// The serial numbers of clients that were close_requested to close, and have neither closed nor become busy since.
+    close_requested: BTreeSet<u64>,
+    /// The serial number that was assigned last.
+    last_serial: u64,
 }
 
 impl IdleClients {
-    /// Registers a client that has nothing to do.
+    /// Registers a client that has become idle.
     pub fn register(
         &mut self,
         rank: IdleRank,
@@ -65,51 +72,52 @@
         connection: Arc<dyn RequestClose>,
         class: Option<Arc<str>>,
     ) -> IdleRegistration {
-        self.serial += 1;
-        let registration = IdleRegistration { rank, serial: self.serial };
+        self.last_serial += 1;
+        let registration = IdleRegistration { rank, serial: self.last_serial };
         self.clients.insert(registration, IdleClient { since, connection, class });
         registration
     }
 
-    /// The client has something to do, or is gone.
+    /// Removes a client that is busy again or has disconnected.
     pub fn unregister(&mut self, registration: IdleRegistration) {
         self.clients.remove(&registration);
-        self.asked.remove(&registration.serial);
+        self.close_requested.remove(&registration.serial);
     }
 
-    /// Asks one client that is being closed to close at once.
-    pub fn hurry_closing(&mut self, now: Timestamp) {
-        self.ask_first(now, |rank, _| rank == IdleRank::Closing);
+    /// Shortens the close of one client that is being closed.
+    pub fn expedite_closing(&mut self, now: Timestamp) {
+        self.request_first_close(now, |rank, _| rank == IdleRank::Closing);
     }
 
-    /// Asks the client to close that loses least by it.
+    /// Asks the first idle client to close.
     pub fn reclaim(&mut self, now: Timestamp) {
-        self.ask_first(now, |rank, _| rank != IdleRank::Closing);
+        self.request_first_close(now, |rank, _| rank != IdleRank::Closing);
     }
 
-    /// Asks the client of a class to close that loses least by it.
+    /// Asks the first idle client of a class to close.
     pub fn reclaim_of_class(&mut self, now: Timestamp, class: &str) {
         let is_of_class = |client: &IdleClient| client.class.as_deref() == Some(class);
-        self.ask_first(now, |rank, client| rank != IdleRank::Closing && is_of_class(client));
+        self.request_first_close(now, |rank, client| rank != IdleRank::Closing && is_of_class(client));
     }
 
-    /// Asks the first client to close that may be and was not asked yet.
-    fn ask_first(&mut self, now: Timestamp, may_close: impl Fn(IdleRank, &IdleClient) -> bool) {
+    /// Asks the first client to close that `may_close` allows, whose grace period has ended and that was not
+    /// close_requested yet.
+    fn request_first_close(&mut self, now: Timestamp, may_close: impl Fn(IdleRank, &IdleClient) -> bool) {
         let candidate = self.clients.iter().find(|(registration, client)| {
             may_close(registration.rank, client)
                 && now - client.since >= registration.rank.grace()
-                && !self.asked.contains(&registration.serial)
+                && !self.close_requested.contains(&registration.serial)
         });
         if let Some((registration, client)) = candidate {
-            self.asked.insert(registration.serial);
+            self.close_requested.insert(registration.serial);
             client.connection.request_close();
         }
     }
 
-    /// How many descriptors will be free shortly, since their clients are closing or were asked to.
+    /// The number of clients that are closing or were close_requested to close, whose descriptors will soon be free.
     pub fn closing(&self) -> usize {
         let is_closing = |registration: &&IdleRegistration| {
-            registration.rank == IdleRank::Closing || self.asked.contains(&registration.serial)
+            registration.rank == IdleRank::Closing || self.close_requested.contains(&registration.serial)
         };
         self.clients.keys().filter(is_closing).count()
     }
--- a/server/src/runtime/log.rs
+++ b/server/src/runtime/log.rs
@@ -1,5 +1,5 @@
-//! The log: events of `tracing`, as text or JSON lines on standard error, a few a second from each place in the code. A thread
-//! writes them, so that a reader of the log that stalls never stalls the worker.
+//! The log: `tracing` events as lines of text or JSON on standard error, rate-limited for each call site. A
+//! separate thread writes them, so that a slow reader of standard error never blocks the coroutine runtime.
 
 use std::fmt;
 use std::io::Write;
@@ -14,41 +14,53 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields, MakeWriter};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Lines a second from one place in the code; more would cost the worker time when everything fails alike.
-const MAX_LINES_PER_SECOND: u32 = 5;
+/// Lines from one call site in a [`RATE_WINDOW`]. Without a limit, a common failure would take much of the worker's
+/// time.
+const MAX_LINES_PER_WINDOW: u32 = 5;
+/// The window of the rate limit.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
+/// The timeout of a flush, at the end of the process.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How the log is written, from the operators' file.
+/// The format and limits of the log, from the operators' file.
 #[derive(Clone, Debug)]
 pub struct LogStyle {
-    /// As JSON.
+    /// Lines are JSON objects instead of text.
     pub json: bool,
     /// The least severe level that is written.
     pub level: Level,
-    /// Bytes that wait for the writer at most; what comes beyond is dropped.
+    /// The limit on bytes that wait for the writer; further lines are dropped.
     pub max_queued_bytes: usize,
 }
 
-/// The limit on lines from one place in the code.
-pub struct RateLimit(Mutex<Option<(Instant, u32)>>);
+/// The lines of one call site in the present window.
+#[derive(Clone, Copy)]
+struct RateWindow {
+    started: Instant,
+    /// The lines that were requested, dropped ones included.
+    lines: u32,
+}
+
+/// The limit on lines from one call site.
+pub struct RateLimit(Mutex<Option<RateWindow>>);
 
 impl RateLimit {
-    /// A limit that no line has used yet.
+    /// Creates an unused limit.
     pub const fn new() -> RateLimit {
         RateLimit(Mutex::new(None))
     }
 
-    /// How many lines were dropped before this one, if this one may be written.
+    /// Counts a line. If it may be written, returns the number of lines that were dropped in the window before.
     pub fn admit(&self) -> Option<u32> {
-        let mut state = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        match &mut *state {
-            Some((since, written)) if since.elapsed() < Duration::from_secs(1) => {
-                *written += 1;
-                (*written <= MAX_LINES_PER_SECOND).then_some(0)
+        let mut window = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        match &mut *window {
+            Some(present) if present.started.elapsed() < RATE_WINDOW => {
+                present.lines += 1;
+                (present.lines <= MAX_LINES_PER_WINDOW).then_some(0)
             }
-            state => {
-                let dropped = state.map_or(0, |(_, written)| written.saturating_sub(MAX_LINES_PER_SECOND));
-                *state = Some((Instant::now(), 1));
+            window => {
+                let dropped = window.map_or(0, |last| last.lines.saturating_sub(MAX_LINES_PER_WINDOW));
+                *window = Some(RateWindow { started: Instant::now(), lines: 1 });
                 Some(dropped)
             }
         }
@@ -61,12 +73,15 @@
     }
 }
 
+/// An entry of the writer thread's queue.
 enum Entry {
+    /// A line to write.
     Line(Vec<u8>),
+    /// Closes the channel once all lines before it were written.
     Flush(SyncSender<()>),
 }
 
-/// The queue to the thread that writes.
+/// The queue of the writer thread.
 struct Queue {
     entries: Mutex<Sender<Entry>>,
     max_bytes: usize,
@@ -93,6 +108,7 @@
         Queue { entries: Mutex::new(sender), max_bytes }
     }
 
+    /// Queues a line, or drops it if the queue is full.
     fn put(&self, line: Vec<u8>) {
         let bytes = line.len();
         if QUEUED_BYTES.fetch_add(bytes, Ordering::AcqRel) + bytes > self.max_bytes {
@@ -107,7 +123,7 @@
     }
 }
 
-/// Collects one event's bytes and queues them when it is dropped.
+/// The bytes of one event, queued when it is dropped.
 pub struct Line(Vec<u8>);
 
 impl Write for Line {
@@ -139,9 +155,10 @@
     }
 }
 
-/// `gingerwick: message (3 dropped) request_id=7 endpoint=s-1`
+/// The text format: `gingerwick: message (3 dropped) request_id=7 endpoint=s-1`.
 struct TextFormat;
 
+/// Collects the parts of a line of text from an event's fields.
 #[derive(Default)]
 struct TextVisitor {
     message: String,
@@ -185,11 +202,11 @@
     }
 }
 
-/// Starts the log, once per process. Before that nothing is written.
+/// Starts the log. Before that, nothing is written; later calls have no effect.
 pub fn start(style: &LogStyle) {
     QUEUE.get_or_init(|| Queue::start(style.max_queued_bytes));
     let fmt = tracing_subscriber::fmt().with_max_level(style.level).with_writer(QueueWriter).with_ansi(false);
-    // A second call finds the first one's in place: that one stays.
+    // Fails on a second call, in which case the first subscriber stays.
     let _ = if style.json {
         tracing::subscriber::set_global_default(fmt.json().flatten_event(true).finish())
     } else {
@@ -197,7 +214,7 @@
     };
 }
 
-/// Waits a short time for what was logged to be written, before the process ends.
+/// Waits until all queued lines were written, [`FLUSH_TIMEOUT`] at most. Called before the process exits.
 pub fn flush() {
     let Some(queue) = QUEUE.get() else { return };
     let (done, written) = sync_channel(0);
@@ -205,7 +222,7 @@
     let _ = written.recv_timeout(FLUSH_TIMEOUT);
 }
 
-/// Logs an event, `log!(INFO, request_id = 7; "message")`; from one place in the code five a second at most.
+/// Logs an event, as in `log!(INFO, request_id = 7; "message")`, at most five a second from each call site.
 #[macro_export]
 macro_rules! log {
     ($level:ident $(, $field:ident = $value:expr)*; $($message:tt)*) => {{
--- a/server/src/runtime/mod.rs
+++ b/server/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! What everything else stands on: time, coroutines, cancellation, resources, the log and metrics.
+//! The runtime that all other layers use: time, coroutines, cancellation, resource limits, the log and metrics.
 
 pub mod cancellation;
 pub mod clock;
--- a/server/src/runtime/resource_limits.rs
+++ b/server/src/runtime/resource_limits.rs
@@ -1,5 +1,5 @@
-//! The limits on descriptors and on memory in buffers: a descriptor is acquired before every socket is opened and given back
-//! when it is dropped, and every buffer is charged.
+//! The limits on descriptors and buffer memory. A descriptor is acquired before a socket is opened, and released
+//! when it is dropped; the memory of every buffer is charged.
 
 use crate::runtime::idle_clients::{IdleClients, IdleRank, IdleRegistration, RequestClose};
 use routing::time::Timestamp;
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What a descriptor is for. Each has a limit of its own.
+/// The use of a descriptor. Each class has its own limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptorClass {
     /// Connections of clients.
@@ -17,39 +17,61 @@
     Endpoints,
     /// Connections to discovery.
     Discovery,
-    /// Connections of clients that are told why they are rejected.
+    /// Connections of clients that are sent the reason for their rejection.
     RejectedClients,
 }
 
-/// Descriptors of the process's own: standard streams, the listener, the event loop's, the signal pipe.
+/// Descriptors of the process itself: standard streams, the listener, the event loop, the signal pipe.
 const PROCESS_DESCRIPTORS: usize = 24;
+/// Descriptors for connections to discovery.
 const DISCOVERY_DESCRIPTORS: usize = 4;
+/// The number of descriptor classes.
 const CLASSES: usize = 4;
-/// Clients beyond their limit: one in so many of all descriptors, and this many at the least.
-const OVERFLOW_SHARE: usize = 16;
+/// The overflow descriptors for clients are this fraction of all descriptors.
+const OVERFLOW_DIVISOR: usize = 16;
+/// The least number of overflow descriptors.
 const MIN_OVERFLOW: usize = 16;
-/// Idle clients are asked to close once fewer than one in so many of the clients' descriptors are free.
-const RECLAIM_SHARE: usize = 16;
+/// Idle clients are asked to close once less than this fraction of the clients' descriptors is free.
+const RECLAIM_DIVISOR: usize = 16;
+/// The least number of descriptors for clients and endpoints together: one of each.
+const MIN_SHARED: usize = 2;
+/// Two fifths of the shared descriptors are for endpoints. A request in flight uses one of each kind, while waiting
+/// requests and idle clients use only the client's.
+const ENDPOINT_SHARE_NUMERATOR: usize = 2;
+/// The denominator of [`ENDPOINT_SHARE_NUMERATOR`].
+const ENDPOINT_SHARE_DENOMINATOR: usize = 5;
+/// One endpoint may use at most this fraction of the endpoints' descriptors, so that one that does not respond
+/// cannot exhaust them.
+const PER_ENDPOINT_DIVISOR: usize = 2;
+/// Memory is short once buffers use more than this fraction of it; the rest is for stacks and everything else.
+const SHORT_MEMORY_DIVISOR: usize = 3;
+/// Memory is critical once buffers use more than this fraction of it.
+const CRITICAL_MEMORY_DIVISOR: usize = 2;
 
+/// The descriptors in use.
 #[derive(Default)]
 struct State {
+    /// By class.
     in_use: [usize; CLASSES],
     /// Descriptors for endpoints, by address.
     by_endpoint: HashMap<SocketAddr, usize>,
     idle: IdleClients,
 }
 
-/// The limits, and what of them is in use.
+/// The limits on descriptors and buffer memory, and their use.
 pub struct ResourceLimits {
+    /// The limits on descriptors, by class.
     limits: [usize; CLASSES],
-    /// Clients accepted beyond their limit: each in place of one that was asked to close, or to be told that it is rejected.
+    /// Descriptors for clients beyond their limit. Such a client either replaces one that was asked to close, or is
+    /// rejected.
     overflow: usize,
+    /// The memory of the process in bytes.
     memory: usize,
     buffer_bytes: AtomicUsize,
     state: Mutex<State>,
 }
 
-/// One descriptor; its drop gives it back.
+/// The permission to use one descriptor, released when it is dropped.
 pub struct Descriptor {
     limits: Arc<ResourceLimits>,
     class: DescriptorClass,
@@ -57,14 +79,14 @@
 }
 
 impl Descriptor {
-    /// The charge of a buffer of its connection.
+    /// Creates a charge, of 0 bytes, for a buffer of the descriptor's connection.
     pub fn buffer_charge(&self) -> BufferCharge {
         self.limits.buffer_charge()
     }
 
-    /// Whether buffers take more than half of the memory.
+    /// Whether buffers use more than half of the memory.
     pub fn is_memory_critical(&self) -> bool {
-        self.limits.buffer_bytes() > self.limits.memory / 2
+        self.limits.buffer_bytes() > self.limits.memory / CRITICAL_MEMORY_DIVISOR
     }
 }
 
@@ -83,14 +105,14 @@
     }
 }
 
-/// The memory of some buffers; its drop gives it back.
+/// The charge for the memory of some buffers, released when it is dropped.
 pub struct BufferCharge {
     limits: Arc<ResourceLimits>,
     bytes: usize,
 }
 
 impl BufferCharge {
-    /// Changes it to so many bytes.
+    /// Sets the charge to `bytes`.
     pub fn set(&mut self, bytes: usize) {
         self.limits.buffer_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.limits.buffer_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
@@ -108,19 +130,19 @@
 pub struct ClientDescriptor {
     /// The descriptor.
     pub descriptor: Descriptor,
-    /// The client may stay; otherwise it is beyond the limit, to be told that it is rejected.
+    /// The client is served; if false, the descriptor is an overflow one, and the client must be rejected.
     pub admitted: bool,
 }
 
 impl ResourceLimits {
-    /// `rejects_clients`: some descriptors are set aside for clients that are told why they are rejected. `memory` is in bytes.
+    /// Divides the descriptors of the process between the classes. `memory` is in bytes; `rejects_clients` reserves
+    /// descriptors for clients that admission control rejects.
     pub fn new(descriptors: usize, memory: usize, rejects_clients: bool) -> Arc<ResourceLimits> {
-        let overflow = (descriptors / OVERFLOW_SHARE).max(MIN_OVERFLOW);
+        let overflow = (descriptors / OVERFLOW_DIVISOR).max(MIN_OVERFLOW);
         let rejected = if rejects_clients { overflow } else { 0 };
         let reserved = PROCESS_DESCRIPTORS + overflow + rejected + DISCOVERY_DESCRIPTORS;
-        let shared = descriptors.saturating_sub(reserved).max(2);
-        // A request in flight takes one of both kinds; waiting requests and idle clients take a client's alone.
-        let endpoints = (shared * 2 / 5).max(1);
+        let shared = descriptors.saturating_sub(reserved).max(MIN_SHARED);
+        let endpoints = (shared * ENDPOINT_SHARE_NUMERATOR / ENDPOINT_SHARE_DENOMINATOR).max(1);
         Arc::new(ResourceLimits {
             limits: [shared - endpoints, endpoints, DISCOVERY_DESCRIPTORS, rejected],
             overflow,
@@ -138,7 +160,7 @@
         Descriptor { limits: self.clone(), class, endpoint }
     }
 
-    /// Acquires a descriptor; none if its class is at its limit.
+    /// Acquires a descriptor; `None` if its class is at its limit.
     pub fn acquire(self: &Arc<Self>, class: DescriptorClass) -> Option<Descriptor> {
         let in_use = &mut self.lock().in_use[class as usize];
         if *in_use >= self.limit(class) {
@@ -148,9 +170,9 @@
         Some(self.descriptor(class, None))
     }
 
-    /// Acquires one for a connection to an endpoint. A single endpoint, silent perhaps, gets half of the limit at most.
+    /// Acquires a descriptor for a connection to an endpoint; `None` if the class or the endpoint is at its limit.
     pub fn acquire_for_endpoint(self: &Arc<Self>, addr: SocketAddr) -> Option<Descriptor> {
-        let max_per_endpoint = self.limit(DescriptorClass::Endpoints).div_ceil(2);
+        let max_per_endpoint = self.limit(DescriptorClass::Endpoints).div_ceil(PER_ENDPOINT_DIVISOR);
         if self.lock().by_endpoint.get(&addr).is_some_and(|in_use| *in_use >= max_per_endpoint) {
             return None;
         }
@@ -160,16 +182,18 @@
         Some(descriptor)
     }
 
-    /// Acquires one for a client. If few are left, the idle clients that lose least are asked to close, one for each that
-    /// comes; if there is none, the client gets one beyond the limit, to be told so.
+    /// Acquires a descriptor for a new client; `None` if even the overflow descriptors are in use.
+    ///
+    /// If few descriptors are left, one idle client is asked to close for each new one. If the limit is exceeded by
+    /// more than the clients that are closing, the new client gets an overflow descriptor and must be rejected.
     pub fn acquire_for_client(self: &Arc<Self>, now: Timestamp) -> Option<ClientDescriptor> {
         let limit = self.limit(DescriptorClass::Clients);
         let mut state = self.lock();
         let in_use = state.in_use[DescriptorClass::Clients as usize];
         let mut admitted = true;
-        if in_use + limit / RECLAIM_SHARE >= limit {
-            // A client that is being closed is told to hurry; its place is counted as free already.
-            state.idle.hurry_closing(now);
+        if in_use + limit / RECLAIM_DIVISOR >= limit {
+            // A client that is being closed counts as closed below, so its close is expedited.
+            state.idle.expedite_closing(now);
             if in_use >= limit + self.overflow {
                 return None;
             }
@@ -186,37 +210,37 @@
         self.lock().idle.reclaim_of_class(now, class);
     }
 
-    /// The limit of a class.
+    /// The limit on the descriptors of a class.
     pub fn limit(&self, class: DescriptorClass) -> usize {
         self.limits[class as usize]
     }
 
-    /// Descriptors of a class that are in use.
+    /// The number of descriptors of a class in use.
     pub fn in_use(&self, class: DescriptorClass) -> usize {
         self.lock().in_use[class as usize]
     }
 
-    /// The charge of a buffer, of no bytes yet.
+    /// Creates a charge of 0 bytes.
     pub fn buffer_charge(self: &Arc<Self>) -> BufferCharge {
         BufferCharge { limits: self.clone(), bytes: 0 }
     }
 
-    /// Whether buffers take more than a third of the memory: stacks and everything else share the rest.
+    /// Whether buffers use more than a third of the memory.
     pub fn is_memory_short(&self) -> bool {
         self.buffer_bytes() > self.max_buffer_bytes()
     }
 
-    /// Bytes in buffers.
+    /// The bytes that all buffers use.
     pub fn buffer_bytes(&self) -> usize {
         self.buffer_bytes.load(Ordering::Relaxed)
     }
 
-    /// Beyond so many bytes in buffers memory is short.
+    /// The bytes that buffers may use before memory is short.
     pub fn max_buffer_bytes(&self) -> usize {
-        self.memory / 3
+        self.memory / SHORT_MEMORY_DIVISOR
     }
 
-    /// Registers a client that has nothing to do.
+    /// Registers a client that has become idle.
     pub fn register_idle(
         &self,
         rank: IdleRank,
@@ -227,7 +251,7 @@
         self.lock().idle.register(rank, since, connection, class)
     }
 
-    /// The client has something to do, or is gone.
+    /// Removes the registration of a client that is busy again or has disconnected.
     pub fn unregister_idle(&self, registration: IdleRegistration) {
         self.lock().idle.unregister(registration);
     }
--- a/server/src/runtime/tasks.rs
+++ b/server/src/runtime/tasks.rs
@@ -1,21 +1,23 @@
-//! Starting coroutines, and how much stack each kind gets.
+//! Spawning of coroutines, and their stack sizes.
 
-/// The stack of a coroutine; `docs/design.md` has what was measured.
+/// The stack size of a coroutine for one connection, attempt or health check; `docs/design.md` has the measurements.
 pub const STACK_BYTES: usize = 64 << 10;
+/// The stack size of a coroutine that lives as long as the process.
 const LONG_LIVED_STACK_BYTES: usize = 256 << 10;
 
-/// A stack's size in the unit of `may`, the size of a pointer.
+/// Converts a stack size to the unit of `may`, the size of a pointer.
 pub const fn stack_size(bytes: usize) -> usize {
     bytes / size_of::<usize>()
 }
 
-/// Starts a coroutine for one connection, attempt or health check.
+/// Spawns a coroutine for one connection, attempt or health check.
 pub fn spawn(task: impl FnOnce() + Send + 'static) {
     // SAFETY: no thread-local state is held across a switch, and the stack is sized by measurement.
     unsafe { may::coroutine::spawn(task) };
 }
 
-/// Starts one of the few coroutines that live as long as the process: the policy and the list's parser need more stack.
+/// Spawns one of the few coroutines that live as long as the process. The routing policy and the parser of the
+/// endpoint list need a larger stack.
 ///
 /// # Errors
 /// There is no memory for its stack.
--- a/server/src/startup/configuration.rs
+++ b/server/src/startup/configuration.rs
@@ -1,4 +1,5 @@
-//! Everything that a start is told, read and checked as a whole.
+//! The configuration of a start: the bootstrap file, the operators' file and the session keys, read and validated
+//! together.
 
 use crate::clients::session_tokens::read_keys;
 use crate::config::bootstrap::{Bootstrap, BootstrapError, ReadAt};
@@ -8,22 +9,22 @@
 use sessions::token::Keys;
 use std::path::{Path, PathBuf};
 
-/// What a start is told.
+/// The configuration of a start.
 pub struct Configuration {
-    /// Where the operators' file is, if there is one.
+    /// The path of the operators' file, if there is one.
     pub operator_file: Option<PathBuf>,
-    /// The bootstrap file.
+    /// The settings of the bootstrap file.
     pub bootstrap: Bootstrap,
-    /// The operators' file.
+    /// The settings of the operators' file.
     pub operators: OperatorSettings,
-    /// The keys of session tokens, if clients may carry their sessions.
+    /// The keys of session tokens, if a key file is configured.
     pub session_keys: Option<Keys>,
 }
 
-/// Reads the bootstrap file that the environment names.
+/// Reads the bootstrap file whose path is in the environment.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// Every fault of the file and of the variables.
 pub fn read_bootstrap(at: ReadAt) -> Result<Bootstrap, Vec<BootstrapError>> {
     Bootstrap::read(at, |name| std::env::var(name).ok())
 }
@@ -31,16 +32,16 @@
 /// Reads the keys of session tokens.
 ///
 /// # Errors
-/// What is wrong with their file, as a line that names its keyword.
+/// The fault of the file, as a line that starts with the keyword `session-keys`.
 pub fn read_session_keys(path: &Path) -> Result<Keys, String> {
     read_keys(path).map_err(|error| format!("session-keys: {error}"))
 }
 
 impl Configuration {
-    /// Reads all files.
+    /// Reads all configuration files.
     ///
     /// # Errors
-    /// All that is wrong with them.
+    /// Every fault of the bootstrap file and the operators' file together, or that of the key file.
     pub fn read(operator_file: Option<PathBuf>) -> Result<Configuration, Failure> {
         let bootstrap = read_bootstrap(ReadAt::Start);
         let operators = operator_file::read(operator_file.as_deref());
@@ -57,7 +58,8 @@
         Ok(Configuration { operator_file, bootstrap, operators, session_keys })
     }
 
-    /// Whether operators run this instance by a file of their own. Without one the platform has seen to the machine's limits.
+    /// Whether the instance has an operators' file. Without one, the platform has set the process's resource limits
+    /// already.
     pub fn has_operator_file(&self) -> bool {
         self.operator_file.is_some()
     }
--- a/server/src/startup/foundation.rs
+++ b/server/src/startup/foundation.rs
@@ -1,4 +1,4 @@
-//! What all parts of the server stand on: timers, resource limits, counters and admission control.
+//! The shared services of the server, which are created first: timers, resource limits, counters and admission control.
 
 use crate::admin::socket;
 use crate::clients::admission_control::{AdmissionControl, ClassSettings};
@@ -16,33 +16,40 @@
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::sync::Arc;
 
-/// Coroutines whose stacks are kept for others.
+/// The number of finished coroutines whose stacks are kept for reuse.
 const POOLED_COROUTINES: usize = 64;
+/// Worker threads of the coroutine runtime: with one, coroutines never run in parallel.
+const WORKERS: usize = 1;
+/// A MiB is 1 shifted left by this.
 const BYTES_PER_MIB_SHIFT: u32 = 20;
 
-/// What all parts use.
+/// The services that all parts of the server share.
 pub struct Foundation {
+    /// The timers of the process.
     pub timers: Arc<Timers>,
+    /// The limits on descriptors and buffer memory.
     pub resources: Arc<ResourceLimits>,
+    /// The counters of the process.
     pub metrics: Arc<Metrics>,
-    /// Renders what is counted, if operators can ask for it.
+    /// Renders the counters for the admin socket, if there is one.
     pub recorder: Option<PrometheusHandle>,
+    /// Admission control, if client classes are configured.
     pub admission: Option<Arc<AdmissionControl>>,
-    /// The names of the methods.
+    /// The names of the methods, by index.
     pub methods: Vec<String>,
 }
 
 impl Foundation {
-    /// Sets up the coroutine runtime and what goes with it.
+    /// Configures the coroutine runtime and creates the shared services.
     ///
     /// # Errors
-    /// The settings contradict the machine's limits.
+    /// The client classes are invalid, or the recorder of the counters could not be installed.
     pub fn new(clock: Clock, configuration: &Configuration) -> Result<Foundation, Failure> {
         configure_coroutines();
         let timers = Arc::new(Timers::start(clock));
         let resources = resource_limits(configuration);
         let admission = admission_control(configuration, &timers, &resources)?;
-        // Counters that are made before the recorder count nothing.
+        // The recorder comes before the counters: those created earlier would not be recorded.
         let recorder = configuration.operators.admin_socket.as_ref().map(|_| install_recorder()).transpose();
         let recorder = recorder.map_err(admin_socket_failure)?;
         let methods = method_names(configuration);
@@ -51,30 +58,33 @@
     }
 }
 
-/// What an error of the admin socket means to the start.
+/// The failure of a start whose admin socket could not be created.
 pub fn admin_socket_failure(error: impl std::fmt::Display) -> Failure {
     Failure::new(ExitStatus::OsError, format!("operators-socket: {error}"))
 }
 
-/// A seed that differs between starts and instances whatever operators set: session ids must.
+/// A random seed, independent of the configured one. Session ids must differ between starts and between instances.
 pub fn unpredictable_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
+/// Configures the coroutine runtime, and logs panics.
 fn configure_coroutines() {
     let config = may::config();
     config
-        .set_workers(1)
+        .set_workers(WORKERS)
         .set_pool_capacity(POOLED_COROUTINES)
         .set_stack_size(stack_size(STACK_BYTES))
         .set_worker_pin(false);
     std::panic::set_hook(Box::new(|panic| log!(WARN; "{panic}")));
 }
 
+/// The names of the methods, by index.
 fn method_names(configuration: &Configuration) -> Vec<String> {
     configuration.bootstrap.config.classes.iter().map(|method| method.name.clone()).collect()
 }
 
+/// The limits on descriptors and buffer memory. With an operators' file, the process's own limit is raised first.
 fn resource_limits(configuration: &Configuration) -> Arc<ResourceLimits> {
     let limits = &configuration.bootstrap.limits;
     let operators = &configuration.operators;
@@ -88,7 +98,8 @@
     ResourceLimits::new(descriptors, memory_bytes, !operators.client_classes.is_empty())
 }
 
-/// Descriptors that the server itself holds for what operators have set.
+/// The descriptors that features of the operators' file hold: the endpoint cache, the write journal and the admin
+/// socket.
 fn descriptors_for_operators(operators: &OperatorSettings) -> usize {
     let cache = if operators.state_dir.is_some() { endpoint_cache::DESCRIPTORS } else { 0 };
     let has_journal = operators.journal_mode != JournalMode::Off;
@@ -97,6 +108,10 @@
     cache + journal + admin
 }
 
+/// Creates admission control, if client classes are configured.
+///
+/// # Errors
+/// Every fault of the client classes.
 fn admission_control(
     configuration: &Configuration,
     timers: &Arc<Timers>,
@@ -108,7 +123,7 @@
     }
     let classes =
         ClassSettings { classes: operators.client_classes.clone(), prefixes: operators.address_prefixes };
-    // If no Retry-After may be told, it does not matter which.
+    // Without a limit, rejections carry no Retry-After, so the value is not used.
     let max_retry_after = configuration.bootstrap.settings.max_retry_after.unwrap_or(TimeDelta::ZERO);
     let seed = unpredictable_seed();
     let admission = AdmissionControl::new(classes, max_retry_after, seed, timers.clone(), resources.clone());
--- a/server/src/startup/initial_list.rs
+++ b/server/src/startup/initial_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that a start begins with, until discovery gives one.
+//! The endpoint list that is used from the start until discovery provides one.
 
 use crate::log;
 use crate::messages::control::ControlMessage;
@@ -12,23 +12,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The list that a start begins with.
+/// The endpoint list at the start.
 pub enum InitialList {
-    /// There is none.
+    /// No list is known.
     Unknown,
-    /// The bootstrap file's; used as if discovery had given it, since no list is cached over a restart.
+    /// The list of the bootstrap file, without an endpoint cache. It is used as if it came from discovery.
     Bootstrap(EndpointListUpdate),
-    /// One whose endpoints are verified before they are used.
+    /// A list whose endpoints are verified before they are used.
     ToVerify {
         /// The list.
         list: CachedEndpointList,
-        /// Its times; none if its age is not known.
+        /// When the list was confirmed and saved; `None` if its age is unknown.
         times: Option<CacheTimes>,
     },
 }
 
 impl InitialList {
-    /// The times of a cached list, if they are known.
+    /// When a cached list was confirmed and saved, if that is known.
     pub fn cache_times(&self) -> Option<CacheTimes> {
         match self {
             InitialList::ToVerify { times, .. } => *times,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Which lists of discovery are accepted after it.
+    /// The tracker that decides which lists from discovery are accepted after this one.
     pub fn incarnation(&self) -> IncarnationTracker {
         match self {
             InitialList::Unknown => IncarnationTracker::new(0, false),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// How the control loop is told of it.
+    /// The message that passes the list to the control loop.
     pub fn into_message(self) -> Option<ControlMessage> {
         match self {
             InitialList::Unknown => None,
@@ -57,15 +57,15 @@
     }
 }
 
-/// The cache of the endpoint list, as a start finds it.
+/// The endpoint cache, as it was opened at the start.
 pub struct EndpointCache {
     list: Option<CachedEndpointList>,
-    /// Saves lists from now on; none if the directory cannot be written.
+    /// Saves new lists; `None` if the directory cannot be written.
     pub writer: Option<Arc<EndpointCacheWriter>>,
 }
 
 impl EndpointCache {
-    /// Opens the cache. Whatever is wrong with it costs a line of the log, and the start goes on.
+    /// Opens the cache. Faults are logged and do not fail the start.
     pub fn open(path: &Path, clock: Clock, save_interval: Duration) -> EndpointCache {
         let (directory, loaded) = open_directory(path);
         for error in &loaded.errors {
@@ -81,7 +81,7 @@
         EndpointCache { list, writer }
     }
 
-    /// The later one of the cached list and the bootstrap file's, whose age is not known.
+    /// The list with the higher version, the cached one or the bootstrap file's. The age of the latter is unknown.
     pub fn initial_list(&mut self, bootstrap: Option<EndpointListUpdate>, clock: Clock) -> InitialList {
         let cached = self.list.take();
         let cached_version = cached.as_ref().map(|list| list.version);
@@ -98,13 +98,13 @@
     }
 }
 
-/// The bootstrap file's list in the form of a cached one.
+/// Converts the bootstrap file's list to a cached list without times.
 fn without_times(list: &EndpointListUpdate) -> CachedEndpointList {
     let endpoints = list.endpoints.iter().map(CachedEndpoint::from).collect();
     CachedEndpointList { version: list.version, endpoints, ..CachedEndpointList::default() }
 }
 
-/// The directory is only read if another process has it, or it cannot be written.
+/// Opens the cache directory. If another process has locked it, or it cannot be written, its list is only read.
 fn open_directory(path: &Path) -> (Option<CacheDirectory>, LoadedCache) {
     match CacheDirectory::open(path) {
         Ok((directory, loaded)) => (Some(directory), loaded),
--- a/server/src/startup/mod.rs
+++ b/server/src/startup/mod.rs
@@ -1,4 +1,4 @@
-//! From the start of the process to its end: configuration, the parts of the server, and signals.
+//! The life cycle of the process: configuration, creation of the server's parts, signals, reload and shutdown.
 
 pub mod configuration;
 mod foundation;
--- a/server/src/startup/reload.rs
+++ b/server/src/startup/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: both files are read again. A file that cannot be used changes nothing.
+//! Reload on SIGHUP: both configuration files are read again. An invalid file changes nothing.
 
 use crate::clients::admission_control::ClassSettings;
 use crate::clients::session_tokens::read_keys;
@@ -13,7 +13,7 @@
 use std::fmt::Display;
 
 impl Server {
-    /// Reads both files again and applies what can be applied while the server runs.
+    /// Reads both files again and applies the settings that can be changed at run time.
     pub fn reload(&self) {
         match read_bootstrap(ReadAt::Reload) {
             Ok(newer) => self.apply_bootstrap(&newer),
@@ -28,6 +28,7 @@
         }
     }
 
+    /// Applies the address of discovery from a newer bootstrap file.
     fn apply_bootstrap(&self, newer: &Bootstrap) {
         for key in self.configuration.bootstrap.changed_keys(newer) {
             log_needs_restart(&key);
@@ -36,6 +37,7 @@
         log!(INFO, discovery = newer.discovery, changed = changed; "bootstrap file reloaded");
     }
 
+    /// Applies the settings of a newer operators' file.
     fn apply_operator_settings(&self, newer: &OperatorSettings) {
         for keyword in self.configuration.operators.changed_keywords(newer) {
             log_needs_restart(keyword);
@@ -53,6 +55,10 @@
         self.apply_session_keys();
     }
 
+    /// Replaces the client classes, if classes were configured at the start and still are.
+    ///
+    /// # Errors
+    /// Every fault of the classes.
     fn apply_classes(&self, newer: &OperatorSettings) -> Result<(), Vec<ClassError>> {
         let Some(admission) = self.admission.as_ref().filter(|_| !newer.client_classes.is_empty()) else {
             return Ok(());
@@ -63,7 +69,7 @@
         Ok(())
     }
 
-    /// The file of keys is the one that the start was told of; its content may have changed.
+    /// Reads the key file again. Its path is the one from the start.
     fn apply_session_keys(&self) {
         let path = self.configuration.operators.session_keys.as_ref();
         let (Some(tokens), Some(path)) = (&self.session_tokens, path) else { return };
@@ -92,6 +98,7 @@
     }
 }
 
+/// Joins errors to one line.
 fn join(errors: &[impl Display]) -> String {
     let errors: Vec<String> = errors.iter().map(|error| error.to_string()).collect();
     errors.join("; ")
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -1,4 +1,4 @@
-//! The parts of the server, made and put to work.
+//! Creation of the server's parts, and the running server.
 
 use crate::admin::socket;
 use crate::admin::view::AdminView;
@@ -39,14 +39,18 @@
 use std::time::Duration;
 use write_journal::journal::{Durability, Retention};
 
-/// How often connections are looked for that have been idle for too long.
+/// The interval at which expired idle connections to endpoints are closed.
 const POOL_CLEANUP_INTERVAL: TimeDelta = TimeDelta::from_millis(1_000);
-/// How long a last save of the endpoint list may take. Clients are served meanwhile.
+/// The timeout of the last save of the endpoint list at the shutdown. Clients are still served meanwhile.
 const LAST_SAVE_TIMEOUT: Duration = Duration::from_millis(50);
-/// The journal of writes, within the state directory.
+/// The directory of the write journal within the state directory.
 const JOURNAL_DIRECTORY: &str = "writes";
-/// The membership mode, in the bootstrap file, of an agent on this machine that sends endpoint lists as they change.
+/// The membership mode of the bootstrap file in which a local agent pushes endpoint lists as they change.
 const LOCAL_AGENT_MODE: &str = "push";
+/// The id of the first request.
+const FIRST_REQUEST: u64 = 0;
+/// The id of the first connection, which its BackendKeyData message carries.
+const FIRST_CONNECTION: u64 = 1;
 
 /// Stops the accept loop.
 struct AcceptStop {
@@ -61,7 +65,7 @@
     }
 }
 
-/// A server that runs.
+/// A running server.
 pub struct Server {
     pub(super) configuration: Configuration,
     pub(super) discovery_target: Arc<DiscoveryTarget>,
@@ -71,11 +75,11 @@
     pub(super) control: Sender<ControlMessage>,
     timers: Arc<Timers>,
     shutdown: Arc<GracefulShutdown>,
-    /// None once the shutdown has begun.
+    /// `None` once the shutdown has begun.
     accept_stop: Option<AcceptStop>,
 }
 
-/// What the parts of one start are made from.
+/// Creates and starts the parts of a server.
 struct Builder {
     clock: Clock,
     configuration: Configuration,
@@ -86,10 +90,11 @@
 }
 
 impl Server {
-    /// Makes all parts and starts to accept connections.
+    /// Creates all parts and starts accepting connections.
     ///
     /// # Errors
-    /// A part could not be made.
+    /// The client classes are invalid, the listen address is in use, the write journal cannot be opened, or the
+    /// operating system lacks a resource.
     pub fn start(clock: Clock, configuration: Configuration) -> Result<Server, Failure> {
         let foundation = Foundation::new(clock, &configuration)?;
         let listener = bind(configuration.bootstrap.listen)?;
@@ -103,7 +108,7 @@
         builder.start(listener, messages)
     }
 
-    /// Begins the shutdown; later calls change nothing.
+    /// Begins the graceful shutdown; later calls have no effect.
     pub fn shut_down(&mut self) {
         let Some(accept_stop) = self.accept_stop.take() else { return };
         if let Some(cache) = &self.endpoint_cache {
@@ -114,6 +119,7 @@
 }
 
 impl Builder {
+    /// Starts all parts, the accept loop last.
     fn start(mut self, listener: TcpListener, messages: Receiver<ControlMessage>) -> Result<Server, Failure> {
         let initial_list = self.take_initial_list();
         let incarnation = initial_list.incarnation();
@@ -150,6 +156,7 @@
         }
     }
 
+    /// Starts the control loop, with the initial endpoint list and the limits on requests as its first messages.
     fn start_control_loop(
         &self,
         messages: Receiver<ControlMessage>,
@@ -189,6 +196,7 @@
         Ok(())
     }
 
+    /// The options of primary discovery, if the endpoint list is cached.
     fn recovery_options(&self, initial_list: &InitialList) -> Option<RecoveryOptions> {
         let cache = self.cache.as_ref()?;
         Some(RecoveryOptions {
@@ -199,6 +207,7 @@
         })
     }
 
+    /// Starts the watch on discovery.
     fn start_discovery(&self, incarnation: IncarnationTracker) -> Result<Arc<DiscoveryTarget>, Failure> {
         let bootstrap = &self.configuration.bootstrap;
         let config = &bootstrap.config;
@@ -225,6 +234,7 @@
         Some(Arc::new(SessionTokens::new(keys, lifetime, unpredictable_seed())))
     }
 
+    /// Serves the admin socket, if one is configured.
     fn serve_admin_socket(&mut self, shutdown: &Arc<GracefulShutdown>) -> Result<(), Failure> {
         let path = self.configuration.operators.admin_socket.as_deref();
         let (Some(path), Some(recorder)) = (path, self.foundation.recorder.take()) else { return Ok(()) };
@@ -239,6 +249,7 @@
         socket::serve(path, recorder, view).map_err(admin_socket_failure)
     }
 
+    /// Starts the accept loop, which closes the server when it has stopped.
     fn accept_connections(
         &self,
         listener: TcpListener,
@@ -280,8 +291,8 @@
             admission: admission.clone(),
             client_prefixes: self.configuration.has_operator_file().then_some(prefixes),
             journal: self.journal.clone(),
-            next_request: AtomicU64::new(0),
-            next_connection: AtomicU64::new(1),
+            next_request: AtomicU64::new(FIRST_REQUEST),
+            next_connection: AtomicU64::new(FIRST_CONNECTION),
         }
     }
 }
@@ -291,11 +302,13 @@
         .map_err(|error| Failure::new(ExitStatus::OsError, format!("ROUTER_LISTEN: {listen}: {error}")))
 }
 
+/// Starts a coroutine that lives as long as the process.
 fn spawn_part(run: impl FnOnce() + Send + 'static) -> Result<(), Failure> {
     spawn_long_lived(run)
         .map_err(|error| Failure::new(ExitStatus::OsError, format!("no stack for a coroutine: {error}")))
 }
 
+/// Starts the coroutine that closes expired idle connections.
 fn clean_up_pool(timers: Arc<Timers>, pool: Arc<ConnectionPool>) {
     spawn(move || loop {
         timers.sleep(POOL_CLEANUP_INTERVAL);
@@ -303,14 +316,15 @@
     });
 }
 
+/// Exits at the end of the graceful shutdown.
 fn end_process() {
     log!(INFO; "shut down, no connection left");
     crate::runtime::log::flush();
     std::process::exit(ExitStatus::Success as i32);
 }
 
-/// Opens the journal of writes, if one is kept. Without it nothing may be promised, so a server that cannot have it does not
-/// start.
+/// Opens the write journal, if one is configured. The start fails without it, because the guarantees for writes
+/// depend on it.
 fn open_journal(operators: &OperatorSettings) -> Result<Option<Arc<WriteJournal>>, Failure> {
     let durability = match operators.journal_mode {
         JournalMode::Off => return Ok(None),
@@ -329,7 +343,7 @@
     journal.map(Some).map_err(|error| failure(error.to_string()))
 }
 
-/// The limits on requests, and the classes that share them, if there are any.
+/// The limits on requests and the client classes that share them, if the operators' file sets limits.
 pub(super) fn queue_limits(operators: &OperatorSettings) -> Option<QueueLimits> {
     let limits = operators.concurrency_limits()?;
     Some(QueueLimits { limits, classes: operators.client_classes.clone() })
--- a/server/src/startup/signals.rs
+++ b/server/src/startup/signals.rs
@@ -1,4 +1,4 @@
-//! The main thread: it starts the server and then waits for signals.
+//! The main thread, which starts the server and then handles signals.
 
 use crate::config::operator_file::log_style;
 use crate::exit_status::{ExitStatus, Failure};
@@ -10,13 +10,13 @@
 use signal_hook::iterator::Signals;
 use std::path::PathBuf;
 
-/// Serves until a signal ends the process.
+/// Runs the server until a signal ends the process: SIGHUP reloads, SIGTERM and SIGINT begin the shutdown.
 ///
 /// # Errors
-/// The server could not be started.
+/// The server could not be started, or signals cannot be received.
 pub fn run(operator_file: Option<PathBuf>) -> Result<(), Failure> {
     let clock = Clock::start();
-    // First: a signal that comes while the server starts is handled once it has.
+    // Registered first, so that a signal during the start is handled after it.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])
         .map_err(|error| Failure::new(ExitStatus::OsError, format!("signals: {error}")))?;
     let configuration = Configuration::read(operator_file)?;
--- a/server/src/storage/endpoint_cache_writer.rs
+++ b/server/src/storage/endpoint_cache_writer.rs
@@ -1,5 +1,5 @@
-//! The endpoint list on its way to disk. What is new is left here without waiting; a thread of its own saves it when
-//! [`SaveSchedule`] says so, and nobody waits for the disk.
+//! The writer of the cached endpoint list. Changes are recorded in memory without blocking; a separate thread saves
+//! them to disk at the times that [`SaveSchedule`] sets.
 
 use crate::log;
 use crate::messages::endpoint_list::{ListedEndpoint, ListedHealth};
@@ -14,25 +14,29 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long the thread waits if there is nothing to save.
+/// The thread's wait if nothing is to be saved; a change wakes it earlier.
 const IDLE_WAIT: Duration = Duration::from_secs(3600);
 const NANOS_PER_MILLI: i64 = 1_000_000;
 
+/// One endpoint of the list.
 struct Row {
     endpoint: Arc<CachedEndpoint>,
-    /// The report that is saved with it.
+    /// The latest report that was worth saving.
     report: Option<RoleReport>,
 }
 
+/// The list in memory.
 struct State {
     version: i64,
+    /// When discovery last confirmed the list, in Unix milliseconds.
     confirmed_ms: i64,
+    /// The endpoints by name.
     rows: BTreeMap<String, Row>,
     schedule: SaveSchedule,
     stopping: bool,
 }
 
-/// Saves the endpoint list.
+/// Records changes of the endpoint list, and saves it on a thread of its own.
 pub struct EndpointCacheWriter {
     clock: Clock,
     state: Mutex<State>,
@@ -41,7 +45,7 @@
 }
 
 impl EndpointCacheWriter {
-    /// Starts with the list that is cached, so that a start without discovery loses nothing of it.
+    /// Starts the thread, with the list that is cached already, so that it is kept if discovery is not available.
     ///
     /// # Errors
     /// The thread cannot be started.
@@ -76,12 +80,13 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Changes the least time between two saves.
+    /// Sets the minimum interval between two saves.
     pub fn set_min_interval(&self, min_interval: Duration) {
         self.lock().schedule.set_min_interval(to_delta(min_interval));
     }
 
-    /// Discovery has given a list, or changes to it. An empty one is not saved: it would leave the next start nothing.
+    /// Records a list from discovery, or changes to it. A complete list without endpoints is ignored: the next
+    /// start would have nothing to use.
     pub fn update(&self, version: i64, complete: bool, endpoints: &[ListedEndpoint]) {
         if complete && endpoints.is_empty() {
             return;
@@ -101,7 +106,7 @@
         self.changed.notify_one();
     }
 
-    /// Discovery has confirmed the list as it is.
+    /// Records that discovery has confirmed the present list.
     pub fn confirmed(&self) {
         let mut state = self.lock();
         if !state.rows.is_empty() {
@@ -112,7 +117,7 @@
         }
     }
 
-    /// What an endpoint has reported.
+    /// Records an endpoint's report, if it is worth saving.
     pub fn reported(&self, endpoint: &str, report: RoleReport) {
         let mut state = self.lock();
         let Some(row) = state.rows.get_mut(endpoint) else { return };
@@ -125,6 +130,7 @@
         self.changed.notify_one();
     }
 
+    /// Saves the list whenever a save is due, until the writer is stopped.
     fn run(&self, mut directory: CacheDirectory) {
         let mut failing = false;
         let mut state = self.lock();
@@ -155,23 +161,23 @@
         }
     }
 
-    /// Saves what is still to be saved, within a time: the process is about to end.
-    pub fn stop(&self, within: Duration) {
+    /// Stops the thread after a last save of pending changes, and waits for that for `timeout` at most.
+    pub fn stop(&self, timeout: Duration) {
         let mut state = self.lock();
         state.stopping = true;
         self.changed.notify_all();
         if state.schedule.due().is_some() {
-            drop(self.stopped.wait_timeout(state, within));
+            drop(self.stopped.wait_timeout(state, timeout));
         }
     }
 }
 
 impl Row {
-    /// What the endpoint reported counts as long as it is the same one at the same address.
+    /// Creates the row of a listed endpoint. The saved report of a known row is kept if the address is the same.
     fn new(listed: &ListedEndpoint, known: Option<Row>) -> Row {
         let report = known.as_ref().and_then(|row| row.report);
-        let same = known.filter(|row| row.endpoint.dial == listed.address);
-        let cached_report = same.and_then(|row| row.endpoint.report);
+        let at_same_address = known.filter(|row| row.endpoint.dial == listed.address);
+        let cached_report = at_same_address.and_then(|row| row.endpoint.report);
         let endpoint = CachedEndpoint { report: cached_report, ..CachedEndpoint::from(listed) };
         Row { endpoint: Arc::new(endpoint), report }
     }
@@ -189,7 +195,7 @@
     }
 }
 
-/// What is to be saved, taken without copying it.
+/// A snapshot of the list for one save. It shares the endpoints, so the lock is held only briefly.
 struct PendingSave {
     version: i64,
     confirmed_ms: i64,
@@ -222,7 +228,7 @@
     TimeDelta(duration.as_nanos() as i64)
 }
 
-/// One line when saving begins to fail, and one when it works again.
+/// Logs one line when saving begins to fail, and one when it succeeds again.
 fn log_transition(saved: &Result<usize, CacheError>, failing: &mut bool) {
     match saved {
         Err(error) if !*failing => log!(WARN, reason = error; "endpoint list not cached, service goes on"),
--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -1,4 +1,4 @@
-//! The journal of writes: a thread owns it, and coroutines that wait for a record do not hold up the worker.
+//! The write journal. A thread owns it, so a coroutine that waits for a record does not block the coroutine runtime.
 
 use crate::log;
 use crate::messages::journal_entry::{JournalEntry, JournalVerdict};
@@ -15,28 +15,38 @@
 };
 use write_journal::record_state::{Fate, Origin, RecordEvent, SendPermission, Uptime};
 
+/// The kernel's file with an id of the present boot, a UUID.
+const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
+/// The kernel's file whose first field is the uptime in seconds.
+const UPTIME_PATH: &str = "/proc/uptime";
+/// The hexadecimal digits of the boot id that are used; they fill an `u64`.
+const BOOT_ID_DIGITS: usize = 16;
+const MILLIS_PER_SECOND: f64 = 1e3;
+
 /// Why the journal cannot be used.
 #[derive(Debug, Error)]
 pub enum OpenError {
-    /// It cannot be opened.
+    /// The journal's files cannot be opened.
     #[error(transparent)]
     Journal(#[from] JournalError),
-    /// Its thread cannot be started.
+    /// The journal's thread cannot be started.
     #[error(transparent)]
     Thread(#[from] std::io::Error),
 }
 
+/// Receives the reply to an operation; `None` if the journal failed.
 type Callback = Box<dyn FnOnce(Option<Reply>) + Send>;
 
-/// An operation, and who is told of its reply; none if the journal failed.
+/// An operation for the journal's thread.
 struct Job {
     operation: Operation,
     callback: Callback,
 }
 
-/// The journal of writes.
+/// A handle to the write journal's thread.
 pub struct WriteJournal {
     jobs: Mutex<mpsc::Sender<Job>>,
+    /// The origin that new records get.
     origin: Mutex<Origin>,
 }
 
@@ -44,27 +54,27 @@
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// How long this machine has been up, by the kernel's own files; none if it has no such files.
+/// The time since the machine booted; `None` on a system without Linux's `/proc` files.
 fn uptime() -> Option<Uptime> {
-    let boot_id = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").ok()?;
-    let boot = u64::from_str_radix(boot_id.replace('-', "").get(..16)?, 16).ok()?;
-    let uptime = std::fs::read_to_string("/proc/uptime").ok()?;
+    let boot_id = std::fs::read_to_string(BOOT_ID_PATH).ok()?;
+    let boot = u64::from_str_radix(boot_id.replace('-', "").get(..BOOT_ID_DIGITS)?, 16).ok()?;
+    let uptime = std::fs::read_to_string(UPTIME_PATH).ok()?;
     let seconds: f64 = uptime.split_whitespace().next()?.parse().ok()?;
-    Some(Uptime { boot, ms: (seconds * 1e3).round() as i64 })
+    Some(Uptime { boot, ms: (seconds * MILLIS_PER_SECOND).round() as i64 })
 }
 
 impl WriteJournal {
-    /// Opens the journal and starts its thread. `chance` names a new one.
+    /// Opens the journal and starts its thread. A journal that is created now is identified by `random_id`.
     ///
     /// # Errors
-    /// It cannot be used.
+    /// The journal cannot be opened, or its thread cannot be started.
     pub fn start(
         path: &Path,
         durability: Durability,
         retention: Retention,
-        chance: u64,
+        random_id: u64,
     ) -> Result<Arc<WriteJournal>, OpenError> {
-        let journal = Journal::open(path, durability, retention, chance)?;
+        let journal = Journal::open(path, durability, retention, random_id)?;
         let (jobs, received) = mpsc::channel();
         let origin = Mutex::new(journal.origin());
         let this = Arc::new(WriteJournal { jobs: Mutex::new(jobs), origin });
@@ -74,12 +84,13 @@
         Ok(this)
     }
 
+    /// Queues an operation for the journal's thread.
     fn submit(&self, operation: Operation, callback: impl FnOnce(Option<Reply>) + Send + 'static) {
-        // If the thread is gone the callback is dropped, and whoever waits sees its channel close.
+        // If the thread has ended, the callback is dropped, which closes the channel that its waiter reads.
         let _ = lock(&self.jobs).send(Job { operation, callback: Box::new(callback) });
     }
 
-    /// Records that an attempt is about to be sent; the calling coroutine waits until that is kept.
+    /// Records that an attempt is about to be sent; suspends the calling coroutine until the journal has replied.
     pub fn record_send(&self, entry: &JournalEntry) -> JournalVerdict {
         let (reply_to, reply) = channel();
         let submitted = Instant::now();
@@ -88,7 +99,7 @@
         self.submit(operation, move |reply| _ = reply_to.send(reply));
         match reply.recv().ok().flatten() {
             Some(Reply::Permission(SendPermission::Granted)) => JournalVerdict::Granted,
-            // The reply itself may have come too late: others' records go to the disk before it.
+            // The reply may arrive after the deduplication window has ended, since other records are written before it.
             Some(Reply::Permission(SendPermission::GrantedAsDuplicate { remaining_ms }))
                 if (submitted.elapsed().as_millis() as i64) < remaining_ms =>
             {
@@ -99,13 +110,13 @@
         }
     }
 
-    /// Records what became of a write. Nobody waits for that.
+    /// Records the outcome of a write, without waiting for it.
     pub fn record_end(&self, id: &str, event: RecordEvent) {
         let operation = Operation::Record { id: id.to_string(), event, deduplication: None };
         self.submit(operation, |_| ());
     }
 
-    /// Calls back with what became of a write.
+    /// Calls back with the fate of a write.
     pub fn query_fate(
         &self,
         id: String,
@@ -120,11 +131,13 @@
         });
     }
 
-    /// What a client is told when its connection starts: where its writes will be recorded.
+    /// The origin of this journal, which a client is sent when its session starts: it tells where its writes are
+    /// recorded.
     pub fn origin(&self) -> String {
         lock(&self.origin).to_string()
     }
 
+    /// Applies queued operations in batches, for the life of the process.
     fn run(&self, mut journal: Journal, jobs: &Receiver<Job>) {
         let mut failing = false;
         while let Ok(first) = jobs.recv() {
@@ -143,14 +156,14 @@
     }
 }
 
-/// The jobs that are queued, as many as go in one batch.
+/// The operations and callbacks of the queued jobs, [`MAX_BATCH`] at most.
 fn batch(first: Job, jobs: &Receiver<Job>) -> (Vec<Operation>, Vec<Callback>) {
     let queued = std::iter::from_fn(|| jobs.try_recv().ok());
     let jobs = std::iter::once(first).chain(queued).take(MAX_BATCH);
     jobs.map(|job| (job.operation, job.callback)).unzip()
 }
 
-/// One line when the journal begins to fail, and one when it works again.
+/// Logs one line when the journal begins to fail, and one when it works again.
 fn log_transition(replies: &Result<Vec<Reply>, JournalError>, failing: &mut bool) {
     match replies {
         Err(error) if !*failing => {
--- a/server/src/storage/mod.rs
+++ b/server/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept on disk, by threads of their own: the journal of writes and the cached endpoint list.
+//! State on disk, each part written by its own thread: the write journal and the cached endpoint list.
 
 pub mod endpoint_cache_writer;
 pub mod journal;
