--- a/server/src/clients/acceptor.rs
+++ b/server/src/clients/acceptor.rs
@@ -22,6 +22,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
+/// The message for a client that is rejected for lack of a descriptor.
 const NO_DESCRIPTOR: &str = "no descriptor is free";
 /// Connections accepted without a pause. More would starve the other coroutines of the single worker thread in a flood.
 const MAX_ACCEPT_BURST: usize = 8;
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -15,6 +15,7 @@
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
+/// The state that connections share, under one lock.
 struct State {
     limiter: ConnectionLimiter,
     handshakes: HandshakeQueue,
@@ -37,6 +38,7 @@
     resources: Arc<ResourceLimits>,
 }
 
+/// The progress of a connection through admission control.
 enum PermitState {
     /// In the handshake queue: the startup message, which names the user, has not arrived yet.
     Handshake(HandshakeId),
@@ -217,6 +219,7 @@
         result
     }
 
+    /// Counts and returns the rejection of a connection for which the handshake queue has no slot.
     fn reject_handshake(&self) -> Rejection {
         let rejection = self.lock().limiter.reject_handshake(self.timers.now());
         count_rejection(DEFAULT_CLASS.to_string(), &rejection);
--- a/server/src/clients/connection.rs
+++ b/server/src/clients/connection.rs
@@ -23,8 +23,6 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
 
-/// Queries of one client that are in progress at the same time; bytes beyond them stay in the socket's receive buffer.
-const MAX_PIPELINED_QUERIES: usize = 64;
 /// Timeout of a client, for its startup and first query (from the connect), for the rest of a message (from its first
 /// bytes), and for reading its responses.
 pub(super) const CLIENT_TIMEOUT: TimeDelta = TimeDelta::from_millis(2_500);
@@ -38,14 +36,14 @@
     Immediate,
 }
 
-/// What the connection loop does after a read.
-enum ReadStep {
-    /// Bytes were read; process them at once.
+/// How the connection loop continues after one step.
+enum NextStep {
+    /// Repeats at once, because bytes were read or a response was queued.
     Continue,
-    /// Nothing can be read now; wait for the socket.
+    /// Waits for the socket or a wake-up.
     Wait,
-    /// The client has closed the connection.
-    Closed,
+    /// Closes the connection.
+    Close(CloseMode),
 }
 
 /// The state of a client connection.
@@ -64,11 +62,11 @@
     /// When the wait for the client's next message, or the rest of one, began.
     pub message_due_since: Option<Timestamp>,
     /// When the socket's send buffer became full because the client does not read its responses.
-    stalled_since: Option<Timestamp>,
+    pub stalled_since: Option<Timestamp>,
     /// Bytes read since the coroutine last waited.
     burst_bytes: usize,
     pub idle: Option<IdleRegistration>,
-    charge: BufferCharge,
+    pub charge: BufferCharge,
     /// The session that the client carries by a token, if it asked for one.
     pub session: Option<ClientSession>,
     pub permit: Option<ConnectionPermit>,
@@ -127,6 +125,7 @@
 }
 
 impl ClientConnection {
+    /// Stores the connection's permit and takes the client from it, unless the connection was displaced already.
     fn set_permit(&mut self, permit: Option<ConnectionPermit>) {
         let Some(permit) = permit else { return };
         if !permit.set_channel(&self.channel) {
@@ -160,42 +159,61 @@
             self.handle_messages();
             self.reject_if_displaced();
             self.collect_responses();
-            let Ok(flushed) = self.socket.flush() else { return CloseMode::Immediate };
-            let now = self.context.timers.now();
-            if self.is_stalled(flushed, now) {
-                return CloseMode::Immediate;
-            }
-            if self.exceeds_memory() {
-                if flushed == FlushOutcome::Blocked {
-                    log!(WARN, reason = "buffer memory used up"; "connection of a client that does not read closed");
-                    return CloseMode::Immediate;
-                }
-                if self.codec.buffer_bytes() > SMALL_BUFFER_BYTES {
-                    self.fail(SqlState::OUT_OF_MEMORY, "the memory for buffers is used up");
-                    continue;
+            match self.write_and_read() {
+                NextStep::Continue => {}
+                NextStep::Wait => {
+                    self.burst_bytes = 0;
+                    self.socket.wait();
                 }
+                NextStep::Close(mode) => return mode,
             }
-            match self.read() {
-                ReadStep::Continue => continue,
-                ReadStep::Closed => return CloseMode::Immediate,
-                ReadStep::Wait => {}
-            }
-            if self.is_message_overdue(now) {
-                self.fail(SqlState::PROTOCOL_VIOLATION, "what was begun did not come to its end in time");
-                continue;
-            }
-            if self.responses.is_empty() && self.socket.queued() == 0 {
-                // Closed without an error message, which the client would take for a second response to its last
-                // request. A query that crosses the close was not executed; its client retries it on another
-                // instance.
-                if self.input_closed || (self.codec.is_empty() && self.should_close()) {
-                    return CloseMode::Graceful;
-                }
-                self.become_idle();
+        }
+    }
+
+    /// Writes the responses that are ready, enforces the limits of the connection, and reads.
+    fn write_and_read(&mut self) -> NextStep {
+        let Ok(flushed) = self.socket.flush() else { return NextStep::Close(CloseMode::Immediate) };
+        let now = self.context.timers.now();
+        if self.is_stalled(flushed, now) {
+            return NextStep::Close(CloseMode::Immediate);
+        }
+        if let Some(step) = self.enforce_memory_limit(flushed) {
+            return step;
+        }
+        match self.read() {
+            NextStep::Wait => {}
+            step => return step,
+        }
+        if self.is_message_overdue(now) {
+            self.fail(SqlState::PROTOCOL_VIOLATION, "what was begun did not come to its end in time");
+            return NextStep::Continue;
+        }
+        if self.responses.is_empty() && self.socket.queued() == 0 {
+            // Closed without an error message, which the client would take for a second response to its last request.
+            // A query that crosses the close was not executed; its client retries it on another instance.
+            if self.input_closed || (self.codec.is_empty() && self.should_close()) {
+                return NextStep::Close(CloseMode::Graceful);
             }
-            self.burst_bytes = 0;
-            self.socket.wait();
+            self.become_idle();
+        }
+        NextStep::Wait
+    }
+
+    /// Closes a connection that does not read its responses, or fails one with a large partial message, if buffer
+    /// memory is short. Returns the next step if the limit is exceeded.
+    fn enforce_memory_limit(&mut self, flushed: FlushOutcome) -> Option<NextStep> {
+        if !self.exceeds_memory() {
+            return None;
+        }
+        if flushed == FlushOutcome::Blocked {
+            log!(WARN, reason = "buffer memory used up"; "connection of a client that does not read closed");
+            return Some(NextStep::Close(CloseMode::Immediate));
+        }
+        if self.codec.buffer_bytes() > SMALL_BUFFER_BYTES {
+            self.fail(SqlState::OUT_OF_MEMORY, "the memory for buffers is used up");
+            return Some(NextStep::Continue);
         }
+        None
     }
 
     /// Rejects the connection if it was displaced from the handshake queue.
@@ -206,24 +224,15 @@
         }
     }
 
-    /// Whether the client has not read its responses for [`CLIENT_TIMEOUT`].
-    fn is_stalled(&mut self, flushed: FlushOutcome, now: Timestamp) -> bool {
-        if flushed == FlushOutcome::Complete {
-            self.stalled_since = None;
-            return false;
-        }
-        if self.stalled_since.is_none() {
-            self.wake_at(now + CLIENT_TIMEOUT);
-        }
-        let since = *self.stalled_since.get_or_insert(now);
-        now >= since + CLIENT_TIMEOUT
-    }
-
     /// Reads what the client has sent, as far as it may be processed now.
-    fn read(&mut self) -> ReadStep {
+    fn read(&mut self) -> NextStep {
         let max_bytes = self.max_read_bytes();
         if max_bytes == 0 {
-            return if self.has_client_disconnected() { ReadStep::Closed } else { ReadStep::Wait };
+            return if self.has_client_disconnected() {
+                NextStep::Close(CloseMode::Immediate)
+            } else {
+                NextStep::Wait
+            };
         }
         let codec = &mut self.codec;
         match self.socket.read(max_bytes, |bytes| codec.feed(bytes)) {
@@ -234,57 +243,13 @@
                     self.burst_bytes = 0;
                     self.context.timers.sleep(BURST_PAUSE);
                 }
-                ReadStep::Continue
+                NextStep::Continue
             }
-            ReadOutcome::WouldBlock => ReadStep::Wait,
-            ReadOutcome::Closed => ReadStep::Closed,
+            ReadOutcome::WouldBlock => NextStep::Wait,
+            ReadOutcome::Closed => NextStep::Close(CloseMode::Immediate),
         }
     }
 
-    /// Whether the pipeline has room to read more from the client.
-    fn may_read_more(&self) -> bool {
-        self.responses.len() < MAX_PIPELINED_QUERIES && self.socket.queued() < MAX_PIPELINED_QUERIES
-    }
-
-    /// Whether the next message that was read may be processed.
-    pub fn may_handle_message(&self) -> bool {
-        !self.input_closed && self.responses.len() < MAX_PIPELINED_QUERIES
-    }
-
-    /// The number of bytes that may be read now.
-    ///
-    /// After the shutdown has closed the server, only the rest of a partial message is read: every query that was
-    /// read must be answered, so a client that keeps sending would keep the connection open. The client retries an
-    /// unread query on another instance.
-    fn max_read_bytes(&self) -> usize {
-        if self.input_closed || !self.may_read_more() {
-            0
-        } else if self.context.shutdown.is_closed() {
-            self.codec.missing_bytes()
-        } else {
-            usize::MAX
-        }
-    }
-
-    /// Whether the client has closed the connection while requests are pending.
-    fn has_client_disconnected(&self) -> bool {
-        self.responses.pending().next().is_some() && self.socket.has_ended()
-    }
-
-    /// Whether the client's next message, or the rest of one, has not arrived within [`CLIENT_TIMEOUT`].
-    fn is_message_overdue(&mut self, now: Timestamp) -> bool {
-        let between_queries = self.has_queried && self.codec.is_empty();
-        if self.input_closed || !self.may_read_more() || between_queries {
-            self.message_due_since = None;
-            return false;
-        }
-        if self.message_due_since.is_none() {
-            self.wake_at(now + CLIENT_TIMEOUT);
-        }
-        let since = *self.message_due_since.get_or_insert(now);
-        now >= since + CLIENT_TIMEOUT
-    }
-
     /// Whether an idle connection is to be closed, for its descriptor or for the shutdown.
     fn should_close(&self) -> bool {
         self.channel.is_close_requested() || self.guard.should_close(self.has_queried, self.has_served)
@@ -296,14 +261,6 @@
         self.context.timers.call_at(at, move || waker.wakeup());
     }
 
-    /// Updates the charge for the connection's buffers. Returns true if all buffers together exceed the memory
-    /// limit and this connection's are larger than [`SMALL_BUFFER_BYTES`].
-    fn exceeds_memory(&mut self) -> bool {
-        let bytes = self.codec.buffer_bytes() + self.responses.ready_bytes() + self.socket.queued_bytes();
-        self.charge.set(bytes);
-        bytes > SMALL_BUFFER_BYTES && !self.input_closed && self.context.resources.is_memory_short()
-    }
-
     /// Registers the connection as idle and frees its buffers.
     fn become_idle(&mut self) {
         if self.idle.is_none() {
--- /dev/null
+++ b/server/src/clients/connection_limits.rs
@@ -0,0 +1,76 @@
+//! The limits of a client connection: pipelined queries, timeouts and buffer memory.
+
+use crate::clients::connection::{ClientConnection, CLIENT_TIMEOUT};
+use crate::clients::socket::FlushOutcome;
+use crate::endpoints::connection::SMALL_BUFFER_BYTES;
+use routing::time::Timestamp;
+
+/// Queries of one client that are in progress at the same time; bytes beyond them stay in the socket's receive buffer.
+const MAX_PIPELINED_QUERIES: usize = 64;
+
+impl ClientConnection {
+    /// Whether the pipeline has room to read more from the client.
+    fn may_read_more(&self) -> bool {
+        self.responses.len() < MAX_PIPELINED_QUERIES && self.socket.queued() < MAX_PIPELINED_QUERIES
+    }
+
+    /// Whether the next message that was read may be processed.
+    pub fn may_handle_message(&self) -> bool {
+        !self.input_closed && self.responses.len() < MAX_PIPELINED_QUERIES
+    }
+
+    /// The number of bytes that may be read now.
+    ///
+    /// After the shutdown has closed the server, only the rest of a partial message is read: every query that was
+    /// read must be answered, so a client that keeps sending would keep the connection open. The client retries an
+    /// unread query on another instance.
+    pub fn max_read_bytes(&self) -> usize {
+        if self.input_closed || !self.may_read_more() {
+            0
+        } else if self.context.shutdown.is_closed() {
+            self.codec.missing_bytes()
+        } else {
+            usize::MAX
+        }
+    }
+
+    /// Whether the client has closed the connection while requests are pending.
+    pub fn has_client_disconnected(&self) -> bool {
+        self.responses.pending().next().is_some() && self.socket.has_ended()
+    }
+
+    /// Whether the client's next message, or the rest of one, has not arrived within [`CLIENT_TIMEOUT`].
+    pub fn is_message_overdue(&mut self, now: Timestamp) -> bool {
+        let between_queries = self.has_queried && self.codec.is_empty();
+        if self.input_closed || !self.may_read_more() || between_queries {
+            self.message_due_since = None;
+            return false;
+        }
+        if self.message_due_since.is_none() {
+            self.wake_at(now + CLIENT_TIMEOUT);
+        }
+        let since = *self.message_due_since.get_or_insert(now);
+        now >= since + CLIENT_TIMEOUT
+    }
+
+    /// Whether the client has not read its responses for [`CLIENT_TIMEOUT`].
+    pub fn is_stalled(&mut self, flushed: FlushOutcome, now: Timestamp) -> bool {
+        if flushed == FlushOutcome::Complete {
+            self.stalled_since = None;
+            return false;
+        }
+        if self.stalled_since.is_none() {
+            self.wake_at(now + CLIENT_TIMEOUT);
+        }
+        let since = *self.stalled_since.get_or_insert(now);
+        now >= since + CLIENT_TIMEOUT
+    }
+
+    /// Updates the charge for the connection's buffers. Returns true if all buffers together exceed the memory
+    /// limit and this connection's are larger than [`SMALL_BUFFER_BYTES`].
+    pub fn exceeds_memory(&mut self) -> bool {
+        let bytes = self.codec.buffer_bytes() + self.responses.ready_bytes() + self.socket.queued_bytes();
+        self.charge.set(bytes);
+        bytes > SMALL_BUFFER_BYTES && !self.input_closed && self.context.resources.is_memory_short()
+    }
+}
--- a/server/src/clients/graceful_shutdown.rs
+++ b/server/src/clients/graceful_shutdown.rs
@@ -119,6 +119,7 @@
         self.end_if_empty(connections);
     }
 
+    /// Calls `on_end` if the server is closed and no connection is left, after the lock was released.
     fn end_if_empty(&self, connections: MutexGuard<'_, Connections>) {
         let has_ended = connections.channels.is_empty() && self.is_closed();
         drop(connections);
--- a/server/src/clients/mod.rs
+++ b/server/src/clients/mod.rs
@@ -4,6 +4,7 @@
 pub mod admission_control;
 mod closing;
 pub mod connection;
+mod connection_limits;
 pub mod context;
 pub mod graceful_shutdown;
 mod rejection;
--- a/server/src/clients/requests.rs
+++ b/server/src/clients/requests.rs
@@ -22,6 +22,7 @@
 const NO_ENCRYPTION: u8 = b'N';
 /// The group number of a pending fate query, which concerns no group.
 const NO_GROUP: GroupNumber = 0;
+/// The message for the extended query protocol, which is not supported.
 const ONLY_SIMPLE_QUERIES: &str = "only simple queries are taken";
 
 impl ClientConnection {
@@ -53,6 +54,7 @@
         }
     }
 
+    /// Answers a message of the extended protocol, or a function call, with an error.
     fn reject_unsupported(&mut self, standalone: bool) {
         self.push(|out| {
             let code = SqlState::FEATURE_NOT_SUPPORTED;
@@ -63,6 +65,7 @@
         });
     }
 
+    /// Handles a StartupMessage: admits the client, opens its session and sends the greeting.
     fn start_session(&mut self, minor_version: u16, parameters: &StartupParameters) {
         if let Some(permit) = &mut self.permit {
             if let Err(rejection) = permit.identify(&parameters.user) {
@@ -105,6 +108,7 @@
         Ok(token)
     }
 
+    /// Handles a Query: answers it at once, or sends it to the control loop.
     fn handle_query(&mut self, body: Vec<u8>) {
         let now = self.context.timers.now();
         let request = match statement::parse(&body) {
@@ -125,6 +129,7 @@
         }
     }
 
+    /// Assigns the id of a request.
     fn next_request_id(&self) -> RequestId {
         self.context.next_request.fetch_add(1, Ordering::Relaxed)
     }
@@ -165,6 +170,7 @@
         self.responses.push_ready(out);
     }
 
+    /// Queues messages and a ReadyForQuery as one response.
     fn push_with_ready(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
         self.push(|out| {
             write(out);
@@ -172,6 +178,7 @@
         });
     }
 
+    /// Queues an error that leaves the connection open.
     fn push_error(&mut self, error: ClientError) {
         self.push_with_ready(|out| {
             encode::error_response(out, Severity::Error, error.code, error.message, None);
--- a/server/src/clients/response_encoding.rs
+++ b/server/src/clients/response_encoding.rs
@@ -3,10 +3,11 @@
 use crate::messages::response::Response;
 use crate::protocol::encode::{self, Severity, SESSION_PARAMETER};
 use crate::protocol::sqlstate::SqlState;
+use crate::runtime::clock::NANOS_PER_MILLI;
 use routing::time::TimeDelta;
 use write_journal::record_state::Fate;
 
-const NANOS_PER_MILLI: i64 = 1_000_000;
+/// The name of the column in the response to a fate query.
 const FATE_COLUMN: &str = "fate";
 
 /// Encodes a response and its ReadyForQuery, with the session's token if it has changed.
@@ -41,6 +42,7 @@
     encode::error_response(out, Severity::Error, code, reason, detail);
 }
 
+/// Appends the response to a fate query: a row, or an error if the fate is unknown.
 fn encode_fate(out: &mut Vec<u8>, fate: Fate) {
     match fate {
         Fate::Executed(None) => encode::text_row(out, FATE_COLUMN, "ran"),
--- a/server/src/clients/session_tokens.rs
+++ b/server/src/clients/session_tokens.rs
@@ -3,6 +3,7 @@
 
 use crate::messages::response::{Response, SessionEvidence};
 use crate::protocol::sqlstate::SqlState;
+use crate::runtime::clock::NANOS_PER_SECOND;
 use routing::rng::Mwc;
 use routing::time::{TimeDelta, Timestamp};
 use sessions::positions::{GroupNumber, LogPosition, SessionPositions};
@@ -12,7 +13,6 @@
 use std::sync::{Mutex, MutexGuard};
 use thiserror::Error;
 
-const NANOS_PER_SECOND: i64 = 1_000_000_000;
 /// The parameter value by which a client starts a session; an empty value does the same.
 const NEW_SESSION: &str = "new";
 /// The number of values of a byte, as the exclusive bound of a random one.
@@ -76,6 +76,7 @@
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
+/// A timestamp in whole Unix seconds, rounded down.
 fn unix_seconds(now: Timestamp) -> i64 {
     now.0.div_euclid(NANOS_PER_SECOND)
 }
@@ -110,6 +111,7 @@
         Ok(ClientSession { session: token.session, audience, positions: token.positions })
     }
 
+    /// Generates a random session id.
     fn new_session_id(&self) -> SessionId {
         let mut id = SessionId::default();
         let mut rng = lock(&self.ids);
--- a/server/src/clients/socket.rs
+++ b/server/src/clients/socket.rs
@@ -112,6 +112,7 @@
         Ok(FlushOutcome::Complete)
     }
 
+    /// The slices of the first responses in the outbox that were not written yet.
     fn unwritten(&self) -> Vec<IoSlice<'_>> {
         let responses = self.outbox.iter().take(MAX_WRITE_SLICES).enumerate();
         let unwritten = responses.map(|(index, response)| {
@@ -121,6 +122,7 @@
         unwritten.collect()
     }
 
+    /// Removes the written bytes from the outbox.
     fn account_written(&mut self, count: usize) {
         self.written += count;
         while let Some(first) = self.outbox.front().filter(|first| first.len() <= self.written) {
--- a/server/src/config/bootstrap.rs
+++ b/server/src/config/bootstrap.rs
@@ -11,9 +11,13 @@
 use std::num::ParseIntError;
 use thiserror::Error;
 
+/// The environment variable with the path of the bootstrap file.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
+/// The environment variable that overrides the instance's name.
 const NAME_VARIABLE: &str = "ROUTER_NAME";
+/// The environment variable that overrides the listen address.
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
+/// The environment variable that overrides the address of discovery at the start.
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 /// The base of the seed's digits.
 const HEXADECIMAL: u32 = 16;
@@ -192,6 +196,10 @@
             .map_err(|faults| faults.into_iter().map(|fault| fault.locate(&path, &text)).collect())
     }
 
+    /// Parses and validates the content of the file.
+    ///
+    /// # Errors
+    /// A file that is not valid JSON, or every fault of its values and of the variables.
     fn parse(
         text: &[u8],
         at: ReadAt,
--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -8,14 +8,13 @@
 use crate::messages::journal_entry::JournalVerdict;
 use crate::messages::response::Response;
 use crate::protocol::sqlstate::{ClientError, SqlState};
+use crate::runtime::clock::{NANOS_PER_MICRO, NANOS_PER_MILLI};
 use crate::storage::journal::WriteJournal;
 use routing::time::{TimeDelta, Timestamp};
 use routing::{AttemptEnd, AttemptOutcome, Event, RequestId};
 use sessions::epochs::Epoch;
 use write_journal::record_state::RecordEvent;
 
-const NANOS_PER_MILLI: i64 = 1_000_000;
-const NANOS_PER_MICRO: i64 = 1_000;
 /// The error for an id that the journal holds for another write.
 const ID_RECORDED: ClientError =
     ClientError::new(SqlState::DUPLICATE_OBJECT, "id is that of a write on record: ask for its fate");
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -151,6 +151,7 @@
         }
     }
 
+    /// Handles one message.
     fn handle_message(&mut self, now: Timestamp, message: ControlMessage) {
         match message {
             ControlMessage::Request(incoming) => {
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -5,6 +5,7 @@
 use crate::endpoints::health_check::DiscoveryQuery;
 use crate::messages::control::{ConnectError, QueryAnswer, QueryEnd};
 use crate::messages::endpoint_list::ListedEndpoint;
+use crate::runtime::clock::NANOS_PER_MILLI;
 use endpoint_cache::CachedEndpointList;
 use recovery::endpoint_state::{RecoveringEndpoint, RoleReport};
 use recovery::primary_discovery::{Action, Event as DiscoveryEvent, Identity, QueryFailure};
@@ -14,8 +15,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-const NANOS_PER_MILLI: i64 = 1_000_000;
-
 impl ControlLoop {
     /// Handles the list that was cached before the start.
     pub(super) fn on_cached_list(&mut self, now: Timestamp, list: &CachedEndpointList) {
--- a/server/src/control/request_handling.rs
+++ b/server/src/control/request_handling.rs
@@ -7,6 +7,7 @@
 use crate::messages::control::{FateQuery, IncomingRequest};
 use crate::messages::response::Response;
 use crate::protocol::sqlstate::{ClientError, SqlState};
+use crate::runtime::clock::NANOS_PER_MILLI;
 use recovery::primary_discovery;
 use routing::time::{TimeDelta, Timestamp};
 use routing::{Access, Event, Idempotency, RequestArrival, RequestId, RoutingSettings};
@@ -15,7 +16,6 @@
 use std::sync::Arc;
 use write_journal::record_state::{Deduplication, Fate};
 
-const NANOS_PER_MILLI: i64 = 1_000_000;
 /// The error for a group that is not in the endpoint list.
 const UNKNOWN_GROUP: ClientError =
     ClientError::new(SqlState::UNDEFINED_OBJECT, "cluster names no listed group");
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -7,11 +7,11 @@
 use crate::messages::control::{AttemptJob, AttemptReport, ConfirmAttempt, ControlMessage};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::protocol::framing::LENGTH_BYTES;
+use crate::runtime::clock::NANOS_PER_MILLI;
 use crate::storage::journal::WriteJournal;
 use may::sync::mpsc::{channel, Sender};
 use routing::AttemptOutcome;
 
-const NANOS_PER_MILLI: i64 = 1_000_000;
 /// The shortest timeout that is sent to an endpoint, in milliseconds: zero would not be valid.
 const MIN_TIMEOUT_MS: i64 = 1;
 
--- a/server/src/endpoints/pool.rs
+++ b/server/src/endpoints/pool.rs
@@ -215,6 +215,7 @@
         }
     }
 
+    /// Adds an idle connection to the pool.
     fn insert(&self, addr: SocketAddr, connection: PeerConnection, verification: Option<ResponseParser>) {
         let since = self.timers.now();
         let idle = IdleConnection { connection, since, verification };
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -103,6 +103,7 @@
     rule(State::ExpectEmptyResponse, b'I', LENGTH_BYTES, <[u8]>::is_empty, State::Complete),
 ];
 
+/// Whether a body is a DataRow with exactly one column that is not null.
 fn has_one_column(body: &[u8]) -> bool {
     decode::only_column(body).is_some()
 }
--- a/server/src/protocol/frontend_codec.rs
+++ b/server/src/protocol/frontend_codec.rs
@@ -98,6 +98,10 @@
         self.bytes.shrink_to(self.bytes.len().max(RETAINED_BUFFER_BYTES));
     }
 
+    /// Decodes a startup packet.
+    ///
+    /// # Errors
+    /// The packet's length is invalid or too great.
     fn next_startup_message(&mut self) -> Result<Option<FrontendMessage>, FrameError> {
         let Some(packet) = startup_packet(&self.bytes[self.at..])? else { return Ok(None) };
         let body = self.at + STARTUP_HEADER_BYTES..self.at + packet.length;
@@ -117,6 +121,10 @@
         }))
     }
 
+    /// Decodes the next message of a session that is not skipped.
+    ///
+    /// # Errors
+    /// The message's length or tag is invalid, or it is too long.
     fn next_tagged_message(&mut self) -> Result<Option<FrontendMessage>, FrameError> {
         while let Some(frame) = frame(&self.bytes, self.at, MAX_QUERY_BYTES)? {
             self.at = frame.body.end;
--- a/server/src/protocol/statement.rs
+++ b/server/src/protocol/statement.rs
@@ -12,6 +12,7 @@
 const COMMANDS_WITHOUT_EFFECT: [&str; 3] = ["SET", "RESET", "DISCARD"];
 /// The statement that queries the fate of a write.
 const FATE_STATEMENT: &str = "SHOW gingerwick.fate";
+/// The error message for an invalid fate query.
 const FATE_SYNTAX: &str = "a fate is asked for by /* fate=ID,at=ORIGIN */ SHOW gingerwick.fate";
 
 /// The contents of the comment at the head of a statement.
--- a/server/src/runtime/clock.rs
+++ b/server/src/runtime/clock.rs
@@ -9,7 +9,12 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const NANOS_PER_MILLI: i64 = 1_000_000;
+/// Nanoseconds, the unit of timestamps, in a microsecond.
+pub const NANOS_PER_MICRO: i64 = 1_000;
+/// Nanoseconds in a millisecond.
+pub const NANOS_PER_MILLI: i64 = 1_000_000;
+/// Nanoseconds in a second.
+pub const NANOS_PER_SECOND: i64 = 1_000_000_000;
 const MILLIS_PER_SECOND: f64 = 1e3;
 /// Unix milliseconds from this on are invalid; in nanoseconds, they would come close to the range of an `i64`.
 const MAX_UNIX_MS: f64 = 9.0e12;
--- a/server/src/runtime/idle_clients.rs
+++ b/server/src/runtime/idle_clients.rs
@@ -45,6 +45,7 @@
     serial: u64,
 }
 
+/// An idle client.
 struct IdleClient {
     since: Timestamp,
     connection: Arc<dyn RequestClose>,
--- a/server/src/runtime/log.rs
+++ b/server/src/runtime/log.rs
@@ -87,11 +87,13 @@
     max_bytes: usize,
 }
 
+/// The queue of the writer thread, once the log was started.
 static QUEUE: OnceLock<Queue> = OnceLock::new();
 /// Bytes in the queue.
 static QUEUED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
 impl Queue {
+    /// Starts the writer thread.
     fn start(max_bytes: usize) -> Queue {
         let (sender, entries) = channel();
         thread::spawn(move || {
@@ -145,6 +147,7 @@
     }
 }
 
+/// Creates a [`Line`] for each event.
 struct QueueWriter;
 
 impl MakeWriter<'_> for QueueWriter {
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -148,6 +148,7 @@
         self.cache.as_ref().and_then(|cache| cache.writer.clone())
     }
 
+    /// The endpoint list at the start, from the cache or the bootstrap file.
     fn take_initial_list(&mut self) -> InitialList {
         let bootstrap = self.configuration.bootstrap.known_endpoints.take();
         match &mut self.cache {
@@ -228,6 +229,7 @@
         Ok(target)
     }
 
+    /// Session tokens, if session keys are configured.
     fn session_tokens(&mut self) -> Option<Arc<SessionTokens>> {
         let keys = self.configuration.session_keys.take()?;
         let lifetime = TimeDelta(self.configuration.operators.session_lifetime.as_nanos() as i64);
@@ -272,6 +274,7 @@
         accept_stop
     }
 
+    /// The context that all client connections share.
     fn client_context(
         &self,
         shutdown: &Arc<GracefulShutdown>,
@@ -297,6 +300,7 @@
     }
 }
 
+/// Binds the listener for clients.
 fn bind(listen: SocketAddr) -> Result<TcpListener, Failure> {
     TcpListener::bind(listen)
         .map_err(|error| Failure::new(ExitStatus::OsError, format!("ROUTER_LISTEN: {listen}: {error}")))
--- a/server/src/storage/endpoint_cache_writer.rs
+++ b/server/src/storage/endpoint_cache_writer.rs
@@ -3,7 +3,7 @@
 
 use crate::log;
 use crate::messages::endpoint_list::{ListedEndpoint, ListedHealth};
-use crate::runtime::clock::{to_duration, wall_ms, Clock};
+use crate::runtime::clock::{to_duration, wall_ms, Clock, NANOS_PER_MILLI};
 use endpoint_cache::{CacheDirectory, CacheError, CachedEndpoint, CachedEndpointList, CachedReport};
 use recovery::endpoint_state::RoleReport;
 use recovery::save_schedule::{is_worth_saving, SaveSchedule};
@@ -16,7 +16,6 @@
 
 /// The thread's wait if nothing is to be saved; a change wakes it earlier.
 const IDLE_WAIT: Duration = Duration::from_secs(3600);
-const NANOS_PER_MILLI: i64 = 1_000_000;
 
 /// One endpoint of the list.
 struct Row {
@@ -182,6 +181,7 @@
         Row { endpoint: Arc::new(endpoint), report }
     }
 
+    /// Replaces the report that is saved with the endpoint.
     fn set_report(&mut self, report: RoleReport) {
         let cached = CachedReport {
             primary: report.role == Some(Role::Primary),
@@ -203,6 +203,7 @@
 }
 
 impl State {
+    /// Takes a snapshot of the list.
     fn pending_save(&self) -> PendingSave {
         PendingSave {
             version: self.version,
@@ -213,6 +214,7 @@
 }
 
 impl PendingSave {
+    /// Copies the snapshot to the form in which it is saved.
     fn into_list(self) -> CachedEndpointList {
         CachedEndpointList {
             generation: 0,
