--- a/server/src/endpoints/connection.rs
+++ b/server/src/endpoints/connection.rs
@@ -182,7 +182,7 @@
     }
 
     /// Appends the bytes that have arrived on an idle connection to the buffer, without waiting. Returns false if the
-    /// connection was closed, or the buffer exceeds [`MAX_IDLE_BYTES`].
+    /// connection was closed, or the buffer exceeds `MAX_IDLE_BYTES`.
     pub fn read_available(&mut self) -> bool {
         let mut bytes = [0; IDLE_READ_BYTES];
         while self.buffer.len() <= MAX_IDLE_BYTES {
--- a/server/src/runtime/log.rs
+++ b/server/src/runtime/log.rs
@@ -217,7 +217,7 @@
     };
 }
 
-/// Waits until all queued lines were written, [`FLUSH_TIMEOUT`] at most. Called before the process exits.
+/// Waits until all queued lines were written, `FLUSH_TIMEOUT` at most. Called before the process exits.
 pub fn flush() {
     let Some(queue) = QUEUE.get() else { return };
     let (done, written) = sync_channel(0);
