--- a/admission/src/accept_backoff.rs
+++ b/admission/src/accept_backoff.rs
@@ -1,60 +1,62 @@
-//! What is done if a connection cannot be accepted, so that the accept loop neither spins nor stands still.
+//! Backoff of the accept loop: what to do when accept(2) fails, so that the loop neither spins nor stalls.
 
 use routing::time::TimeDelta;
 
-/// What went wrong, in the operating system's terms.
+/// Classes of accept(2) errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptError {
-    /// The connection was over before it was accepted (ECONNABORTED, EPROTO and the network's own errors that accept(2)
-    /// passes on): it is out of the queue.
+    /// The connection failed before it was accepted (ECONNABORTED, EPROTO and the network errors that accept(2) passes
+    /// on). It has left the listen queue.
     Aborted,
-    /// No descriptor is left (EMFILE, ENFILE): it stays in the queue.
+    /// No file descriptor is left (EMFILE, ENFILE). The connection stays in the listen queue.
     NoDescriptor,
-    /// No memory for buffers (ENOBUFS, ENOMEM): it stays in the queue, or is dropped by the kernel.
+    /// No memory for socket buffers (ENOBUFS, ENOMEM). The connection stays in the listen queue or is dropped by the
+    /// kernel.
     NoMemory,
     /// The call was interrupted (EINTR).
     Interrupted,
-    /// Anything else.
+    /// Any other error.
     Other,
 }
 
 /// What to do before the next connection is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptStep {
-    /// Nothing.
+    /// Call accept again immediately.
     RetryNow,
-    /// Use the descriptor that is held in reserve to reject one client; then wait, and longer if that failed.
+    /// Use the reserved file descriptor to accept and reject one client, then wait.
     RejectOne {
-        /// The wait if a client was rejected.
+        /// How long to wait if a client was rejected.
         wait: TimeDelta,
-        /// The wait if not.
+        /// How long to wait if that failed.
         wait_on_failure: TimeDelta,
     },
-    /// Wait.
+    /// Wait for this long.
     Wait(TimeDelta),
 }
 
-/// The first wait; each is twice the one before.
+/// The first wait; each further one is twice as long.
 const MIN_WAIT: TimeDelta = TimeDelta::from_millis(1);
+/// The longest wait.
 const MAX_WAIT: TimeDelta = TimeDelta::from_millis(100);
-/// Errors in a row without a wait: connections that are over before they are accepted come as fast as a peer likes.
+/// Consecutive errors without a wait. Bounded because a peer can abort connections at any rate.
 const MAX_IMMEDIATE_RETRIES: u32 = 8;
 
-/// How accepting went lately.
+/// Backoff state of one accept loop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AcceptBackoff {
-    /// Errors since the last connection that was accepted.
+    /// Errors since the last accepted connection.
     errors: u32,
     wait: TimeDelta,
 }
 
 impl AcceptBackoff {
-    /// A connection was accepted.
+    /// Records an accepted connection.
     pub fn accepted(&mut self) {
         *self = AcceptBackoff::default();
     }
 
-    /// A connection could not be accepted.
+    /// Records a failed accept and returns what to do next.
     pub fn failed(&mut self, error: AcceptError) -> AcceptStep {
         let may_retry_now = self.errors % (MAX_IMMEDIATE_RETRIES + 1) < MAX_IMMEDIATE_RETRIES;
         self.errors = self.errors.wrapping_add(1);
@@ -64,13 +66,13 @@
                 self.wait = TimeDelta::ZERO;
                 AcceptStep::RetryNow
             }
-            // Clients in the queue are rejected one by one, at a rate that leaves the worker to others.
+            // Queued clients are rejected one at a time, slowly enough to leave the worker to other connections.
             AcceptError::NoDescriptor => {
                 self.wait = MIN_WAIT;
                 AcceptStep::RejectOne { wait: MIN_WAIT, wait_on_failure: MAX_WAIT / 2 }
             }
             AcceptError::Interrupted | AcceptError::Aborted => self.wait_for(MIN_WAIT),
-            // The kernel frees memory as others end: soon, or not for long.
+            // Memory becomes free as other connections end, which may take short or long.
             AcceptError::NoMemory | AcceptError::Other => self.wait_for(doubled),
         }
     }
--- a/admission/src/client_address.rs
+++ b/admission/src/client_address.rs
@@ -1,5 +1,5 @@
-//! What is remembered of the addresses of clients: how many connections each holds, and how far it is ahead of its rate.
-//! Bounded, however many there are.
+//! Client addresses: the connections each one holds and its state of the connection rate limit, in a table of
+//! bounded size.
 
 use crate::client_class::ConnectionRate;
 use routing::time::{TimeDelta, Timestamp};
@@ -7,19 +7,19 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::{IpAddr, Ipv6Addr};
 
-/// Addresses without a connection that are remembered at most, some 150 bytes each. A client that comes from so many other
-/// addresses within the time in which one falls back to its rate can have that one forgotten, which then starts with a whole
-/// burst.
+/// Maximum number of remembered addresses without a connection, about 150 bytes each. A client that connects from
+/// this many addresses before one of them conforms to its rate again can have that address evicted, which then
+/// starts with a full burst.
 pub const MAX_REMEMBERED: usize = 1 << 16;
-/// A table with this capacity or less is never shrunk.
+/// Tables of this capacity (entries) or less are not shrunk: the memory is too small to matter.
 const MIN_CAPACITY: usize = 1_024;
 
-/// How many bits of an address identify a client: whoever holds one address of such a network may hold all of them.
+/// Prefix lengths by which addresses identify a client: one client may control every address of such a network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressPrefixes {
-    /// 8 to 32.
+    /// Prefix length of IPv4 addresses in bits, 8 to 32.
     pub v4: u8,
-    /// 16 to 64.
+    /// Prefix length of IPv6 addresses in bits, 16 to 64.
     pub v6: u8,
 }
 
@@ -29,12 +29,12 @@
     }
 }
 
-/// The address of a client, cut off to a prefix.
+/// The address of a client, truncated to the configured prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientAddress(u128);
 
 impl ClientAddress {
-    /// Of a connection's address. An IPv4 address that came as an IPv6 one is the IPv4 address.
+    /// Truncates the peer address of a connection. An IPv4-mapped IPv6 address counts as the IPv4 address.
     pub fn new(from: IpAddr, prefixes: AddressPrefixes) -> ClientAddress {
         let (bits, prefix) = match from.to_canonical() {
             IpAddr::V4(v4) => (v4.to_ipv6_mapped().to_bits(), 96 + prefixes.v4.min(32)),
@@ -54,25 +54,26 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct AddressState {
     connections: usize,
-    /// When it has fallen back to its rate: the theoretical arrival time of the generic cell rate algorithm.
+    /// When the address conforms to its rate again: the theoretical arrival time of the generic cell rate
+    /// algorithm.
     conforms_at: Timestamp,
 }
 
-/// The addresses of clients.
+/// Connection counts and rate-limit states by client address.
 #[derive(Debug, Default)]
 pub struct AddressTable {
     addresses: HashMap<ClientAddress, AddressState>,
-    /// Those without a connection, by when they conform to their rate.
+    /// Addresses without a connection, ordered by when they conform to their rate again.
     idle: BTreeSet<(Timestamp, ClientAddress)>,
 }
 
 impl AddressTable {
-    /// Connections that an address holds.
+    /// Number of connections that an address holds.
     pub fn connections(&self, address: ClientAddress) -> usize {
         self.addresses.get(&address).map_or(0, |state| state.connections)
     }
 
-    /// The addresses with most connections, `count` at most.
+    /// The `count` addresses with the most connections, in descending order.
     pub fn top(&self, count: usize) -> Vec<(ClientAddress, usize)> {
         let connected = self.addresses.iter().filter(|(_, state)| state.connections > 0);
         let mut top: Vec<(ClientAddress, usize)> =
@@ -82,23 +83,23 @@
         top
     }
 
-    /// Addresses of which anything is remembered.
+    /// Number of remembered addresses.
     pub fn len(&self) -> usize {
         self.addresses.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no address is remembered.
     pub fn is_empty(&self) -> bool {
         self.addresses.is_empty()
     }
 
-    /// How long an address must wait for its next connection by its rate; zero if it need not.
+    /// Time until an address may open its next connection at its rate; zero if it may now.
     pub fn wait(&self, now: Timestamp, address: ClientAddress, rate: ConnectionRate) -> TimeDelta {
         let conforms_at = self.addresses.get(&address).map_or(now, |state| state.conforms_at);
         (conforms_at - now - rate.tolerance()).max(TimeDelta::ZERO)
     }
 
-    /// An address gets a connection.
+    /// Records a new connection of an address.
     pub fn connected(&mut self, now: Timestamp, address: ClientAddress, rate: Option<ConnectionRate>) {
         let state = self.addresses.entry(address).or_default();
         if state.connections == 0 {
@@ -109,7 +110,7 @@
         state.conforms_at = state.conforms_at.max(now) + interval;
     }
 
-    /// A connection of an address has ended. The address is remembered until it conforms to its rate.
+    /// Records the end of a connection. The address is remembered until it conforms to its rate again.
     pub fn disconnected(&mut self, now: Timestamp, address: ClientAddress) {
         let Some(state) = self.addresses.get_mut(&address) else { return };
         state.connections = state.connections.saturating_sub(1);
@@ -119,7 +120,7 @@
         self.expire(now);
     }
 
-    /// Forgets addresses that conform to their rate, and beyond the limit those that will soonest.
+    /// Evicts addresses that conform to their rate and, beyond [`MAX_REMEMBERED`], those that conform soonest.
     pub fn expire(&mut self, now: Timestamp) {
         while let Some(&(conforms_at, address)) = self.idle.first() {
             if conforms_at > now && self.idle.len() <= MAX_REMEMBERED {
--- a/admission/src/client_class.rs
+++ b/admission/src/client_class.rs
@@ -1,4 +1,4 @@
-//! Classes of clients, as operators set them.
+//! Client classes as configured by operators: their limits, validation, and the classification of a client.
 
 use ipnet::IpNet;
 use routing::time::TimeDelta;
@@ -7,61 +7,68 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The class of every client that no other class describes.
+/// Name of the class of every client that matches no other class.
 pub const DEFAULT_CLASS: &str = "others";
 
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
-/// New connections per second from one address, and how many may come at once after a pause.
+/// Token-bucket limit on new connections from one address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionRate {
-    /// 1 to 100,000.
+    /// Sustained rate in connections per second, 1 to 100,000.
     pub per_second: u32,
-    /// 1 to 100,000.
+    /// Connections that may arrive at once after an idle period, 1 to 100,000.
     pub burst: u32,
 }
 
 impl ConnectionRate {
-    /// Between two connections that come steadily.
+    /// Time between two connections at the sustained rate.
     pub fn interval(self) -> TimeDelta {
         TimeDelta(NANOS_PER_SECOND / i64::from(self.per_second.max(1)))
     }
 
-    /// How far ahead of the steady rate an address may be.
+    /// How far ahead of the sustained rate an address may run: the burst tolerance of the generic cell rate
+    /// algorithm (ITU-T I.371).
     pub fn tolerance(self) -> TimeDelta {
         self.interval() * i64::from(self.burst.max(1) - 1)
     }
 }
 
-/// One class of clients. A limit that is not set does not exist.
+/// A class of clients and its limits. A limit of `None` is unlimited.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientClass {
-    /// Its name.
+    /// Unique name of the class.
     pub name: Arc<str>,
-    /// The networks of its clients; empty for [`DEFAULT_CLASS`]. Empty with users: all networks.
+    /// Networks of its clients. Empty for [`DEFAULT_CLASS`]; empty together with `users` means any network.
     pub networks: Vec<IpNet>,
-    /// Only clients that name one of these, if there are any. Nobody proves a name: a class by its users alone is open to
-    /// whoever knows one.
+    /// If not empty, only clients that present one of these user names belong to the class. User names are not
+    /// authenticated: a class without networks is open to anyone who knows a name.
     pub users: Vec<Arc<str>>,
-    /// Connections reserved for it, whatever other classes do.
+    /// Connections reserved for the class, regardless of the load of other classes.
     pub reserved: usize,
-    /// Connections of the whole class at most.
+    /// Maximum connections of the whole class.
     pub max_connections: Option<usize>,
-    /// Connections of one address at most.
+    /// Maximum connections from one address.
     pub max_per_address: Option<usize>,
-    /// New connections of one address.
+    /// Rate limit on new connections from one address.
     pub rate: Option<ConnectionRate>,
-    /// Its share of the requests in flight if there are too many: 1 to 1,000.
+    /// Weight of the class when requests queue for the concurrency limit, 1 to 1,000.
     pub weight: u32,
-    /// Requests of the whole class at most, in flight or waiting.
+    /// Maximum requests of the whole class, in flight and waiting.
     pub max_requests: Option<usize>,
 }
 
-/// How closely a class describes a client: by a user first, then by the length of the network's prefix.
-type Specificity = (bool, u8);
+/// How closely a class matches a client. The order of the fields is the order of comparison.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Specificity {
+    /// The class matches by user name.
+    by_user: bool,
+    /// Prefix length in bits of the longest matching network.
+    prefix_length: u8,
+}
 
 impl ClientClass {
-    /// A class without limits.
+    /// Creates a class with this name and without limits.
     pub fn named(name: &str) -> ClientClass {
         ClientClass {
             name: name.into(),
@@ -76,62 +83,64 @@
         }
     }
 
-    /// Its clients may come from any network, and are told apart by their users.
+    /// Whether clients match by their user name alone, from any network.
     fn is_by_users_alone(&self) -> bool {
         self.networks.is_empty() && !self.users.is_empty()
     }
 
+    /// How closely the class matches a client, or `None` if it does not match.
     fn specificity(&self, from: IpAddr, user: Option<&str>) -> Option<Specificity> {
-        let has_users = !self.users.is_empty();
-        if has_users && !self.users.iter().any(|known| Some(&**known) == user) {
+        let by_user = !self.users.is_empty();
+        if by_user && !self.users.iter().any(|known| Some(&**known) == user) {
             return None;
         }
         let containing = self.networks.iter().filter(|network| network.contains(&from));
-        let prefix_length = containing.map(IpNet::prefix_len).max();
-        let anywhere = self.is_by_users_alone().then_some(0);
-        prefix_length.or(anywhere).map(|bits| (has_users, bits))
+        let longest_prefix = containing.map(IpNet::prefix_len).max();
+        let any_network = self.is_by_users_alone().then_some(0);
+        let prefix_length = longest_prefix.or(any_network)?;
+        Some(Specificity { by_user, prefix_length })
     }
 
-    /// Whether some client could be described by both classes equally closely. A client that one class names by its user and
-    /// the other does not is described more closely by the first.
+    /// Whether one client could match both classes with the same specificity. A match by user name is always more
+    /// specific than one without, so classes compete only if both match by user name or neither does.
     fn competes_with(&self, other: &ClientClass) -> bool {
         let shares_user = other.users.iter().any(|user| self.users.contains(user));
         shares_user || (other.users.is_empty() && self.users.is_empty())
     }
 }
 
-/// Why classes cannot be used together.
+/// Why a set of client classes is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ClassError {
-    /// Two classes have one name.
+    /// Two classes have the same name.
     #[error("{0} is there twice")]
     DuplicateName(Arc<str>),
-    /// More connections are reserved for a class than it may have.
+    /// A class reserves more connections than its own maximum.
     #[error("{0} keeps more than its most")]
     ReservesMoreThanLimit(Arc<str>),
-    /// All classes together reserve more connections than there are.
+    /// The classes together reserve more connections than the server's capacity.
     #[error("{reserved} connections are kept in all, and there is room for {capacity}")]
     ReservesMoreThanCapacity {
-        /// Connections reserved.
+        /// Connections reserved by all classes.
         reserved: usize,
-        /// Connections in all.
+        /// Connections of the server.
         capacity: usize,
     },
-    /// A network stands in two classes, for the same clients.
+    /// Two classes list the same network for the same clients.
     #[error("{0} stands in two classes")]
     DuplicateNetwork(IpNet),
-    /// A user stands in two classes, neither of which names a network.
+    /// Two classes without networks list the same user.
     #[error("user {0} stands in two classes")]
     DuplicateUser(Arc<str>),
-    /// The default class has networks or users of its own.
+    /// The default class lists networks or users.
     #[error("{DEFAULT_CLASS} are those in no other class")]
     DefaultClassDescribed,
-    /// Another class has neither.
+    /// A class other than the default one lists neither networks nor users.
     #[error("{0} has no ranges and no users, so nobody is of it")]
     DescribesNobody(Arc<str>),
 }
 
-/// All that is wrong with classes among themselves, for a server with so many connections.
+/// Returns every error in a set of classes, for a server of `capacity` connections.
 pub fn validate(classes: &[ClientClass], capacity: usize) -> Vec<ClassError> {
     let mut errors = Vec::new();
     for (index, class) in classes.iter().enumerate() {
@@ -148,7 +157,7 @@
     if before.iter().any(|other| other.name == class.name) {
         errors.push(ClassError::DuplicateName(class.name.clone()));
     }
-    if class.max_connections.is_some_and(|most| class.reserved > most) {
+    if class.max_connections.is_some_and(|max_connections| class.reserved > max_connections) {
         errors.push(ClassError::ReservesMoreThanLimit(class.name.clone()));
     }
     let describes_nobody = class.networks.is_empty() && class.users.is_empty();
@@ -157,29 +166,30 @@
         (true, false) => errors.push(ClassError::DescribesNobody(class.name.clone())),
         _ => {}
     }
-    let is_taken = |network: &&IpNet| {
+    let is_duplicate_network = |network: &&IpNet| {
         let mut competitors = before.iter().filter(|other| class.competes_with(other));
         competitors.any(|other| other.networks.contains(network))
     };
-    if let Some(network) = class.networks.iter().find(is_taken) {
+    if let Some(network) = class.networks.iter().find(is_duplicate_network) {
         errors.push(ClassError::DuplicateNetwork(*network));
     }
-    let is_named = |user: &&Arc<str>| {
+    let is_duplicate_user = |user: &&Arc<str>| {
         let mut by_users = before.iter().filter(|other| other.is_by_users_alone());
         class.is_by_users_alone() && by_users.any(|other| other.users.contains(user))
     };
-    if let Some(user) = class.users.iter().find(is_named) {
+    if let Some(user) = class.users.iter().find(is_duplicate_user) {
         errors.push(ClassError::DuplicateUser(user.clone()));
     }
 }
 
-/// The index of a client's class: the one that describes it most closely, otherwise the default class, which must exist.
+/// Returns the index of the class that matches a client most closely, or of the default class, which must exist.
+/// Of several equally specific classes the first one wins.
 pub fn classify(classes: &[ClientClass], from: IpAddr, user: Option<&str>) -> usize {
-    let described = classes.iter().enumerate().filter_map(|(index, class)| {
+    let matching = classes.iter().enumerate().filter_map(|(index, class)| {
         let specificity = class.specificity(from, user)?;
         Some((specificity, Reverse(index)))
     });
-    let closest = described.max().map(|(_, Reverse(index))| index);
+    let closest = matching.max().map(|(_, Reverse(index))| index);
     let default = || classes.iter().position(|class| &*class.name == DEFAULT_CLASS);
     closest.or_else(default).unwrap_or(0)
 }
--- a/admission/src/concurrency_limiter/arrival_table.rs
+++ b/admission/src/concurrency_limiter/arrival_table.rs
@@ -1,8 +1,8 @@
-//! What happens to a request that has come, as a table.
+//! The admission decision for an arriving request, as a table of rules.
 
 use super::types::ShedReason;
 
-/// What the decision on a request that has come is made from.
+/// Input of the admission decision for an arriving request.
 pub struct Case {
     pub is_retry: bool,
     pub within_retry_budget: bool,
@@ -12,26 +12,26 @@
     pub max_in_flight: usize,
     pub waiting: usize,
     pub max_waiting: usize,
-    /// Requests of its client that wait, in proportion to the client's weight, with this one.
+    /// Waiting requests of its client including this one, divided by the weight of its class.
     pub queue_share: u64,
-    /// The greatest of any client.
+    /// The largest queue share of any client.
     pub max_queue_share: u64,
 }
 
-/// What follows for a request.
+/// Outcome of the admission decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     Admit,
     Wait,
-    /// It waits in place of another.
+    /// Wait, and displace another request from the full queue.
     Displace,
     Shed(ShedReason),
 }
 
-type Row = (fn(&Case) -> bool, Step);
+type Rule = (fn(&Case) -> bool, Step);
 
-/// The first row that fits counts.
-const TABLE: &[Row] = &[
+/// The first rule that matches applies.
+const RULES: &[Rule] = &[
     (|case| case.is_retry && !case.within_retry_budget, Step::Shed(ShedReason::RetryBudget)),
     (|case| case.class_requests >= case.max_class_requests, Step::Shed(ShedReason::ClassLimit)),
     (|case| case.in_flight < case.max_in_flight, Step::Admit),
@@ -40,7 +40,7 @@
     (|_| true, Step::Shed(ShedReason::QueueFull)),
 ];
 
-/// What follows for a request that has come.
+/// Decides on an arriving request.
 pub fn decide(case: &Case) -> Step {
-    TABLE.iter().find(|(fits, _)| fits(case)).map_or(Step::Admit, |(_, step)| *step)
+    RULES.iter().find(|(matches, _)| matches(case)).map_or(Step::Admit, |(_, step)| *step)
 }
--- a/admission/src/concurrency_limiter/fair_queue.rs
+++ b/admission/src/concurrency_limiter/fair_queue.rs
@@ -1,5 +1,5 @@
-//! The requests of one class, in the order in which its clients are served: start-time fair queueing (Goyal, Vin, Cheng,
-//! SIGCOMM 1996) among the clients with fewest requests in flight. Classes are served alike among themselves.
+//! The queue of one class: start-time fair queueing (Goyal, Vin, Cheng, SIGCOMM 1996) among the clients with the
+//! fewest requests in flight. The limiter applies the same algorithm among classes.
 
 use super::RequestId;
 use crate::client_address::ClientAddress;
@@ -7,50 +7,57 @@
 use routing::time::Timestamp;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// The virtual time that one request takes, for a weight of one.
+/// Virtual service time of one request at a weight of one. Large enough that dividing it by a weight of up to 1,000
+/// loses no precision that matters.
 pub const VIRTUAL_SERVICE: u64 = 1_000_000;
-/// Shares of the queue are counted in this many parts of a request.
+/// Fixed-point unit of queue shares: a share of this value is one request at a weight of one.
 const SHARE_UNIT: u64 = 1_000;
-/// A table with this capacity or less is never shrunk.
+/// Tables of this capacity (entries) or less are not shrunk: the memory is too small to matter.
 const MIN_CAPACITY: usize = 1_024;
 
-/// What is known of a client that has requests here, or was served lately.
+/// The requests and service tags of one client that has requests or was served recently.
 #[derive(Debug, Default)]
 pub struct Flow {
     pub in_flight: usize,
     waiting: VecDeque<RequestId>,
-    /// Since when some of its requests have waited without a break.
+    /// Since when the client's queue has not been empty.
     waiting_since: Timestamp,
-    /// When it is served next, in the virtual time of its class ...
+    /// Start tag of its next request, in the virtual time of its class.
     pub start_tag: u64,
-    /// ... and since which change it stands there.
+    /// Number of the change that set its current rank: breaks ties between equal start tags.
     ordered_since: u64,
-    /// When its oldest request that waits has waited for too long by the target.
+    /// When its oldest waiting request exceeds the target wait.
     head_expiry: Option<Timestamp>,
-    /// Since when it has no requests here.
+    /// Since when it has had no requests; `None` while it has any.
     idle_since: Option<Timestamp>,
 }
 
-/// The order in which clients are served: fewest requests in flight, then virtual time, then who came first.
-type FlowOrder = (usize, u64, u64, ClientAddress);
+/// Rank of a client in the service order of its class. The order of the fields is the order of comparison.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct FlowRank {
+    in_flight: usize,
+    start_tag: u64,
+    ordered_since: u64,
+    address: ClientAddress,
+}
 
 impl Flow {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// The request that has waited longest.
+    /// The request that has waited the longest.
     pub fn oldest(&self) -> Option<RequestId> {
         self.waiting.front().copied()
     }
 
-    /// The request that has waited shortest.
+    /// The request that arrived last.
     pub fn newest(&self) -> Option<RequestId> {
         self.waiting.back().copied()
     }
 
-    /// A request waits.
+    /// Appends a request to the queue.
     pub fn push(&mut self, request: RequestId, now: Timestamp) {
         if self.waiting.is_empty() {
             self.waiting_since = now;
@@ -58,7 +65,7 @@
         self.waiting.push_back(request);
     }
 
-    /// A request waits no longer.
+    /// Removes a request from the queue.
     pub fn remove(&mut self, request: RequestId) {
         if self.oldest() == Some(request) {
             self.waiting.pop_front();
@@ -67,12 +74,12 @@
         }
     }
 
-    /// Applies a change of this number, and finds the flow's place in the order of its class.
+    /// Applies the change with this number and updates the fields that rank the flow within its class.
     fn apply(&mut self, change: impl FnOnce(&mut Flow), number: u64, class_virtual_time: u64) {
         let (was_waiting, before) = (self.waiting() > 0, (self.in_flight, self.start_tag));
         change(self);
         if !was_waiting && self.waiting() > 0 {
-            // Nobody saves up service while nothing of it waits.
+            // Service that was not used while the queue was empty is not carried over.
             self.start_tag = self.start_tag.max(class_virtual_time);
         }
         if !was_waiting || before != (self.in_flight, self.start_tag) {
@@ -80,52 +87,53 @@
         }
     }
 
-    fn order(&self, address: ClientAddress) -> FlowOrder {
-        (self.in_flight, self.start_tag, self.ordered_since, address)
+    fn rank(&self, address: ClientAddress) -> FlowRank {
+        let Flow { in_flight, start_tag, ordered_since, .. } = *self;
+        FlowRank { in_flight, start_tag, ordered_since, address }
     }
 }
 
-/// Where a client's flow stands in the orders of the limiter, before or after a change.
+/// The fields of a client's flow that the limiter's indexes are keyed by, before or after a change.
 #[derive(Clone, Copy)]
-pub struct FlowPlace {
-    /// Its requests that wait.
+pub struct FlowSnapshot {
+    /// Number of waiting requests.
     pub waiting: usize,
-    /// Its share of its class's queue, by [`ClassQueue::queue_share`].
+    /// Its queue share, see [`ClassQueue::queue_share`].
     pub queue_share: u64,
-    /// Since when it has had no request in flight and none waiting.
+    /// Since when it has had no request in flight or waiting.
     pub idle_since: Option<Timestamp>,
 }
 
-/// How a client's flow was changed.
+/// A change to a client's flow.
 pub struct FlowChange {
-    pub before: FlowPlace,
-    pub after: FlowPlace,
-    /// When its oldest waiting request was due to expire before the change.
+    pub before: FlowSnapshot,
+    pub after: FlowSnapshot,
+    /// When its oldest waiting request exceeded the target wait, as set before the change.
     pub head_expiry_before: Option<Timestamp>,
-    /// Its oldest request that waits.
+    /// Its oldest waiting request after the change.
     pub oldest: Option<RequestId>,
-    /// Since when some of its requests have waited without a break.
+    /// Since when its queue has not been empty.
     pub waiting_since: Timestamp,
 }
 
-/// The requests of one class.
+/// The requests of one class and the service order of its clients.
 #[derive(Debug)]
 pub struct ClassQueue {
     weight: u64,
     max_requests: usize,
     pub in_flight: usize,
     pub waiting: usize,
-    /// When the class is served next, in the virtual time of the classes.
+    /// Start tag of the class, in the virtual time of the classes.
     pub start_tag: u64,
     flows: HashMap<ClientAddress, Flow>,
-    /// The virtual time of its clients.
+    /// Virtual time of fair queueing among the clients of the class.
     virtual_time: u64,
-    /// Clients with requests that wait.
-    order: BTreeSet<FlowOrder>,
+    /// Clients with waiting requests, in service order.
+    service_order: BTreeSet<FlowRank>,
 }
 
 impl ClassQueue {
-    /// For a class; without one, of weight one and without a limit.
+    /// Creates the queue of a class. Without a class: weight one and no limit.
     pub fn new(class: Option<&ClientClass>) -> ClassQueue {
         let mut queue = ClassQueue {
             weight: 1,
@@ -135,109 +143,109 @@
             start_tag: 0,
             flows: HashMap::new(),
             virtual_time: 0,
-            order: BTreeSet::new(),
+            service_order: BTreeSet::new(),
         };
         queue.set_limits(class);
         queue
     }
 
-    /// Takes the weight and the limit of the class.
+    /// Sets the weight and the request limit to those of the class.
     pub fn set_limits(&mut self, class: Option<&ClientClass>) {
         self.weight = class.map_or(1, |class| u64::from(class.weight.max(1)));
         self.max_requests = class.and_then(|class| class.max_requests).unwrap_or(usize::MAX);
     }
 
-    /// Requests of the class, in flight or waiting.
+    /// Number of requests in flight and waiting.
     pub fn requests(&self) -> usize {
         self.in_flight + self.waiting
     }
 
-    /// The limit on them.
+    /// Maximum requests in flight and waiting.
     pub fn max_requests(&self) -> usize {
         self.max_requests
     }
 
-    /// Whether it has no requests.
+    /// Whether the class has no requests.
     pub fn is_idle(&self) -> bool {
         self.requests() == 0
     }
 
-    /// Requests in flight in proportion to its weight.
+    /// Requests in flight divided by the weight, in units of [`VIRTUAL_SERVICE`].
     pub fn in_flight_share(&self) -> u64 {
         (self.in_flight as u64).saturating_mul(VIRTUAL_SERVICE) / self.weight
     }
 
-    /// So many requests that wait, in proportion to its weight.
+    /// `waiting` requests divided by the weight of the class, in units of [`SHARE_UNIT`].
     pub fn queue_share(&self, waiting: usize) -> u64 {
         (waiting as u64).saturating_mul(SHARE_UNIT) / self.weight
     }
 
-    fn flow_place(&self, waiting: usize, idle_since: Option<Timestamp>) -> FlowPlace {
-        FlowPlace { waiting, queue_share: self.queue_share(waiting), idle_since }
+    fn snapshot(&self, waiting: usize, idle_since: Option<Timestamp>) -> FlowSnapshot {
+        FlowSnapshot { waiting, queue_share: self.queue_share(waiting), idle_since }
     }
 
-    /// What is known of a client.
+    /// The flow of a client, if it is remembered.
     pub fn flow(&self, address: ClientAddress) -> Option<&Flow> {
         self.flows.get(&address)
     }
 
-    /// Clients of which anything is remembered.
+    /// Number of remembered clients.
     pub fn flows(&self) -> usize {
         self.flows.len()
     }
 
-    /// Clients with requests here.
+    /// Clients that have requests.
     pub fn busy_flows(&self) -> impl Iterator<Item = (ClientAddress, &Flow)> {
         let busy = self.flows.iter().filter(|(_, flow)| flow.idle_since.is_none());
         busy.map(|(address, flow)| (*address, flow))
     }
 
-    /// The client that is served next.
+    /// The client to serve next.
     pub fn next_client(&self) -> Option<ClientAddress> {
-        self.order.first().map(|(.., address)| *address)
+        self.service_order.first().map(|rank| rank.address)
     }
 
-    /// A client of the class was served that stood at `client_tag`, the class at `class_tag`.
+    /// Records that a client with start tag `client_tag` was served while the class had start tag `class_tag`.
     pub fn served(&mut self, class_tag: u64, client_tag: u64) {
         self.start_tag = class_tag + VIRTUAL_SERVICE / self.weight;
         self.virtual_time = self.virtual_time.max(client_tag);
     }
 
-    /// Sets when a client's oldest request has waited for too long.
+    /// Sets when a client's oldest waiting request exceeds the target wait.
     pub fn set_head_expiry(&mut self, address: ClientAddress, expiry: Timestamp) {
         if let Some(flow) = self.flows.get_mut(&address) {
             flow.head_expiry = Some(expiry);
         }
     }
 
-    /// Forgets a client.
+    /// Removes all state of a client.
     pub fn remove_flow(&mut self, address: ClientAddress) {
         self.flows.remove(&address);
-        // A table that a flood has grown shrinks again.
+        // Releases the memory of a table that grew during a flood of clients.
         if self.flows.capacity() > MIN_CAPACITY && self.flows.len() < self.flows.capacity() / 4 {
             self.flows.shrink_to(self.flows.len() * 2);
         }
     }
 
-    /// Changes a client's flow, and its place in the order of the class. `changes` numbers the change, `virtual_time` is that
-    /// of the classes.
+    /// Changes a client's flow and its rank in the service order. `change_number` is the number of the change,
+    /// `virtual_time` the virtual time of the classes.
     pub fn update_flow(
         &mut self,
         now: Timestamp,
         address: ClientAddress,
-        changes: u64,
+        change_number: u64,
         virtual_time: u64,
         change: impl FnOnce(&mut Flow),
     ) -> FlowChange {
         let flow = self.flows.entry(address).or_default();
-        let (waiting_before, order_before) = (flow.waiting(), flow.order(address));
-        flow.apply(change, changes, self.virtual_time);
+        let (waiting_before, rank_before) = (flow.waiting(), flow.rank(address));
+        flow.apply(change, change_number, self.virtual_time);
         let waiting_after = flow.waiting();
         if waiting_before > 0 {
-            self.order.remove(&order_before);
+            self.service_order.remove(&rank_before);
         }
         if waiting_after > 0 {
-            self.order.insert(flow.order(address));
+            self.service_order.insert(flow.rank(address));
         }
         let idle_before = flow.idle_since.take();
         flow.idle_since = (flow.in_flight == 0 && waiting_after == 0).then_some(now);
@@ -248,8 +256,8 @@
         }
         self.waiting = self.waiting + waiting_after - waiting_before;
         FlowChange {
-            before: self.flow_place(waiting_before, idle_before),
-            after: self.flow_place(waiting_after, idle_after),
+            before: self.snapshot(waiting_before, idle_before),
+            after: self.snapshot(waiting_after, idle_after),
             head_expiry_before,
             oldest,
             waiting_since,
--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -1,11 +1,11 @@
-//! How many requests are in flight at once, which is next if there are more, and which are shed before anything was spent on
-//! them.
+//! Concurrency limiter: bounds the requests in flight, queues excess requests fairly, and sheds requests before any
+//! work is spent on them.
 //!
-//! While there is capacity every request is admitted. Once the server is full, each class has the share of it that its weight
-//! gives, and within a class each client has the same; what one does not use is the others'. A request that waits for too long
-//! is shed at once: for a client whose requests have waited without a break for [`INTERVAL`], the target counts, so a standing
-//! queue is short, and one that came by chance may be worked off. That rule is controlled delay (CoDel) as in Maurer, *Fail at
-//! Scale* (ACM Queue 13:8, 2015), kept for each client by itself.
+//! Below the limit every request is admitted. At the limit, classes share the capacity in proportion to their weights
+//! and the clients of a class share it equally; unused shares are redistributed. Queueing time is bounded by controlled
+//! delay (CoDel) as in Maurer, *Fail at Scale* (ACM Queue 13:8, 2015), applied per client: a request may wait up to
+//! [`INTERVAL`], but only up to the target wait once its client's queue has not been empty for [`INTERVAL`].
+//! So a short burst is worked off, while a standing queue is kept short.
 
 mod arrival_table;
 mod fair_queue;
@@ -25,29 +25,32 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// How long a queue may stand before it is kept short.
+/// How long a client's queue may be non-empty before the target wait applies to it.
 pub const INTERVAL: TimeDelta = TimeDelta::from_millis(100);
 
-/// A request that is here.
+/// A request waits for at most one in this many parts of the time to its deadline: the rest is left to its execution.
+const DEADLINE_FRACTION: i64 = 4;
+
+/// A request that was admitted or is waiting.
 #[derive(Debug)]
 enum Request {
     Waiting {
         client: ClientKey,
         since: Timestamp,
-        /// Whatever other requests do, it is shed then.
+        /// When the request is shed at the latest.
         until: Timestamp,
     },
     InFlight(ClientKey),
 }
 
-/// A client that was served is remembered for this time: otherwise one that sends few requests, or was told that it waited
-/// for too long, would be served behind one that is always here.
+/// How long the service tags of an idle client are kept. Without them, a client that returns after a pause would be
+/// queued behind clients that always have requests.
 const IDLE_CLIENT_TTL: TimeDelta = TimeDelta::from_millis(5_000);
-/// Idle clients that are remembered at most, some 150 bytes each. A client that comes from so many other addresses in that
-/// time can have the share that it has used forgotten, once per address.
+/// Maximum number of remembered idle clients, about 150 bytes each. A client that uses this many addresses before
+/// idle ones expire can have its used share forgotten, once per address.
 pub const MAX_IDLE_CLIENTS: usize = 1 << 16;
 
-/// The requests that are in flight, and those that wait.
+/// Requests in flight and waiting requests, with the limits that apply to them.
 pub struct ConcurrencyLimiter {
     limits: ConcurrencyLimits,
     classes: Vec<ClientClass>,
@@ -55,17 +58,17 @@
     queues: BTreeMap<Arc<str>, ClassQueue>,
     in_flight: usize,
     waiting: usize,
-    /// The virtual time of the classes.
+    /// Virtual time of fair queueing among the classes.
     virtual_time: u64,
-    /// Changes of clients, counted: ties in the order of clients go to the one that came first.
+    /// Number of changes to client flows so far: breaks ties in the service order by arrival.
     changes: u64,
-    /// When each request that waits is shed, whatever others do.
+    /// Waiting requests by when they are shed at the latest.
     expiries: BTreeSet<(Timestamp, RequestId)>,
-    /// When the first request of each client has waited for too long by the target.
+    /// Clients by when their oldest waiting request exceeds the target wait.
     head_expiries: BTreeSet<(Timestamp, ClientKey)>,
-    /// Clients without requests here, by since when.
+    /// Clients without requests, by when they became idle.
     idle: BTreeSet<(Timestamp, ClientKey)>,
-    /// Clients with requests that wait, by their share of the queue.
+    /// Clients with waiting requests, by their share of the queue.
     queue_shares: BTreeSet<(u64, ClientKey)>,
     retry_budgets: Option<RetryBudgets<ClientKey>>,
     jitter: RetryAfterJitter,
@@ -78,7 +81,7 @@
 }
 
 impl ConcurrencyLimiter {
-    /// For a server that may tell clients to stay away for `max_retry_after` at most.
+    /// Creates a limiter whose Retry-After times are at most `max_retry_after`; `seed` is that of their jitter.
     pub fn new(
         limits: ConcurrencyLimits,
         classes: Vec<ClientClass>,
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Changes the limits. No request that is here is shed for it.
+    /// Changes the limits. Requests that are in flight or waiting are not shed because of the change.
     pub fn set_limits(
         &mut self,
         now: Timestamp,
@@ -131,7 +134,7 @@
         self.admit_next(now, decisions);
     }
 
-    /// The limits.
+    /// The configured limits.
     pub fn limits(&self) -> ConcurrencyLimits {
         self.limits
     }
@@ -151,7 +154,7 @@
         self.queues.get(&client.class).map_or(0, |queue| queue.queue_share(waiting))
     }
 
-    /// A request has come.
+    /// Decides on an arriving request, and on waiting requests that have expired by now.
     pub fn arrive(&mut self, now: Timestamp, arrival: Arrival, decisions: &mut Vec<Decision>) {
         self.tick(now, decisions);
         let case = self.case(now, &arrival);
@@ -198,14 +201,13 @@
     }
 
     fn enqueue(&mut self, now: Timestamp, request: RequestId, client: ClientKey, deadline: Timestamp) {
-        // No more than a quarter of what its client waits: what follows takes its time as well.
-        let until = now + INTERVAL.min((deadline - now) / 4);
+        let until = now + INTERVAL.min((deadline - now) / DEADLINE_FRACTION);
         self.expiries.insert((until, request));
         self.requests.insert(request, Request::Waiting { client: client.clone(), since: now, until });
         self.update_client(now, &client, |flow| flow.push(request, now));
     }
 
-    /// The newest request of the client with the greatest share of the queue is shed.
+    /// Sheds the newest request of the client with the largest share of the queue.
     fn displace(&mut self, now: Timestamp, decisions: &mut Vec<Decision>) {
         let Some((_, client)) = self.queue_shares.last().cloned() else { return };
         if let Some(request) = self.flow(&client).and_then(Flow::newest) {
@@ -214,7 +216,7 @@
         }
     }
 
-    /// A request has ended, or its client is gone.
+    /// Removes a request that has completed or whose client has disconnected.
     pub fn remove(&mut self, now: Timestamp, request: RequestId, decisions: &mut Vec<Decision>) {
         match self.requests.get(&request) {
             None => return,
@@ -231,7 +233,7 @@
         self.admit_next(now, decisions);
     }
 
-    /// Sheds requests that have waited for too long.
+    /// Sheds requests that have exceeded their maximum or target wait.
     pub fn tick(&mut self, now: Timestamp, decisions: &mut Vec<Decision>) {
         while let Some(request) = self.expired(now) {
             let Some(Request::Waiting { client, .. }) = self.requests.get(&request) else { return };
@@ -249,7 +251,7 @@
         self.flow(client)?.oldest()
     }
 
-    /// When [`ConcurrencyLimiter::tick`] is due next.
+    /// When [`ConcurrencyLimiter::tick`] must be called next, if any request is waiting.
     pub fn due(&self) -> Option<Timestamp> {
         let expiry = self.expiries.first().map(|(at, _)| *at);
         let head_expiry = self.head_expiries.first().map(|(at, _)| *at);
@@ -270,7 +272,7 @@
         }
     }
 
-    /// The next request by the shares of classes, and of clients within the class.
+    /// The next request to admit, by the shares of classes and then of clients within the class.
     fn next_waiting(&self) -> Option<(ClientKey, RequestId)> {
         let waiting = self.queues.iter().filter(|(_, queue)| queue.waiting > 0);
         let (class, queue) = waiting.min_by_key(|(_, queue)| (queue.in_flight_share(), queue.start_tag))?;
@@ -279,7 +281,8 @@
         Some((client, request))
     }
 
-    /// The class and the client are served: virtual times advance, and their next turn comes by the weight.
+    /// Accounts for a request taken from the queue: advances the virtual times and the start tags of the class and the
+    /// client.
     fn account_service(&mut self, now: Timestamp, client: &ClientKey) {
         let client_tag = self.flow(client).map_or(0, |flow| flow.start_tag);
         let class_tag = self.queue(&client.class).start_tag;
@@ -295,14 +298,14 @@
         self.update_client(now, client, |flow| flow.in_flight += 1);
     }
 
-    /// Takes a request that waits out of the queue.
+    /// Removes a waiting request from the queue.
     fn dequeue(&mut self, now: Timestamp, request: RequestId) {
         let Some(Request::Waiting { client, until, .. }) = self.requests.remove(&request) else { return };
         self.expiries.remove(&(until, request));
         self.update_client(now, &client, |flow| flow.remove(request));
     }
 
-    /// Changes a client's flow, and all orders that it stands in.
+    /// Changes a client's flow and updates every index that contains it.
     fn update_client(&mut self, now: Timestamp, client: &ClientKey, change: impl FnOnce(&mut Flow)) {
         self.changes += 1;
         let (changes, virtual_time) = (self.changes, self.virtual_time);
--- a/admission/src/concurrency_limiter/types.rs
+++ b/admission/src/concurrency_limiter/types.rs
@@ -1,4 +1,4 @@
-//! What the limiter is told and decides.
+//! Inputs and decisions of the concurrency limiter.
 
 use crate::client_address::{AddressPrefixes, ClientAddress};
 use crate::client_class::DEFAULT_CLASS;
@@ -6,55 +6,55 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// A number that the host gives each request, never twice.
+/// Identifier of a request, assigned by the caller and never reused.
 pub type RequestId = u64;
 
-/// Whom requests are counted for: an address, as a client of a class.
+/// The client that requests are attributed to: an address within a client class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientKey {
-    /// The class.
+    /// Name of the client class.
     pub class: Arc<str>,
-    /// The address.
+    /// Address of the client, truncated to its prefix.
     pub address: ClientAddress,
 }
 
 impl ClientKey {
-    /// A client of the default class.
+    /// The key of a client in the default class.
     pub fn unclassified(from: IpAddr, prefixes: AddressPrefixes) -> ClientKey {
         ClientKey { class: DEFAULT_CLASS.into(), address: ClientAddress::new(from, prefixes) }
     }
 }
 
-/// How the limiter is set.
+/// Configuration of the concurrency limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConcurrencyLimits {
-    /// Requests in flight: 1 to 100,000.
+    /// Maximum requests in flight, 1 to 100,000.
     pub max_in_flight: usize,
-    /// Requests that wait at most.
+    /// Maximum waiting requests.
     pub max_waiting: usize,
-    /// How long a request may wait whose client's requests have waited without a break.
+    /// Maximum wait of a request once its client's queue has not been empty for [`super::INTERVAL`].
     pub target_wait: TimeDelta,
-    /// Retries per hundred first attempts, if they have a budget.
+    /// Allowed retries as a percentage of first attempts; `None` disables the retry budget.
     pub retry_percent: Option<u32>,
 }
 
-/// Why a request is shed. It was not worked on.
+/// Why a request was shed. No work was done for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShedReason {
-    /// The retry budget is used up.
+    /// The retry budget is exhausted.
     RetryBudget,
-    /// Its class has as many requests here as it may.
+    /// The class is at its maximum of requests.
     ClassLimit,
-    /// The queue is full, and its client has most of it.
+    /// The queue is full, and no client has a larger share of it.
     QueueFull,
-    /// Another request has its place: its client had most of the queue.
+    /// Displaced by a request of another client, because its own client had the largest share of the full queue.
     Displaced,
-    /// It waited as long as it may.
+    /// The request exceeded its maximum wait.
     WaitedTooLong,
 }
 
 impl ShedReason {
-    /// All reasons.
+    /// All reasons, in the order of the variants.
     pub const ALL: [ShedReason; 5] = [
         ShedReason::RetryBudget,
         ShedReason::ClassLimit,
@@ -63,7 +63,7 @@
         ShedReason::WaitedTooLong,
     ];
 
-    /// Its label in metrics.
+    /// Label of the reason in metrics.
     pub fn label(self) -> &'static str {
         match self {
             ShedReason::RetryBudget => "repeats",
@@ -75,33 +75,33 @@
     }
 }
 
-/// A request that was shed.
+/// A request that was shed, and when its client may retry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadShed {
-    /// The request.
+    /// The request that was shed.
     pub request: RequestId,
-    /// The class of its client.
+    /// Class of its client.
     pub class: Arc<str>,
-    /// Why.
+    /// Why it was shed.
     pub reason: ShedReason,
-    /// When its client may come back.
+    /// Retry-After time for the client.
     pub retry_after: TimeDelta,
 }
 
-/// A request has come.
+/// An arriving request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The request.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Its client.
+    /// The client that sent it.
     pub client: ClientKey,
-    /// Its client says that it sent the request before.
+    /// The client marked the request as a retry.
     pub is_retry: bool,
-    /// When its client gives it up.
+    /// When the client's timeout expires.
     pub deadline: Timestamp,
 }
 
-/// What the limiter has decided. Each request that has come is admitted or shed, once, unless it is removed before.
+/// A decision of the limiter. Each request is admitted or shed exactly once, unless it is removed before that.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The request is in flight from now on.
@@ -115,17 +115,17 @@
     Shed(LoadShed),
 }
 
-/// How many requests are here.
+/// Numbers of requests in flight and waiting.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// In flight.
+    /// Requests in flight.
     pub in_flight: usize,
-    /// Waiting.
+    /// Requests in the queue.
     pub waiting: usize,
 }
 
 impl RequestCounts {
-    /// All of them.
+    /// Requests in flight and waiting.
     pub fn total(self) -> usize {
         self.in_flight + self.waiting
     }
--- a/admission/src/concurrency_limiter/views.rs
+++ b/admission/src/concurrency_limiter/views.rs
@@ -1,11 +1,11 @@
-//! What operators are shown of the limiter.
+//! Read-only views of the limiter for metrics and the admin socket.
 
 use super::fair_queue::ClassQueue;
 use super::types::{ClientKey, RequestCounts, ShedReason};
 use super::ConcurrencyLimiter;
 
 impl ConcurrencyLimiter {
-    /// Requests by class, if there are any.
+    /// Request counts of each class that has any.
     pub fn requests_by_class(&self) -> impl Iterator<Item = (&str, RequestCounts)> {
         let busy = self.queues.iter().filter(|(_, queue)| !queue.is_idle());
         busy.map(|(name, queue)| {
@@ -13,7 +13,7 @@
         })
     }
 
-    /// The clients with most requests, `count` at most.
+    /// The `count` clients with the most requests, in descending order.
     pub fn top_clients(&self, count: usize) -> Vec<(ClientKey, RequestCounts)> {
         let mut clients: Vec<(ClientKey, RequestCounts)> = Vec::new();
         for (class, queue) in &self.queues {
@@ -27,12 +27,12 @@
         clients
     }
 
-    /// Clients of which anything is remembered.
+    /// Number of clients with remembered state, active or idle.
     pub fn remembered_clients(&self) -> usize {
         self.queues.values().map(ClassQueue::flows).sum()
     }
 
-    /// Requests shed since the start, by class and reason.
+    /// Numbers of requests shed since the start, by class and reason.
     pub fn shed_counts(&self) -> impl Iterator<Item = (&str, ShedReason, u64)> {
         self.shed.iter().map(|((name, reason), count)| (&**name, *reason, *count))
     }
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -1,4 +1,5 @@
-//! The decisions on connections: a table of reasons to reject one, and which connections are held by whom.
+//! Connection limiter: admits or rejects new connections by a table of rules, and counts the open ones by class and
+//! address.
 
 use crate::client_address::{AddressPrefixes, AddressTable, ClientAddress};
 use crate::client_class::{classify, validate, ClassError, ClientClass, DEFAULT_CLASS};
@@ -9,23 +10,23 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Why a connection is rejected.
+/// Why a connection was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
-    /// Connections come faster from its address than they may.
+    /// The address exceeds its rate of new connections.
     Rate,
-    /// Its address holds as many connections as it may.
+    /// The address is at its maximum of connections.
     AddressLimit,
-    /// Its class holds as many connections as it may.
+    /// The class is at its maximum of connections.
     ClassLimit,
-    /// The connections that are free are reserved for other classes.
+    /// The remaining capacity is reserved for other classes, or there is none.
     Reserved,
-    /// Too many connections have not identified their clients yet.
+    /// Too many connections are waiting for their clients to identify themselves.
     Handshakes,
 }
 
 impl RejectionReason {
-    /// What the client is told. Part of the wire.
+    /// Error text sent to the client. Part of the wire format.
     pub fn message(self) -> &'static str {
         match self {
             RejectionReason::Rate => "connections come too fast from this address",
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Its label in metrics.
+    /// Label of the reason in metrics.
     pub fn label(self) -> &'static str {
         match self {
             RejectionReason::Rate => "rate",
@@ -47,65 +48,67 @@
         }
     }
 
-    /// Whether an idle connection of the class should be closed for the next client.
+    /// Whether closing an idle connection of the class would make room for the next client.
     pub fn reclaims_idle(self) -> bool {
         matches!(self, RejectionReason::ClassLimit | RejectionReason::Reserved)
     }
 }
 
-/// A connection is rejected.
+/// A rejected connection, and when its client may retry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// Why it was rejected.
     pub reason: RejectionReason,
-    /// The class of its client.
+    /// Class of the client.
     pub class: Arc<str>,
-    /// When to come back; clients that are rejected at one time are told times that lie apart.
+    /// Retry-After time for the client, with jitter.
     pub retry_after: TimeDelta,
 }
 
-/// A connection that was admitted. It is given back by [`ConnectionLimiter::release`], once.
+/// An admitted connection. Must be passed to [`ConnectionLimiter::release`] exactly once, when it has ended.
 #[derive(Debug, PartialEq, Eq)]
 pub struct AdmittedConnection {
-    /// The class of its client.
+    /// Class of the client.
     pub class: Arc<str>,
     address: ClientAddress,
 }
 
 impl AdmittedConnection {
-    /// Whom its requests are counted for.
+    /// The client that requests on this connection are attributed to.
     pub fn client(&self) -> ClientKey {
         ClientKey { class: self.class.clone(), address: self.address }
     }
 }
 
-/// What one decision is made from.
+/// Input of the admission decision for a new connection.
 struct Arrival<'a> {
     class: &'a ClientClass,
-    /// Connections of the class.
+    /// Open connections of the class.
     class_connections: usize,
-    /// Connections of the address.
+    /// Open connections of the address.
     address_connections: usize,
-    /// Until its address may connect by its rate.
+    /// Time until the address may connect at its rate.
     wait: TimeDelta,
+    /// Open connections of all classes.
     connections: usize,
-    /// Reserved for other classes and not used by them.
+    /// Connections reserved for other classes and not used by them.
     reserved_for_others: usize,
     capacity: usize,
 }
 
-type Row = (RejectionReason, fn(&Arrival) -> bool);
+/// A reason to reject a connection, and whether it applies.
+type Rule = (RejectionReason, fn(&Arrival) -> bool);
 
-/// The first row that fits rejects the connection; if none does, it is admitted.
-const TABLE: &[Row] = &[
+/// The first rule that applies rejects the connection; if none does, the connection is admitted.
+const REJECTION_RULES: &[Rule] = &[
     (RejectionReason::Rate, |arrival| arrival.wait > TimeDelta::ZERO),
     (RejectionReason::AddressLimit, |arrival| {
-        arrival.class.max_per_address.is_some_and(|most| arrival.address_connections >= most)
+        arrival.class.max_per_address.is_some_and(|max| arrival.address_connections >= max)
     }),
     (RejectionReason::ClassLimit, |arrival| {
-        arrival.class.max_connections.is_some_and(|most| arrival.class_connections >= most)
+        arrival.class.max_connections.is_some_and(|max| arrival.class_connections >= max)
     }),
-    // What is reserved for a class it may have as long as any is free.
+    // Within its own reservation, a class is rejected only when the server is full.
     (RejectionReason::Reserved, |arrival| {
         arrival.class_connections < arrival.class.reserved && arrival.connections >= arrival.capacity
     }),
@@ -115,33 +118,33 @@
     }),
 ];
 
-/// How a connection limiter is set.
+/// Configuration of the connection limiter.
 #[derive(Clone, Debug)]
 pub struct ConnectionLimits {
-    /// The classes of clients.
+    /// The client classes.
     pub classes: Vec<ClientClass>,
-    /// How much of an address identifies a client.
+    /// Prefix lengths by which addresses identify a client.
     pub prefixes: AddressPrefixes,
-    /// Connections in all.
+    /// Maximum connections of the server.
     pub capacity: usize,
 }
 
-/// The connections that are held, and by whom.
+/// Open connections by class and address, with the limits that apply to them.
 pub struct ConnectionLimiter {
     limits: ConnectionLimits,
     by_class: BTreeMap<Arc<str>, usize>,
     connections: usize,
     addresses: AddressTable,
-    /// By class and reason, since the start.
+    /// Connections rejected since the start, by class and reason.
     rejections: BTreeMap<(Arc<str>, RejectionReason), u64>,
     jitter: RetryAfterJitter,
 }
 
 impl ConnectionLimiter {
-    /// For a server that may tell clients to stay away for `max_retry_after` at most.
+    /// Creates a limiter whose Retry-After times are at most `max_retry_after`; `seed` is that of their jitter.
     ///
     /// # Errors
-    /// All that is wrong with the classes among themselves.
+    /// Every error in the set of classes.
     pub fn new(
         limits: ConnectionLimits,
         max_retry_after: TimeDelta,
@@ -159,35 +162,35 @@
         })
     }
 
-    /// Changes the limits. Connections that are held stay, and go on counting for the class of that name; a limit below
-    /// what is held only admits no more.
+    /// Changes the limits. Open connections are not closed and still count towards the class with their class's name,
+    /// even if it is over its new limits.
     ///
     /// # Errors
-    /// As [`ConnectionLimiter::new`]; nothing changes then.
+    /// As [`ConnectionLimiter::new`]; the limits are then unchanged.
     pub fn set_limits(&mut self, limits: ConnectionLimits) -> Result<(), Vec<ClassError>> {
         let limits = with_default_class(limits)?;
         if self.limits.prefixes != limits.prefixes {
-            // Addresses are grouped otherwise now: what they hold is counted anew from here on.
+            // Counts by the old prefixes cannot be converted to the new ones: counting starts over.
             self.addresses = AddressTable::default();
         }
         self.limits = limits;
         Ok(())
     }
 
-    /// Whether the user that a client names can matter: otherwise it is admitted by its address alone.
+    /// Whether any class matches by user name. If not, connections can be admitted by their address alone.
     pub fn needs_user(&self) -> bool {
         self.limits.classes.iter().any(|class| !class.users.is_empty())
     }
 
-    /// The address by which a client is counted.
+    /// The address that a client's connections are counted by.
     pub fn client_address(&self, from: IpAddr) -> ClientAddress {
         ClientAddress::new(from, self.limits.prefixes)
     }
 
-    /// A connection has come, of a client that names `user` if it was asked.
+    /// Admits or rejects a new connection. `user` is the user name that the client presented, if it was asked for one.
     ///
     /// # Errors
-    /// It is rejected.
+    /// The connection is rejected.
     pub fn admit(
         &mut self,
         now: Timestamp,
@@ -199,7 +202,7 @@
         let address = ClientAddress::new(from, self.limits.prefixes);
         let arrival = self.arrival(now, class, address);
         let (name, rate, wait) = (class.name.clone(), class.rate, arrival.wait);
-        if let Some((reason, _)) = TABLE.iter().find(|(_, rejects)| rejects(&arrival)) {
+        if let Some((reason, _)) = REJECTION_RULES.iter().find(|(_, applies)| applies(&arrival)) {
             return Err(self.reject(now, *reason, name, wait));
         }
         self.addresses.connected(now, address, rate);
@@ -223,7 +226,7 @@
         }
     }
 
-    /// A connection whose client is not known yet was displaced, or found no place to wait.
+    /// Rejects a connection that was displaced from the handshake queue or not added to it.
     pub fn reject_handshake(&mut self, now: Timestamp) -> Rejection {
         self.reject(now, RejectionReason::Handshakes, DEFAULT_CLASS.into(), TimeDelta::ZERO)
     }
@@ -239,51 +242,51 @@
         Rejection { reason, class, retry_after: self.jitter.next(now, wait) }
     }
 
-    /// A connection has ended.
+    /// Releases an admitted connection that has ended.
     pub fn release(&mut self, now: Timestamp, connection: AdmittedConnection) {
         if let Some(connections) = self.by_class.get_mut(&connection.class) {
             *connections = connections.saturating_sub(1);
         }
         self.connections = self.connections.saturating_sub(1);
         self.addresses.disconnected(now, connection.address);
-        self.forget_unset_class(&connection.class);
+        self.remove_unconfigured_class(&connection.class);
     }
 
-    /// A class that is not set any more is forgotten with its last connection.
-    fn forget_unset_class(&mut self, class: &Arc<str>) {
-        let is_set = self.limits.classes.iter().any(|set| set.name == *class);
-        if !is_set && self.by_class.get(class) == Some(&0) {
+    /// Removes the count of a class that is no longer configured and has no connection left.
+    fn remove_unconfigured_class(&mut self, class: &Arc<str>) {
+        let is_configured = self.limits.classes.iter().any(|configured| configured.name == *class);
+        if !is_configured && self.by_class.get(class) == Some(&0) {
             self.by_class.remove(class);
         }
     }
 
-    /// The classes, with the default class.
+    /// The configured classes, including the default class.
     pub fn classes(&self) -> &[ClientClass] {
         &self.limits.classes
     }
 
-    /// The addresses with most connections, `count` at most, and how many those are.
+    /// The `count` addresses with the most connections, with their numbers of connections.
     pub fn top_addresses(&self, count: usize) -> Vec<(ClientAddress, usize)> {
         self.addresses.top(count)
     }
 
-    /// Connections held, by class.
+    /// Numbers of open connections by class.
     pub fn connections_by_class(&self) -> impl Iterator<Item = (&str, usize)> {
         self.by_class.iter().map(|(name, connections)| (&**name, *connections))
     }
 
-    /// Connections rejected since the start, by class and reason.
+    /// Numbers of connections rejected since the start, by class and reason.
     pub fn rejections(&self) -> impl Iterator<Item = (&str, RejectionReason, u64)> {
         self.rejections.iter().map(|((name, reason), count)| (&**name, *reason, *count))
     }
 
-    /// Addresses of which anything is remembered.
+    /// Number of addresses with remembered state.
     pub fn remembered_addresses(&self) -> usize {
         self.addresses.len()
     }
 }
 
-/// The limits with the default class, which has no limits of its own if none is set.
+/// Validates the limits and adds the default class, without limits of its own, if it is not configured.
 fn with_default_class(mut limits: ConnectionLimits) -> Result<ConnectionLimits, Vec<ClassError>> {
     let errors = validate(&limits.classes, limits.capacity);
     if !errors.is_empty() {
--- a/admission/src/handshake_queue.rs
+++ b/admission/src/handshake_queue.rs
@@ -1,47 +1,51 @@
-//! Connections whose clients have not identified themselves yet, if that decides whether they are admitted. The queue is
-//! small, nobody is kept out of it, and a connection that is in it for too long is displaced: a client that names its user at
-//! once is through before a flood of clients that never do can push it out.
+//! Handshake queue: connections whose admission depends on the user name and whose client has not sent it yet.
+//!
+//! The queue is small and always accepts a new connection, by displacing an old one when it is full. A client that
+//! sends its user name promptly is admitted before a flood of clients that never do can displace it.
 
 use crate::client_address::ClientAddress;
 use std::collections::{BTreeSet, HashMap};
 
-/// A connection in the queue.
+/// Identifier of a connection in the queue, ascending in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HandshakeId(u64);
 
-/// What becomes of a connection that has come.
+/// Result of adding a connection to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Enqueued {
-    /// It is in the queue.
+    /// The connection was added.
     Free(HandshakeId),
-    /// It is in the queue in place of another: of the address with most connections there, the first that came.
+    /// The connection was added and displaced another: the oldest one of the address with the most connections in
+    /// the queue.
     Displacing {
-        /// The connection.
+        /// The added connection.
         entered: HandshakeId,
-        /// The one that must be closed.
+        /// The displaced connection, which the caller must close.
         displaced: HandshakeId,
     },
-    /// So many displaced connections have not been closed yet that there is no descriptor for another.
+    /// The connection was not added: too many displaced connections still hold their file descriptors.
     Full,
 }
 
-/// The queue.
+/// The handshake queue of a server.
 pub struct HandshakeQueue {
     max_waiting: usize,
     last_id: u64,
     waiting: HashMap<HandshakeId, ClientAddress>,
     by_address: HashMap<ClientAddress, BTreeSet<HandshakeId>>,
-    /// Addresses by how many connections they have here.
+    /// Addresses by their number of connections in the queue.
     by_count: BTreeSet<(usize, ClientAddress)>,
-    /// Connections that were displaced and are not closed yet.
+    /// Displaced connections that are not closed yet.
     displaced: BTreeSet<HandshakeId>,
 }
 
-/// One in so many of a server's connections may wait here, and as many may be displaced.
-const SHARE_OF_CAPACITY: usize = 32;
+/// One in this many of a server's connections may be in the queue, and as many may be displaced but not closed.
+const CAPACITY_DIVISOR: usize = 32;
+/// Size of the queue of a server with few connections.
+const MIN_WAITING: usize = 2;
 
 impl HandshakeQueue {
-    /// For so many connections at a time; as many may be displaced and not closed yet.
+    /// Creates a queue of at most `max_waiting` connections; as many may be displaced but not closed.
     pub fn new(max_waiting: usize) -> HandshakeQueue {
         HandshakeQueue {
             max_waiting: max_waiting.max(1),
@@ -53,32 +57,33 @@
         }
     }
 
-    /// For a server with so many connections: one in sixteen of them, with those that are displaced.
+    /// Creates the queue of a server with `capacity` connections. Including displaced connections, it uses at most one
+    /// in sixteen of them.
     pub fn for_capacity(capacity: usize) -> HandshakeQueue {
-        HandshakeQueue::new((capacity / SHARE_OF_CAPACITY).max(2))
+        HandshakeQueue::new((capacity / CAPACITY_DIVISOR).max(MIN_WAITING))
     }
 
-    /// Whether a connection is in the queue and was not displaced.
+    /// Whether a connection is in the queue and has not been displaced.
     pub fn contains(&self, id: HandshakeId) -> bool {
         self.waiting.contains_key(&id)
     }
 
-    /// Connections in the queue, without those that were displaced.
+    /// Number of connections in the queue, excluding displaced ones.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none is.
+    /// Whether the queue holds no connection, apart from displaced ones.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Descriptors that it may need at most.
+    /// Maximum number of file descriptors used by the queue, including displaced connections.
     pub fn max_descriptors(&self) -> usize {
         self.max_waiting * 2
     }
 
-    /// A connection has come.
+    /// Adds a connection, displacing another if the queue is full.
     pub fn enqueue(&mut self, address: ClientAddress) -> Enqueued {
         let is_full = self.waiting.len() >= self.max_waiting;
         if is_full && self.displaced.len() >= self.max_waiting {
@@ -92,7 +97,7 @@
         }
     }
 
-    /// The first connection of the address with most of them is displaced.
+    /// Displaces the oldest connection of the address with the most connections.
     fn displace(&mut self) -> Option<HandshakeId> {
         let (_, address) = self.by_count.last()?;
         let first = *self.by_address.get(address)?.first()?;
@@ -109,7 +114,8 @@
         id
     }
 
-    /// A client has identified itself, or is gone. False if its connection was displaced before that.
+    /// Removes a connection whose client has identified itself or disconnected. Returns false if the connection had
+    /// been displaced before that.
     pub fn leave(&mut self, id: HandshakeId) -> bool {
         self.remove(id) || !self.displaced.remove(&id)
     }
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -1,13 +1,13 @@
-//! Admission control: which connections and requests of clients are admitted, which are rejected and why, and when those
-//! may come back. No I/O and no clock: the caller passes the time.
+//! Admission control: decides which client connections and requests are admitted, which are rejected and why,
+//! and the Retry-After time of rejected ones. No I/O and no clock: the caller passes the current time.
 //!
-//! - [`client_class`]: classes of clients, as operators set them
-//! - [`client_address`]: what is remembered of single addresses
-//! - [`connection_limiter`]: the decisions on connections
-//! - [`handshake_queue`]: connections whose client is not known yet
-//! - [`concurrency_limiter`]: the decisions on requests
-//! - [`retry_budget`]: how many of them may be retries
-//! - [`accept_backoff`]: what is done if a connection cannot be accepted
+//! - [`client_class`]: client classes as configured by operators, and their validation
+//! - [`client_address`]: connection counts and rates per client address
+//! - [`connection_limiter`]: admission of connections
+//! - [`handshake_queue`]: connections whose client has not identified itself yet
+//! - [`concurrency_limiter`]: admission and fair queueing of requests
+//! - [`retry_budget`]: limit on the fraction of requests that are retries
+//! - [`accept_backoff`]: backoff of the accept loop after an error
 
 #![warn(clippy::too_many_lines)]
 
--- a/admission/src/retry_after_jitter.rs
+++ b/admission/src/retry_after_jitter.rs
@@ -1,18 +1,20 @@
-//! When clients that are rejected may come back: the more there are, the later and the wider apart.
+//! Retry-After times with jitter for rejected clients. They grow and spread out with the number of recent
+//! rejections, so that clients do not return all at once.
 
 use routing::rng::Mwc;
 use routing::time::{TimeDelta, Timestamp};
 
-/// What a rejected client waits at the least.
+/// The shortest Retry-After time.
 const MIN_WAIT: TimeDelta = TimeDelta::from_millis(200);
-/// The greatest wait is this many times the least.
+/// Ratio of the longest to the shortest Retry-After time of one range of jitter.
 const SPREAD: i64 = 4;
-/// Rejections are counted over this time: the more there are, the longer each client waits.
+/// Rejections are counted over windows of this length.
 const COUNT_WINDOW: TimeDelta = TimeDelta::from_millis(1_000);
+const NANOS_PER_MILLI: i64 = 1_000_000;
 
-/// Retry-After times that lie apart.
+/// Generator of Retry-After times.
 pub struct RetryAfterJitter {
-    /// Clients that can be admitted in one wait.
+    /// Clients that the server can admit at once.
     capacity: usize,
     max_retry_after: TimeDelta,
     window_began: Timestamp,
@@ -21,7 +23,8 @@
 }
 
 impl RetryAfterJitter {
-    /// For a server that can admit `capacity` clients at once and may tell them to stay away for `max_retry_after` at most.
+    /// Creates the generator of a server that admits `capacity` clients at once, with Retry-After times of at most
+    /// `max_retry_after`.
     pub fn new(capacity: usize, max_retry_after: TimeDelta, seed: u64) -> RetryAfterJitter {
         RetryAfterJitter {
             capacity,
@@ -32,19 +35,21 @@
         }
     }
 
-    /// How long the next client should stay away: `least` at the least, if that may be told.
-    pub fn next(&mut self, now: Timestamp, least: TimeDelta) -> TimeDelta {
+    /// The Retry-After time of the next rejected client: at least `min_wait`, unless that exceeds the configured
+    /// maximum.
+    pub fn next(&mut self, now: Timestamp, min_wait: TimeDelta) -> TimeDelta {
         if now - self.window_began >= COUNT_WINDOW {
             self.window_began = now;
             self.rejected_in_window = 0;
         }
         self.rejected_in_window += 1;
-        // As many as there is capacity for may come in one wait; beyond that, waits grow with their number.
-        let waits = 1 + self.rejected_in_window / (self.capacity.max(1) as i64);
-        let wait = least.max(MIN_WAIT) * waits;
-        // Under the longest that may be told they still lie apart: cut off there, all would come back at once.
+        // One capacity's worth of clients may return within each multiple of the shortest wait.
+        let multiple = 1 + self.rejected_in_window / (self.capacity.max(1) as i64);
+        let wait = min_wait.max(MIN_WAIT) * multiple;
+        // The start of the range is limited, not the result: clamping the result to the maximum would remove the
+        // jitter, and all clients would return at once.
         let wait = wait.min(self.max_retry_after / SPREAD);
-        let spread_ms = (wait.0 / 1_000_000 * (SPREAD - 1)).max(1);
-        wait + TimeDelta::from_millis(self.rng.below(spread_ms as usize) as i64)
+        let jitter_range_ms = (wait.0 / NANOS_PER_MILLI * (SPREAD - 1)).max(1);
+        wait + TimeDelta::from_millis(self.rng.below(jitter_range_ms as usize) as i64)
     }
 }
--- a/admission/src/retry_budget.rs
+++ b/admission/src/retry_budget.rs
@@ -1,35 +1,35 @@
-//! A budget for clients' retries, so that a retry storm cannot feed itself: a fraction of the first attempts, for each client
-//! and for the whole server.
+//! Retry budgets: limit clients' retries to a fraction of first attempts, per client and for the whole server, so that
+//! a retry storm cannot sustain itself.
 
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
 
-/// Clients whose budget is remembered at most, some 100 bytes each. A client that comes as so many others can have one
-/// forgotten that has used its budget up; that one then starts with a single retry.
+/// Maximum number of remembered client budgets, about 100 bytes each. A client that appears under this many addresses
+/// can have an exhausted budget evicted, which then starts over with a single retry.
 pub const MAX_REMEMBERED: usize = 1 << 16;
 
-/// One retry, in the unit in which budgets are counted.
+/// Cost of one retry, in the fixed-point unit of budgets (thousandths of a retry).
 const RETRY: i64 = 1_000;
-/// A client's first retry is always within its budget, and so is one in each of these: a client that sends few requests
-/// could otherwise never retry.
+/// A client may always retry once per interval of this length: otherwise a client that sends few requests could never
+/// retry.
 const FREE_RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(10_000);
-/// Retries that a client can save up: those of a page that failed as a whole.
+/// Retries that a client can accumulate: enough to retry every request of a failed page.
 const MAX_SAVED_RETRIES: i64 = 10;
-/// Requests that the server can work on at once, at most.
+/// Upper bound on the server's concurrency limit in this calculation, in requests.
 const MAX_CONCURRENCY: usize = 1 << 20;
-/// Budgets that are checked for expiry at a time: more than are added.
+/// Budgets that are checked for expiry per admitted request: more than are added, so that expiry keeps up.
 const EXPIRED_PER_REQUEST: usize = 2;
 
 #[derive(Clone, Copy, Debug)]
 struct Budget {
+    /// Remaining budget in units of [`RETRY`] at the time `as_of`.
     left: i64,
-    /// When that was counted.
     as_of: Timestamp,
 }
 
 impl Budget {
-    /// What is left by now, if one retry is added per interval, up to so many.
+    /// The remaining budget at `now` if one retry is added per `interval`, up to a total of `max_retries`.
     fn left(&self, now: Timestamp, interval: TimeDelta, max_retries: i64) -> i64 {
         let elapsed = (now - self.as_of).0.max(0);
         let added = elapsed / (interval.0 / RETRY).max(1);
@@ -37,11 +37,12 @@
     }
 }
 
-/// The budgets of a server and of each of its clients.
+/// The retry budgets of a server and of each of its clients, identified by `C`.
 pub struct RetryBudgets<C> {
+    /// Allowed retries as a percentage of first attempts.
     percent: i64,
-    /// Requests that the server can work on at once: so many retries may come at once after a quiet time, and as many per
-    /// [`FREE_RETRY_INTERVAL`] beside the fraction of the first attempts.
+    /// The server's concurrency limit in requests: the maximum of accumulated retries, and the number of retries per
+    /// [`FREE_RETRY_INTERVAL`] that are allowed in addition to the percentage.
     concurrency: i64,
     server: Budget,
     clients: HashMap<C, Budget>,
@@ -49,7 +50,8 @@
 }
 
 impl<C: Clone + Ord + Hash> RetryBudgets<C> {
-    /// So many retries per hundred first attempts, for a server that works on so many requests at once.
+    /// Creates budgets of `percent` retries per hundred first attempts, for a server with a limit of `concurrency`
+    /// requests in flight.
     pub fn new(percent: u32, concurrency: usize) -> RetryBudgets<C> {
         let concurrency = concurrency.clamp(1, MAX_CONCURRENCY) as i64;
         RetryBudgets {
@@ -70,12 +72,12 @@
         self.clients.get(client).map_or(RETRY, |budget| budget.left(now, FREE_RETRY_INTERVAL, 1))
     }
 
-    /// Whether another retry of a client is within both budgets.
+    /// Whether a retry of a client is within the budgets of both the client and the server.
     pub fn allows_retry(&self, now: Timestamp, client: &C) -> bool {
         self.server_left(now) >= RETRY && self.client_left(now, client) >= RETRY
     }
 
-    /// A request was admitted: a first attempt adds its fraction to both budgets, a retry uses one up.
+    /// Records an admitted request: a first attempt adds its percentage to both budgets, a retry consumes from both.
     pub fn admitted(&mut self, now: Timestamp, client: &C, is_retry: bool) {
         let change = if is_retry { -RETRY } else { self.percent * RETRY / 100 };
         let add = |left: i64, max_retries: i64| left + change.min((max_retries * RETRY - left).max(0));
@@ -88,7 +90,7 @@
         self.expire(now);
     }
 
-    /// Forgets budgets that say no more than an unknown client's, and beyond the limit the oldest.
+    /// Evicts budgets that have recovered to the initial one and, beyond [`MAX_REMEMBERED`], the oldest.
     fn expire(&mut self, now: Timestamp) {
         for _ in 0..EXPIRED_PER_REQUEST {
             let Some((as_of, client)) = self.by_age.first().cloned() else { return };
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Clients whose budget is remembered.
+    /// Number of remembered client budgets.
     pub fn remembered(&self) -> usize {
         self.clients.len()
     }
