--- a/recovery/src/discovery_incarnation.rs
+++ b/recovery/src/discovery_incarnation.rs
@@ -1,61 +1,63 @@
-//! Which endpoint lists of discovery are accepted. A version only rises within one incarnation of discovery; one that was
-//! restored or set up anew begins lower, and so does an old copy that a lagging agent hands out.
+//! Acceptance of endpoint lists from discovery. Versions only increase within one incarnation of discovery. A lower
+//! version comes either from a new incarnation (discovery was restored or set up again) or from an outdated copy.
 //!
-//! The rule: a complete list of a lower version is accepted once discovery has given one on two watches that lie
-//! [`CONFIRMATION_INTERVAL`] apart, the second no older than the first, with nothing of the present incarnation in between.
-//! An empty one never is.
+//! The rule: a complete list of a lower version is accepted once discovery has provided one on two watches that are
+//! [`CONFIRMATION_INTERVAL`] apart, the second not of a lower version than the first, with no list of the current
+//! incarnation in between. An empty list of a lower version is never accepted.
 
 use routing::time::{TimeDelta, Timestamp};
 
-/// An old copy is in flight, or in a cache that is just being filled, for less.
+/// Minimum time between the two lists that confirm a new incarnation. An outdated copy that is in flight or in a cache
+/// that is being refreshed disappears sooner.
 pub const CONFIRMATION_INTERVAL: TimeDelta = TimeDelta::from_millis(2_000);
-/// The longest pause between two watches while no list of discovery is known since this start: everything else waits for
-/// the first one.
+/// The longest pause between two watches until discovery has provided the first list since this start: recovery cannot
+/// complete before that.
 pub const MAX_PAUSE_WITHOUT_LIST: TimeDelta = TimeDelta::from_millis(500);
 
-/// What becomes of a list.
+/// Result of receiving a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListDecision {
-    /// It is accepted.
+    /// Use the list.
     Accept,
-    /// It says nothing new.
+    /// Discard the list: it is outdated or cannot be used.
     Ignore,
-    /// It may be of another incarnation: poll again, on a new watch.
+    /// The list may be of another incarnation: poll again on a new watch.
     Suspect,
 }
 
-/// A list that discovery offers.
+/// Properties of a list received from discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct OfferedList {
-    /// Its version.
+    /// Version of the list.
     pub version: i64,
-    /// It is the whole list, not changes to it.
+    /// The list is complete, not a set of changes.
     pub complete: bool,
-    /// It has no entries.
+    /// The list has no entries.
     pub empty: bool,
 }
 
-/// A list that may be of another incarnation.
+/// The earlier list of a possible new incarnation.
 #[derive(Clone, Copy, Debug)]
 struct Suspected {
     version: i64,
     first_seen: Timestamp,
 }
 
-/// The incarnation of discovery whose lists are accepted.
+/// Tracks the incarnation of discovery whose lists are accepted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IncarnationTracker {
+    /// Version of the last accepted list.
     version: i64,
     suspected: Option<Suspected>,
-    /// No list of discovery itself was accepted since this start.
+    /// No list from discovery has been accepted since this start.
     unconfirmed: bool,
 }
 
-type Row = (fn(&IncarnationTracker, &OfferedList, Timestamp) -> bool, ListDecision);
+type Rule = (fn(&IncarnationTracker, &OfferedList, Timestamp) -> bool, ListDecision);
 
-/// The first row that fits counts.
-const TABLE: &[Row] = &[
-    // A start from a cached list is not over because a discovery that has lost everything says so.
+/// The first rule that matches applies.
+const RULES: &[Rule] = &[
+    // An empty list after a start from the cache means that discovery has lost its data.
     (|tracker, list, _| tracker.unconfirmed && list.complete && list.empty, ListDecision::Ignore),
     (|tracker, list, _| list.version > tracker.version, ListDecision::Accept),
     (|tracker, list, _| list.version == tracker.version && list.complete, ListDecision::Accept),
@@ -65,17 +67,17 @@
 ];
 
 impl IncarnationTracker {
-    /// Starts with a list of this version; `cached`: one that discovery has not confirmed since this start.
+    /// Starts with a list of this version. `cached` means that discovery has not confirmed it since this start.
     pub fn new(version: i64, cached: bool) -> IncarnationTracker {
         IncarnationTracker { version, suspected: None, unconfirmed: cached }
     }
 
-    /// The version of the list that was accepted last.
+    /// Version of the last accepted list.
     pub fn version(&self) -> i64 {
         self.version
     }
 
-    /// When to poll again for a list that may be of another incarnation: sooner it would not count, and later is too late.
+    /// When to poll again to confirm a possible new incarnation: the earliest time at which a second list counts.
     pub fn poll_again_at(&self) -> Option<Timestamp> {
         self.suspected.map(|suspected| suspected.first_seen + CONFIRMATION_INTERVAL)
     }
@@ -87,17 +89,17 @@
         })
     }
 
-    /// Decides on a list.
+    /// Decides on a list received at `now`.
     pub fn offer(&mut self, now: Timestamp, list: OfferedList) -> ListDecision {
-        let row = TABLE.iter().find(|(fits, _)| fits(self, &list, now));
-        let decision = row.map_or(ListDecision::Ignore, |(_, decision)| *decision);
+        let rule = RULES.iter().find(|(matches, _)| matches(self, &list, now));
+        let decision = rule.map_or(ListDecision::Ignore, |(_, decision)| *decision);
         match decision {
             ListDecision::Accept => *self = IncarnationTracker::new(list.version, false),
             ListDecision::Suspect => {
-                // The first sight counts, unless an older list comes: then that one starts anew.
-                let known = self.suspected.filter(|suspected| list.version >= suspected.version);
-                let new = Suspected { version: list.version, first_seen: now };
-                self.suspected = known.or(Some(new));
+                // The interval starts with the first list, and again with any list of a lower version.
+                let earlier = self.suspected.filter(|suspected| list.version >= suspected.version);
+                let first = Suspected { version: list.version, first_seen: now };
+                self.suspected = earlier.or(Some(first));
             }
             ListDecision::Ignore => {}
         }
--- a/recovery/src/endpoint_state.rs
+++ b/recovery/src/endpoint_state.rs
@@ -1,60 +1,60 @@
-//! The state of one listed endpoint, as a table, and what is known of it since this start.
+//! State machine of one listed endpoint, as a transition table, and the data collected about it since this start.
 
 use routing::time::Timestamp;
 use routing::{EndpointReport, GroupIndex, Role};
 
-/// How far an endpoint is known.
+/// What is known about an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It has not answered since this start.
+    /// No query has been answered since this start.
     #[default]
     NotAnswered,
-    /// It has answered, and is the endpoint that the list names as far as that can be known.
+    /// It has answered and is the listed endpoint, by its reported identity or its address.
     Identified,
-    /// It has answered and cannot say who it is, and the list is too old to be trusted with that.
+    /// It has answered without reporting its identity, and the list is too old to identify it by its address.
     Anonymous,
     /// Another endpoint answers at its address.
     WrongIdentity,
-    /// It did not answer: a machine that is down, or a partition.
+    /// A query was not answered: the machine is down or unreachable.
     Silent,
-    /// Its machine says that nothing listens there.
+    /// The machine refuses the connection: no process listens on the port.
     Refusing,
-    /// Discovery does not list it.
+    /// Discovery no longer lists it.
     Removed,
 }
 
-/// What can happen to an endpoint.
+/// Events that affect the state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointEvent {
-    /// It answered, and is the one that it should be.
+    /// It answered and is the listed endpoint.
     Answered,
-    /// It answered as another one.
+    /// It answered with the identity of another endpoint.
     AnsweredAsAnother,
-    /// It answered and did not say who it is.
+    /// It answered without reporting its identity.
     AnsweredAnonymously,
-    /// It did not answer.
+    /// A query was not answered.
     NoAnswer,
-    /// Its machine refused the connection.
+    /// The connection was refused.
     ConnectionRefused,
-    /// Discovery lists it.
+    /// Discovery lists the endpoint.
     Listed,
-    /// Discovery does not list it any more.
+    /// Discovery no longer lists the endpoint.
     Unlisted,
 }
 
-/// What the routing policy has to be told.
+/// The notification of the routing policy that a transition requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing.
+    /// No notification.
     Nothing,
     /// The endpoint may be used.
     Admit,
-    /// It may not be used any more.
+    /// The endpoint may no longer be used.
     Withdraw,
 }
 
-/// In a state that matches, on this event, go to this state, with this effect.
-pub type Row = (fn(EndpointState) -> bool, EndpointEvent, EndpointState, Effect);
+/// A transition rule: the condition on the current state, the event, the next state and the effect.
+type Rule = (fn(EndpointState) -> bool, EndpointEvent, EndpointState, Effect);
 
 fn any(_: EndpointState) -> bool {
     true
@@ -76,9 +76,9 @@
     !removed(state) && !identified(state)
 }
 
-/// The first row that fits counts. An endpoint that was identified and then falls silent is left to the routing policy,
-/// which ejects it; only one that turns out to be another, or is not listed any more, is withdrawn.
-pub const TABLE: &[Row] = &[
+/// The first rule that matches applies. An identified endpoint that stops answering is not withdrawn, since the routing
+/// policy ejects it; only an endpoint with a wrong identity or one that is no longer listed is withdrawn.
+const RULES: &[Rule] = &[
     (removed, EndpointEvent::Listed, EndpointState::NotAnswered, Effect::Nothing),
     (removed, EndpointEvent::Unlisted, EndpointState::Removed, Effect::Nothing),
     (any, EndpointEvent::Unlisted, EndpointState::Removed, Effect::Withdraw),
@@ -92,64 +92,64 @@
     (listed, EndpointEvent::ConnectionRefused, EndpointState::Refusing, Effect::Nothing),
 ];
 
-/// The state after an event and its effect, if a row fits.
+/// The next state after an event and the effect of the transition, if a rule matches.
 pub fn next(state: EndpointState, event: EndpointEvent) -> Option<(EndpointState, Effect)> {
-    let row = TABLE.iter().find(|(from, on, ..)| from(state) && *on == event);
-    row.map(|(_, _, to, effect)| (*to, *effect))
+    let rule = RULES.iter().find(|(from, on, ..)| from(state) && *on == event);
+    rule.map(|(_, _, to, effect)| (*to, *effect))
 }
 
-/// What one answer said of its endpoint.
+/// Role, position and timeline that an endpoint reported in one answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoleReport {
-    /// Its role.
+    /// Role of the endpoint.
     pub role: Option<Role>,
-    /// Its position.
+    /// Position of the endpoint on its log, as a commit time.
     pub position: Option<Timestamp>,
-    /// How often its log has passed to a new primary: PostgreSQL's timeline.
+    /// PostgreSQL timeline of its log, which increases with each promotion of a primary.
     pub timeline: Option<u32>,
 }
 
 impl RoleReport {
-    /// From a report of an endpoint, with its timeline if that is known.
+    /// Creates a report from an endpoint's report and its timeline, if known.
     pub fn new(report: EndpointReport, timeline: Option<u32>) -> RoleReport {
         RoleReport { role: report.role, position: report.position, timeline }
     }
 }
 
-/// What is known of one endpoint since this start.
+/// Data collected about one endpoint since this start.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveringEndpoint {
-    /// Its group.
+    /// Group of the endpoint.
     pub group: GroupIndex,
-    /// How far it is known.
+    /// Current state of the endpoint.
     pub state: EndpointState,
     /// Its last report.
     pub report: RoleReport,
-    /// The first position that it reported as a primary on the present timeline: a member that has passed it got that part
-    /// of the log from here.
+    /// The first position that it reported as a primary on the current timeline. A member that has passed this position
+    /// received that part of the log from this endpoint.
     pub first_primary_position: Option<Timestamp>,
-    /// Answers in a row in which it said that it is primary.
+    /// Consecutive answers in which it claimed to be primary.
     pub consecutive_claims: u32,
-    /// When the query was sent whose answer is `report`.
+    /// When the query or request that `report` answers was sent.
     pub queried_at: Timestamp,
-    /// When that answer came.
+    /// When `report` was received.
     pub reported_at: Timestamp,
-    /// One query at least has ended.
+    /// At least one query has ended.
     pub queried: bool,
-    /// When the last one ended.
+    /// When the last query ended.
     pub query_ended_at: Timestamp,
     /// A query is in flight.
     pub query_in_flight: bool,
-    /// Queries in a row that failed.
+    /// Consecutive failed queries.
     pub consecutive_failures: u32,
-    /// When it is to be queried next; none while it is not.
+    /// When the next query is scheduled, if any.
     pub query_due: Option<Timestamp>,
-    /// The routing policy was told that it may be used.
+    /// The routing policy has been notified that the endpoint may be used.
     pub admitted: bool,
 }
 
 impl RecoveringEndpoint {
-    /// Takes what it reported in answer to a query sent at `queried_at`.
+    /// Records a report received at `now`, in the answer to a query sent at `queried_at`.
     pub fn take_report(&mut self, report: RoleReport, queried_at: Timestamp, now: Timestamp) {
         let timeline_changed = report.timeline != self.report.timeline;
         match report.role {
@@ -173,12 +173,12 @@
         self.reported_at = now;
     }
 
-    /// Whether it has answered as the endpoint that the list names.
+    /// Whether it has answered and is the listed endpoint.
     pub fn is_identified(&self) -> bool {
         self.state == EndpointState::Identified
     }
 
-    /// Whether it claims to be primary.
+    /// Whether it is identified and its last reported role is primary.
     pub fn claims_primary(&self) -> bool {
         self.is_identified() && self.report.role == Some(Role::Primary)
     }
--- a/recovery/src/group_state.rs
+++ b/recovery/src/group_state.rs
@@ -1,47 +1,54 @@
-//! The state of one group: which member the routing policy may take for its primary. One table.
+//! State machine of one group: which member the routing policy may treat as its primary. One transition table.
 
 use crate::primary_verification::Verification;
 use routing::{EndpointIndex, PrimaryEligibility};
 
-/// How far the primary of a group is known.
+/// What is known about the primary of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum GroupState {
-    /// No claim to be primary holds.
+    /// No member has a valid claim to be primary.
     #[default]
     Unknown,
-    /// One member claims it and is not verified.
+    /// One member claims to be primary and is not verified.
     Claimed,
-    /// Several claim it.
+    /// Several members claim to be primary.
     Contested,
-    /// This member is verified.
+    /// This member is verified to be the primary.
     Verified(EndpointIndex),
-    /// Discovery has confirmed the list and nobody else claims it: the policy's ordinary rule holds again.
+    /// Discovery has confirmed the list and no second member claims to be primary: the routing policy's ordinary rule
+    /// applies again.
     Settled,
 }
 
-/// What can happen to a group.
+/// Events that affect the state of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupEvent {
-    /// Its members' claims were verified.
+    /// The members' claims were evaluated, with this result.
     Verification(Verification),
-    /// One member is verified, discovery has confirmed the list, and no other claims it, disproved or not.
+    /// One member is verified, discovery has confirmed the list, and no other member claims to be primary, not even
+    /// with a disproved claim.
     Undisputed,
-    /// Discovery has confirmed the list, and endpoints cannot be queried here.
+    /// Discovery has confirmed the list, and this instance cannot query endpoints.
     Unverifiable,
-    /// Its members have changed by a list that was not discovery's, or its state is lost.
+    /// The members changed by a list that is not from discovery, or the state was lost.
     Reset,
 }
 
-/// What follows from an event.
+/// Result of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transition {
-    /// The state afterwards.
+    /// The new state.
     pub state: GroupState,
-    /// The routing policy has to be told of another eligibility.
+    /// The routing policy must be notified of a new eligibility.
     pub eligibility_changed: bool,
 }
 
-type Row = (fn(GroupState) -> bool, fn(GroupEvent) -> bool, fn(GroupEvent) -> GroupState);
+/// A transition rule: in a state that `from` matches, an event that `on` matches leads to the state `to`.
+struct Rule {
+    from: fn(GroupState) -> bool,
+    on: fn(GroupEvent) -> bool,
+    to: fn(GroupEvent) -> GroupState,
+}
 
 fn is_settled(state: GroupState) -> bool {
     state == GroupState::Settled
@@ -63,32 +70,37 @@
     matches!(event, GroupEvent::Verification(Verification::Unverified(_)))
 }
 
-/// The first row that fits counts; the state that it leads to may depend on the member that the event names. A verified
-/// member stays so while its claim stands alone: evidence ages, and a replica that lags takes nothing back.
-const TABLE: &[Row] = &[
-    (is_settled, |event| event == GroupEvent::Reset, |_| GroupState::Unknown),
-    (
-        is_unsettled,
-        |event| matches!(event, GroupEvent::Undisputed | GroupEvent::Unverifiable),
-        |_| GroupState::Settled,
-    ),
-    (
-        is_unsettled,
-        |event| matches!(event, GroupEvent::Verification(Verification::Verified(_))),
-        named_member_verified,
-    ),
-    (is_unsettled, |event| event == GroupEvent::Verification(Verification::NoClaim), |_| GroupState::Unknown),
-    (
-        is_unsettled,
-        |event| event == GroupEvent::Verification(Verification::Contested),
-        |_| GroupState::Contested,
-    ),
-    (is_unverified, is_unverified_claim, |_| GroupState::Claimed),
-    (is_verified, is_unverified_claim, named_member_verified),
-    (is_unsettled, |event| event == GroupEvent::Reset, |_| GroupState::Unknown),
+/// The first rule that matches applies. A verified member remains verified while no other member claims to be primary:
+/// evidence expires, and a replica that lags behind later does not invalidate the verification.
+const RULES: &[Rule] = &[
+    Rule { from: is_settled, on: |event| event == GroupEvent::Reset, to: |_| GroupState::Unknown },
+    Rule {
+        from: is_unsettled,
+        on: |event| matches!(event, GroupEvent::Undisputed | GroupEvent::Unverifiable),
+        to: |_| GroupState::Settled,
+    },
+    Rule {
+        from: is_unsettled,
+        on: |event| matches!(event, GroupEvent::Verification(Verification::Verified(_))),
+        to: verified_claimant,
+    },
+    Rule {
+        from: is_unsettled,
+        on: |event| event == GroupEvent::Verification(Verification::NoClaim),
+        to: |_| GroupState::Unknown,
+    },
+    Rule {
+        from: is_unsettled,
+        on: |event| event == GroupEvent::Verification(Verification::Contested),
+        to: |_| GroupState::Contested,
+    },
+    Rule { from: is_unverified, on: is_unverified_claim, to: |_| GroupState::Claimed },
+    Rule { from: is_verified, on: is_unverified_claim, to: verified_claimant },
+    Rule { from: is_unsettled, on: |event| event == GroupEvent::Reset, to: |_| GroupState::Unknown },
 ];
 
-fn named_member_verified(event: GroupEvent) -> GroupState {
+/// The state in which the member named by the event is verified.
+fn verified_claimant(event: GroupEvent) -> GroupState {
     match event {
         GroupEvent::Verification(Verification::Verified(member) | Verification::Unverified(member)) => {
             GroupState::Verified(member)
@@ -97,20 +109,21 @@
     }
 }
 
-/// The state after an event. The sole claim of a verified member leaves it verified; that of any other takes eligibility
-/// back until that one is verified.
+/// The transition on an event. If the only claim is that of the verified member, that member remains verified; if it is
+/// that of another member, no member is eligible until the new claimant is verified.
 pub fn next(state: GroupState, event: GroupEvent) -> Transition {
-    let Some(row) = TABLE.iter().find(|(from, on, _)| from(state) && on(event)) else {
+    let Some(rule) = RULES.iter().find(|rule| (rule.from)(state) && (rule.on)(event)) else {
         return Transition { state, eligibility_changed: false };
     };
-    let mut to = (row.2)(event);
-    if is_verified(state) && is_unverified_claim(event) && to != state {
-        to = GroupState::Claimed;
+    let mut next_state = (rule.to)(event);
+    if is_verified(state) && is_unverified_claim(event) && next_state != state {
+        next_state = GroupState::Claimed;
     }
-    Transition { state: to, eligibility_changed: eligibility(state) != eligibility(to) }
+    let eligibility_changed = eligibility(state) != eligibility(next_state);
+    Transition { state: next_state, eligibility_changed }
 }
 
-/// Which member the routing policy may take for the primary.
+/// Which member the routing policy may treat as the primary.
 pub fn eligibility(state: GroupState) -> PrimaryEligibility {
     match state {
         GroupState::Unknown | GroupState::Claimed | GroupState::Contested => PrimaryEligibility::Nobody,
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -1,17 +1,18 @@
-//! Starting from a cached endpoint list of uncertain age: how far it is trusted, which endpoints are queried, when one may
-//! be used, which is verified to be its group's primary, which endpoint lists of discovery are accepted, and when the cache
-//! is saved again. Free of I/O: a host reports events with the time at which they happened and carries out the actions.
+//! Recovery after a start from a cached endpoint list of uncertain age: how far the list is trusted, which endpoints
+//! are queried, when an endpoint may be used, how a group's primary is verified, which endpoint lists of discovery are
+//! accepted, and when the cache is saved. No I/O: the caller passes events with their times and carries out the
+//! resulting actions.
 //!
-//! - [`primary_discovery`]: the state and the event loop
-//! - [`endpoint_state`], [`group_state`]: the states of one endpoint and of one group, as tables
-//! - [`primary_verification`]: what verifies a primary
-//! - [`staleness`]: how far a list is trusted at its age
-//! - [`query_schedule`]: which endpoint is queried when
-//! - [`discovery_incarnation`]: which lists of discovery are accepted
-//! - [`watch_schedule`]: when a watch on discovery is broken, and when it is opened again
-//! - [`save_schedule`]: when the cache is saved
+//! - [`primary_discovery`]: the overall state and its event handlers
+//! - [`endpoint_state`], [`group_state`]: state machines of one endpoint and of one group, as transition tables
+//! - [`primary_verification`]: the evidence that verifies a primary
+//! - [`staleness`]: how far a cached list is trusted, by its age
+//! - [`query_schedule`]: when endpoints are queried, with a limit on concurrent queries
+//! - [`discovery_incarnation`]: which endpoint lists of discovery are accepted
+//! - [`watch_schedule`]: timeouts and reconnection backoff of the watch on discovery
+//! - [`save_schedule`]: when the cache file is saved
 //!
-//! `docs/recovery.md` describes the whole.
+//! `docs/recovery.md` describes the design.
 
 #![warn(clippy::too_many_lines)]
 
--- a/recovery/src/primary_discovery/events.rs
+++ b/recovery/src/primary_discovery/events.rs
@@ -1,119 +1,119 @@
-//! What primary discovery is told, and what it has the host do.
+//! Events that the host passes to primary discovery, and actions that the host carries out.
 
 use crate::endpoint_state::RoleReport;
 use crate::primary_verification::MinimumPosition;
 use routing::time::Timestamp;
 use routing::{EndpointIndex, EndpointReport, GroupIndex, PrimaryEligibility};
 
-/// An endpoint of a list, as the host numbers it.
+/// A listed endpoint and its group, by the host's indexes.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
-    /// The endpoint.
+    /// Index of the endpoint.
     pub endpoint: EndpointIndex,
-    /// Its group.
+    /// Index of its group.
     pub group: GroupIndex,
 }
 
-/// Who an endpoint says that it is.
+/// An endpoint's reported identity, compared with the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Identity {
-    /// The one that the list names.
+    /// The identity of the listed endpoint.
     Confirmed,
-    /// Another one.
+    /// The identity of another endpoint.
     Mismatch,
-    /// It cannot be asked, or does not say.
+    /// The endpoint did not report an identity, or cannot be asked for it.
     Unknown,
 }
 
-/// Why a query has no answer.
+/// Why a query failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryFailure {
-    /// Nothing listens there, says its machine.
+    /// The connection was refused: no process listens on the port.
     Refused,
-    /// Nothing came back.
+    /// No response was received.
     NoAnswer,
-    /// It was not sent, or rejected for lack of capacity: that says nothing of the endpoint.
+    /// The query was not sent, or rejected for lack of capacity: no information about the endpoint.
     NotSent,
 }
 
-/// Something that has happened.
+/// An event for [`super::PrimaryDiscovery`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A list was loaded that discovery has not confirmed since this start.
+    /// The cached list was loaded. Discovery has not confirmed it since this start.
     CachedList {
-        /// Its endpoints.
+        /// The listed endpoints.
         members: Vec<Member>,
-        /// What its groups were known to have.
+        /// Lower bounds on the timelines and positions of groups, as saved with the list.
         minimum_positions: Vec<(GroupIndex, MinimumPosition)>,
     },
-    /// Discovery has given a list, complete or changes to it.
+    /// Discovery has provided a complete list or a set of changes.
     Listed {
-        /// It is the whole list.
+        /// The list is complete.
         complete: bool,
-        /// Endpoints that are listed.
+        /// Listed endpoints.
         members: Vec<Member>,
-        /// Endpoints that are not listed any more.
+        /// Endpoints that are no longer listed.
         removed: Vec<EndpointIndex>,
     },
     /// A query was answered.
     Answered {
-        /// By this endpoint.
+        /// The queried endpoint.
         endpoint: EndpointIndex,
         /// When the query was sent.
         queried_at: Timestamp,
-        /// Who the endpoint says that it is.
+        /// The endpoint's reported identity.
         identity: Identity,
-        /// What it reported.
+        /// The endpoint's report.
         report: RoleReport,
     },
     /// A query failed.
     Failed {
-        /// To this endpoint.
+        /// The queried endpoint.
         endpoint: EndpointIndex,
-        /// Why.
+        /// Why the query failed.
         failure: QueryFailure,
     },
-    /// A report came with the answer to a request or a health check.
+    /// The response to a request or a health check contained a report.
     Observed {
-        /// From this endpoint.
+        /// The endpoint that responded.
         endpoint: EndpointIndex,
-        /// When the request was sent.
+        /// When the request or health check was sent.
         queried_at: Timestamp,
-        /// The report.
+        /// The endpoint's report.
         report: EndpointReport,
     },
-    /// A request waits for a group.
+    /// A request is waiting for the primary of a group.
     RequestWaiting {
         /// The group.
         group: GroupIndex,
     },
-    /// Time has passed.
+    /// Scheduled queries may be due.
     Tick,
 }
 
-/// Something for the host to do.
+/// An action for the host to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Query an endpoint; to be answered by one `Answered` or `Failed`.
+    /// Query an endpoint, and report the result as exactly one `Answered` or `Failed`.
     Query {
-        /// The endpoint.
+        /// The endpoint to query.
         endpoint: EndpointIndex,
     },
-    /// Tell the routing policy that an endpoint may be used, started when this instance started at the latest.
+    /// Notify the routing policy that an endpoint may be used and was started no later than this instance.
     Admit {
-        /// The endpoint.
+        /// The admitted endpoint.
         endpoint: EndpointIndex,
     },
-    /// Tell the routing policy that an endpoint may not be used any more, whatever else the rules of the list allow.
+    /// Notify the routing policy that an endpoint may no longer be used, even if it is still listed.
     Withdraw {
-        /// The endpoint.
+        /// The withdrawn endpoint.
         endpoint: EndpointIndex,
     },
-    /// Tell the routing policy which member of a group may be taken for its primary.
+    /// Notify the routing policy which member of a group may be treated as its primary.
     SetEligibility {
         /// The group.
         group: GroupIndex,
-        /// The member.
+        /// The eligible members.
         eligibility: PrimaryEligibility,
     },
 }
--- a/recovery/src/primary_discovery/mod.rs
+++ b/recovery/src/primary_discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Which endpoints are queried after a start from a cached list, and what follows from the answers: an event loop over the
-//! states of endpoints and groups.
+//! Discovery of primaries after a start from a cached list: event handlers that update the states of endpoints and
+//! groups, schedule queries, and notify the routing policy.
 
 mod events;
 mod queries;
@@ -15,13 +15,19 @@
 use routing::{EndpointIndex, EndpointReport, GroupIndex, PrimaryEligibility};
 use std::collections::BTreeSet;
 
+/// One in this many file descriptors for endpoints may be used by queries: the others are left to requests.
+const QUERY_DESCRIPTORS_DIVISOR: usize = 2;
+
+/// Members and state of one group.
 #[derive(Default)]
 struct Group {
     members: Vec<EndpointIndex>,
+    /// Lower bound on the true primary's timeline and position, from the cache.
     minimum: MinimumPosition,
     state: GroupState,
+    /// A request is waiting for the group's primary.
     request_waiting: bool,
-    /// Queries without a verified primary, for the backoff.
+    /// Queries so far without a verified primary: determines the backoff.
     unverified_queries: u32,
 }
 
@@ -31,18 +37,18 @@
     }
 }
 
-/// How primary discovery is set up.
+/// Configuration of primary discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoverySettings {
-    /// The times of the cached list; none if its age is not known.
+    /// Timestamps of the cached list; `None` if its age is unknown.
     pub cache_times: Option<CacheTimes>,
-    /// Endpoints may be queried.
+    /// Whether endpoints may be queried.
     pub may_query: bool,
-    /// Descriptors for endpoints; half of them are left to requests.
+    /// File descriptors available for connections to endpoints. At most half of them are used for queries.
     pub descriptors: usize,
 }
 
-/// The discovery of primaries after a start.
+/// State of the discovery of primaries after a start.
 pub struct PrimaryDiscovery {
     endpoints: Vec<RecoveringEndpoint>,
     groups: Vec<Group>,
@@ -50,16 +56,17 @@
     cache_times: Option<CacheTimes>,
     /// The latest position reported since this start.
     latest_report: Option<Timestamp>,
-    /// Discovery has given a list since this start.
+    /// Discovery has provided a complete list since this start.
     list_confirmed: bool,
     may_query: bool,
-    /// Queries at a time for which there are descriptors.
+    /// Maximum number of concurrent queries for which there are file descriptors.
     max_queries: usize,
+    /// Actions of the event that is being handled.
     actions: Vec<Action>,
 }
 
 impl PrimaryDiscovery {
-    /// Nothing is known yet.
+    /// Creates the state without endpoints and groups.
     pub fn new(settings: DiscoverySettings) -> PrimaryDiscovery {
         PrimaryDiscovery {
             endpoints: Vec::new(),
@@ -69,37 +76,37 @@
             latest_report: None,
             list_confirmed: false,
             may_query: settings.may_query,
-            max_queries: (settings.descriptors / 2).max(1),
+            max_queries: (settings.descriptors / QUERY_DESCRIPTORS_DIVISOR).max(1),
             actions: Vec::new(),
         }
     }
 
-    /// How far the list is trusted.
+    /// The verification level for the age of the list at `now`.
     pub fn verification_level(&self, now: Timestamp) -> &'static VerificationLevel {
         verification_level(self.cache_times, now, self.latest_report)
     }
 
-    /// Whether discovery has given a list since this start.
+    /// Whether discovery has provided a complete list since this start.
     pub fn is_list_confirmed(&self) -> bool {
         self.list_confirmed
     }
 
-    /// Whether nothing is left to do: the ordinary rules hold everywhere. Only a list of discovery ends it.
+    /// Whether recovery is complete: discovery has confirmed the list and every group is settled.
     pub fn is_over(&self) -> bool {
         self.list_confirmed && self.groups.iter().all(|group| group.state == GroupState::Settled)
     }
 
-    /// The state of a group, if it is known.
+    /// The state of a group, if the group is known.
     pub fn group_state(&self, group: GroupIndex) -> Option<GroupState> {
         self.groups.get(group).map(|group| group.state)
     }
 
-    /// What is known of an endpoint, if anything.
+    /// The data collected about an endpoint, if the endpoint is known.
     pub fn endpoint(&self, endpoint: EndpointIndex) -> Option<&RecoveringEndpoint> {
         self.endpoints.get(endpoint)
     }
 
-    /// When it needs a `Tick` next.
+    /// When the next [`Event::Tick`] is due, if any.
     pub fn due(&self, now: Timestamp) -> Option<Timestamp> {
         self.queries.due(self.max_in_flight(now))
     }
@@ -108,7 +115,8 @@
         self.verification_level(now).max_queries.min(self.max_queries)
     }
 
-    /// Handles an event that happened at `now`. What is to be done is appended to `actions`, in order.
+    /// Handles an event that occurred at `now`. Appends the resulting actions to `actions`, in the order in which they
+    /// must be carried out.
     pub fn on_event(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::CachedList { members, minimum_positions } => {
@@ -144,6 +152,7 @@
         }
     }
 
+    /// Creates all groups up to this index that do not exist. No member of a new group is eligible as its primary.
     fn ensure_group(&mut self, index: GroupIndex) {
         while self.groups.len() <= index {
             let group = self.groups.len();
@@ -153,6 +162,7 @@
         }
     }
 
+    /// Adds an endpoint to its group unless it is a member already, and schedules a query.
     fn add_member(&mut self, now: Timestamp, member: Member) {
         let Member { endpoint: index, group } = member;
         self.ensure_group(group);
@@ -165,7 +175,7 @@
         let group_before = self.endpoints[index].group;
         self.groups[group_before].members.retain(|&member| member != index);
         self.groups[group].members.push(index);
-        // One that changes its group is another endpoint, whatever its name.
+        // An endpoint that moved to another group is treated as a new one, even if its name is the same.
         let query_in_flight = self.endpoints[index].query_in_flight;
         self.endpoints[index] =
             RecoveringEndpoint { group, query_in_flight, ..RecoveringEndpoint::default() };
@@ -173,7 +183,7 @@
     }
 
     fn on_listed(&mut self, now: Timestamp, complete: bool, members: &[Member], removed: Vec<EndpointIndex>) {
-        // Changes build on a complete list: alone they confirm nothing.
+        // Changes apply to an earlier complete list and do not confirm the list by themselves.
         self.list_confirmed |= complete;
         let mut removed: BTreeSet<EndpointIndex> = removed.into_iter().collect();
         if complete {
@@ -186,7 +196,7 @@
                 self.endpoint_event(index, EndpointEvent::Listed);
                 self.schedule_query(index, now);
             }
-            // Discovery itself names it: the policy's own rule, to check its health before use, is enough.
+            // Listed by discovery itself: the routing policy's own health check before use is sufficient.
             self.endpoints[index].admitted = true;
         }
         for index in removed {
@@ -197,7 +207,7 @@
         }
     }
 
-    /// The endpoints that are known and not among these.
+    /// The known endpoints that are not among `members`.
     fn unlisted(&self, members: &[Member]) -> Vec<EndpointIndex> {
         let listed: BTreeSet<EndpointIndex> = members.iter().map(|member| member.endpoint).collect();
         let known = self.groups.iter().flat_map(|group| group.members.iter().copied());
@@ -270,7 +280,7 @@
         }
     }
 
-    /// A query has ended; false if none was in flight.
+    /// Records the end of a query to an endpoint. Returns false if none was in flight.
     fn end_query(&mut self, index: EndpointIndex) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(index) else { return false };
         let was_in_flight = std::mem::take(&mut endpoint.query_in_flight);
@@ -287,7 +297,7 @@
         }
         for index in waiting.members.clone() {
             if let Some(due) = self.unschedule_query(index) {
-                // One that was not queried yet is so at once.
+                // Endpoints without an answer are queried immediately.
                 let is_unanswered = self.endpoints[index].state == EndpointState::NotAnswered;
                 self.schedule_query(index, if is_unanswered { due.min(now) } else { due });
             }
@@ -317,7 +327,7 @@
 
     fn verify_group(&mut self, now: Timestamp, index: GroupIndex) {
         let group = &self.groups[index];
-        // Discovery's list is later than all that was cached.
+        // A list from discovery supersedes the cached position.
         let position = group.minimum.position.filter(|_| !self.list_confirmed);
         let verification = verify(GroupEvidence {
             members: &group.members,
--- a/recovery/src/primary_discovery/queries.rs
+++ b/recovery/src/primary_discovery/queries.rs
@@ -1,4 +1,4 @@
-//! When endpoints are queried: at once, again after a pause, or no more.
+//! Scheduling of endpoint queries: intervals, backoff, and the start of due queries.
 
 use super::PrimaryDiscovery;
 use crate::endpoint_state::EndpointState;
@@ -7,37 +7,37 @@
 use routing::time::{TimeDelta, Timestamp};
 use routing::EndpointIndex;
 
-/// A pause that doubles, up to a limit.
+/// Exponential backoff with a limit.
 struct Backoff {
     first: TimeDelta,
-    longest: TimeDelta,
+    max: TimeDelta,
 }
 
+/// Bounds the exponent of the backoff against overflow; the limit is reached before.
 const MAX_DOUBLINGS: u32 = 16;
 
 impl Backoff {
-    fn after(&self, doublings: u32) -> TimeDelta {
+    /// The pause after this many doublings.
+    fn pause(&self, doublings: u32) -> TimeDelta {
         let pause = self.first.0.saturating_mul(1 << doublings.min(MAX_DOUBLINGS));
-        TimeDelta(pause).min(self.longest)
+        TimeDelta(pause).min(self.max)
     }
 }
 
-/// Between two queries to an endpoint of a group whose primary is not verified.
-const UNVERIFIED: Backoff =
-    Backoff { first: TimeDelta::from_millis(40), longest: TimeDelta::from_millis(1_000) };
-/// Rounds of queries to a group before that pause grows.
+/// Pause between two queries to an endpoint of a group without a verified primary.
+const UNVERIFIED: Backoff = Backoff { first: TimeDelta::from_millis(40), max: TimeDelta::from_millis(1_000) };
+/// Rounds of queries to a group before the pause grows.
 const ROUNDS_WITHOUT_BACKOFF: u32 = 4;
-/// Between two queries in a group whose primary is verified, while discovery is silent or another member claims it.
+/// Interval of queries in a group with a verified primary, until the group is settled.
 const VERIFIED_INTERVAL: TimeDelta = TimeDelta::from_millis(2_000);
-/// After a query that failed, if a request waits for the group.
+/// Pause after a failed query, if a request is waiting for the group.
 const FAILED_URGENT: Backoff =
-    Backoff { first: TimeDelta::from_millis(100), longest: TimeDelta::from_millis(3_000) };
-/// The same, if none waits.
-const FAILED: Backoff =
-    Backoff { first: TimeDelta::from_millis(100), longest: TimeDelta::from_millis(20_000) };
+    Backoff { first: TimeDelta::from_millis(100), max: TimeDelta::from_millis(3_000) };
+/// Pause after a failed query, if no request is waiting for the group.
+const FAILED: Backoff = Backoff { first: TimeDelta::from_millis(100), max: TimeDelta::from_millis(20_000) };
 
 impl PrimaryDiscovery {
-    /// Schedules the next query to an endpoint that was just queried.
+    /// Schedules the next query to an endpoint after a query to it has ended.
     pub(super) fn schedule_next_query(&mut self, index: EndpointIndex, now: Timestamp) {
         let endpoint = &self.endpoints[index];
         let group = &mut self.groups[endpoint.group];
@@ -46,17 +46,18 @@
         }
         let pause = if endpoint.consecutive_failures > 0 {
             let backoff = if group.request_waiting { FAILED_URGENT } else { FAILED };
-            backoff.after(endpoint.consecutive_failures - 1)
+            backoff.pause(endpoint.consecutive_failures - 1)
         } else if matches!(group.state, GroupState::Verified(_)) {
             VERIFIED_INTERVAL
         } else {
             group.unverified_queries = group.unverified_queries.saturating_add(1);
             let rounds = group.unverified_queries / group.members.len().max(1) as u32;
-            UNVERIFIED.after(rounds.saturating_sub(ROUNDS_WITHOUT_BACKOFF))
+            UNVERIFIED.pause(rounds.saturating_sub(ROUNDS_WITHOUT_BACKOFF))
         };
         self.schedule_query(index, now + pause);
     }
 
+    /// Schedules a query at time `at`, in place of one that is already scheduled.
     pub(super) fn schedule_query(&mut self, index: EndpointIndex, at: Timestamp) {
         self.unschedule_query(index);
         let endpoint = &mut self.endpoints[index];
@@ -64,13 +65,14 @@
         self.queries.insert(at, index, self.groups[endpoint.group].request_waiting);
     }
 
+    /// Cancels the scheduled query to an endpoint. Returns the time it was scheduled for, if there was one.
     pub(super) fn unschedule_query(&mut self, index: EndpointIndex) -> Option<Timestamp> {
         let due = self.endpoints[index].query_due.take()?;
         self.queries.remove(due, index);
         Some(due)
     }
 
-    /// Starts the queries that are due, as many at a time as the trust in the list allows.
+    /// Starts due queries, up to the number of concurrent queries that the verification level allows.
     pub(super) fn start_queries(&mut self, now: Timestamp) {
         if !self.may_query {
             return self.queries.clear();
--- a/recovery/src/primary_verification.rs
+++ b/recovery/src/primary_verification.rs
@@ -1,62 +1,63 @@
-//! What verifies that an endpoint is its group's primary, from what the members have reported since this start.
+//! Verification of a group's primary from the members' reports since this start.
 //!
-//! A claim alone verifies nothing: a former primary whose links were cut goes on claiming. Three things disprove one: a
-//! member on a later timeline, a member that was ahead of it before it was queried, and less than the group was known to
-//! have before. What is left must be the only one, and be verified by a majority that follows it, by all others being
-//! accounted for, or by discovery's confirmation of the list of members.
+//! A claim to be primary is not sufficient: a former primary behind a network partition still claims the role. A claim
+//! is disproved by a member on a later timeline, by a member that was ahead of the claimant before the claimant was
+//! queried, or by a position below the group's known minimum. The remaining claim must be the only one. It is verified
+//! by a majority of members that follow the claimant, by all other members being accounted for, or by discovery's
+//! confirmation of the member list.
 
 use crate::endpoint_state::{EndpointState, RecoveringEndpoint};
 use crate::staleness::VerificationLevel;
 use routing::time::{TimeDelta, Timestamp};
 use routing::{EndpointIndex, Role};
 
-/// What was known of a group before this start: no true primary has less.
+/// The timeline and position that a group had reached before this start. The true primary is not below them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MinimumPosition {
-    /// The timeline of its log.
+    /// PostgreSQL timeline of the group's log.
     pub timeline: Option<u32>,
-    /// A position on it.
+    /// Position (commit time) on that timeline.
     pub position: Option<Timestamp>,
 }
 
-/// What the members' claims come to.
+/// Result of evaluating the members' claims to be primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verification {
-    /// Nobody claims to be primary, or no claim holds.
+    /// No member claims to be primary, or every claim was disproved.
     NoClaim,
-    /// Only this one claims it, and it is not verified yet.
+    /// This member has the only valid claim, and it is not verified yet.
     Unverified(EndpointIndex),
-    /// Several claim it, and nothing tells them apart.
+    /// Several members have valid claims.
     Contested,
-    /// This one is verified.
+    /// This member is verified to be the primary.
     Verified(EndpointIndex),
 }
 
-/// What a member has reported, or refused, counts as evidence for this long: pieces from before and after a failover must
-/// not add up. Against a claim it counts for good.
+/// How long a member's report or refused connection counts as evidence for a claim: evidence from before and after a
+/// failover must not be combined. Evidence against a claim does not expire.
 pub const EVIDENCE_VALID_FOR: TimeDelta = TimeDelta::from_millis(2_000);
 
-/// What is known of a group when its members' claims are verified.
+/// Input of the verification of a group.
 #[derive(Clone, Copy)]
 pub struct GroupEvidence<'a> {
-    /// Its members.
+    /// Members of the group.
     pub members: &'a [EndpointIndex],
     /// All endpoints, by index.
     pub endpoints: &'a [RecoveringEndpoint],
-    /// What its true primary has at the least.
+    /// Lower bound on the true primary's timeline and position.
     pub minimum: MinimumPosition,
-    /// How far the list of members is trusted.
+    /// The evidence required at the age of the member list.
     pub level: &'a VerificationLevel,
-    /// Discovery has given the list of members since this start.
+    /// Discovery has provided the member list since this start.
     pub list_confirmed: bool,
-    /// The time.
+    /// The current time.
     pub now: Timestamp,
 }
 
-/// Verifies the claims of a group's members.
+/// Evaluates the claims of a group's members to be primary.
 pub fn verify(evidence: GroupEvidence) -> Verification {
     let claims: Vec<EndpointIndex> =
-        evidence.members.iter().copied().filter(|&member| evidence.claim_holds(member)).collect();
+        evidence.members.iter().copied().filter(|&member| evidence.has_valid_claim(member)).collect();
     let claimant = match claims[..] {
         [] => return Verification::NoClaim,
         [claimant] => claimant,
@@ -83,26 +84,29 @@
         self.members.iter().copied().filter(|&member| self.endpoints[member].is_identified())
     }
 
-    fn claim_holds(&self, member: EndpointIndex) -> bool {
+    /// Whether a member claims to be primary and nothing disproves it.
+    fn has_valid_claim(&self, member: EndpointIndex) -> bool {
         let claimant = &self.endpoints[member];
         claimant.claims_primary()
             && !is_below(claimant, self.minimum)
             && !self.identified().any(|other| other != member && disproves(&self.endpoints[other], claimant))
     }
 
+    /// Whether a query to every listed member has ended, with or without an answer.
     fn all_queried(&self) -> bool {
         let mut listed = self.members.iter().map(|&member| &self.endpoints[member]);
         listed.all(|endpoint| endpoint.state == EndpointState::Removed || endpoint.queried)
     }
 
+    /// Whether a member's claim is recent and was repeated as often as the list's age requires.
     fn has_claimed_often_enough(&self, member: EndpointIndex) -> bool {
         let claimant = &self.endpoints[member];
-        let often = claimant.consecutive_claims >= self.level.claims_required || self.list_confirmed;
-        claimant.query_ended_at >= self.valid_since() && often
+        let is_recent = claimant.query_ended_at >= self.valid_since();
+        is_recent && (claimant.consecutive_claims >= self.level.claims_required || self.list_confirmed)
     }
 
-    /// Whether most members, itself among them, are on its timeline and have passed the position that it reported after
-    /// this start: that part of the log cannot have come from anywhere else.
+    /// Whether a majority of members, including itself, is on its timeline and has passed the first position that it
+    /// reported as a primary: they can only have received that part of the log from it.
     fn is_followed_by_majority(&self, member: EndpointIndex) -> bool {
         let followers = self.members.iter().filter(|&&other| other == member || self.follows(other, member));
         let listed =
@@ -110,6 +114,7 @@
         followers.count() * 2 > listed.count()
     }
 
+    /// Whether a member has recently reported that it replicates the claimant's log.
     fn follows(&self, member: EndpointIndex, claimant: EndpointIndex) -> bool {
         let (member, claimant) = (&self.endpoints[member], &self.endpoints[claimant]);
         let same_timeline =
@@ -123,8 +128,8 @@
             && has_passed
     }
 
-    /// Whether every member has answered, or its machine says that nothing listens there. Silence is no account: a member
-    /// that is cut off from here may have become primary.
+    /// Whether every member has answered or refused the connection recently. A member that does not respond is not
+    /// accounted for: behind a network partition it may have become primary.
     fn all_accounted_for(&self) -> bool {
         let mut members = self.members.iter().map(|&member| &self.endpoints[member]);
         members.all(|endpoint| match endpoint.state {
@@ -136,16 +141,17 @@
     }
 }
 
+/// Whether a claimant is below the minimum timeline and position of its group.
 fn is_below(claimant: &RecoveringEndpoint, minimum: MinimumPosition) -> bool {
     match (claimant.report.timeline, minimum.timeline) {
-        (Some(claimed), Some(least)) if claimed != least => claimed < least,
-        // A claim without a position cannot be measured against one.
+        (Some(claimed), Some(minimum)) if claimed != minimum => claimed < minimum,
+        // A claim without a position counts as below any minimum position (`None` is less than `Some`).
         _ => claimant.report.position < minimum.position,
     }
 }
 
-/// Whether another member's report disproves a claim: it is on a later timeline, or it was further on the same one before
-/// the claimant was even queried.
+/// Whether another member's report disproves a claim: it is on a later timeline, or it was ahead on the same timeline
+/// before the claimant was queried.
 fn disproves(other: &RecoveringEndpoint, claimant: &RecoveringEndpoint) -> bool {
     match (other.report.timeline, claimant.report.timeline) {
         (Some(others), Some(claimed)) if others != claimed => others > claimed,
--- a/recovery/src/query_schedule.rs
+++ b/recovery/src/query_schedule.rs
@@ -1,44 +1,49 @@
-//! Which endpoint is queried when: those for which a request waits first, and only so many at a time.
+//! Schedule of endpoint queries: queries that requests are waiting for come first, and the number of concurrent
+//! queries is limited.
 
 use routing::time::{TimeDelta, Timestamp};
 use routing::EndpointIndex;
 use std::collections::BTreeSet;
 
-/// As many queries as may be in flight start within this time at most: refusals come back at once.
+/// At most `max_in_flight` queries start per interval of this length: refused connections fail at once, so the limit
+/// on queries in flight alone would not bound their rate.
 const BURST_INTERVAL: TimeDelta = TimeDelta::from_millis(20);
 
-/// Queries that are due, and how many are in flight.
+/// Scheduled queries and the number of queries in flight.
 #[derive(Default)]
 pub struct QuerySchedule {
-    /// Of groups for which a request waits.
+    /// Queries to groups that a request is waiting for, by time.
     urgent: BTreeSet<(Timestamp, EndpointIndex)>,
+    /// All other queries, by time.
     other: BTreeSet<(Timestamp, EndpointIndex)>,
     in_flight: usize,
+    /// Start of the current burst interval.
     burst_began: Timestamp,
-    /// Queries started since then.
+    /// Queries started in the current burst interval.
     started_in_burst: usize,
 }
 
 impl QuerySchedule {
-    /// Schedules a query.
+    /// Schedules a query at time `at`.
     pub fn insert(&mut self, at: Timestamp, endpoint: EndpointIndex, urgent: bool) {
         let queries = if urgent { &mut self.urgent } else { &mut self.other };
         queries.insert((at, endpoint));
     }
 
-    /// Removes a scheduled query.
+    /// Cancels a query that was scheduled at time `at`.
     pub fn remove(&mut self, at: Timestamp, endpoint: EndpointIndex) {
         self.urgent.remove(&(at, endpoint));
         self.other.remove(&(at, endpoint));
     }
 
-    /// Removes all scheduled queries.
+    /// Cancels all scheduled queries.
     pub fn clear(&mut self) {
         self.urgent.clear();
         self.other.clear();
     }
 
-    /// When the next query can start, with at most `max_in_flight` at a time.
+    /// When the next query can start, with at most `max_in_flight` concurrent queries. `None` if none is scheduled or the
+    /// limit is reached.
     pub fn due(&self, max_in_flight: usize) -> Option<Timestamp> {
         let first = self.urgent.first().into_iter().chain(self.other.first()).map(|query| query.0).min()?;
         let next_burst = if self.started_in_burst < max_in_flight {
@@ -49,7 +54,7 @@
         (self.in_flight < max_in_flight).then(|| first.max(next_burst))
     }
 
-    /// Begins another burst if it is time for one.
+    /// Starts a new burst interval if the current one is over.
     pub fn refresh_burst(&mut self, now: Timestamp) {
         if now >= self.burst_began + BURST_INTERVAL {
             self.burst_began = now;
@@ -57,7 +62,7 @@
         }
     }
 
-    /// The next endpoint to query now, with at most `max_in_flight` at a time.
+    /// The next endpoint to query now, with at most `max_in_flight` concurrent queries.
     pub fn next(&self, now: Timestamp, max_in_flight: usize) -> Option<EndpointIndex> {
         if self.in_flight >= max_in_flight || self.started_in_burst >= max_in_flight {
             return None;
@@ -66,13 +71,13 @@
         queries.find(|query| query.0 <= now).map(|query| query.1)
     }
 
-    /// A query has started.
+    /// Records the start of a query.
     pub fn started(&mut self) {
         self.in_flight += 1;
         self.started_in_burst += 1;
     }
 
-    /// A query has ended.
+    /// Records the end of a query.
     pub fn ended(&mut self) {
         self.in_flight -= 1;
     }
--- a/recovery/src/staleness.rs
+++ b/recovery/src/staleness.rs
@@ -1,23 +1,23 @@
-//! How far a cached endpoint list is trusted at its age: the older, the fewer endpoints are queried and admitted at once,
-//! and the more evidence is needed before anything is sent to a primary.
+//! Trust in a cached endpoint list by its age: the older the list, the fewer endpoints are queried and admitted at
+//! once, and the more evidence is required before requests are sent to a primary.
 
 use routing::time::{TimeDelta, Timestamp};
 
-/// How old a list is.
+/// Age class of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Staleness {
-    /// A minute at most.
+    /// At most a minute old.
     Fresh,
-    /// An hour at most.
+    /// At most an hour old.
     Recent,
-    /// A day at most.
+    /// At most a day old.
     Old,
-    /// Older, from a time to come, or of no known age.
+    /// Older than a day, dated in the future, or of unknown age.
     Unknown,
 }
 
 impl Staleness {
-    /// Its name in operators' texts.
+    /// Name of the age class in logs and on the admin socket.
     pub fn name(self) -> &'static str {
         match self {
             Staleness::Fresh => "fresh",
@@ -28,21 +28,21 @@
     }
 }
 
-/// How far a list is trusted; one row of the table on the operators' page.
+/// The evidence required and the queries allowed at an age of the list: one row of the table on the operators' page.
 #[derive(Debug)]
 pub struct VerificationLevel {
-    /// For lists this old.
+    /// The age class that the level applies to.
     pub staleness: Staleness,
-    /// The greatest age of such a list.
+    /// Maximum age of a list of that class.
     pub max_age: TimeDelta,
-    /// Endpoints that may be queried at the same time, and so admitted at once.
+    /// Maximum number of concurrent endpoint queries, which also bounds how many endpoints are admitted at once.
     pub max_queries: usize,
-    /// Answers in which an endpoint must have said that it is primary before writes go there.
+    /// Consecutive answers in which an endpoint must claim to be primary before writes are sent to it.
     pub claims_required: u32,
-    /// An address is trusted to be that of the listed endpoint if that one cannot say who it is.
+    /// An endpoint that does not report its identity is assumed to be the one listed at its address.
     pub identifies_by_address: bool,
-    /// It is evidence enough that all other members have answered or refuse connections, none of them following another
-    /// primary; otherwise a majority must be seen to follow.
+    /// A primary is verified if every other member has answered or refused the connection. Otherwise a majority of
+    /// members must follow it.
     pub accounting_suffices: bool,
 }
 
@@ -51,7 +51,7 @@
 const HOUR: TimeDelta = TimeDelta(MINUTE.0 * 60);
 const DAY: TimeDelta = TimeDelta(HOUR.0 * 24);
 
-/// From the youngest list to the oldest.
+/// All levels, by ascending age.
 pub const LEVELS: [VerificationLevel; 4] = [
     VerificationLevel {
         staleness: Staleness::Fresh,
@@ -87,20 +87,21 @@
     },
 ];
 
-/// A list may lie this far ahead of the clock: clocks of one fleet differ a little.
+/// Tolerance for the clock differences between the machines of a fleet.
 const MAX_CLOCK_SKEW: TimeDelta = TimeDelta::from_millis(500);
 
-/// The times in a cached list, by the wall clocks of then.
+/// The timestamps in a cached list, by the wall clock at the time of writing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheTimes {
-    /// When discovery last confirmed it.
+    /// When discovery last confirmed the list.
     pub confirmed: Timestamp,
-    /// When it was last saved. Never before `confirmed`, or the wall clock was set back in between.
+    /// When the list was last saved. Earlier than `confirmed` only if the wall clock was set back in between.
     pub saved: Timestamp,
 }
 
-/// How far a list is trusted at `now`. `latest_report` is the latest time that any endpoint has reported since this start:
-/// a wall clock that was set back makes a list look young, but not the endpoints. Without times the age is not known.
+/// Returns the level for a list at the wall-clock time `now`. `latest_report` is the latest position that any endpoint has
+/// reported since this start: it reveals the true age if the local clock was set back. Without `times` the age is
+/// unknown.
 pub fn verification_level(
     times: Option<CacheTimes>,
     now: Timestamp,
--- a/recovery/src/watch_schedule.rs
+++ b/recovery/src/watch_schedule.rs
@@ -1,38 +1,43 @@
-//! When a watch on discovery is held to be broken, and when it is opened again.
+//! Timeouts and reconnection backoff of the watch on discovery.
 //!
-//! What a watch misses counts as known 6 s after it fell silent. An empty line comes every 2 s if nothing changes, so a whole
-//! second may be missing before the watch is given up, and 3 s are left to open the next one: two connections or answers
-//! that never come fit in. Lists that are pushed come from an agent on this machine, which replies at once; what it has
-//! counts as known whether or not a watch is open, so no pause may be longer than half of the time in which attempts to a
-//! draining endpoint must cease.
+//! A change that a broken watch does not deliver must be known within 6 s of the last event. Discovery sends an empty line
+//! every 2 s as a heartbeat. A watch is closed after 3 s of silence, which tolerates a heartbeat that is 1 s late, and
+//! leaves 3 s to open the next one, including two attempts that time out. Pushed lists come from an agent on this
+//! machine, which replies at once; its list counts as known whether or not a watch is open. So the pause between watches
+//! may not exceed half of the grace period after which no attempts may be sent to a draining endpoint.
 
 use routing::time::{TimeDelta, Timestamp};
 
-/// From one event, a list or an empty line, to the next: bytes of an event that never ends are none.
+/// Maximum time between two events, an event being a complete list or an empty line. Bytes of an incomplete event do not
+/// count.
 const MAX_SILENCE: TimeDelta = TimeDelta::from_millis(3_000);
-/// Until a connection is there, and until an agent's answer has begun.
+/// Timeout of opening a connection, and of the start of a local agent's response.
 pub const OPEN_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_000);
-/// A watch that has stood for this long was a sound one.
-const SOUND_AFTER: TimeDelta = TimeDelta::from_millis(2_000);
+/// A watch with events for at least this long was healthy, so the backoff starts over after it.
+const HEALTHY_AFTER: TimeDelta = TimeDelta::from_millis(2_000);
+/// The first pause before reconnecting.
 const MIN_PAUSE: TimeDelta = TimeDelta::from_millis(50);
-/// A service that many instances poll must not be polled by all of them at once, again and again.
+/// The longest pause before reconnecting. Backoff and jitter keep many instances from polling a service in lockstep.
 const MAX_PAUSE: TimeDelta = TimeDelta::from_millis(2_000);
-/// Jitter is less than this.
+/// Exclusive upper bound of the jitter. A jitter of `j` lengthens half of the pause by `j / JITTER_RANGE` of it.
 pub const JITTER_RANGE: usize = 32;
 
-/// The watch that is open, or the pause before the next.
+/// Timing of the current watch and of the pause before the next one.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchSchedule {
+    /// Lists are pushed by an agent on this machine.
     from_local_agent: bool,
     max_pause: TimeDelta,
+    /// The next pause, without jitter.
     pause: TimeDelta,
     requested_at: Timestamp,
+    /// Time of the last event of the current watch.
     last_event_at: Option<Timestamp>,
 }
 
 impl WatchSchedule {
-    /// `from_local_agent`: lists come from an agent on this machine. `drain_grace`: within which attempts to a draining
-    /// endpoint must cease, if that is known.
+    /// Creates a schedule. `from_local_agent` means that lists come from an agent on this machine; `drain_grace` is the
+    /// time within which attempts to a draining endpoint must cease, if known.
     pub fn new(from_local_agent: bool, drain_grace: Option<TimeDelta>) -> WatchSchedule {
         let within_grace =
             drain_grace.filter(|_| from_local_agent).map(|grace| (grace / 2).max(MIN_PAUSE).min(MAX_PAUSE));
@@ -45,42 +50,42 @@
         }
     }
 
-    /// The watch is requested; its answer must have begun by the time that is returned.
+    /// Records the request of a watch. Returns the time by which its response must have started.
     pub fn requested(&mut self, now: Timestamp) -> Timestamp {
         self.requested_at = now;
         self.last_event_at = None;
         self.answer_due()
     }
 
-    /// When the answer must have begun.
+    /// The time by which the response must have started.
     pub fn answer_due(&self) -> Timestamp {
         self.requested_at + if self.from_local_agent { OPEN_TIMEOUT } else { MAX_SILENCE }
     }
 
-    /// Its answer has begun; the next event must have come by the time that is returned.
+    /// The time by which the next event must have been received, once the response has started.
     pub fn next_event_due(&self) -> Timestamp {
         self.last_event_at.unwrap_or(self.requested_at) + MAX_SILENCE
     }
 
-    /// A whole event has come; the next one must have come by the time that is returned.
+    /// Records a complete event. Returns the time by which the next one must have been received.
     pub fn event_received(&mut self, now: Timestamp) -> Timestamp {
         self.last_event_at = Some(now);
         self.next_event_due()
     }
 
-    /// Discovery is somewhere else now, or has given something new.
+    /// Resets the backoff because discovery has moved to another address or provided a new list.
     pub fn reset_backoff(&mut self) {
         self.pause = MIN_PAUSE;
     }
 
-    /// The watch has ended; the pause until it is requested again, with a `jitter` of less than [`JITTER_RANGE`]. A watch
-    /// that stood was sound: what was wrong before it is no reason to wait.
+    /// Records the end of a watch. Returns the pause before the next request, with a `jitter` of less than
+    /// [`JITTER_RANGE`], limited to `max_pause` if set. The backoff starts over after a healthy watch.
     pub fn ended(&mut self, jitter: usize, max_pause: Option<TimeDelta>) -> TimeDelta {
         let last_event_at = self.last_event_at.take();
-        if last_event_at.is_some_and(|at| at - self.requested_at >= SOUND_AFTER) {
+        if last_event_at.is_some_and(|at| at - self.requested_at >= HEALTHY_AFTER) {
             self.reset_backoff();
         }
-        let max_pause = max_pause.map_or(self.max_pause, |most| most.min(self.max_pause));
+        let max_pause = max_pause.map_or(self.max_pause, |limit| limit.min(self.max_pause));
         let jitter = jitter.min(JITTER_RANGE - 1);
         let pause = self.pause.min(max_pause) / (2 * JITTER_RANGE as i64) * (JITTER_RANGE + jitter) as i64;
         self.pause = (self.pause * 2).min(max_pause);
