--- a/sessions/src/epochs.rs
+++ b/sessions/src/epochs.rs
@@ -1,42 +1,45 @@
-//! What is known of each group's log: which epochs it has had and where each began, and whether a position still lies on
-//! it. An epoch is PostgreSQL's timeline: it ends when another member is promoted to primary.
+//! History of each group's log: its epochs, where each began, and whether the log still contains a position. An epoch is a
+//! PostgreSQL timeline: a new one begins when another member is promoted to primary.
 
 use crate::positions::{GroupNumber, LogPosition};
 use routing::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Epochs kept per group, the latest ones. A position of an earlier one is judged by the oldest that is kept.
+/// Number of epochs kept per group, the latest ones. A position in an earlier epoch is checked against these only.
 const MAX_EPOCHS: usize = 16;
 
-/// An epoch as an endpoint reports it.
+/// An epoch as reported by an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Epoch {
-    /// Its number; 0 is none.
+    /// Number of the epoch (PostgreSQL's timeline ID); 0 means none was reported.
     pub number: u32,
-    /// The position at which it left the epoch before.
+    /// Position at which it forked from the previous epoch, if reported.
     pub began: Option<Timestamp>,
 }
 
-/// Whether a position lies on a group's log.
+/// Whether a group's log contains a position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PositionStatus {
-    /// It does: a read must see this position.
+    /// The log contains it: a read must be served at this position or later.
     OnLog(Timestamp),
-    /// It lies beyond the point where a later epoch began: what the session saw is lost.
+    /// A later epoch forked before this position: data that the session observed is lost.
     Lost,
-    /// It is of an epoch that is not known here yet: an endpoint of that epoch must show it.
+    /// Its epoch is not known to this instance yet: a read must be served at this position or later, in that epoch.
     UnknownEpoch(Timestamp),
 }
 
-/// The epochs of all groups.
+/// Epochs of one group: the start of each by number, if reported.
+type Epochs = BTreeMap<u32, Option<Timestamp>>;
+
+/// Known epochs of all groups.
 #[derive(Clone, Debug, Default)]
 pub struct EpochHistory {
-    /// By group: the number of each epoch and where it began, if that was reported.
-    groups: BTreeMap<GroupNumber, BTreeMap<u32, Option<Timestamp>>>,
+    /// Known epochs by group.
+    groups: BTreeMap<GroupNumber, Epochs>,
 }
 
 impl EpochHistory {
-    /// An endpoint of the group has reported its epoch.
+    /// Records the epoch that an endpoint of the group has reported.
     pub fn record(&mut self, group: GroupNumber, epoch: Epoch) {
         let Epoch { number, began } = epoch;
         if number == 0 {
@@ -44,7 +47,7 @@
         }
         let known = self.groups.entry(group).or_default();
         let start = known.entry(number).or_insert(began);
-        // Of two reports of one beginning the earlier: it can only make a position count as lost, never as on the log.
+        // Of conflicting reports the earlier start is used: a lost position is never taken for one on the log.
         *start = match (*start, began) {
             (Some(before), Some(now)) => Some(before.min(now)),
             (before, now) => before.or(now),
@@ -54,35 +57,33 @@
         }
     }
 
-    /// Whether a position lies on the group's log, by all that is known.
+    /// Whether the group's log contains a position, as far as its epochs are known.
     pub fn status(&self, group: GroupNumber, seen: LogPosition) -> PositionStatus {
         let Some(known) = self.groups.get(&group) else { return PositionStatus::OnLog(seen.position) };
         let latest = known.last_key_value().map_or(0, |(number, _)| *number);
-        // Without an epoch the position is all that there is.
+        // A position without an epoch cannot be assigned to a branch of the log.
         if seen.epoch == 0 {
             return PositionStatus::OnLog(seen.position);
         }
         if seen.epoch > latest {
             return PositionStatus::UnknownEpoch(seen.position);
         }
-        // Every later epoch must have begun at or after it. One whose beginning was not reported proves nothing lost.
-        let mut later = known.range(seen.epoch + 1..).filter_map(|(_, began)| *began);
-        if later.any(|began| began < seen.position) {
+        if forked_before(known, seen.epoch, seen.position) {
             PositionStatus::Lost
         } else {
             PositionStatus::OnLog(seen.position)
         }
     }
 
-    /// Where a session goes on that was told of a loss: at the beginning of the latest epoch.
+    /// Position at which a session continues after it was notified of a loss: the start of the latest epoch.
     pub fn restart_position(&self, group: GroupNumber) -> LogPosition {
         let latest = self.groups.get(&group).and_then(|known| known.last_key_value());
         let (epoch, began) = latest.map_or((0, None), |(number, began)| (*number, *began));
         LogPosition { epoch, position: began.unwrap_or(Timestamp(0)) }
     }
 
-    /// Whether an answer from an endpoint in this epoch and at this position shows all that the session has seen. What
-    /// the answer itself reports of its epoch has to be recorded before: it may be the first report of a loss.
+    /// Whether an answer from an endpoint at this epoch and position includes everything that the session has observed.
+    /// The epoch in the answer must be recorded before this call: it may be the first evidence of a loss.
     pub fn shows(
         &self,
         group: GroupNumber,
@@ -95,16 +96,22 @@
         }
         let Some(position) = position else { return true };
         let number = epoch.map_or(0, |epoch| epoch.number);
-        // An endpoint in an epoch before the session's is on an abandoned log; so is one before the latest known,
-        // unless it has not come to the fork yet.
+        // An endpoint in an earlier epoch than the session's is on an abandoned branch of the log. So is one in an
+        // earlier epoch than the latest known, unless its position is before the fork.
         let reaches_epoch = number == 0 || number >= seen.epoch;
         reaches_epoch && !self.is_abandoned(group, number, position) && position >= seen.position
     }
 
-    /// Whether a later epoch began before this position of an epoch.
+    /// Whether a position in epoch `number` is on an abandoned branch of the log.
     fn is_abandoned(&self, group: GroupNumber, number: u32, position: Timestamp) -> bool {
         let Some(known) = self.groups.get(&group).filter(|_| number > 0) else { return false };
-        let mut later = known.range(number + 1..).filter_map(|(_, began)| *began);
-        later.any(|began| began < position)
+        forked_before(known, number, position)
     }
 }
+
+/// Whether an epoch later than `number` forked before `position`. Epochs without a reported start are not evidence of a
+/// fork.
+fn forked_before(known: &Epochs, number: u32, position: Timestamp) -> bool {
+    let mut later_starts = known.range(number + 1..).filter_map(|(_, began)| *began);
+    later_starts.any(|began| began < position)
+}
--- a/sessions/src/lib.rs
+++ b/sessions/src/lib.rs
@@ -1,12 +1,12 @@
-//! What a session has seen of the database, carried by its client from instance to instance and over restarts, so that
-//! it reads its own writes and never older data than before. Free of I/O.
+//! Session guarantees: a session reads its own writes and never older data than it has read before. The client carries
+//! the session's positions in a token, so the guarantees hold across instances and restarts. No I/O.
 //!
-//! - [`positions`]: what a session has seen of each group
-//! - [`epochs`]: what is known of each group's log, and whether a position still lies on it
-//! - [`token`]: the form in which a client carries a session's positions
-//! - [`session_cache`]: what one instance remembers beside that
+//! - [`positions`]: the positions that a session has observed, by group
+//! - [`epochs`]: the history of each group's log, and whether it still contains a position
+//! - [`token`]: the authenticated token in which a client carries its session's positions
+//! - [`session_cache`]: an instance's cache of sessions
 //!
-//! `docs/sessions.md` states what is guaranteed.
+//! `docs/sessions.md` states the guarantees.
 
 #![warn(clippy::too_many_lines)]
 
--- a/sessions/src/positions.rs
+++ b/sessions/src/positions.rs
@@ -1,25 +1,27 @@
-//! What a session has seen of each group: the furthest position that a read showed it or that a write of its own got.
+//! Positions of a session: for each group, the latest position that one of its reads observed or one of its writes
+//! committed at.
 
 use routing::time::Timestamp;
 
-/// A group as every instance names it: the number in the endpoint list.
+/// Number of a group in the endpoint list, the same for every instance.
 pub type GroupNumber = i64;
 
-/// Groups that have a position of their own. A session that has seen more of them keeps one lower bound for the others.
+/// Maximum number of groups with a position of their own. A session that has accessed more groups keeps one lower bound
+/// for the others.
 pub const MAX_POSITIONS: usize = 16;
 
 /// A position on a group's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogPosition {
-    /// The epoch that it lies in; 0 if the endpoint did not report one.
+    /// Epoch of the position; 0 if the endpoint did not report one.
     pub epoch: u32,
-    /// The commit time up to which the log has been seen.
+    /// Commit time up to which the log has been observed.
     pub position: Timestamp,
 }
 
 impl LogPosition {
-    /// The later of two positions on one group's log. A later epoch goes before a later position, since positions of an
-    /// abandoned log may lie ahead of its successor's. Without an epoch only the position can be compared.
+    /// The later of two positions on one group's log. Epochs are compared first, since positions on an abandoned branch
+    /// may be ahead of those on its successor. Without both epochs only the positions can be compared.
     fn later(self, other: LogPosition) -> LogPosition {
         if self.epoch == 0 || other.epoch == 0 {
             let epoch = self.epoch.max(other.epoch);
@@ -29,17 +31,17 @@
     }
 }
 
-/// The positions of one session. They only ever rise, until one is removed because its log was lost.
+/// The positions of one session. They only advance, except that one is removed when its part of the log is lost.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionPositions {
-    /// By group, in rising order.
+    /// Positions in ascending order of groups.
     by_group: Vec<(GroupNumber, LogPosition)>,
-    /// What every group without a position of its own must show at the least.
+    /// Lower bound for every group without a position of its own.
     lower_bound: Option<LogPosition>,
 }
 
 impl SessionPositions {
-    /// What the session has seen of a group.
+    /// The position of the session on a group's log, if any.
     pub fn get(&self, group: GroupNumber) -> Option<LogPosition> {
         match self.find(group) {
             Ok(index) => Some(self.by_group[index].1),
@@ -47,26 +49,27 @@
         }
     }
 
+    /// Index of a group in `by_group`, or the index at which to insert it.
     fn find(&self, group: GroupNumber) -> Result<usize, usize> {
         self.by_group.binary_search_by_key(&group, |(group, _)| *group)
     }
 
-    /// The groups that have a position of their own.
+    /// Groups with a position of their own, in ascending order.
     pub fn by_group(&self) -> &[(GroupNumber, LogPosition)] {
         &self.by_group
     }
 
-    /// What every other group must show at the least.
+    /// Lower bound for all other groups.
     pub fn lower_bound(&self) -> Option<LogPosition> {
         self.lower_bound
     }
 
-    /// Whether the session has seen nothing.
+    /// Whether the session has no position at all.
     pub fn is_empty(&self) -> bool {
         self.by_group.is_empty() && self.lower_bound.is_none()
     }
 
-    /// The session has seen this of a group.
+    /// Advances the position of a group. An earlier position has no effect.
     pub fn advance(&mut self, group: GroupNumber, position: LogPosition) {
         match self.find(group) {
             Ok(index) => self.by_group[index].1 = self.by_group[index].1.later(position),
@@ -80,20 +83,20 @@
         }
     }
 
-    /// The position that lies furthest back costs the other groups least when it becomes their lower bound.
+    /// Merges the earliest position into the lower bound, where it restricts the other groups the least.
     fn fold_oldest_into_lower_bound(&mut self) {
         let oldest = (0..self.by_group.len()).min_by_key(|&index| self.by_group[index].1.position);
         let (_, removed) = self.by_group.remove(oldest.unwrap_or(0));
-        // An epoch belongs to one group: for others the position alone counts.
+        // An epoch is specific to one group, so the lower bound has none.
         self.raise_lower_bound(LogPosition { epoch: 0, ..removed });
     }
 
-    /// Every group without a position of its own must show this at the least.
+    /// Raises the lower bound of all groups without a position of their own.
     pub fn raise_lower_bound(&mut self, position: LogPosition) {
         self.lower_bound = Some(self.lower_bound.map_or(position, |lower_bound| lower_bound.later(position)));
     }
 
-    /// Adds what another copy of the same session has seen.
+    /// Merges the positions of another copy of the same session.
     pub fn merge(&mut self, other: &SessionPositions) {
         if let Some(lower_bound) = other.lower_bound {
             self.raise_lower_bound(lower_bound);
@@ -103,8 +106,9 @@
         }
     }
 
-    /// The log that a group's position lies on was lost, and the client is told so. The session must then `advance` to
-    /// where the new epoch began, or another copy with the old position would bring it back.
+    /// Removes the position of a group whose part of the log was lost, once the client is notified. The caller must then
+    /// [`advance`](Self::advance) the session to the start of the new epoch: otherwise merging another copy would restore
+    /// the lost position.
     pub fn remove(&mut self, group: GroupNumber) {
         self.by_group.retain(|(other, _)| *other != group);
     }
--- a/sessions/src/session_cache.rs
+++ b/sessions/src/session_cache.rs
@@ -1,15 +1,15 @@
-//! What one instance remembers of sessions beside what their clients carry, so that two connections of one session see
-//! the same. No guarantee on one connection, or on one that moved, depends on it, and it is bounded however many sessions
-//! there are.
+//! Session cache of one instance: makes concurrent connections of one session share its positions. The guarantees of a
+//! single connection, including one that moves between instances, rely on the client's token only. The cache is
+//! bounded.
 
 use crate::positions::{GroupNumber, SessionPositions};
 use crate::token::SessionId;
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeSet, HashMap};
 
-/// Sessions that an instance remembers at most, some 200 bytes each.
+/// Maximum number of sessions in the cache of an instance, about 200 bytes each.
 pub const MAX_SESSIONS: usize = 20_000;
-/// A table with this capacity or less is never shrunk.
+/// Tables of this capacity (entries) or less are not shrunk: the memory is too small to matter.
 const MIN_CAPACITY: usize = 64;
 
 struct CachedSession {
@@ -17,7 +17,7 @@
     used_at: Timestamp,
 }
 
-/// Sessions by their identifiers. The least recently used go first if there are too many, and all after a time.
+/// Cache of sessions with least-recently-used eviction and a time to live.
 pub struct SessionCache {
     max_sessions: usize,
     time_to_live: TimeDelta,
@@ -26,22 +26,22 @@
 }
 
 impl SessionCache {
-    /// A cache for at most so many sessions, each for so long after its last use.
+    /// Creates a cache of at most `max_sessions`, each kept for `time_to_live` after its last use.
     pub fn new(max_sessions: usize, time_to_live: TimeDelta) -> SessionCache {
         SessionCache { max_sessions, time_to_live, sessions: HashMap::new(), by_use: BTreeSet::new() }
     }
 
-    /// Sessions remembered.
+    /// Number of cached sessions.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no session is cached.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
 
-    /// Merges what a client carries with what is remembered, both ways.
+    /// Merges the positions in a client's token with the cached ones and updates both.
     pub fn merge(&mut self, now: Timestamp, session: SessionId, presented: &mut SessionPositions) {
         self.expire(now);
         if let Some(cached) = self.sessions.get_mut(&session) {
@@ -61,8 +61,8 @@
         }
     }
 
-    /// A position of the session was lost, and its client is told so. Nothing takes its place: a client that was not
-    /// reached comes again with the token that it had, and must be told again.
+    /// Removes a lost position of a session whose client is notified. No new position is stored in its place: if the
+    /// notification does not arrive, the client presents its old token again and must be notified again.
     pub fn remove_position(&mut self, session: &SessionId, group: GroupNumber) {
         if let Some(cached) = self.sessions.get_mut(session) {
             cached.positions.remove(group);
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -1,8 +1,21 @@
-//! The token that a client carries: its session's positions, authenticated so that no client can make or change one.
+//! Session token: the positions of a session, carried by its client and authenticated so that clients can neither forge
+//! nor change one.
 //!
-//! Its bytes, before base64 (URL alphabet, no padding): format 1, the key's id, 16 of the session, issue and expiry in Unix
-//! seconds (4 each), a flag for the lower bound, the count of positions, then for each its group, epoch and position in
-//! milliseconds as LEB128, and 16 bytes of HMAC-SHA256 over all of that and over the audience, which is not in the token.
+//! Binary layout, encoded as base64 (URL alphabet, no padding):
+//!
+//! | bytes | content |
+//! | --- | --- |
+//! | 1 | format, 1 |
+//! | 1 | id of the key |
+//! | 16 | session identifier |
+//! | 4 | time of issue in Unix seconds, big-endian |
+//! | 4 | time of expiry in Unix seconds, big-endian |
+//! | 1 | 1 if a lower bound is present, otherwise 0 |
+//! | 1 | number of positions |
+//! | variable | lower bound if present, then the positions: group, epoch and position in milliseconds, as LEB128 |
+//! | 16 | HMAC-SHA256, truncated, over the audience and all of the above |
+//!
+//! The audience, the client that the token was issued to, is not part of the token.
 
 use crate::positions::{GroupNumber, LogPosition, SessionPositions, MAX_POSITIONS};
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -15,110 +28,133 @@
 use thiserror::Error;
 
 const FORMAT: u8 = 1;
+/// Prefix of the authenticated bytes, so that a code made with the same key for another purpose is not valid here.
+const MAC_DOMAIN: &[u8] = b"gingerwick session\0";
+/// Bytes of the truncated authentication code.
 const MAC_BYTES: usize = 16;
-const HEADER_BYTES: usize = 1 + 1 + 16 + 4 + 4 + 1 + 1;
-/// A group, an epoch and a position as LEB128, at most.
+const SESSION_ID_BYTES: usize = 16;
+const UNIX_SECONDS_BYTES: usize = 4;
+
+// Offsets of the header's fields in bytes.
+const FORMAT_AT: usize = 0;
+const KEY_ID_AT: usize = 1;
+const SESSION_AT: usize = 2;
+const ISSUED_AT: usize = SESSION_AT + SESSION_ID_BYTES;
+const EXPIRES_AT: usize = ISSUED_AT + UNIX_SECONDS_BYTES;
+const HAS_LOWER_BOUND_AT: usize = EXPIRES_AT + UNIX_SECONDS_BYTES;
+const POSITION_COUNT_AT: usize = HAS_LOWER_BOUND_AT + 1;
+const HEADER_BYTES: usize = POSITION_COUNT_AT + 1;
+
+/// The longest LEB128 encoding of 64 bits, in bytes.
+const MAX_LEB128_BYTES: u32 = 10;
+/// Bits of a number per byte of LEB128.
+const LEB128_BITS: u32 = 7;
+/// Set on every byte of a LEB128 number but the last.
+const LEB128_CONTINUES: u8 = 0x80;
+
+/// The longest encoding of a position in bytes: group (64 bits), epoch (32 bits) and position (64 bits) as LEB128.
 const MAX_POSITION_BYTES: usize = 10 + 5 + 10;
-/// The longest token: all positions and a lower bound.
+/// The longest token in bytes: all positions and a lower bound.
 const MAX_BYTES: usize = HEADER_BYTES + (MAX_POSITIONS + 1) * MAX_POSITION_BYTES + MAC_BYTES;
-/// The longest token in base64.
+/// The longest token in base64, in characters.
 pub const MAX_TEXT_BYTES: usize = MAX_BYTES.div_ceil(3) * 4;
-/// The clocks of instances may lie this far apart.
+/// Tolerance in seconds for clock differences between instances.
 const MAX_CLOCK_SKEW_S: i64 = 5;
-/// Positions beyond this are no times.
+/// Exclusive upper bound of positions in Unix milliseconds: their nanoseconds must fit into 64 bits.
 const MAX_POSITION_MS: i64 = 9_000_000_000_000;
 const NANOS_PER_MILLI: u64 = 1_000_000;
-/// The fewest bytes of a key: as many as its authentication codes have.
+const NANOS_PER_SECOND: i64 = 1_000_000_000;
+/// Minimum length of a key in bytes: that of the authentication codes made with it.
 pub const MIN_KEY_BYTES: usize = 16;
 
-/// A session's identifier, drawn when it begins.
-pub type SessionId = [u8; 16];
+/// Identifier of a session, chosen at random when the session begins.
+pub type SessionId = [u8; SESSION_ID_BYTES];
 
-/// What a token says.
+/// Content of a token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// The session.
+    /// Identifier of the session.
     pub session: SessionId,
-    /// When it was issued, in Unix seconds.
+    /// Time of issue, in Unix seconds.
     pub issued: i64,
-    /// When it expires, in Unix seconds.
+    /// Time of expiry, in Unix seconds.
     pub expires: i64,
-    /// What the session has seen.
+    /// Positions of the session.
     pub positions: SessionPositions,
 }
 
-/// Why a token is rejected. The texts are part of the wire.
+/// Why a token was rejected. The texts are part of the wire format.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum TokenError {
-    /// Cut, too long, or no token at all.
+    /// The token is truncated, too long, or not a token.
     #[error("it is no token")]
     Malformed,
-    /// Of a format that this program does not know.
+    /// The token has a format that this program does not support.
     #[error("its format is not known here")]
     UnknownFormat,
-    /// Authenticated with a key that is not known here.
+    /// The token was authenticated with a key that is not configured.
     #[error("its key is not known here")]
     UnknownKey,
-    /// Forged, changed, or another client's.
+    /// The authentication code is wrong: the token was forged, changed, or issued to another client.
     #[error("its seal does not fit: changed, or another client's")]
     Unauthenticated,
-    /// Its time is over.
+    /// The token has expired.
     #[error("it has expired")]
     Expired,
-    /// It was issued at a time to come.
+    /// The time of issue is in the future.
     #[error("it is from a time to come")]
     FromFuture,
 }
 
-/// What is wrong with a file of keys.
+/// Why a key file is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum KeyFileError {
-    /// A line is wrong; lines count from 1.
+    /// A line is invalid.
     #[error("{line}: {problem}")]
     Line {
-        /// The line.
+        /// Number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Why it is invalid.
         problem: KeyLineProblem,
     },
-    /// It holds no key.
+    /// The file contains no key.
     #[error("1: no key")]
     Empty,
 }
 
-/// What is wrong with a line of a file of keys.
+/// Why a line of a key file is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum KeyLineProblem {
-    /// It does not have two parts.
+    /// The line does not consist of an id and a key.
     #[error("an id and a key are wanted")]
     NotAPair,
-    /// Its id is none.
+    /// The id is not a number from 0 to 255.
     #[error("the id is no number from 0 to 255")]
     BadId,
-    /// Its key is none.
+    /// The key is not hexadecimal or shorter than [`MIN_KEY_BYTES`].
     #[error("the key is not 32 hex digits or more")]
     BadKey,
-    /// Its id is another line's too.
+    /// An earlier line has the same id.
     #[error("the id stands twice")]
     DuplicateId,
 }
 
-/// Keys by their ids. The one with the highest id issues tokens, all of them open tokens.
+/// Authentication keys by id. Tokens are issued with the key of the highest id and accepted with any of them.
 #[derive(Clone, Default)]
 pub struct Keys(BTreeMap<u8, Vec<u8>>);
 
 impl fmt::Debug for Keys {
-    /// The ids, never the keys themselves.
+    /// Shows the ids only, never the keys.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_set().entries(self.0.keys()).finish()
     }
 }
 
 impl Keys {
-    /// Reads lines of an id (0 to 255) and at least 32 hex digits; `#` begins a comment.
+    /// Parses a key file: lines of an id (0 to 255) and at least 32 hex digits; `#` begins a comment.
     ///
     /// # Errors
-    /// The first line that is wrong.
+    /// The first invalid line, or that the file contains no key.
     pub fn parse(text: &str) -> Result<Keys, KeyFileError> {
         let mut keys = BTreeMap::new();
         for (index, line) in text.lines().enumerate() {
@@ -138,16 +174,18 @@
         Ok(Keys(keys))
     }
 
+    /// The authentication code over a token's bytes and its audience. The audience is prefixed by its length, so that no
+    /// two pairs of audience and token are authenticated as the same bytes.
     fn mac(key: &[u8], bytes: &[u8], audience: &str) -> Hmac<Sha256> {
         let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC takes a key of any length");
-        mac.update(b"gingerwick session\0");
+        mac.update(MAC_DOMAIN);
         mac.update(&(audience.len() as u32).to_be_bytes());
         mac.update(audience.as_bytes());
         mac.update(bytes);
         mac
     }
 
-    /// Issues a token for an audience: the client that it is given to, so that nobody else can use it.
+    /// Issues a token that only `audience`, the client it is given to, can use. Returns `None` if there is no key.
     pub fn seal(&self, token: &Token, audience: &str) -> Option<String> {
         let (id, key) = self.0.last_key_value()?;
         let mut bytes = encode_body(token, *id);
@@ -156,10 +194,10 @@
         Some(URL_SAFE_NO_PAD.encode(bytes))
     }
 
-    /// Opens a token that a client carries. `now` is in Unix seconds.
+    /// Verifies and decodes a client's token. `now` is in Unix seconds.
     ///
     /// # Errors
-    /// The token is rejected.
+    /// Why the token is rejected.
     pub fn open(&self, text: &str, audience: &str, now: i64) -> Result<Token, TokenError> {
         if text.len() > MAX_TEXT_BYTES {
             return Err(TokenError::Malformed);
@@ -169,10 +207,10 @@
             return Err(TokenError::Malformed);
         }
         let (body, mac) = bytes.split_at(bytes.len() - MAC_BYTES);
-        if body[0] != FORMAT {
+        if body[FORMAT_AT] != FORMAT {
             return Err(TokenError::UnknownFormat);
         }
-        let key = self.0.get(&body[1]).ok_or(TokenError::UnknownKey)?;
+        let key = self.0.get(&body[KEY_ID_AT]).ok_or(TokenError::UnknownKey)?;
         let authentic = Keys::mac(key, body, audience).verify_truncated_left(mac);
         authentic.map_err(|_| TokenError::Unauthenticated)?;
         let token = decode_body(body).ok_or(TokenError::Malformed)?;
@@ -186,6 +224,7 @@
     }
 }
 
+/// Parses a line of a key file into an id and a key.
 fn parse_key_line(line: &str) -> Result<(u8, Vec<u8>), KeyLineProblem> {
     let (id, hex) = line.split_once(char::is_whitespace).ok_or(KeyLineProblem::NotAPair)?;
     let id = id.parse().map_err(|_| KeyLineProblem::BadId)?;
@@ -218,25 +257,25 @@
 fn encode_position(bytes: &mut Vec<u8>, group: GroupNumber, position: LogPosition) {
     encode_leb128(bytes, group as u64);
     encode_leb128(bytes, u64::from(position.epoch));
-    // Rounded up: a session must not seem to have seen less than it has.
+    // Rounded up, so that a decoded position is never earlier than the observed one.
     encode_leb128(bytes, (position.position.0.max(0) as u64).div_ceil(NANOS_PER_MILLI));
 }
 
 fn encode_leb128(out: &mut Vec<u8>, mut number: u64) {
-    while number >= 0x80 {
-        out.push(number as u8 | 0x80);
-        number >>= 7;
+    while number >= u64::from(LEB128_CONTINUES) {
+        out.push(number as u8 | LEB128_CONTINUES);
+        number >>= LEB128_BITS;
     }
     out.push(number as u8);
 }
 
 fn decode_leb128(bytes: &mut &[u8]) -> Option<u64> {
     let mut number = 0u64;
-    for index in 0..10 {
+    for index in 0..MAX_LEB128_BYTES {
         let (&first, rest) = bytes.split_first()?;
         *bytes = rest;
-        number |= u64::from(first & 0x7f).checked_shl(index * 7)?;
-        if first < 0x80 {
+        number |= u64::from(first & !LEB128_CONTINUES).checked_shl(index * LEB128_BITS)?;
+        if first < LEB128_CONTINUES {
             return Some(number);
         }
     }
@@ -252,11 +291,13 @@
 }
 
 fn decode_body(body: &[u8]) -> Option<Token> {
-    let unix_seconds =
-        |at: usize| Some(i64::from(u32::from_be_bytes(body.get(at..at + 4)?.try_into().ok()?)));
-    let session = body[2..18].try_into().ok()?;
-    let (issued, expires) = (unix_seconds(18)?, unix_seconds(22)?);
-    let (has_lower_bound, count) = (body[26], usize::from(body[27]));
+    let unix_seconds = |at: usize| {
+        let bytes = body.get(at..at + UNIX_SECONDS_BYTES)?;
+        Some(i64::from(u32::from_be_bytes(bytes.try_into().ok()?)))
+    };
+    let session = body[SESSION_AT..ISSUED_AT].try_into().ok()?;
+    let (issued, expires) = (unix_seconds(ISSUED_AT)?, unix_seconds(EXPIRES_AT)?);
+    let (has_lower_bound, count) = (body[HAS_LOWER_BOUND_AT], usize::from(body[POSITION_COUNT_AT]));
     if has_lower_bound > 1 || count > MAX_POSITIONS {
         return None;
     }
@@ -272,7 +313,7 @@
     rest.is_empty().then_some(Token { session, issued, expires, positions })
 }
 
-/// How long a token is valid, in whole seconds.
+/// Converts the lifetime of a token to whole seconds, at least one.
 pub fn lifetime_s(lifetime: TimeDelta) -> i64 {
-    (lifetime.0 / 1_000_000_000).max(1)
+    (lifetime.0 / NANOS_PER_SECOND).max(1)
 }
