--- a/write-journal/src/encoding.rs
+++ b/write-journal/src/encoding.rs
@@ -1,14 +1,20 @@
-//! A record as bytes: kind, serial, time, commit time, then for a write with an idempotency key whether a group drops its
-//! duplicates, that group, the window, and the machine's start and uptime. Numbers are big-endian, 8 bytes each.
+//! Binary encoding of a record. Numbers are big-endian, 8 bytes each:
+//!
+//! - kind of the state (1 byte), serial, time of the first send and commit time (both in Unix milliseconds)
+//! - only for a write with an idempotency key: whether a single group drops its duplicates (1 byte), that group, the
+//!   deduplication window in milliseconds, the machine's boot identifier and its uptime at the first send in
+//!   milliseconds
 
 use crate::record_state::{Deduplication, RecordState, Uptime};
 
+// Kinds of states.
 const PENDING: u8 = 0;
 const EXECUTED: u8 = 1;
 const EXECUTED_AT: u8 = 2;
 const BARRED: u8 = 3;
 const NOT_EXECUTED: u8 = 4;
 
+// Offsets of the fields in bytes.
 const SERIAL_AT: usize = 1;
 const FIRST_SENT_AT: usize = 9;
 const COMMIT_AT: usize = 17;
@@ -18,24 +24,25 @@
 const BOOT_AT: usize = 42;
 const UPTIME_AT: usize = 50;
 
-/// The idempotency of a recorded write, and when it was first about to be sent.
+/// Deduplication of a write with an idempotency key, and the uptime when its first attempt was recorded.
 #[derive(Clone, Copy)]
 pub struct KeyedSend {
     pub deduplication: Deduplication,
     pub first_sent: Uptime,
 }
 
+/// A journal record of one write.
 #[derive(Clone, Copy)]
 pub struct Record {
     pub serial: u64,
     pub state: RecordState,
-    /// When it was first about to be sent, in Unix milliseconds.
+    /// When its first attempt was recorded, in Unix milliseconds.
     pub first_sent_ms: i64,
     pub keyed: Option<KeyedSend>,
 }
 
 impl Record {
-    /// The record as bytes.
+    /// Encodes the record.
     pub fn encode(&self) -> Vec<u8> {
         let (kind, commit_ms) = match self.state {
             RecordState::Pending => (PENDING, 0),
@@ -58,7 +65,7 @@
         bytes
     }
 
-    /// What cannot be read is a record all the same: the write may have run.
+    /// Decodes a record. Missing or unknown fields do not fail but yield a pending record: the write may have been executed.
     pub fn decode(bytes: &[u8]) -> Record {
         Record {
             serial: number_at(bytes, SERIAL_AT).unwrap_or(0) as u64,
@@ -70,8 +77,8 @@
 }
 
 fn number_at(bytes: &[u8], at: usize) -> Option<i64> {
-    let part = bytes.get(at..at + 8)?;
-    Some(i64::from_be_bytes(part.try_into().ok()?))
+    let number = bytes.get(at..at + size_of::<i64>())?;
+    Some(i64::from_be_bytes(number.try_into().ok()?))
 }
 
 fn decode_state(bytes: &[u8]) -> RecordState {
@@ -85,7 +92,7 @@
     }
 }
 
-/// A record with only a part of this is retried by nobody.
+/// A record in which any of these fields is missing counts as one without an idempotency key, so no duplicate is sent.
 fn decode_keyed(bytes: &[u8]) -> Option<KeyedSend> {
     let group = number_at(bytes, GROUP_AT).filter(|_| bytes[HAS_GROUP_AT] != 0);
     let deduplication = Deduplication { group, window_ms: number_at(bytes, WINDOW_AT)? };
--- a/write-journal/src/journal.rs
+++ b/write-journal/src/journal.rs
@@ -1,5 +1,5 @@
-//! The records on disk, by the write's id, and in the order in which they were made. One thread owns it; many operations
-//! go in one batch, and one sync answers for them all.
+//! The journal on disk: records by the id of the write and in the order of their creation. Owned by one thread, which
+//! applies operations in batches so that one sync covers many of them.
 
 use crate::encoding::{KeyedSend, Record};
 use crate::record_state::{
@@ -11,86 +11,91 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// How far a record must have come before what waits for it goes on.
+/// How durable a record must be before [`Journal::apply`] returns.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Durability {
-    /// With the operating system: it survives the process, not the machine.
+    /// Written to the operating system: survives a crash of the process, not of the machine.
     System,
-    /// On the disk.
+    /// Synced to disk: survives a crash of the machine.
     #[default]
     Disk,
 }
 
-/// Operations in one batch at most: the first would wait long for the last.
+/// Maximum number of operations per batch: bounds the latency of its first operation.
 pub const MAX_BATCH: usize = 512;
-/// Descriptors that a journal holds at most: its files, and those of tables that are kept open.
+/// Maximum number of file descriptors of a journal: its own files and the open tables.
 pub const DESCRIPTORS: usize = 48;
+/// Tables that the store keeps open.
 const MAX_OPEN_TABLES: usize = 24;
+/// Block cache of the store.
 const CACHE_BYTES: u64 = 1 << 20;
+/// Write-ahead log of the store on disk.
 const MAX_LOG_BYTES: u64 = 64 << 20;
+/// Memtable of each keyspace before it is flushed to disk.
 const MEMTABLE_BYTES: u64 = 2 << 20;
-/// Serials are reserved in blocks, so that one that was given out is never given out again.
+/// Serials are reserved on disk in blocks of this size, so that a serial is not reused after a crash.
 const SERIAL_BLOCK: u64 = 1 << 16;
-/// Records that one batch drops at most.
+/// Maximum number of records dropped after a batch: bounds the time that this adds to it.
 const MAX_DROPPED_PER_BATCH: usize = 64;
 
+// Keys of the `meta` keyspace.
 const NAME_KEY: &str = "name";
 const OLDEST_SERIAL_KEY: &str = "floor";
 const NEXT_KEY: &str = "next";
 const COUNT_KEY: &str = "count";
 
-/// How much is kept.
+/// Retention of records. The oldest ones are dropped first.
 #[derive(Clone, Copy, Debug)]
 pub struct Retention {
-    /// Records at most.
+    /// Maximum number of records.
     pub max_records: u64,
-    /// Age of a record at most, in milliseconds of the clock that [`Journal::apply`] is given.
+    /// Maximum age of a record, in milliseconds of the wall clock passed to [`Journal::apply`].
     pub max_age_ms: i64,
 }
 
-/// Something that is asked of the journal.
+/// An operation on the journal.
 #[derive(Clone, Debug)]
 pub enum Operation {
-    /// Something happens to a write.
+    /// Records an event of a write.
     Record {
-        /// Its id.
+        /// Id of the write.
         id: String,
-        /// What happens.
+        /// The event.
         event: RecordEvent,
-        /// If it has an idempotency key: where and for how long its duplicates are dropped.
+        /// Where and for how long duplicates are dropped, if the write has an idempotency key.
         deduplication: Option<Deduplication>,
     },
-    /// A client asks what became of a write.
+    /// Queries the fate of a write for a client.
     QueryFate {
-        /// Its id.
+        /// Id of the write.
         id: String,
-        /// Where the client sent it.
+        /// The origin of the connection on which the client sent the write, if the client provided it.
         origin: Option<Origin>,
-        /// Its request is still open in this process.
+        /// The request of the write is still open in this process.
         request_open: bool,
     },
 }
 
-/// The answer to an operation.
+/// Result of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// To [`Operation::Record`].
+    /// Result of [`Operation::Record`].
     Permission(SendPermission),
-    /// To [`Operation::QueryFate`].
+    /// Result of [`Operation::QueryFate`].
     Fate(Fate),
 }
 
-/// The store under the journal failed.
+/// Failure of the key-value store under the journal.
 #[derive(Debug, Error)]
 #[error("{0:?}")]
 pub struct JournalError(#[from] fjall::Error);
 
-/// What the clocks show when a batch is applied.
+/// Clock readings at the time a batch is applied.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
     /// The wall clock, in Unix milliseconds.
     pub wall_ms: i64,
-    /// None: it is not known here, and no write is sent again by its idempotency key.
+    /// The machine's uptime. If unknown, no write is sent again by its idempotency key.
     pub uptime: Option<Uptime>,
 }
 
@@ -100,19 +105,20 @@
     }
 }
 
-/// The journal of writes of one instance.
+/// The write journal of one instance.
 pub struct Journal {
     database: Database,
-    /// Id to record.
+    /// Records by id of the write.
     records: Keyspace,
-    /// Serial to id.
+    /// Ids by serial of the record.
     order: Keyspace,
     meta: Keyspace,
+    /// Identifies this journal, chosen at its creation.
     name: String,
     next_serial: u64,
-    /// None of the records made from this serial on has been dropped.
+    /// No record with this serial or a later one has been dropped.
     oldest_serial: u64,
-    /// Entries in `order`. Serials have gaps between two processes.
+    /// Number of entries in `order`. Serials have gaps after a restart, so it cannot be computed from them.
     count: u64,
     durability: Durability,
     retention: Retention,
@@ -121,7 +127,7 @@
 /// A batch of operations that is being applied.
 struct Batch {
     writes: OwnedWriteBatch,
-    /// Records that were changed in it.
+    /// Records changed by the batch so far.
     changed: HashMap<String, Record>,
     next_serial: u64,
     count: u64,
@@ -129,16 +135,16 @@
 }
 
 impl Journal {
-    /// Opens a journal or creates one. `chance` names a new one: a journal that was lost and created anew must not be
-    /// taken for the old one.
+    /// Opens or creates a journal. A new journal is named by the random number `name_seed`, so that it cannot be mistaken
+    /// for a lost one.
     ///
     /// # Errors
-    /// The store cannot be opened.
+    /// The store cannot be opened or written.
     pub fn open(
         path: &Path,
         durability: Durability,
         retention: Retention,
-        chance: u64,
+        name_seed: u64,
     ) -> Result<Journal, JournalError> {
         let builder = Database::builder(path).worker_threads(1).cache_size(CACHE_BYTES);
         let builder = builder.max_journaling_size(MAX_LOG_BYTES).max_cached_files(Some(MAX_OPEN_TABLES));
@@ -148,7 +154,7 @@
         let order = database.keyspace("order", options)?;
         let meta = database.keyspace("meta", options)?;
         let mut journal = Journal {
-            name: read_or_create_name(&meta, chance)?,
+            name: read_or_create_name(&meta, name_seed)?,
             next_serial: read_number(&meta, NEXT_KEY)?,
             oldest_serial: read_number(&meta, OLDEST_SERIAL_KEY)?,
             count: read_number(&meta, COUNT_KEY)?,
@@ -163,11 +169,12 @@
         Ok(journal)
     }
 
-    /// Where the journal stands: what a client is told when its connection begins.
+    /// The journal's name and its next serial: the origin of a connection that begins now.
     pub fn origin(&self) -> Origin {
         Origin { journal: self.name.clone(), serial: self.next_serial }
     }
 
+    /// Reserves the next block of serials on disk.
     fn reserve_serials(&mut self) -> Result<(), JournalError> {
         let reserved = self.next_serial + SERIAL_BLOCK;
         let mut writes = self.database.batch();
@@ -177,10 +184,11 @@
         Ok(())
     }
 
-    /// Applies a batch in its order, and answers once all of it has come as far as it must.
+    /// Applies a batch of operations in order. Returns once all of them are as durable as required, with one reply per
+    /// operation.
     ///
     /// # Errors
-    /// The store fails. Nothing is answered then: what waits for it must not be sent.
+    /// The store failed. The writes of the batch must then not be sent.
     pub fn apply(
         &mut self,
         clock: impl Into<ClockReading>,
@@ -220,11 +228,12 @@
         }
     }
 
-    /// Whether no record made since a connection with this origin began was dropped.
+    /// Whether no record created since a connection with this origin began has been dropped.
     fn covers(&self, origin: &Origin) -> bool {
         origin.journal == self.name && origin.serial >= self.oldest_serial
     }
 
+    /// The record of a write, including changes by the batch.
     fn find(&self, id: &str, batch: &Batch) -> Result<Option<Record>, JournalError> {
         match batch.changed.get(id) {
             Some(record) => Ok(Some(*record)),
@@ -253,9 +262,9 @@
         Ok(transition.permission)
     }
 
-    /// The time of the first attempt that may have run stays: windows count from there. A record of a write that did not
-    /// run begins anew, with its place in the order: at the old one it would be dropped unnoticed by those who sent it
-    /// later.
+    /// Writes a record in its new state. The time of the first attempt that may have been executed is preserved, since
+    /// deduplication windows start there. If the write was not executed before, a new record with a new serial is
+    /// created: under its old serial it could be dropped although later connections are still covered.
     fn write(
         &self,
         batch: &mut Batch,
@@ -265,7 +274,7 @@
         deduplication: Option<Deduplication>,
     ) {
         let record = match before.filter(|record| record.state != RecordState::NotExecuted) {
-            Some(first) => Record { state, ..first },
+            Some(earlier) => Record { state, ..earlier },
             None => {
                 let serial = batch.next_serial;
                 batch.next_serial += 1;
@@ -298,23 +307,23 @@
         Ok(())
     }
 
-    /// When a write was first about to be sent, in Unix milliseconds, if it is recorded.
+    /// When the first attempt of a write was recorded, in Unix milliseconds, if there is a record.
     ///
     /// # Errors
-    /// The store fails.
+    /// The store failed.
     pub fn first_sent_ms(&self, id: &str) -> Result<Option<i64>, JournalError> {
         Ok(self.read(id)?.map(|record| record.first_sent_ms))
     }
 
-    /// Drops what is beyond the retention, a few records at a time and always the earliest. The floor rises in the same
-    /// batch: what was dropped is never taken for what never was.
+    /// Drops records beyond the retention, the oldest first and a bounded number at a time. The oldest serial is raised in
+    /// the same batch, so that a dropped record is never mistaken for a write that was not sent.
     fn drop_expired(&mut self, wall_ms: i64) -> Result<(), JournalError> {
         let mut writes = self.database.batch();
         let (mut oldest_serial, mut count) = (self.oldest_serial, self.count);
         for entry in self.order.iter().take(MAX_DROPPED_PER_BATCH) {
             let (serial, id) = entry.into_inner()?;
             let Some(serial) = number(&serial) else { continue };
-            // An entry that its record has left for a later one is of no use.
+            // An entry is obsolete if its record was created again under a later serial.
             let record = self.records.get(&id)?.map(|bytes| Record::decode(&bytes));
             let record = record.filter(|record| record.serial == serial);
             let expired =
@@ -340,7 +349,8 @@
     }
 }
 
-/// A request that starts with the idempotency key of a recorded one is its duplicate while those are dropped.
+/// Converts the start of a request to a rejoining one if its id is recorded and the group still drops duplicates of that
+/// write.
 fn rejoin(
     before: Option<Record>,
     event: RecordEvent,
@@ -348,19 +358,19 @@
     uptime: Option<Uptime>,
 ) -> RecordEvent {
     let keyed = before.and_then(|record| record.keyed);
-    let passed_ms = uptime.zip(keyed).and_then(|(uptime, keyed)| uptime.since(keyed.first_sent));
+    let elapsed_ms = uptime.zip(keyed).and_then(|(uptime, keyed)| uptime.since(keyed.first_sent));
     let recorded = keyed.map(|keyed| keyed.deduplication);
-    match remaining_window_ms(recorded, deduplication, passed_ms) {
+    match remaining_window_ms(recorded, deduplication, elapsed_ms) {
         Some(remaining_ms) if event == RecordEvent::Starting => RecordEvent::Rejoining { remaining_ms },
         _ => event,
     }
 }
 
-fn read_or_create_name(meta: &Keyspace, chance: u64) -> Result<String, JournalError> {
+fn read_or_create_name(meta: &Keyspace, name_seed: u64) -> Result<String, JournalError> {
     if let Some(name) = meta.get(NAME_KEY)? {
         return Ok(String::from_utf8_lossy(&name).into_owned());
     }
-    let name = format!("{chance:016x}");
+    let name = format!("{name_seed:016x}");
     meta.insert(NAME_KEY, name.as_bytes())?;
     Ok(name)
 }
--- a/write-journal/src/lib.rs
+++ b/write-journal/src/lib.rs
@@ -1,10 +1,10 @@
-//! The journal of writes. A write that must not run twice is recorded before its last byte leaves for an endpoint, and so
-//! is what became of it; so an instance that was restarted can tell a client that asks again.
+//! Write journal. A write that must not be executed twice is recorded before its last byte is sent to an endpoint, and its
+//! result afterwards. So an instance can report the fate of a write to its client even after a restart.
 //!
-//! - [`record_state`]: the decisions, free of I/O
-//! - [`journal`]: the records, on an embedded key-value store
+//! - [`record_state`]: state machine of a record and the decision on its fate, without I/O
+//! - [`journal`]: storage of the records in an embedded key-value store
 //!
-//! `docs/sessions.md` states what is guaranteed.
+//! `docs/sessions.md` states the guarantees.
 
 #![warn(clippy::too_many_lines)]
 
--- a/write-journal/src/record_state.rs
+++ b/write-journal/src/record_state.rs
@@ -1,113 +1,120 @@
-//! What becomes of a record, and what a client is told that asks about a write. Two tables, free of I/O.
+//! State machine of a record, and the fate of a write that is reported to its client. Two decision tables, without I/O.
 
 use std::fmt;
 
-/// What is known of a write, by its id.
+/// State of the record of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordState {
-    /// It was about to be sent: it may have run.
+    /// The write may have been sent and executed.
     Pending,
-    /// It ran; its commit time in Unix milliseconds, if the endpoint reported it.
+    /// The write was executed, at this commit time in Unix milliseconds if the endpoint reported it.
     Executed(Option<i64>),
-    /// Nothing that was sent of it ran, and nobody was told that it never will: its client may send it again.
+    /// No attempt was executed. The client has not been told that the write will never be, and may send it again.
     NotExecuted,
-    /// It did not run, and never will from here.
+    /// The write was not executed and will never be sent by this instance.
     Barred,
 }
 
-/// What happens to a record.
+/// Events that affect the state of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordEvent {
-    /// The first attempt of its request is about to be sent.
+    /// The first attempt of a request is about to be sent.
     Starting,
-    /// The same request is sent again, since the attempt before is proved not to have run.
+    /// Another attempt of the same request is about to be sent, after proof that the previous one was not executed.
     Retrying,
-    /// Another request carries the idempotency key of a recorded one, while its duplicates are still dropped.
+    /// Another request with the idempotency key of a recorded write is about to be sent, while the group still drops
+    /// duplicates.
     Rejoining {
-        /// For how long they still are, in milliseconds.
+        /// Remaining deduplication window in milliseconds.
         remaining_ms: i64,
     },
-    /// It ran.
+    /// The write was executed, at this commit time in Unix milliseconds if known.
     Executed(Option<i64>),
-    /// All its attempts are proved not to have run, and no more will be made.
+    /// All attempts are proved not to have been executed, and no further ones will be sent.
     NotExecuted,
-    /// A client was told that it never ran: it must not from now on.
+    /// The client is told that the write will never be executed: no attempt may be sent from now on.
     Bar,
 }
 
 /// Whether an attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendPermission {
-    /// It may.
+    /// It may be sent.
     Granted,
-    /// It may, as a duplicate of one that may have run.
+    /// It may be sent as a duplicate of an attempt that may have been executed.
     GrantedAsDuplicate {
-        /// For how long it may, in milliseconds.
+        /// Time within which it may be sent, in milliseconds.
         remaining_ms: i64,
     },
-    /// It may not, or was not asked for.
+    /// It must not be sent, or the event was not about an attempt.
     Denied,
 }
 
+/// Ticks of the clock by which a deduplication window is shortened.
+const CLOCK_TICKS_MARGIN: i64 = 2;
+
 /// Where and for how long duplicates of a write with an idempotency key are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deduplication {
-    /// The group whose endpoints drop them; all groups' if none.
+    /// The group whose endpoints drop duplicates; `None` if those of all groups do.
     pub group: Option<i64>,
-    /// For how long, in milliseconds from the first attempt that may have run.
+    /// Deduplication window in milliseconds, from the first attempt that may have been executed.
     pub window_ms: i64,
 }
 
 impl Deduplication {
-    /// For a window less two ticks of the clock: a duplicate needs some time to its endpoint.
+    /// Creates a deduplication with the configured window, shortened by two ticks of the clock as
+    /// a margin for the time that a duplicate takes to reach its endpoint.
     pub fn new(group: Option<i64>, window_ms: i64, clock_resolution_ms: i64) -> Deduplication {
-        Deduplication { group, window_ms: window_ms - 2 * clock_resolution_ms }
+        Deduplication { group, window_ms: window_ms - CLOCK_TICKS_MARGIN * clock_resolution_ms }
     }
 }
 
-/// How long a machine has been up, by a clock that nobody sets: only this one measures windows.
+/// Uptime of the machine. Deduplication windows are measured by it because, unlike the wall clock, it cannot be set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Uptime {
-    /// Which start of the machine it counts from, by an identifier drawn then.
+    /// Random identifier of the boot that the uptime counts from.
     pub boot: u64,
-    /// Milliseconds since that start.
+    /// Milliseconds since that boot.
     pub ms: i64,
 }
 
-/// The resolution of [`Uptime`]: it is read in hundredths of a second.
+/// Resolution of [`Uptime`] in milliseconds: the operating system provides it in hundredths of a second.
 const UPTIME_RESOLUTION_MS: i64 = 10;
 
 impl Uptime {
-    /// The most that has passed since `earlier`; none if the machine was restarted in between, or time went back.
+    /// Upper bound on the time since `earlier` in milliseconds. `None` if the machine was rebooted in between or the
+    /// uptime went backwards.
     pub fn since(self, earlier: Uptime) -> Option<i64> {
-        let passed = self.ms - earlier.ms;
-        (self.boot == earlier.boot && passed >= 0).then_some(passed + UPTIME_RESOLUTION_MS)
+        let elapsed_ms = self.ms - earlier.ms;
+        (self.boot == earlier.boot && elapsed_ms >= 0).then_some(elapsed_ms + UPTIME_RESOLUTION_MS)
     }
 }
 
-/// For how long duplicates are still dropped of a write that was first sent with `recorded`, `passed_ms` ago at the most;
-/// none if they are not, or it is not known.
+/// Remaining time in milliseconds during which duplicates of a write are dropped. `recorded` is the deduplication of its
+/// first attempt, sent at most `elapsed_ms` ago, and `requested` that of the new request. `None` if duplicates are no
+/// longer dropped, or if that is not known.
 pub fn remaining_window_ms(
     recorded: Option<Deduplication>,
-    asked: Option<Deduplication>,
-    passed_ms: Option<i64>,
+    requested: Option<Deduplication>,
+    elapsed_ms: Option<i64>,
 ) -> Option<i64> {
-    let (recorded, asked, passed) = (recorded?, asked?, passed_ms?);
-    let remaining = recorded.window_ms.min(asked.window_ms) - passed;
-    (recorded.group == asked.group && remaining > 0).then_some(remaining)
+    let (recorded, requested, elapsed_ms) = (recorded?, requested?, elapsed_ms?);
+    let remaining_ms = recorded.window_ms.min(requested.window_ms) - elapsed_ms;
+    (recorded.group == requested.group && remaining_ms > 0).then_some(remaining_ms)
 }
 
-/// What follows from an event.
+/// Result of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transition {
-    /// The state afterwards; none: there is no record.
+    /// The new state; `None` if there is no record.
     pub state: Option<RecordState>,
-    /// Whether the attempt may be sent, if the event asked for that.
+    /// Whether the attempt may be sent, if the event was about one.
     pub permission: SendPermission,
 }
 
-/// The state of a record after an event. What is settled stays settled, and nothing is sent under an id that was settled;
-/// nor under another request's, unless duplicates are dropped.
+/// The transition of a record on an event. `Executed` and `Barred` are final, and no attempt is sent in these states. In
+/// the state `Pending`, another request with the same id is sent only if the group drops duplicates.
 pub fn next(state: Option<RecordState>, event: RecordEvent) -> Transition {
     let unchanged = |permission| Transition { state, permission };
     let becomes = |state, permission| Transition { state: Some(state), permission };
@@ -133,22 +140,25 @@
     }
 }
 
-/// Where a client sent a write, as it was told when that connection began: which journal, and how far that had come.
+/// Origin of a connection: the journal of its instance and the journal's next serial when the connection began. Reported
+/// to the client, which passes it back to query the fate of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Origin {
-    /// The name of the journal.
+    /// Name of the journal.
     pub journal: String,
-    /// The serial of its next record.
+    /// Serial of the journal's next record.
     pub serial: u64,
 }
 
 impl Origin {
-    /// Reads `9f3c01aa52e87d14.4711`.
+    /// Parses the text form, such as `9f3c01aa52e87d14.4711`. Returns `None` if it is malformed.
     pub fn parse(text: &str) -> Option<Origin> {
         let (journal, serial) = text.split_once('.')?;
-        let is_plain = |text: &str| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_alphanumeric());
-        let serial = serial.parse().ok().filter(|_| is_plain(serial))?;
-        is_plain(journal).then(|| Origin { journal: journal.to_string(), serial })
+        let is_alphanumeric =
+            |text: &str| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_alphanumeric());
+        // The check of the serial's text excludes a sign, which `parse` would accept.
+        let serial = serial.parse().ok().filter(|_| is_alphanumeric(serial))?;
+        is_alphanumeric(journal).then(|| Origin { journal: journal.to_string(), serial })
     }
 }
 
@@ -158,51 +168,52 @@
     }
 }
 
-/// What a client is told that asks about a write.
+/// Fate of a write as reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It ran; its commit time in Unix milliseconds, if that is known.
+    /// The write was executed, at this commit time in Unix milliseconds if known.
     Executed(Option<i64>),
-    /// It did not run and never will from here.
+    /// The write was not executed and will never be sent by this instance.
     NeverExecuted,
-    /// It is in flight.
+    /// The write is in flight.
     InFlight,
-    /// That is not known here: it may have run.
+    /// Not known to this instance: the write may have been executed.
     Unknown,
 }
 
-/// What the journal knows of a write, for one client that asks.
+/// Input of the decision on the fate of a write.
 #[derive(Clone, Copy, Debug)]
 pub struct Evidence {
-    /// Its record.
+    /// State of its record, if there is one.
     pub state: Option<RecordState>,
-    /// The write was sent to this journal's instance, and no record made since that connection began was dropped.
+    /// The write was sent to this journal's instance, and no record created since that connection began was dropped.
     pub covered: bool,
-    /// Its request is still open in this process.
+    /// The request of the write is still open in this process.
     pub request_open: bool,
 }
 
-/// What a client is told, and what that takes.
+/// The fate to report, and whether the write must be barred before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FateDecision {
-    /// What it is told.
+    /// The fate to report.
     pub fate: Fate,
-    /// The id has to be barred first, for that to stay true.
+    /// The write must be barred first, so that the reported fate remains true.
     pub must_bar: bool,
 }
 
-/// The fate of a write.
+/// Decides on the fate of a write.
 pub fn fate(evidence: Evidence) -> FateDecision {
     let without_bar = |fate| FateDecision { fate, must_bar: false };
-    let never = FateDecision { fate: Fate::NeverExecuted, must_bar: true };
+    let never_executed = FateDecision { fate: Fate::NeverExecuted, must_bar: true };
     match evidence.state {
         Some(RecordState::Executed(commit_ms)) => without_bar(Fate::Executed(commit_ms)),
         Some(RecordState::Barred) => without_bar(Fate::NeverExecuted),
         _ if evidence.request_open => without_bar(Fate::InFlight),
         Some(RecordState::Pending) => without_bar(Fate::Unknown),
-        Some(RecordState::NotExecuted) => never,
-        // Nothing is sent without a record: none was made, so it was not sent. It may still be on its way to us.
-        None if evidence.covered => never,
+        Some(RecordState::NotExecuted) => never_executed,
+        // No write is sent without a record, so this one was not sent. It must be barred because the request may still
+        // be on its way to this instance.
+        None if evidence.covered => never_executed,
         None => without_bar(Fate::Unknown),
     }
 }
