--- a/test-servers/src/bin/sessions.rs
+++ b/test-servers/src/bin/sessions.rs
@@ -42,7 +42,7 @@
     ExitCode::from(u8::from(failed))
 }
 
-/// Whether a guarantee broke.
+/// Runs all seeds with a build and prints the results. Returns whether a guarantee was violated.
 fn run_build(name: &str, build: &Build, arguments: &Arguments) -> bool {
     let seeds = arguments.first..arguments.first + arguments.seeds;
     let runs = each_seed(seeds, arguments.at_once, |seed| {
--- a/test-servers/src/bin/starts.rs
+++ b/test-servers/src/bin/starts.rs
@@ -68,7 +68,7 @@
     builds
 }
 
-/// Fails if this build broke a rule.
+/// Runs drawn faults with each build. Fails if this build violated a rule.
 fn run_faults(arguments: &Arguments) -> ExitCode {
     let phases = Phases { discovery_down: DISCOVERY_DOWN, discovery_back: Duration::from_millis(5_500) };
     let mut failed = false;
@@ -146,7 +146,7 @@
     run_plan(&Plan::without_faults(seed, age_s), build, phases).expect("a plan can be run here")
 }
 
-/// Median and worst.
+/// Formats the median and the maximum of times.
 fn summary(mut times_ms: Vec<f64>) -> String {
     times_ms.sort_by(f64::total_cmp);
     format!("{:.0} ({:.0})", times_ms[times_ms.len() / 2], times_ms[times_ms.len() - 1])
@@ -155,7 +155,7 @@
 fn run_rate(arguments: &Arguments) {
     let (mut cached, mut plain) = (Vec::new(), Vec::new());
     for pair in 0..arguments.seeds {
-        // Whichever is first may find the machine in another state.
+        // Alternate the order, so that neither variant always runs first.
         for caches_list in [pair % 2 == 0, pair % 2 == 1] {
             let daemon = &arguments.daemon;
             let rate = reads_per_second(daemon, caches_list, THROUGHPUT_CLIENTS, THROUGHPUT_DURATION);
--- a/test-servers/src/bin/writes.rs
+++ b/test-servers/src/bin/writes.rs
@@ -1,5 +1,5 @@
-//! What the journal of writes costs: writes per second and their latency, by how many are sent at once and how far a record must
-//! have come before the write is sent.
+//! Cost of the write journal: throughput and latency of writes by the number of clients and the durability that a record
+//! must have before its write is sent.
 
 use clap::Parser;
 use hdrhistogram::Histogram;
@@ -24,11 +24,15 @@
 const DESCRIPTORS: usize = 4_096;
 const MAX_RECORDS: u64 = 100_000_000;
 const RECONNECT_DELAY: Duration = Duration::from_millis(5);
-/// Starts on one journal.
+/// Measured starts on the same journal.
 const STARTS: usize = 3;
-/// Sizes on disk follow with a delay, so they are measured only after so many batches.
+/// Batches between two measurements of the size on disk, which lags behind the batches.
 const BATCHES_PER_MEASUREMENT: u64 = 20;
 const RECORDS_PER_BATCH: u64 = 8_192;
+/// Records of the filled journal are kept for an hour, longer than the measurement takes.
+const MAX_AGE_MS: i64 = 3_600_000;
+/// Any fixed number: names the filled journal.
+const JOURNAL_NAME_SEED: u64 = 7;
 
 /// The cost of recording writes.
 #[derive(Parser)]
@@ -77,10 +81,11 @@
     }
 }
 
-/// Records writes until the journal takes so many MB; how many.
+/// Fills a journal until it takes `mb` MB on disk. Returns the number of records.
 fn fill_journal(path: &Path, mb: u64) -> u64 {
-    let retention = Retention { max_records: MAX_RECORDS, max_age_ms: 3_600_000 };
-    let mut journal = Journal::open(path, Durability::System, retention, 7).expect("it opens");
+    let retention = Retention { max_records: MAX_RECORDS, max_age_ms: MAX_AGE_MS };
+    let journal = Journal::open(path, Durability::System, retention, JOURNAL_NAME_SEED);
+    let mut journal = journal.expect("it opens");
     let mut records = 0;
     while folder_bytes(path) < mb << 20 {
         for _ in 0..BATCHES_PER_MEASUREMENT {
@@ -94,19 +99,19 @@
     records
 }
 
-/// A record whose id is as long as an id may be, and as unlike the next.
+/// A record with an id of the maximum length that has no prefix in common with the next one.
 fn record_operation(index: u64) -> Operation {
     let id = [1u64, 3, 5, 7].map(|odd| format!("{:016x}", mix_bits(index.wrapping_mul(odd)))).concat();
     Operation::Record { id, event: RecordEvent::Starting, deduplication: None }
 }
 
-/// Spreads a number over all its bits.
+/// Mixes the bits of a number.
 fn mix_bits(number: u64) -> u64 {
     let number = (number ^ (number >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (number ^ (number >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
-/// The bytes of all files in a folder and its folders.
+/// Total size in bytes of the files in a directory and its subdirectories.
 fn folder_bytes(path: &Path) -> u64 {
     let entries = std::fs::read_dir(path).into_iter().flatten().flatten();
     let size = |entry: std::fs::DirEntry| match entry.metadata() {
@@ -117,7 +122,7 @@
     entries.map(size).sum()
 }
 
-/// Sends writes until one is served; the time since the start.
+/// Sends writes until one is served. Returns the time since `started`.
 fn wait_for_write(listen: &SocketAddr, started: Instant) -> Duration {
     loop {
         let Ok(mut client) = Client::open(listen) else { continue };
@@ -141,10 +146,10 @@
     }
 }
 
-/// What one client, or all of them, measured.
+/// Measurements of one client or of all clients of a row.
 struct Measured {
     latency_us: Histogram<u64>,
-    /// Requests that were not served.
+    /// Number of requests that were not served.
     others: u64,
 }
 
@@ -160,7 +165,7 @@
     }
 }
 
-/// What the clients of one row share.
+/// State shared by the clients of one row.
 #[derive(Default)]
 struct RowState {
     is_counting: AtomicBool,
@@ -191,6 +196,7 @@
     println!("{journal:<8} {clients:>8} {rate:>12.0} {p50:>10} {p99:>10} {others:>10}");
 }
 
+/// Sends writes until the row is over and measures those that are counted.
 fn write_until_over(listen: &SocketAddr, index: usize, state: &RowState) -> Measured {
     let mut measured = Measured::new();
     let mut serial = 0u64;
--- a/test-servers/src/client.rs
+++ b/test-servers/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that records what it sent and what it got.
+//! A client that records its requests and their answers.
 
 use crate::cluster::unix_ms;
 use crate::wire::{self, error_field, Message};
@@ -10,42 +10,51 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 const DEFAULT_USER: &str = "backend";
+/// SQLSTATE `too_many_connections`.
+const TOO_MANY_CONNECTIONS: &str = "53300";
+/// SQLSTATE `cannot_connect_now`.
+const CANNOT_CONNECT_NOW: &str = "57P03";
+/// SQLSTATE `system_error`: the router's answer when a write may have been executed.
+const SYSTEM_ERROR: &str = "58000";
+/// Version 3.0 of the PostgreSQL protocol, as in the startup message.
+const PROTOCOL_VERSION: &[u8] = b"\0\x03\0\0";
 const SESSION_PARAMETER: &str = "gingerwick.session";
 const ORIGIN_PARAMETER: &str = "gingerwick.origin";
-/// Bytes before the value in a DataRow of one column.
+/// Bytes before the value in a DataRow of one column: the number of columns and the length of the value.
 const COLUMN_HEADER_BYTES: usize = 6;
 const READ: &str = "SELECT content FROM kv WHERE name = '00000000000000aa'";
 const INSERT: &str = "INSERT INTO kv (name, content) VALUES ('00000000000000aa', '\\x01') RETURNING content";
 
-/// A connection.
+/// A client connection.
 pub struct Client {
     stream: TcpStream,
-    /// The token of its session as it was last given.
+    /// The session token that was received last.
     pub token: Option<String>,
-    /// Where its writes are recorded, as reported at its start.
+    /// The origin of the connection: the journal that records its writes, as reported when the connection began.
     pub origin: Option<String>,
-    /// The SQLSTATE with which its start was rejected.
+    /// SQLSTATE with which the connection was rejected.
     pub rejected_with: Option<String>,
-    /// The Retry-After it was given, in milliseconds.
+    /// Retry-After time received with the rejection, in milliseconds.
     pub retry_after_ms: Option<i64>,
 }
 
-/// An answer, and whether anything came behind it that belongs to no request.
+/// An answer, and whether it was followed by another one that belongs to no request.
 struct Received {
     answer: Answer,
     surplus: bool,
 }
 
 impl Client {
-    /// Connects and starts a session.
+    /// Connects without a session.
     ///
     /// # Errors
-    /// There is no connection, or it ends.
+    /// The connection fails or ends before it is ready for queries.
     pub fn open(addr: &SocketAddr) -> io::Result<Client> {
         Client::with_session(addr, DEFAULT_USER, None)
     }
 
-    /// Asks for a session, `new` or one that a token carries. If the start is rejected the client says why.
+    /// Connects with a session: `new`, or the one of a token. If the router rejects the connection, the client has
+    /// `rejected_with` set.
     ///
     /// # Errors
     /// As [`Client::open`].
@@ -53,7 +62,7 @@
         Client::start(TcpStream::connect_timeout(addr, CONNECT_TIMEOUT)?, user, session)
     }
 
-    /// Connects from an address of loopback's own.
+    /// Connects from a given local address of the loopback network.
     ///
     /// # Errors
     /// As [`Client::open`].
@@ -88,7 +97,7 @@
         wire::read_message(&mut self.stream)
     }
 
-    /// Stores the token and the origin that a ParameterStatus gives.
+    /// Stores the token or the origin from a ParameterStatus message.
     fn keep_parameter(&mut self, tag: u8, body: &[u8]) {
         let text = String::from_utf8_lossy(body);
         let mut fields = text.split('\0');
@@ -99,7 +108,7 @@
         }
     }
 
-    /// Asks what became of a write.
+    /// Queries the fate of a write by its id and the origin of the connection on which it was sent.
     pub fn fate(&mut self, id: &str, origin: &str) -> Answer {
         let mut out = Vec::new();
         wire::query(&mut out, &format!("/* fate={id},at={origin} */ SHOW gingerwick.fate"));
@@ -109,7 +118,7 @@
         self.receive().answer
     }
 
-    /// Sends many requests at once on the one connection; answers come in their order.
+    /// Sends several requests at once on the connection. Returns their records in the same order.
     pub fn pipeline(
         &mut self,
         ids: &[String],
@@ -147,7 +156,7 @@
         records.remove(0)
     }
 
-    /// What comes up to the next ReadyForQuery.
+    /// Receives an answer up to the next ReadyForQuery message.
     fn receive(&mut self) -> Received {
         let (mut answer, mut answers) = (Answer::Missing, 0);
         while let Some(Message { tag, body }) = self.read_message() {
@@ -170,7 +179,7 @@
 }
 
 fn startup_message(user: &str, session: Option<&str>) -> Vec<u8> {
-    let mut body = b"\0\x03\0\0".to_vec();
+    let mut body = PROTOCOL_VERSION.to_vec();
     let mut parameters = vec!["user", user, "database", "store"];
     parameters.extend(session.into_iter().flat_map(|session| [SESSION_PARAMETER, session]));
     for text in parameters {
@@ -178,7 +187,7 @@
         body.push(0);
     }
     body.push(0);
-    [&(body.len() as u32 + 4).to_be_bytes()[..], &body].concat()
+    [&((body.len() + wire::LENGTH_BYTES) as u32).to_be_bytes()[..], &body].concat()
 }
 
 fn retry_after_ms(error: &[u8]) -> Option<i64> {
@@ -188,8 +197,8 @@
 fn error_answer(body: &[u8]) -> Answer {
     let code = error_field(body, b'C').unwrap_or_default();
     match code.as_str() {
-        "53300" | "57P03" => Answer::Rejected(retry_after_ms(body)),
-        "58000" => Answer::Aborted,
+        TOO_MANY_CONNECTIONS | CANNOT_CONNECT_NOW => Answer::Rejected(retry_after_ms(body)),
+        SYSTEM_ERROR => Answer::Aborted,
         _ => Answer::Error(code),
     }
 }
--- a/test-servers/src/cluster.rs
+++ b/test-servers/src/cluster.rs
@@ -1,7 +1,8 @@
-//! A cluster as it really is: groups, their logs in branches, who is primary, and what was executed where.
+//! Model of a cluster: its groups, the branches of their logs, the primaries, and the executions on each endpoint.
 //!
-//! Positions are Unix milliseconds. A primary is at the present; a replica is where its upstream was as long ago as the replica
-//! lags, or where it has stopped. A failover forks a branch: what the old primary goes on writing is on a branch that is dead.
+//! Positions are Unix milliseconds. The position of a primary is the current time. The position of a replica is that of its
+//! upstream minus the lag, or where its replication has stopped. A failover forks a new branch: what an isolated old
+//! primary writes afterwards is on an abandoned branch.
 
 use crate::lock;
 use history_checker::{includes, Execution, FateAnswer, History, LogPoint, RequestRecord, Rule, Violation};
@@ -9,64 +10,64 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The bound on staleness in the settings of instances here.
+/// Bound on staleness in the settings of the tested instances.
 pub const BOUND_MS: i64 = 800;
 const MICROS_PER_MILLI: i64 = 1_000;
-/// Added to a client's timeout: how long a busy machine may take to wake the client's own thread.
+/// Tolerance added to a client's timeout for the time until a busy machine schedules the client's thread.
 const SCHEDULING_SLACK_MS: i64 = 500;
-/// Added to the bound: how long a request takes from its client to the router.
+/// Tolerance added to the bound on staleness for the time that a request takes from the client to the router.
 const NETWORK_SLACK_MS: i64 = 60;
 
-/// The wall clock.
+/// The wall clock in Unix milliseconds.
 pub fn unix_ms() -> i64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64
 }
 
-/// The number of an endpoint in its cluster.
+/// Index of an endpoint in its cluster.
 pub type EndpointIndex = usize;
 
-/// How an endpoint can be reached.
+/// Reachability of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// It answers.
+    /// The endpoint answers.
     Up,
-    /// Connections are accepted and nothing is ever sent on them.
+    /// Connections are accepted but never answered.
     Silent,
-    /// Nothing listens there.
+    /// Connections are refused.
     Refused,
 }
 
-/// An endpoint.
+/// Model of an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointModel {
-    /// Its name.
+    /// Name in the endpoint list.
     pub name: String,
-    /// Its group.
+    /// Number of its group.
     pub group: i64,
-    /// It takes writes.
+    /// It executes writes.
     pub primary: bool,
-    /// Its timeline.
+    /// PostgreSQL timeline of its log.
     pub timeline: u32,
-    /// The branch of its group's log that it is on.
+    /// Index of its branch of the group's log.
     pub branch: usize,
-    /// Whom it follows.
+    /// The endpoint that it replicates from.
     pub upstream: Option<EndpointIndex>,
-    /// How far it is behind that.
+    /// Replication lag behind the upstream.
     pub lag_ms: i64,
-    /// Where it has stopped, if nothing reaches it any more.
+    /// Position at which replication has stopped, if it has.
     pub stopped_at_ms: Option<i64>,
-    /// How it can be reached.
+    /// Reachability for instances.
     pub reachability: Reachability,
-    /// Since when it drains.
+    /// When its drain began, if it is draining.
     pub draining_since_ms: Option<i64>,
-    /// When it started.
+    /// When it was started.
     pub started_ms: i64,
-    /// It can say who it is.
+    /// It reports its identity when queried.
     pub reports_identity: bool,
 }
 
 impl EndpointModel {
-    /// A sound endpoint that started long ago: a primary, or a replica of `upstream`.
+    /// Creates a healthy endpoint that started long ago: a replica of `upstream`, or a primary if there is none.
     pub fn new(name: String, group: i64, upstream: Option<EndpointIndex>, lag_ms: i64) -> EndpointModel {
         EndpointModel {
             name,
@@ -88,9 +89,9 @@
 /// One branch of a group's log.
 #[derive(Clone, Copy, Debug)]
 pub struct Branch {
-    /// Where it left the branch before it; what is before that is common to both.
+    /// Position at which it forked from the previous branch. Both branches share the log before it.
     pub forked_ms: i64,
-    /// It is the one that goes on.
+    /// It is the current branch of the group.
     pub is_live: bool,
 }
 
@@ -101,49 +102,49 @@
     }
 }
 
-/// What becomes of the old primary in a failover.
+/// Behaviour of the old primary after a failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OldPrimary {
-    /// It is cut off and goes on taking writes.
+    /// It is isolated from the group and continues to execute writes.
     Isolated,
-    /// It follows the new one.
+    /// It becomes a replica of the new primary.
     Follows,
 }
 
-/// How started endpoints warm up and what overloads them: the rule that instances are given in their settings.
+/// Slow start of endpoints and the load that overloads them, as in the instances' settings.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartModel {
-    /// The fraction of its capacity that an endpoint has right after its start.
+    /// Fraction of its capacity that an endpoint has right after its start.
     pub initial_fraction: f64,
-    /// Time until it has all of it.
+    /// Time from the start until it has its full capacity.
     pub duration_ms: i64,
-    /// It is overloaded by more than this multiple of its present capacity ...
+    /// An endpoint is overloaded by work of more than this multiple of its current capacity within the window.
     pub overload_multiple: f64,
-    /// ... within this time.
+    /// Length of the window over which work is counted.
     pub window_ms: i64,
-    /// How long it works on one statement.
+    /// Service time of one statement at full capacity.
     pub work_ms: i64,
 }
 
 /// The state of a cluster.
 #[derive(Default)]
 pub struct ClusterState {
-    /// Its endpoints.
+    /// The endpoints of the cluster.
     pub endpoints: Vec<EndpointModel>,
     /// The branches of each group's log.
     pub branches: BTreeMap<i64, Vec<Branch>>,
-    /// What was executed, by the id of its request.
+    /// Executions of writes by the id of their request.
     pub executions: HashMap<String, Vec<Execution>>,
-    /// When each endpoint got statements, within the last window.
+    /// Arrival times of statements at each endpoint within the current window.
     arrivals: HashMap<EndpointIndex, Vec<i64>>,
-    /// When an endpoint's one core will have done all that it has got, in microseconds of Unix time.
+    /// When the single core of each endpoint will have finished all accepted statements, in Unix microseconds.
     busy_until_us: HashMap<EndpointIndex, i64>,
-    /// Violations that endpoints see themselves.
+    /// Violations detected by endpoints.
     violations: Vec<Violation>,
 }
 
 impl ClusterState {
-    /// How far an endpoint is on its branch.
+    /// Position of an endpoint on its branch.
     pub fn position(&self, index: EndpointIndex, now_ms: i64) -> i64 {
         let endpoint = &self.endpoints[index];
         match (endpoint.primary, endpoint.stopped_at_ms, endpoint.upstream) {
@@ -156,17 +157,17 @@
         }
     }
 
-    /// Where an endpoint is on its group's log.
+    /// Branch and position of an endpoint on its group's log.
     pub fn log_point(&self, index: EndpointIndex, now_ms: i64) -> LogPoint {
         LogPoint { branch: self.endpoints[index].branch, at_ms: self.position(index, now_ms) }
     }
 
-    /// Where each branch of a group's log left the one before it.
+    /// Positions at which the branches of a group's log forked.
     pub fn forks(&self, group: i64) -> Vec<i64> {
         self.branches.get(&group).into_iter().flatten().map(|branch| branch.forked_ms).collect()
     }
 
-    /// The execution of a write that an endpoint at this point still knows of, if its group drops duplicates for so long.
+    /// The earlier execution of a write for which an endpoint at log point `at` drops duplicates, given a deduplication window.
     pub fn duplicate_of(&self, id: &str, at: LogPoint, window_ms: i64) -> Option<LogPoint> {
         let is_known = |execution: &&Execution| {
             at.at_ms - execution.point.at_ms < window_ms
@@ -175,7 +176,7 @@
         self.executions.get(id)?.iter().find(is_known).map(|execution| execution.point)
     }
 
-    /// Up to when an endpoint's data is that of the live branch.
+    /// Position up to which an endpoint's data is that of the live branch.
     pub fn consistent_until_ms(&self, index: EndpointIndex, now_ms: i64) -> i64 {
         let endpoint = &self.endpoints[index];
         let position = self.position(index, now_ms);
@@ -193,7 +194,7 @@
         endpoint.group == group && endpoint.primary && self.branches[&group][endpoint.branch].is_live
     }
 
-    /// The primary of a group.
+    /// The primary on the live branch of a group.
     pub fn primary_of(&self, group: i64) -> Option<EndpointIndex> {
         if !self.branches.contains_key(&group) {
             return None;
@@ -201,7 +202,7 @@
         (0..self.endpoints.len()).find(|&index| self.is_live_primary(index, group))
     }
 
-    /// Makes a replica the primary of its group.
+    /// Promotes a replica to primary of its group, on a new branch that forks at `at_ms`.
     pub fn promote(&mut self, successor: EndpointIndex, old_primary: OldPrimary, at_ms: i64) {
         let group = self.endpoints[successor].group;
         let isolated = self.primary_of(group).filter(|_| old_primary == OldPrimary::Isolated);
@@ -221,7 +222,7 @@
         }
     }
 
-    /// The fraction of its capacity that an endpoint in slow start has.
+    /// Slow-start fraction of an endpoint; `None` if it has its full capacity.
     fn slow_start_fraction(&self, index: EndpointIndex, now_ms: i64, model: &SlowStartModel) -> Option<f64> {
         let age_ms = now_ms - self.endpoints[index].started_ms;
         let progress = age_ms as f64 / model.duration_ms as f64;
@@ -229,8 +230,8 @@
         (age_ms < model.duration_ms).then_some(fraction)
     }
 
-    /// An endpoint gets a statement; one in slow start that gets too many breaks a rule. Its one core works on them in turn,
-    /// and in slow start more slowly; returns when this one is done.
+    /// Accepts a statement at an endpoint and returns the time until it is done. The single core of an endpoint works on
+    /// statements one after the other, more slowly during slow start. Overload during slow start is reported as a violation.
     pub fn accept_work(&mut self, index: EndpointIndex, now_ms: i64, model: &SlowStartModel) -> Duration {
         let fraction = self.slow_start_fraction(index, now_ms, model);
         self.check_overload(index, now_ms, model, fraction);
@@ -260,34 +261,34 @@
         }
     }
 
-    /// An endpoint sees a rule broken.
+    /// Records a violation detected by an endpoint.
     pub fn report(&mut self, index: EndpointIndex, rule: Rule, detail: String) {
         let subject = self.endpoints[index].name.clone();
         self.violations.push(Violation { rule, subject, detail });
     }
 }
 
-/// A cluster.
+/// A cluster shared by its endpoints.
 pub struct Cluster {
-    /// How its endpoints warm up.
+    /// Slow start of its endpoints.
     pub slow_start: SlowStartModel,
-    /// How long statements may still come after a drain was announced.
+    /// Grace period after the announcement of a drain within which statements may still arrive.
     pub drain_grace_ms: i64,
     state: Mutex<ClusterState>,
 }
 
 impl Cluster {
-    /// A cluster without endpoints.
+    /// Creates a cluster without endpoints.
     pub fn new(slow_start: SlowStartModel, drain_grace_ms: i64) -> Cluster {
         Cluster { slow_start, drain_grace_ms, state: Mutex::default() }
     }
 
-    /// Its state.
+    /// Locks the state of the cluster.
     pub fn lock(&self) -> MutexGuard<'_, ClusterState> {
         lock(&self.state)
     }
 
-    /// What was executed here, with what clients recorded.
+    /// Combines the executions in the cluster with the records of clients.
     pub fn history(
         &self,
         without_session: Vec<RequestRecord>,
--- a/test-servers/src/daemon.rs
+++ b/test-servers/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a child process with a configuration of its own. Dropping it kills it.
+//! The router daemon as a child process with its own configuration. Dropping a [`Daemon`] kills the process.
 
 use std::io::{self, BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -8,31 +8,32 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+/// Interval at which the process and its log are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a line of the log is waited for.
+/// How long [`Daemon::has_logged`] waits for a text.
 const LOG_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A daemon.
+/// A running daemon.
 pub struct Daemon {
     child: Child,
     log: Arc<Mutex<String>>,
-    /// Ends with the log.
+    /// Thread that reads the log until the process closes it.
     log_reader: Option<JoinHandle<()>>,
 }
 
-/// What a daemon is started with.
+/// Options to start a daemon with.
 pub struct DaemonOptions<'a> {
-    /// The program.
+    /// Path of the executable.
     pub program: &'a Path,
-    /// The bootstrap file's text.
+    /// Content of the bootstrap file.
     pub bootstrap: &'a str,
-    /// The operators' file's text; none: the daemon is started without one.
+    /// Content of the operators' file; `None` starts the daemon without one.
     pub operator_file: Option<&'a str>,
-    /// A folder of its own for both.
+    /// Directory in which both files are written.
     pub folder: &'a Path,
-    /// Where it listens.
+    /// Address that the daemon listens on.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
 }
 
@@ -40,7 +41,7 @@
     /// Starts a daemon.
     ///
     /// # Errors
-    /// A file cannot be written, or the process not started.
+    /// A file cannot be written, or the process cannot be started.
     pub fn start(options: &DaemonOptions) -> io::Result<Daemon> {
         let bootstrap = options.folder.join("config.json");
         std::fs::write(&bootstrap, options.bootstrap)?;
@@ -62,20 +63,21 @@
         Ok(Daemon { child, log, log_reader })
     }
 
-    /// The id of its process.
+    /// Process id of the daemon.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal by its name; `kill` is a program of every Unix.
+    /// Sends a signal, by its name without `SIG`, with the `kill` program.
     pub fn signal(&self, name: &str) {
         let _ = Command::new("kill").arg(format!("-{name}")).arg(self.pid().to_string()).status();
     }
 
-    /// Waits for its end; its exit status, or none if it does not end.
+    /// Waits for the process to exit. Returns its exit status, or `None` if it is still running after `timeout` or was
+    /// terminated by a signal.
     pub fn exit_status_within(&mut self, timeout: Duration) -> Option<i32> {
-        let give_up_at = Instant::now() + timeout;
-        while Instant::now() < give_up_at {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.code();
             }
@@ -84,12 +86,12 @@
         None
     }
 
-    /// Waits until its log has this text, for ten seconds at most; whether it came. What a daemon has done shows before the
-    /// line about it does, and one that is killed logs nothing more.
+    /// Waits until the log contains `text`, for ten seconds at most. Returns whether it does. Use this instead of reading the
+    /// log once: the effect of an action can be visible before its log line, and a killed daemon logs nothing more.
     pub fn has_logged(&self, text: &str) -> bool {
-        let give_up_at = Instant::now() + LOG_TIMEOUT;
+        let deadline = Instant::now() + LOG_TIMEOUT;
         while !self.log.lock().expect("no reader panicked").contains(text) {
-            if Instant::now() > give_up_at {
+            if Instant::now() > deadline {
                 return false;
             }
             thread::sleep(POLL_INTERVAL);
@@ -97,7 +99,7 @@
         true
     }
 
-    /// Ends it at once; what it has logged.
+    /// Kills the process and returns its log.
     pub fn kill(mut self) -> String {
         self.end();
         if let Some(reader) = self.log_reader.take() {
--- a/test-servers/src/discovery.rs
+++ b/test-servers/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the complete list, a watch, and all the ways in which it can be of no help.
+//! A discovery service that serves the complete endpoint list and a watch on it over HTTP, with simulated failures.
 
 use crate::lock;
 use serde_json::{json, Value};
@@ -8,26 +8,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Interval at which a watch checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// An empty line is sent when nothing has changed for this time.
+/// An empty line is sent on a watch after this time without a change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
-/// The length of an empty line of a request, with its line end.
+/// Length of an empty line of a request, including the line end.
 const EMPTY_LINE_BYTES: usize = 2;
 
-/// What discovery does.
+/// Behaviour of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// Connections are closed without an answer.
     Down,
-    /// It answers.
+    /// Requests are answered.
     Up,
-    /// The list is complete and empty.
+    /// Requests are answered with an empty complete list.
     Empty,
-    /// Each line is cut off in its middle, with the connection.
+    /// The connection is closed in the middle of a line.
     TruncatedLine,
-    /// Up and down in turn, so long each.
+    /// Alternates between up and down, for this duration each.
     Flapping(Duration),
 }
 
@@ -56,24 +57,26 @@
     }
 }
 
-/// What is sent next on a watch.
+/// The next step on a connection.
 enum Next {
+    /// The list has not changed since it was sent.
     Nothing,
     List(String),
-    /// Half of a list, and then the end.
+    /// Send half of a list, then close the connection.
     TruncatedList(String),
+    /// Close the connection.
     Down,
 }
 
-/// A discovery that listens.
+/// A listening discovery service.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
-/// One entry of the endpoint list, in discovery's format.
+/// Creates an entry of the endpoint list in discovery's format.
 pub fn list_entry(
     name: &str,
     address: &SocketAddr,
@@ -88,7 +91,7 @@
 }
 
 impl Discovery {
-    /// Starts one.
+    /// Starts a service with a mode and a list.
     pub fn start(mode: DiscoveryMode, version: i64, entries: Vec<Value>) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
         let addr = listener.local_addr().expect("a bound listener has an address");
@@ -104,21 +107,21 @@
         discovery
     }
 
-    /// Changes what it does.
+    /// Changes the mode.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         let mut state = lock(&self.state);
         state.mode = mode;
         state.mode_since = Instant::now();
     }
 
-    /// Gives a new version of the list, higher or lower than the one before.
+    /// Replaces the list. The version may be higher or lower than the previous one.
     pub fn set_list(&self, version: i64, entries: Vec<Value>) {
         let mut state = lock(&self.state);
         state.version = version;
         state.entries = entries;
     }
 
-    /// Serves one connection; none when it ends before its answer does.
+    /// Serves one connection. Returns `None` if it ends before the response is complete.
     fn serve(&self, mut stream: TcpStream) -> Option<()> {
         if lock(&self.state).is_down() {
             return None;
@@ -130,7 +133,7 @@
             match self.next(&mut sent) {
                 Next::Down => return None,
                 Next::TruncatedList(half) => {
-                    // The connection ends in any case.
+                    // The connection is closed in any case, so a failed write does not matter.
                     let _ = write_chunk(&mut stream, &half);
                     return None;
                 }
@@ -153,8 +156,8 @@
         if state.is_down() {
             return Next::Down;
         }
-        let present = Some((state.version, state.mode));
-        if std::mem::replace(sent, present) == present {
+        let current = Some((state.version, state.mode));
+        if std::mem::replace(sent, current) == current {
             return Next::Nothing;
         }
         let list = state.complete_list();
@@ -166,7 +169,7 @@
     }
 }
 
-/// Reads a request; its first line.
+/// Reads a request and returns its first line.
 fn read_request(stream: &TcpStream) -> Option<String> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     let mut request = String::new();
--- a/test-servers/src/endpoint.rs
+++ b/test-servers/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! A listening endpoint: it answers from the present state of its cluster, and records there what it executes.
+//! A listening endpoint. It answers from the current state of its cluster and records its executions there.
 
 use crate::cluster::{unix_ms, Cluster, ClusterState, EndpointIndex, Reachability};
 use crate::settings::DEDUP_WINDOW_MS;
@@ -11,16 +11,23 @@
 use std::thread;
 use std::time::Duration;
 
+/// SQLSTATE `read_only_sql_transaction`.
 const READ_ONLY: &str = "25006";
+/// SQLSTATE `insufficient_privilege`.
 const INSUFFICIENT_PRIVILEGE: &str = "42501";
 const HEALTH_STATEMENT: &str = "SHOW health";
-/// Occurs in the statement by which an endpoint is asked who it is.
+/// Contained in the statement that queries an endpoint's identity.
 const IDENTITY_FUNCTION: &str = "pg_control_checkpoint";
+/// The method whose writes have idempotency keys.
 const KEYED_METHOD: &str = "deposit";
+/// Timeout of the connection that wakes a listener so that it ends.
+const WAKE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Processes are spread over this many values of the second byte of loopback addresses.
+const PROCESS_ADDRESSES: u32 = 250;
 
-/// A listening endpoint. Dropping it ends the listener; connections end with the first statement after that.
+/// A listening endpoint. Dropping it stops the listener; open connections are closed on their next statement.
 pub struct ServedEndpoint {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     is_over: Arc<AtomicBool>,
 }
@@ -28,16 +35,18 @@
 impl Drop for ServedEndpoint {
     fn drop(&mut self) {
         self.is_over.store(true, Ordering::Release);
-        let _ = TcpStream::connect_timeout(&self.addr, Duration::from_millis(100));
+        let _ = TcpStream::connect_timeout(&self.addr, WAKE_TIMEOUT);
     }
 }
 
-/// An address that nobody listens on: bound briefly and given back. Each is an address of loopback's own, so that nobody
-/// else is given the port while what is to listen there is not up, or up no more.
+/// Returns an address that no process listens on, found by binding it briefly. Every call uses another loopback IP
+/// address, so that the port is not assigned to another socket before the intended process listens or after it has
+/// stopped.
 pub fn free_address() -> SocketAddr {
-    static GIVEN: AtomicU32 = AtomicU32::new(0);
-    let (index, process) = (GIVEN.fetch_add(1, Ordering::Relaxed), std::process::id());
-    let host = Ipv4Addr::new(127, 1 + (process % 250) as u8, (index >> 8) as u8, index as u8);
+    static ADDRESSES: AtomicU32 = AtomicU32::new(0);
+    let (index, process) = (ADDRESSES.fetch_add(1, Ordering::Relaxed), std::process::id());
+    let process_byte = 1 + (process % PROCESS_ADDRESSES) as u8;
+    let host = Ipv4Addr::new(127, process_byte, (index >> 8) as u8, index as u8);
     let listener = TcpListener::bind((host, 0)).expect("loopback has a free port");
     listener.local_addr().expect("a bound listener has an address")
 }
@@ -53,6 +62,7 @@
     served
 }
 
+/// The state shared by the connections of an endpoint.
 #[derive(Clone)]
 struct Endpoint {
     cluster: Arc<Cluster>,
@@ -60,7 +70,7 @@
     is_over: Arc<AtomicBool>,
 }
 
-/// What a statement's comment and text say.
+/// A parsed statement.
 struct Statement {
     id: String,
     group: i64,
@@ -68,16 +78,18 @@
     has_key: bool,
 }
 
-/// What a statement is answered, as things are when it comes.
+/// The answer to a statement, by the state of the cluster at its arrival.
 struct Reply {
-    takes: Duration,
-    /// Where the value was read or written.
+    /// Time until the answer is sent.
+    service_time: Duration,
+    /// The log point at which the value was read or written.
     shown: LogPoint,
-    /// Where the endpoint is.
+    /// Position of the endpoint, in Unix milliseconds.
     position_ms: i64,
+    /// Up to when the endpoint's data is that of the live branch, in Unix milliseconds.
     consistent_until_ms: i64,
     is_primary: bool,
-    /// The ParameterStatus that says its epoch.
+    /// The encoded ParameterStatus message with the endpoint's epoch.
     epoch: Vec<u8>,
 }
 
@@ -99,7 +111,7 @@
     fn serve_connection(&self, mut stream: TcpStream) -> Option<()> {
         wire::read_startup(&mut stream)?;
         if self.cluster.lock().endpoints[self.index].reachability == Reachability::Silent {
-            // Open for as long as the other side holds it, and nothing is sent.
+            // Keeps the connection open without sending anything until the peer closes it.
             let _ = wire::read_message(&mut stream);
             return None;
         }
@@ -138,7 +150,7 @@
         self.report_epoch(&state, out);
     }
 
-    /// Its timeline, and where that began.
+    /// Appends a ParameterStatus message with the endpoint's timeline and the position at which it began.
     fn report_epoch(&self, state: &ClusterState, out: &mut Vec<u8>) {
         let endpoint = &state.endpoints[self.index];
         let forks = state.forks(endpoint.group);
@@ -162,7 +174,7 @@
             error(out, READ_ONLY);
             return parameter_status(out, "recovery", "on");
         };
-        thread::sleep(reply.takes);
+        thread::sleep(reply.service_time);
         let LogPoint { branch, at_ms } = reply.shown;
         row(out, format!("{} {} {branch} {at_ms}", statement.id, reply.consistent_until_ms).as_bytes());
         parameter_status(out, "recovery", if reply.is_primary { "off" } else { "on" });
@@ -170,12 +182,12 @@
         out.extend(reply.epoch);
     }
 
-    /// Executes a statement; none if it is a write and this is not the primary. What it is answered is as things are now,
-    /// however long it takes.
+    /// Executes a statement. Returns `None` if it is a write and the endpoint is not a primary. The answer reflects the
+    /// state at the arrival of the statement, regardless of the service time.
     fn reply(&self, statement: &Statement) -> Option<Reply> {
         let now_ms = unix_ms();
         let mut state = self.cluster.lock();
-        let takes = state.accept_work(self.index, now_ms, &self.cluster.slow_start);
+        let service_time = state.accept_work(self.index, now_ms, &self.cluster.slow_start);
         self.check_drain(&mut state, statement, now_ms);
         let endpoint = state.endpoints[self.index].clone();
         if statement.is_write && !endpoint.primary {
@@ -187,13 +199,13 @@
         if statement.is_write && duplicate_of.is_none() {
             self.record_execution(&mut state, statement, at);
         }
-        // An endpoint of another group has nothing of what is asked here.
+        // An endpoint of another group does not have the requested data.
         let is_own_group = endpoint.group == statement.group;
         let consistent_until_ms = state.consistent_until_ms(self.index, now_ms);
         let mut epoch = Vec::new();
         self.report_epoch(&state, &mut epoch);
         Some(Reply {
-            takes,
+            service_time,
             shown: duplicate_of.unwrap_or(at),
             position_ms: at.at_ms,
             consistent_until_ms: if is_own_group { consistent_until_ms } else { 0 },
@@ -230,7 +242,7 @@
     }
 }
 
-/// A value in a statement's comment.
+/// Returns the value of a key in a statement's leading comment.
 fn comment_value<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let comment = text.strip_prefix("/*")?.split("*/").next()?;
     comment.split(',').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('=')).map(str::trim)
--- a/test-servers/src/lib.rs
+++ b/test-servers/src/lib.rs
@@ -1,17 +1,18 @@
-//! Stand-ins for what an instance of the router talks to, on loopback and without privileges, and runs drawn from a seed.
+//! Test doubles of everything an instance of the router talks to, on loopback and without privileges, and randomized test
+//! runs that are reproducible by their seed.
 //!
-//! - [`cluster`]: groups, their logs in branches, primaries, slow starts and drains
+//! - [`cluster`]: model of a cluster: groups, branches of their logs, primaries, slow starts and drains
 //! - [`endpoint`]: a listening endpoint of a cluster
-//! - [`discovery`]: discovery with outages and restarts
-//! - [`client`]: a client that records what it sent and saw
-//! - [`daemon`]: the daemon as a child process
+//! - [`discovery`]: a discovery service with simulated outages and restarts
+//! - [`client`]: a client that records its requests and their answers
+//! - [`daemon`]: the router daemon as a child process
 //! - [`settings`]: bootstrap settings for all of them
-//! - [`single_endpoint`]: the smallest cluster
-//! - [`restart`]: starts with discovery down and a cached list that may be wrong
-//! - [`sessions`]: sessions through kills, lag and a failover
-//! - [`wire`]: messages of the protocol
+//! - [`single_endpoint`]: a cluster of one endpoint
+//! - [`restart`]: runs that start with discovery down and a cached list that may be outdated
+//! - [`sessions`]: runs of sessions during kills of instances, replication lag and a failover
+//! - [`wire`]: PostgreSQL protocol messages
 //!
-//! Written from the public description of PostgreSQL's protocol, version 3, and of HTTP/1.1.
+//! Written from the public specifications of the PostgreSQL protocol, version 3, and of HTTP/1.1.
 
 #![warn(clippy::too_many_lines)]
 
@@ -32,16 +33,16 @@
 use std::sync::{Mutex, MutexGuard};
 use std::thread;
 
-/// A build of the daemon.
+/// A build of the daemon under test.
 #[derive(Clone, Copy, Debug)]
 pub struct Build<'a> {
-    /// Its program.
+    /// Path of the executable.
     pub program: &'a Path,
-    /// It knows operators' files. An earlier build is started without one.
+    /// The build supports operators' files. Earlier builds are started without one.
     pub has_operator_file: bool,
 }
 
-/// Runs each seed once, so many at a time; the results in the order of the seeds.
+/// Runs each seed once, `at_once` of them concurrently. Returns the results in the order of the seeds.
 pub fn each_seed<T: Send>(seeds: Range<u64>, at_once: usize, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let next = AtomicU64::new(seeds.start);
     let results = Mutex::new(Vec::new());
@@ -62,7 +63,7 @@
     results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Locks, whatever a thread that panicked has left behind.
+/// Locks a mutex even if a thread panicked while it held it.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
--- a/test-servers/src/restart/client_loop.rs
+++ b/test-servers/src/restart/client_loop.rs
@@ -1,4 +1,4 @@
-//! One client: it sends reads and writes until the run is over, and connects again whenever its connection ends.
+//! The loop of one client: sends reads and writes until the run is over, and reconnects whenever its connection ends.
 
 use crate::client::{Answer, Client, Kind, RequestRecord};
 use crate::lock;
@@ -11,12 +11,23 @@
 
 const READ_TIMEOUT_MS: i64 = 400;
 const WRITE_TIMEOUT_MS: i64 = 600;
-/// One request in so many is followed by a pipeline of reads.
+/// On average one in this many requests is preceded by a pipeline of reads.
 const PIPELINE_EVERY: usize = 40;
+/// Reads in a pipeline: enough to overload an endpoint in slow start that is treated as warm.
 const PIPELINE_LENGTH: usize = 32;
+/// On average one in this many requests is a write.
+const WRITE_EVERY: usize = 3;
 const RECONNECT_DELAY: Duration = Duration::from_millis(2);
+/// Pause after a rejection without a Retry-After time.
+const DEFAULT_RETRY_AFTER_MS: i64 = 20;
+/// Shortest and longest pause after a rejection: clients may return before their Retry-After time, to keep up the load.
+const MIN_RETRY_PAUSE_MS: i64 = 5;
+const MAX_RETRY_PAUSE_MS: i64 = 60;
+/// Pause between two requests: a fixed part, and the exclusive bound of a random one.
+const MIN_PAUSE_MS: i64 = 4;
+const PAUSE_JITTER_MS: usize = 8;
 
-/// What all clients of a run share.
+/// State shared by all clients of a run.
 pub struct ClientRun {
     pub started: Instant,
     pub groups: Vec<i64>,
@@ -36,7 +47,7 @@
         self.is_over.load(Ordering::Acquire)
     }
 
-    /// Runs one client.
+    /// Runs one client until the run is over.
     pub fn run(&self, listen: &SocketAddr, index: usize, seed: u64) -> FirstServed {
         let mut client_loop =
             ClientLoop { run: self, index, rng: Mwc::new(seed), serial: 0, first: FirstServed::default() };
@@ -74,11 +85,11 @@
 
     fn next_request(&mut self, client: &mut Client) -> RequestRecord {
         self.serial += 1;
-        let kind = if self.rng.below(3) == 0 { Kind::Write } else { Kind::Read };
+        let kind = if self.rng.below(WRITE_EVERY) == 0 { Kind::Write } else { Kind::Read };
         let group = self.run.groups[self.rng.below(self.run.groups.len())];
         let id = format!("{:04x}{:012x}", self.index, self.serial);
         if self.rng.below(PIPELINE_EVERY) == 0 {
-            // As when a page is opened: enough to overload an endpoint in slow start that is taken for warm.
+            // The load of a page that is opened.
             let ids: Vec<String> = (0..PIPELINE_LENGTH).map(|member| format!("{id}b{member}")).collect();
             let records = client.pipeline(&ids, group, Kind::Read, READ_TIMEOUT_MS);
             lock(&self.run.records).extend(records);
@@ -95,8 +106,11 @@
 
     fn pause(&mut self, answer: &Answer) -> Duration {
         let pause_ms = match answer {
-            Answer::Rejected(retry_after_ms) => retry_after_ms.unwrap_or(20).clamp(5, 60),
-            _ => 4 + self.rng.below(8) as i64,
+            Answer::Rejected(retry_after_ms) => {
+                let wait_ms = retry_after_ms.unwrap_or(DEFAULT_RETRY_AFTER_MS);
+                wait_ms.clamp(MIN_RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS)
+            }
+            _ => MIN_PAUSE_MS + self.rng.below(PAUSE_JITTER_MS) as i64,
         };
         Duration::from_millis(pause_ms as u64)
     }
--- a/test-servers/src/restart/faults.rs
+++ b/test-servers/src/restart/faults.rs
@@ -1,4 +1,4 @@
-//! How each fault changes a cluster.
+//! Applies faults to a cluster.
 
 use super::plan::Fault;
 use crate::cluster::{ClusterState, EndpointIndex, OldPrimary, Reachability, BOUND_MS};
@@ -6,13 +6,14 @@
 use routing::rng::Mwc;
 use std::net::SocketAddr;
 
-/// How long before the start a failover was, at the least, and how much that varies.
+/// Minimum time from a failover to the start of the instances.
 const FAILOVER_AGO_MS: i64 = 5_000;
+/// Exclusive bound of a random time added to that.
 const FAILOVER_JITTER_MS: usize = 3_000;
-/// How far a replica on the old primary's log stopped before the failover.
+/// Time before the failover at which a replica on the old primary's branch stopped.
 const STOPPED_BEFORE_MS: i64 = 100;
 
-/// The endpoints of one group: its first primary, two replicas, and one that no list knows.
+/// The endpoints of one group: its first primary, two replicas, and one that is not in the cached list.
 struct GroupMembers {
     primary: EndpointIndex,
     successor: EndpointIndex,
@@ -20,7 +21,7 @@
     unlisted: EndpointIndex,
 }
 
-/// Endpoints of each group.
+/// Number of endpoints per group.
 pub const GROUP_SIZE: usize = 4;
 
 impl GroupMembers {
@@ -29,7 +30,8 @@
     }
 }
 
-/// Lets a fault happen to the group whose endpoints begin at `first`. `listed_addresses` is what the list says, by endpoint.
+/// Applies a fault to the group whose endpoints begin at index `first`. `listed_addresses` are the addresses in the cached
+/// list, by endpoint.
 pub fn apply_fault(
     state: &mut ClusterState,
     fault: Fault,
@@ -59,7 +61,8 @@
         Fault::AddressReused => {
             state.promote(members.successor, OldPrimary::Follows, at_ms);
             state.endpoints[members.primary].reachability = Reachability::Refused;
-            // The address went to the primary of the next group, or to this one's own successor if it is alone.
+            // The address was reassigned to the primary of the next group, which is this group's own if it is the only
+            // one.
             let next_primary = (first + GROUP_SIZE) % listed_addresses.len();
             listed_addresses[members.primary] = listed_addresses[next_primary];
         }
--- a/test-servers/src/restart/mod.rs
+++ b/test-servers/src/restart/mod.rs
@@ -1,5 +1,6 @@
-//! Starts with discovery down and a cached list that may be wrong, drawn from a seed: faults between the list and the start, the
-//! daemon, clients, and discovery's return in one of its ways.
+//! Randomized runs of a start with discovery down and a cached list that may be outdated. Between the time of the list and
+//! the start, faults are applied to the cluster; then the daemon and clients are started, and discovery returns in one of
+//! several ways.
 
 mod client_loop;
 mod faults;
--- a/test-servers/src/restart/plan.rs
+++ b/test-servers/src/restart/plan.rs
@@ -1,31 +1,31 @@
-//! What is drawn from a seed.
+//! Plans of runs, drawn at random from a seed.
 
 use routing::rng::Mwc;
 
-/// What happened to one group between the list and the start.
+/// A fault of one group between the time of the list and the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Another took over; the old primary was cut off and goes on taking writes.
+    /// A replica was promoted; the old primary is isolated and continues to execute writes.
     OldPrimaryIsolated,
-    /// The same, and the new primary does not answer.
+    /// As [`Fault::OldPrimaryIsolated`], and the new primary does not answer.
     OldPrimaryIsolatedNewSilent,
-    /// The same, and a replica has stopped on the old primary's log.
+    /// As [`Fault::OldPrimaryIsolated`], and a replica has stopped on the old primary's branch.
     OldPrimaryIsolatedWithReplica,
-    /// Another took over and the old primary follows it.
+    /// A replica was promoted, and the old primary is its replica.
     PrimarySwitched,
-    /// The new primary is an endpoint that the list does not know, and the old one goes on.
+    /// An endpoint that is not in the list was promoted; the old primary continues to execute writes.
     NewPrimaryUnlisted,
-    /// The listed primary's address belongs to a primary of another group now.
+    /// A replica was promoted, and the listed address of the old primary now belongs to the primary of another group.
     AddressReused,
-    /// Nothing listens at the listed primary's address, another took over.
+    /// A replica was promoted, and connections to the listed address of the old primary are refused.
     AddressUnused,
     /// A replica does not answer.
     ReplicaSilent,
-    /// Replicas lag by more than the bound.
+    /// Replicas lag by more than the bound on staleness.
     ReplicasLag,
-    /// There is no primary at all.
+    /// The group has no primary.
     NoPrimary,
 }
 
@@ -43,18 +43,18 @@
     Fault::NoPrimary,
 ];
 
-/// How discovery comes back.
+/// How discovery returns after its outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryReturn {
-    /// At once, with the version that it had, and more.
+    /// With a higher version of the list.
     AtOnce,
-    /// Restored from a backup: with a lower version.
+    /// With a lower version of the list, restored from a backup.
     LowerVersion,
     /// First with an empty list.
     EmptyFirst,
-    /// First with half a line.
+    /// First with truncated lines.
     TruncatedLineFirst,
-    /// Up and down in turn.
+    /// Alternating between up and down.
     Flapping,
 }
 
@@ -66,34 +66,34 @@
     DiscoveryReturn::Flapping,
 ];
 
-/// Ages of the list in seconds; a negative one is in the future.
+/// Ages of the list in seconds; a negative age means a list from the future.
 const AGES_S: [i64; 6] = [5, 40, 600, 7_200, 172_800, -3_600];
 const GROUPS: usize = 3;
 const CLIENTS: usize = 10;
-/// Seeds that follow each other must not draw alike.
+/// Multiplier that makes the random numbers of consecutive seeds independent (64-bit golden ratio).
 const SEED_MIX: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A plan.
+/// Plan of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The seed that it was drawn from.
     pub seed: u64,
-    /// What happened to each group.
+    /// The fault of each group.
     pub faults: Vec<Fault>,
-    /// The age of the list in seconds.
+    /// Age of the cached list in seconds.
     pub age_s: i64,
-    /// How discovery comes back.
+    /// How discovery returns.
     pub discovery_return: DiscoveryReturn,
     /// All endpoints have just started.
     pub just_started: bool,
-    /// Clients.
+    /// Number of clients.
     pub clients: usize,
-    /// Instances that start at the same time, each with a list of its own.
+    /// Number of instances that start at the same time, each with its own cache.
     pub instances: usize,
 }
 
 impl Plan {
-    /// Draws a plan.
+    /// Draws a plan from a seed.
     pub fn draw(seed: u64) -> Plan {
         let mut rng = Mwc::new(seed.wrapping_mul(SEED_MIX));
         let faults = (0..GROUPS).map(|_| FAULTS[rng.below(FAULTS.len())]).collect();
--- a/test-servers/src/restart/run.rs
+++ b/test-servers/src/restart/run.rs
@@ -1,4 +1,4 @@
-//! One run: instances start while discovery is down, clients send requests, discovery comes back, and the checker judges.
+//! One run: instances start while discovery is down, clients send requests, discovery returns, and the history is checked.
 
 use super::client_loop::{ClientRun, FirstServed};
 use super::plan::{DiscoveryReturn, Plan};
@@ -19,41 +19,45 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The version that the list has.
+/// Version of the cached list.
 pub(super) const LIST_VERSION: i64 = 1_000;
-/// The version that a discovery begins with that was restored from a backup.
+/// Increase of the version while discovery was down.
+const VERSIONS_WHILE_DOWN: i64 = 5;
+/// Version of the list of a discovery that was restored from a backup.
 const RESTORED_VERSION: i64 = 3;
-/// How long discovery is of no use yet after it has come back.
+/// How long discovery is still broken after its return.
 const BROKEN_RETURN: Duration = Duration::from_millis(400);
 const FLAPPING_PERIOD: Duration = Duration::from_millis(1_000);
+/// Multiplier of a plan's seed from which the seeds of its clients are numbered.
+const CLIENT_SEED_FACTOR: u64 = 31;
 
-/// How long discovery stays down after the start, and how long the run goes on after that.
+/// Durations of the phases of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Phases {
-    /// Down.
+    /// How long discovery is down after the start.
     pub discovery_down: Duration,
-    /// Back.
+    /// How long the run continues after discovery has returned.
     pub discovery_back: Duration,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// The checker's verdict.
+    /// Verdict on the history of the run.
     pub verdict: Verdict,
-    /// When the first read was served, in milliseconds since the start of the processes.
+    /// When the first read was served, in milliseconds since the start of the instances.
     pub first_read_ms: Option<f64>,
-    /// When the first write was served.
+    /// When the first write was served, in milliseconds since the start of the instances.
     pub first_write_ms: Option<f64>,
-    /// Groups with a primary that can be reached in which writes were served after discovery came back.
+    /// Number of groups with a reachable primary in which writes were served after discovery returned.
     pub groups_writing: usize,
-    /// Groups with a primary that can be reached.
+    /// Number of groups with a reachable primary.
     pub groups_with_primary: usize,
     /// A write was served while discovery was down.
     pub wrote_without_discovery: bool,
-    /// Requests that were rejected.
+    /// Number of rejected requests.
     pub rejected: usize,
-    /// The log of all instances.
+    /// Logs of all instances, concatenated.
     pub log: String,
 }
 
@@ -150,19 +154,20 @@
 fn start_clients(plan: &Plan, instances: &[Instance], run: &Arc<ClientRun>) -> Vec<JoinHandle<FirstServed>> {
     let start = |index: usize| {
         let run = run.clone();
-        let seed = plan.seed.wrapping_mul(31).wrapping_add(index as u64);
+        let seed = plan.seed.wrapping_mul(CLIENT_SEED_FACTOR).wrapping_add(index as u64);
         let listen = instances[index % instances.len()].listen;
         thread::spawn(move || run.run(&listen, index, seed))
     };
     (0..plan.clients).map(start).collect()
 }
 
+/// Ends the outage of discovery in the way that the plan says.
 fn bring_back(plan: &Plan, discovery: &Discovery, scenario: &Scenario) {
     let broken_first = |mode: DiscoveryMode| {
         discovery.set_mode(mode);
         thread::sleep(BROKEN_RETURN);
     };
-    discovery.set_list(LIST_VERSION + 5, scenario.present_list.clone());
+    discovery.set_list(LIST_VERSION + VERSIONS_WHILE_DOWN, scenario.present_list.clone());
     match plan.discovery_return {
         DiscoveryReturn::AtOnce => {}
         DiscoveryReturn::LowerVersion => discovery.set_list(RESTORED_VERSION, scenario.present_list.clone()),
--- a/test-servers/src/restart/scenario.rs
+++ b/test-servers/src/restart/scenario.rs
@@ -1,4 +1,4 @@
-//! A cluster after its faults, and the lists of before and after them.
+//! A cluster after its faults, with the endpoint lists from before and after them.
 
 use super::faults::{apply_fault, GROUP_SIZE};
 use super::plan::Plan;
@@ -12,7 +12,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// Time since the start of endpoints whose slow start is over.
 const LONG_AGO_MS: i64 = 3_600_000;
+/// Makes the random numbers of the cluster independent of those of the plan.
 const SEED_FOR_CLUSTER: u64 = 0x5eed;
 
 /// A cluster after its faults.
@@ -21,15 +23,15 @@
     pub served: Vec<ServedEndpoint>,
     /// The endpoint list from before the faults, in discovery's format.
     pub old_list: Vec<Value>,
-    /// The same, as an instance has cached it.
+    /// The same list as cached by an instance.
     pub cached: Vec<CachedEndpoint>,
-    /// The list that is true now.
+    /// The current endpoint list, in discovery's format.
     pub present_list: Vec<Value>,
     pub groups: Vec<i64>,
 }
 
 impl Scenario {
-    /// Sets up a plan's cluster, and lets its faults happen.
+    /// Creates the cluster of a plan and applies the plan's faults.
     pub fn new(plan: &Plan) -> Scenario {
         let cluster = Arc::new(Cluster::new(SLOW_START, DRAIN_GRACE_MS));
         let mut rng = Mwc::new(plan.seed ^ SEED_FOR_CLUSTER);
@@ -61,7 +63,7 @@
         Scenario { cluster, served, old_list, cached, present_list, groups }
     }
 
-    /// The groups whose primary can be reached.
+    /// Groups with a reachable primary.
     pub fn groups_with_primary(&self) -> Vec<i64> {
         let state = self.cluster.lock();
         let has_primary = |group: &i64| {
@@ -83,7 +85,7 @@
     }
 }
 
-/// The last of each group joined after the list was made.
+/// Whether an endpoint is in the old list: the last one of each group was added later.
 fn is_listed(index: EndpointIndex) -> bool {
     index % GROUP_SIZE != GROUP_SIZE - 1
 }
@@ -92,7 +94,7 @@
     index.is_multiple_of(GROUP_SIZE)
 }
 
-/// Discovery knows of isolation: what was left behind is no member any more.
+/// Whether discovery lists an endpoint now: unreachable endpoints and those on abandoned branches were removed.
 fn is_member(state: &ClusterState, index: EndpointIndex) -> bool {
     let endpoint = &state.endpoints[index];
     endpoint.reachability == Reachability::Up && state.branches[&endpoint.group][endpoint.branch].is_live
--- a/test-servers/src/restart/throughput.rs
+++ b/test-servers/src/restart/throughput.rs
@@ -1,4 +1,4 @@
-//! What caching the endpoint list costs: reads per second with and without it.
+//! Cost of caching the endpoint list: read throughput with and without it.
 
 use super::plan::Plan;
 use super::run::LIST_VERSION;
@@ -15,13 +15,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Time before reads are counted.
 const WARM_UP: Duration = Duration::from_millis(1_500);
+/// Interval of new versions of the endpoint list.
 const LIST_INTERVAL: Duration = Duration::from_millis(100);
 const RETRY_DELAY: Duration = Duration::from_millis(2);
 const READ_TIMEOUT_MS: i64 = 400;
 
-/// Reads answered per second, with discovery up and a new version of the list every 100 ms; each client sends its requests one
-/// after the other.
+/// Measures the reads served per second, with discovery up and a new version of the list every 100 ms. Each client sends
+/// its requests one after the other.
 ///
 /// # Errors
 /// The daemon cannot be started.
@@ -78,7 +80,7 @@
     })
 }
 
-/// Sends reads until the run is over; how many were served since `count_from`.
+/// Sends reads until the run is over. Returns the number of reads served since `count_from`.
 fn count_reads(
     listen: &SocketAddr,
     index: usize,
--- a/test-servers/src/sessions.rs
+++ b/test-servers/src/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions and writes through kills of instances, moves between them, lag and a failover that loses the tail of a log, drawn
-//! from a seed. What came of it is for the checker to judge.
+//! Randomized runs of sessions and writes during kills of instances, moves of clients between instances, replication lag,
+//! and a failover that loses the end of a log. The resulting history is checked.
 
 use crate::client::{Answer, Client, Kind, RequestRecord};
 use crate::cluster::{unix_ms, Branch, Cluster, EndpointIndex, EndpointModel, OldPrimary};
@@ -17,42 +17,59 @@
 use std::time::Duration;
 
 const GROUPS: [i64; 2] = [1, 2];
-/// Endpoints of each group.
+/// Number of endpoints per group.
 const GROUP_SIZE: usize = 3;
+/// Content of the session key file of all instances.
 const SESSION_KEYS: &str = "1 000102030405060708090a0b0c0d0e0f\n";
 const CLIENTS: usize = 6;
-/// Seeds that follow each other must not draw alike.
+/// Multiplier that makes the random numbers of consecutive seeds independent (64-bit golden ratio).
 const SEED_MIX: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Makes the random numbers of the kills independent of those of the plan.
 const SEED_FOR_KILLS: u64 = 0x5eed;
+/// Multiplier of a plan's seed from which the seeds of its clients are numbered.
+const CLIENT_SEED_FACTOR: u64 = 31;
+/// Versions of the endpoint list before and after the failover.
+const FIRST_LIST_VERSION: i64 = 2;
+const FAILOVER_LIST_VERSION: i64 = 3;
+/// Pause between two kills: a fixed part, and the exclusive bound of a random one.
+const MIN_KILL_PAUSE_MS: u64 = 120;
+const KILL_PAUSE_JITTER_MS: usize = 200;
+/// On average a client moves to another instance once in this many requests.
+const MOVE_EVERY: usize = 4;
+/// Pause of a client between two requests: a fixed part, and the exclusive bound of a random one.
+const MIN_REQUEST_PAUSE_MS: u64 = 2;
+const REQUEST_PAUSE_JITTER_MS: usize = 10;
+/// Kinds of requests in the proportions in which they are drawn.
+const KINDS: [Kind; 5] = [Kind::Read, Kind::Read, Kind::Read, Kind::Write, Kind::KeyedWrite];
 const READ_TIMEOUT_MS: i64 = 400;
 const WRITE_TIMEOUT_MS: i64 = 700;
-/// How long clients go on after the last kill.
+/// How long clients continue after the last kill.
 const AFTER_LAST_KILL: Duration = Duration::from_millis(600);
 const RECONNECT_DELAY: Duration = Duration::from_millis(3);
-/// How often a client tries to reach an instance that was killed.
+/// Maximum number of attempts of a client to reconnect to a killed instance.
 const MAX_RECONNECTS: usize = 400;
-/// How long after a write that is in doubt its client asks; the longest is past the window of duplicates.
+/// Delays after which a client resolves a write in doubt. The longest exceeds the deduplication window.
 const QUERY_DELAYS_MS: [u64; 4] = [0, 0, 40, 1_700];
 
-/// A plan.
+/// Plan of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The seed that it was drawn from.
     pub seed: u64,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// The lag of each group's two replicas.
+    /// Replication lag of the two replicas of each group.
     pub lags_ms: [i64; 2],
-    /// Kills.
+    /// Number of kills of instances.
     pub kills: usize,
-    /// Clients.
+    /// Number of clients.
     pub clients: usize,
-    /// How long after the failover discovery says so.
+    /// Time from the failover until discovery lists the new primary.
     pub discovery_delay_ms: u64,
 }
 
 impl Plan {
-    /// Draws a plan.
+    /// Draws a plan from a seed.
     pub fn draw(seed: u64, kills: usize) -> Plan {
         let mut rng = Mwc::new(seed.wrapping_mul(SEED_MIX));
         let lags_ms = [10 + rng.below(60) as i64, 150 + rng.below(550) as i64];
@@ -62,32 +79,33 @@
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// The checker's verdict.
+    /// Verdict on the history of the run.
     pub verdict: Verdict,
-    /// Kills.
+    /// Number of kills of instances.
     pub kills: usize,
-    /// Writes whose answer was lost, or which were aborted.
+    /// Writes that were aborted or whose answer was lost.
     pub writes_in_doubt: usize,
-    /// Of these, those whose fate was reported as *ran* or *never* ...
+    /// Writes in doubt whose fate query was answered with a fate.
     pub fates_reported: usize,
-    /// ... and those that were served when they were sent again.
+    /// Writes in doubt that were served when they were sent again.
     pub served_on_retry: usize,
-    /// Sessions that were notified that a failover had lost something.
+    /// Notifications of sessions that a failover had lost data that they had observed.
     pub losses_reported: usize,
 }
 
-/// What clients and the thread that kills share.
+/// State shared by the clients and the thread that kills instances.
 struct Shared {
+    /// Addresses of the instances.
     listen: Vec<SocketAddr>,
-    /// When each instance was killed.
+    /// Times of the kills of each instance.
     killed_ms: Vec<Mutex<Vec<i64>>>,
     is_over: AtomicBool,
 }
 
-/// A cluster with its instances.
+/// A cluster with discovery, and what instances of the router need to start on it.
 struct Deployment<'a> {
     plan: &'a Plan,
     build: &'a Build<'a>,
@@ -115,12 +133,12 @@
         });
         let discovery = Discovery::start(DiscoveryMode::Up, 1, Vec::new());
         let deployment = Deployment { plan, build, folder, discovery, cluster, served, shared };
-        deployment.list(2);
+        deployment.publish_list(FIRST_LIST_VERSION);
         Ok(deployment)
     }
 
-    /// Discovery gives the list as things are.
-    fn list(&self, version: i64) {
+    /// Publishes the current endpoint list in discovery.
+    fn publish_list(&self, version: i64) {
         let state = self.cluster.lock();
         let entry = |index: EndpointIndex| {
             let endpoint = &state.endpoints[index];
@@ -153,18 +171,19 @@
 
     fn start_clients(&self) -> Vec<JoinHandle<Session>> {
         let start = |index: usize| {
-            let seed = self.plan.seed.wrapping_mul(31).wrapping_add(index as u64);
+            let seed = self.plan.seed.wrapping_mul(CLIENT_SEED_FACTOR).wrapping_add(index as u64);
             let session = Session::new(seed, index, self.build.has_operator_file, self.shared.clone());
             thread::spawn(move || session.run())
         };
         (0..self.plan.clients).map(start).collect()
     }
 
-    /// Kills instances one after the other, each started again at once; half-way there is a failover.
+    /// Kills instances at random and restarts each one at once, with a failover halfway.
     fn kill_instances(&self, daemons: &mut [Option<Daemon>]) -> std::io::Result<()> {
         let mut rng = Mwc::new(self.plan.seed ^ SEED_FOR_KILLS);
         for kill in 0..self.plan.kills {
-            thread::sleep(Duration::from_millis(120 + rng.below(200) as u64));
+            let pause_ms = MIN_KILL_PAUSE_MS + rng.below(KILL_PAUSE_JITTER_MS) as u64;
+            thread::sleep(Duration::from_millis(pause_ms));
             if kill == self.plan.kills / 2 {
                 self.fail_over(&mut rng);
             }
@@ -176,7 +195,7 @@
         Ok(())
     }
 
-    /// The first replica of a group takes over, and lacks what the primary had beyond it.
+    /// Promotes the first replica of a group, which loses the log beyond the replica's position.
     fn fail_over(&self, rng: &mut Mwc) {
         let mut state = self.cluster.lock();
         let successor = 1 + rng.below(GROUPS.len()) * GROUP_SIZE;
@@ -184,7 +203,7 @@
         state.promote(successor, OldPrimary::Follows, forked_ms);
         drop(state);
         thread::sleep(Duration::from_millis(self.plan.discovery_delay_ms));
-        self.list(3);
+        self.publish_list(FAILOVER_LIST_VERSION);
     }
 }
 
@@ -198,10 +217,10 @@
     }
 }
 
-/// Runs a plan with a build.
+/// Runs a plan with a build of the daemon.
 ///
 /// # Errors
-/// A process cannot be started, a file not written, or a client panicked.
+/// A process cannot be started, a file cannot be written, or a client panicked.
 pub fn run_plan(plan: &Plan, build: &Build) -> std::io::Result<Outcome> {
     let deployment = Deployment::new(plan, build)?;
     let mut daemons: Vec<Option<Daemon>> = (0..plan.instances)
@@ -235,7 +254,7 @@
     }
 }
 
-/// One client with one session, which it takes along from instance to instance.
+/// A client with one session, which it carries from instance to instance.
 struct Session {
     shared: Arc<Shared>,
     has_token: bool,
@@ -249,14 +268,14 @@
     served_on_retry: usize,
 }
 
-/// A connection, the instance that it goes to and when it was opened.
+/// A connection to an instance, and when it was opened.
 struct Connection {
     client: Client,
     instance: usize,
     opened_ms: i64,
 }
 
-/// A write.
+/// A write in doubt.
 struct Write<'a> {
     id: &'a str,
     group: i64,
@@ -283,22 +302,23 @@
     fn run(mut self) -> Session {
         let mut connection = None;
         while !self.shared.is_over.load(Ordering::Acquire) {
-            if self.rng.below(4) == 0 {
+            if self.rng.below(MOVE_EVERY) == 0 {
                 connection = None;
             }
             let instance = self.rng.below(self.shared.listen.len());
-            let Some(present) = connection.take().or_else(|| self.open(instance)) else { continue };
-            connection = self.send_next(present);
-            thread::sleep(Duration::from_millis(2 + self.rng.below(10) as u64));
+            let Some(current) = connection.take().or_else(|| self.open(instance)) else { continue };
+            connection = self.send_next(current);
+            let pause_ms = MIN_REQUEST_PAUSE_MS + self.rng.below(REQUEST_PAUSE_JITTER_MS) as u64;
+            thread::sleep(Duration::from_millis(pause_ms));
         }
         self
     }
 
-    /// Sends one request; the connection, if it can be used further.
+    /// Sends one request. Returns the connection unless it has ended.
     fn send_next(&mut self, mut connection: Connection) -> Option<Connection> {
         self.serial += 1;
         let id = format!("{:x}.{:x}", self.index, self.serial);
-        let kind = [Kind::Read, Kind::Read, Kind::Read, Kind::Write, Kind::KeyedWrite][self.rng.below(5)];
+        let kind = KINDS[self.rng.below(KINDS.len())];
         let group = GROUPS[self.rng.below(GROUPS.len())];
         let answer = self.request(&mut connection, &id, group, kind);
         let is_in_doubt = matches!(answer, Answer::Missing | Answer::Aborted) && kind != Kind::Read;
@@ -336,8 +356,8 @@
         answer
     }
 
-    /// What became of a write: its client asks, or sends it again if duplicates are dropped, sometimes too late for that; always
-    /// where it sent it first.
+    /// Resolves a write in doubt at the instance that it was sent to: sends it again if it has an idempotency key, in some
+    /// cases after the deduplication window, and queries its fate.
     fn resolve_doubt(&mut self, instance: usize, write: &Write, origin: Option<String>) {
         let delay_ms = QUERY_DELAYS_MS[self.rng.below(QUERY_DELAYS_MS.len())];
         thread::sleep(Duration::from_millis(delay_ms));
--- a/test-servers/src/settings.rs
+++ b/test-servers/src/settings.rs
@@ -1,12 +1,13 @@
-//! Bootstrap settings of instances, and the slow start that they tell of.
+//! Bootstrap settings of instances, and the slow-start models that match them.
 
 use crate::cluster::{SlowStartModel, BOUND_MS};
 
-/// How long a group drops duplicates of a write with an idempotency key.
+const NANOS_PER_MILLI: i64 = 1_000_000;
+/// Deduplication window of writes with an idempotency key.
 pub const DEDUP_WINDOW_MS: i64 = 1_500;
-/// How long statements may still come after a drain was announced.
+/// Grace period after the announcement of a drain within which statements may still arrive.
 pub const DRAIN_GRACE_MS: i64 = 250;
-/// As the operators' deployments have it, with a shorter warm-up.
+/// Slow start as in the operators' deployments, but shorter.
 pub const SLOW_START: SlowStartModel = SlowStartModel {
     initial_fraction: 0.23,
     duration_ms: 8_000,
@@ -14,7 +15,7 @@
     window_ms: 2_000,
     work_ms: 4,
 };
-/// Endpoints that are warm from the start and cannot be overloaded.
+/// Endpoints with full capacity from the start that cannot be overloaded.
 pub const NO_SLOW_START: SlowStartModel = SlowStartModel {
     initial_fraction: 1.0,
     duration_ms: 1,
@@ -23,14 +24,14 @@
     work_ms: 1,
 };
 
-/// For a deployment of two instances.
+/// The settings section of a bootstrap file, in JSON, for a deployment of two instances.
 pub fn settings() -> String {
     settings_for(2)
 }
 
-/// For a deployment of so many instances.
+/// The settings section of a bootstrap file, in JSON, for a deployment of `instances`.
 pub fn settings_for(instances: usize) -> String {
-    let ms = |ms: i64| ms * 1_000_000;
+    let ms = |ms: i64| ms * NANOS_PER_MILLI;
     format!(
         r#"{{"nInstances":{instances},"zone":0,"azs":["a"],"resolutionNs":5000000,"membershipMode":"push",
         "classes":[{{"name":"read","aimNs":{},"deadlineNs":{},"effect":"read_like"}},
--- a/test-servers/src/single_endpoint.rs
+++ b/test-servers/src/single_endpoint.rs
@@ -1,4 +1,4 @@
-//! The smallest cluster: one group of one primary, with discovery that lists it and a folder.
+//! The smallest cluster: one group with one primary, a discovery service that lists it, and a temporary directory.
 
 use crate::cluster::{Branch, Cluster, EndpointModel, SlowStartModel};
 use crate::daemon::{Daemon, DaemonOptions};
@@ -9,20 +9,21 @@
 use std::path::Path;
 use std::sync::Arc;
 
+/// Memory limit in the bootstrap files of instances, in MB.
 const MEMORY_MB: usize = 256;
 
-/// The cluster.
+/// A cluster of one endpoint.
 pub struct SingleEndpoint {
-    /// A folder for what is started here.
+    /// Temporary directory for instances.
     pub folder: tempfile::TempDir,
-    /// The cluster itself.
+    /// Model of the cluster.
     pub cluster: Arc<Cluster>,
     discovery: Discovery,
     _served: ServedEndpoint,
 }
 
 impl SingleEndpoint {
-    /// Its endpoint takes so long for a statement.
+    /// Starts the cluster. The endpoint takes `work_ms` milliseconds for each statement.
     pub fn new(work_ms: i64) -> SingleEndpoint {
         let slow_start = SlowStartModel { work_ms, ..NO_SLOW_START };
         let cluster = Arc::new(Cluster::new(slow_start, DRAIN_GRACE_MS));
@@ -35,7 +36,7 @@
         SingleEndpoint { folder, cluster, discovery, _served: served }
     }
 
-    /// Starts an instance in a folder of its own, `state` in it, with so many descriptors.
+    /// Starts an instance in its own directory, which gets a subdirectory `state`, with a limit on file descriptors.
     pub fn start(
         &self,
         program: &Path,
