--- a/endpoint-cache/examples/sizes.rs
+++ b/endpoint-cache/examples/sizes.rs
@@ -1,13 +1,13 @@
-//! What saving and loading cost, by the number of endpoints: time, bytes, resident memory.
+//! Measures the cost of saving and loading by the number of endpoints: time, file size and resident memory.
 
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport};
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// Saves and loads of each list; the median is the middle one.
+/// Saves and loads of each list. An odd number, so that the median is a measured value.
 const ROUNDS: usize = 21;
 
-/// What one list of endpoints cost, over [`ROUNDS`] saves and loads.
+/// Costs of one list, measured over [`ROUNDS`] saves and loads.
 struct Costs {
     bytes: usize,
     median_save_ms: f64,
--- a/endpoint-cache/src/directory.rs
+++ b/endpoint-cache/src/directory.rs
@@ -1,4 +1,5 @@
-//! The directory: which file is which generation, the lock that keeps a second instance out, and the order of writes.
+//! Cache directory: the files of the generations, the lock against a second process, and the atomic replacement of
+//! files.
 
 use crate::encoding::{decode, encode, FileError, MAX_FILE_BYTES};
 use crate::CachedEndpointList;
@@ -7,33 +8,37 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
+/// File of the current generation.
 const CURRENT: &str = "list";
+/// File of the generation before the current one.
 const PREVIOUS: &str = "list.before";
+/// File of a generation that is being written.
 const NEXT: &str = "list.new";
+/// File whose lock a process holds while it uses the directory.
 const LOCK: &str = "lock";
 
-/// Why a directory, or a file in it, cannot be used.
+/// Why a cache directory or a file in it cannot be used.
 #[derive(Debug, Error)]
 pub enum CacheError {
-    /// The operating system failed.
+    /// An I/O operation failed.
     #[error("{}: {operation}: {error}", path.display())]
     Io {
-        /// What failed.
+        /// The failed operation.
         operation: &'static str,
-        /// With this file or directory.
+        /// The file or directory.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// Another instance holds the directory.
+    /// Another process holds the lock of the directory.
     #[error("{}: another process uses it", .0.display())]
     Locked(PathBuf),
-    /// A file does not count.
+    /// A file is invalid.
     #[error("{}: {error}", path.display())]
     File {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// Why it is invalid.
         error: FileError,
     },
 }
@@ -42,30 +47,31 @@
     move |error| CacheError::Io { operation, path: path.to_path_buf(), error }
 }
 
-/// What was found: the newest generation that counts, and what is wrong with any other.
+/// Result of reading a directory.
 #[derive(Debug, Default)]
 pub struct LoadedCache {
-    /// The list and its file.
+    /// The newest valid generation and its file, if there is one.
     pub list: Option<(CachedEndpointList, PathBuf)>,
-    /// Why other files do not count.
+    /// Errors of the other files.
     pub errors: Vec<CacheError>,
 }
 
-/// A directory that only this process writes to. The lock is released with it.
+/// A cache directory locked by this process. The lock is released on drop.
 #[derive(Debug)]
 pub struct CacheDirectory {
     path: PathBuf,
     _lock: File,
+    /// The last generation that was read or saved.
     generation: u64,
-    /// The current file counts: only then does it become the previous one.
+    /// Whether the current file is valid: only then may it replace the previous one.
     current_is_valid: bool,
 }
 
 impl CacheDirectory {
-    /// Locks the directory for this process; it must exist and be writable.
+    /// Locks an existing, writable directory and reads the cache.
     ///
     /// # Errors
-    /// It cannot be used.
+    /// The directory cannot be locked.
     pub fn open(path: &Path) -> Result<(CacheDirectory, LoadedCache), CacheError> {
         let lock = lock(path)?;
         let loaded = CacheDirectory::read(path);
@@ -77,10 +83,10 @@
         Ok((CacheDirectory { path, _lock: lock, generation, current_is_valid }, loaded))
     }
 
-    /// Reads without locking the directory.
+    /// Reads the cache without locking the directory.
     pub fn read(path: &Path) -> LoadedCache {
         let mut loaded = LoadedCache::default();
-        // A file that was synced and not renamed yet is as good as one in place.
+        // A complete file that was not renamed yet is as valid as one in place.
         for name in [CURRENT, NEXT, PREVIOUS] {
             let file = path.join(name);
             match CacheDirectory::read_file(&file) {
@@ -91,7 +97,7 @@
                         loaded.list = Some((list, file));
                     }
                 }
-                // A save that was cut off is an ordinary end of a process.
+                // A torn new file is expected after the process ended during a save.
                 Err(CacheError::File { error: FileError::Torn, .. }) if name == NEXT => {}
                 Err(error) => loaded.errors.push(error),
             }
@@ -99,10 +105,10 @@
         loaded
     }
 
-    /// Reads one file; none if it does not exist.
+    /// Reads one file. Returns `None` if it does not exist.
     ///
     /// # Errors
-    /// It does not count.
+    /// The file cannot be read or is invalid.
     pub fn read_file(path: &Path) -> Result<Option<CachedEndpointList>, CacheError> {
         let file = match File::open(path) {
             Ok(file) => file,
@@ -116,11 +122,11 @@
         list.map(Some).map_err(|error| CacheError::File { path: path.to_path_buf(), error })
     }
 
-    /// Writes the next generation; the bytes that it took. At any point of it the newest file on disk that counts is either
-    /// this one or the one before.
+    /// Saves a list as the next generation and returns the file size in bytes. After a crash at any point, the newest
+    /// valid file is either this generation or the previous one.
     ///
     /// # Errors
-    /// It was not written.
+    /// The list was not saved.
     pub fn save(&mut self, list: &mut CachedEndpointList) -> Result<usize, CacheError> {
         list.generation = self.generation + 1;
         let [current, previous, next] = [CURRENT, PREVIOUS, NEXT].map(|name| self.path.join(name));
--- a/endpoint-cache/src/encoding.rs
+++ b/endpoint-cache/src/encoding.rs
@@ -1,31 +1,33 @@
-//! One generation as bytes: a head line with name, format, length and checksum of what follows, then JSON.
+//! Encoding of a generation: a header line with magic, format, body length and CRC-32 checksum, then the body in JSON.
 
 use crate::CachedEndpointList;
 use thiserror::Error;
 
-/// Raised whenever an older program would misread a newer file.
+/// Format version. Increased whenever an older program would misread a newer file.
 pub const FORMAT: u32 = 1;
-/// Larger files are neither written nor read: about 60,000 endpoints.
+/// Maximum file size for writing and reading, enough for about 60,000 endpoints.
 pub const MAX_FILE_BYTES: usize = 16 << 20;
+/// First token of the header line.
 const MAGIC: &str = "gingerwick-list";
+/// Length of the checksum in hexadecimal digits.
 const CHECKSUM_DIGITS: usize = 8;
 
-/// Why a file does not count.
+/// Why a file is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FileError {
-    /// It is not a file of this program.
+    /// The file was not written by this program.
     #[error("no list of ours")]
     Foreign,
-    /// It was written by a newer program, in this format.
+    /// The file was written by a newer program, in this format version.
     #[error("of format {0}, newer than this program's {FORMAT}")]
     Newer(u32),
-    /// It is shorter or longer than it says, or has other bytes than were written.
+    /// The length or checksum in the header does not match the body.
     #[error("torn: its length or checksum does not fit")]
     Torn,
-    /// It is too large.
+    /// The file is larger than [`MAX_FILE_BYTES`].
     #[error("{0} bytes, more than the {MAX_FILE_BYTES} that are taken")]
     TooLarge(usize),
-    /// It is complete, and no list.
+    /// The file is complete, but the body is not a list.
     #[error("whole, but no list: {0}")]
     Malformed(String),
 }
@@ -33,7 +35,7 @@
 /// Encodes a generation.
 ///
 /// # Errors
-/// It is too large.
+/// The encoded list exceeds [`MAX_FILE_BYTES`] or cannot be represented in JSON.
 pub fn encode(list: &CachedEndpointList) -> Result<Vec<u8>, FileError> {
     let body = serde_json::to_vec(list).map_err(|error| FileError::Malformed(error.to_string()))?;
     let head = format!("{MAGIC} {FORMAT} {} {:08x}\n", body.len(), crc32fast::hash(&body));
@@ -47,12 +49,12 @@
 /// Decodes a generation.
 ///
 /// # Errors
-/// The file does not count.
+/// The file is invalid.
 pub fn decode(bytes: &[u8]) -> Result<CachedEndpointList, FileError> {
     if bytes.len() > MAX_FILE_BYTES {
         return Err(FileError::TooLarge(bytes.len()));
     }
-    // A prefix of our own head line is torn, not foreign.
+    // A prefix of a valid header line means a torn file, not a foreign one.
     let head = bytes.split(|&byte| byte == b'\n').next().unwrap_or_default();
     if !head.starts_with(MAGIC.as_bytes()) && !MAGIC.as_bytes().starts_with(head) {
         return Err(FileError::Foreign);
@@ -66,13 +68,14 @@
     }
     let [_, _, length, checksum] = tokens[..] else { return Err(FileError::Torn) };
     let body = body.ok_or(FileError::Torn)?;
-    if !fits(body, length, checksum) {
+    if !is_intact(body, length, checksum) {
         return Err(FileError::Torn);
     }
     serde_json::from_slice(body).map_err(|error| FileError::Malformed(error.to_string()))
 }
 
-fn fits(body: &[u8], length: &str, checksum: &str) -> bool {
+/// Whether the body has the length and checksum of the header.
+fn is_intact(body: &[u8], length: &str, checksum: &str) -> bool {
     length.parse() == Ok(body.len())
         && checksum.len() == CHECKSUM_DIGITS
         && u32::from_str_radix(checksum, 16) == Ok(crc32fast::hash(body))
--- a/endpoint-cache/src/lib.rs
+++ b/endpoint-cache/src/lib.rs
@@ -1,8 +1,9 @@
-//! The endpoint list, cached on disk over a restart. Storage only: how far it is trusted is decided elsewhere.
+//! Cache of the endpoint list on disk, for use after a restart. Storage only: the `recovery` package decides how far a
+//! cached list is trusted.
 //!
-//! A generation is one file, written whole beside the others, synced, and renamed into place; the one before stays until the
-//! next has done so. A file counts only if its head line, its length and its checksum fit. `docs/recovery.md` weighs this
-//! against embedded stores.
+//! A generation is one file. It is written completely under a temporary name, synced, and renamed into place; the
+//! previous generation is kept until the next one is in place. A file is valid only if its header line, length and
+//! checksum match. `docs/recovery.md` compares this with embedded key-value stores.
 
 #![warn(clippy::too_many_lines)]
 
@@ -14,62 +15,62 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Descriptors that a directory needs at most: its lock, the file that is written, the directory itself.
+/// Maximum number of file descriptors used by a directory: the lock, the file being written, and the directory itself.
 pub const DESCRIPTORS: usize = 3;
 
-/// All that is cached. Times are Unix milliseconds by the wall clock of the instance that wrote them.
+/// The cached data. Times are Unix milliseconds by the wall clock of the instance that wrote them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CachedEndpointList {
-    /// Rises by one with every save: which of two files is the newer, whatever the clocks said.
+    /// Increases by one with every save: orders files independently of the clock.
     pub generation: u64,
     /// Discovery's version of the list.
     #[serde(rename = "seq")]
     pub version: i64,
     /// When discovery last confirmed the list.
     pub confirmed_ms: i64,
-    /// When it was saved.
+    /// When this generation was saved.
     pub saved_ms: i64,
-    /// Its endpoints.
+    /// The listed endpoints.
     #[serde(rename = "stores")]
     pub endpoints: Vec<CachedEndpoint>,
 }
 
-/// An endpoint as the list had it, under discovery's own names.
+/// A cached endpoint, with field names as in discovery's format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CachedEndpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub host: String,
-    /// Its address.
+    /// Address of the endpoint.
     pub dial: String,
-    /// Its zone.
+    /// Zone of the endpoint.
     #[serde(default)]
     pub site: String,
-    /// Its group.
+    /// Number of its group.
     pub block: i64,
-    /// Whether it may be used.
+    /// Health status in the list, which decides whether it may be used.
     pub health: String,
-    /// Its last start, 0 if none is known.
+    /// Time of its last start in Unix milliseconds; 0 if unknown.
     #[serde(default)]
     pub born_ms: f64,
-    /// Its role: `off` for the primary, `on` for a replica.
+    /// Role in the list: `off` for the primary, `on` for a replica.
     #[serde(default)]
     pub recovery: String,
-    /// What it last reported.
+    /// The last report from the endpoint itself.
     #[serde(default, rename = "said", skip_serializing_if = "Option::is_none")]
     pub report: Option<CachedReport>,
 }
 
-/// What an endpoint itself last reported.
+/// The last report from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CachedReport {
-    /// It said that it is primary.
+    /// It reported to be primary.
     pub primary: bool,
-    /// Its position.
+    /// Its position (commit time).
     #[serde(default)]
     pub position_ms: Option<i64>,
-    /// The timeline of its log.
+    /// PostgreSQL timeline of its log.
     #[serde(default)]
     pub timeline: Option<u32>,
-    /// When.
+    /// When the report was received.
     pub at_ms: i64,
 }
