--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -1,4 +1,4 @@
-//! The judgement: what holds of each request by itself, of executions, and of what clients were told of writes.
+//! The check of a history: rules for single requests, executions and reported fates of writes.
 
 use crate::history::{
     includes, Answer, Execution, FateAnswer, History, Kind, LogPoint, RequestRecord, ShownValue, FATE_UNKNOWN,
@@ -6,20 +6,22 @@
 use crate::verdict::{Rule, Verdict};
 use std::collections::{HashMap, HashSet};
 
-/// What a client is told of a write that never ran, and never will.
+/// Reported fate of a write that was not executed and will never be.
 const FATE_NEVER: &str = "never";
-/// What a client is told of a write that is open.
+/// Reported fate of a write in flight.
 const FATE_UNDER_WAY: &str = "under way";
-/// What a client is told of a write that ran, with the position of its commit if that is known.
+/// Reported fate of an executed write, followed by its commit position if that is known.
 const FATE_RAN: &str = "ran";
 
+/// State of a check.
 pub(crate) struct Checker<'a> {
     pub history: &'a History,
+    /// Executions by the id of their request.
     executions: HashMap<&'a str, Vec<&'a Execution>>,
     pub verdict: Verdict,
 }
 
-/// Judges a history by all rules.
+/// Checks a history against all rules.
 pub fn check(history: &History) -> Verdict {
     let mut executions: HashMap<&str, Vec<&Execution>> = HashMap::new();
     for execution in &history.executions {
@@ -39,13 +41,13 @@
         self.executions.get(id).map_or(0, Vec::len)
     }
 
-    /// Executions on the log that goes on.
-    fn lasting_execution_count(&self, id: &str) -> usize {
-        let lasts = |execution: &&&Execution| {
+    /// Number of executions of a write that the live branch of the log includes.
+    fn live_execution_count(&self, id: &str) -> usize {
+        let is_live = |execution: &&&Execution| {
             let forks = self.history.forks_of(execution.group);
             includes(forks, LogPoint::newest(forks), execution.point)
         };
-        self.executions.get(id).into_iter().flatten().filter(lasts).count()
+        self.executions.get(id).into_iter().flatten().filter(is_live).count()
     }
 
     fn check_requests(&mut self) {
@@ -53,7 +55,7 @@
         let mut ids = HashSet::new();
         for record in history.without_session.iter().chain(history.sessions.iter().flatten()) {
             self.check_request(record);
-            // A write with a key may be sent again under its id; nothing else may.
+            // Only a write with an idempotency key may be sent again under its id.
             if !ids.insert(&record.id) && record.kind != Kind::KeyedWrite {
                 self.verdict.report(Rule::OneAnswer, &record.id, "is the id of two requests".into());
             }
@@ -67,7 +69,7 @@
         }
     }
 
-    /// What holds of a request by itself.
+    /// Checks the rules for a single request.
     fn check_request(&mut self, record: &RequestRecord) {
         self.verdict.requests += 1;
         self.check_one_answer_in_time(record);
@@ -93,15 +95,17 @@
 
     fn check_at_most_once(&mut self, record: &RequestRecord) {
         let id = &record.id;
-        // The group's memory of a key goes with the tail that a failover loses, as the first execution does.
+        // A failover that loses an execution also loses the group's record of its key, so only executions that the
+        // live branch includes count.
         let count = match record.kind {
-            Kind::KeyedWrite => self.lasting_execution_count(id),
+            Kind::KeyedWrite => self.live_execution_count(id),
             Kind::Read | Kind::Write => self.execution_count(id),
         };
         if count > 1 {
             self.verdict.report(Rule::AtMostOnce, id, format!("ran {count} times"));
         }
-        // That one with a key is rejected says nothing of the attempt before, and trying again is harmless.
+        // The rejection of a write with a key does not mean that an earlier attempt was not executed, and the client
+        // can safely retry it.
         let rejected = matches!(record.answer, Answer::Rejected(_)) && record.kind == Kind::Write;
         if rejected && self.execution_count(id) > 0 {
             self.verdict.report(Rule::AtMostOnce, id, "ran and was rejected".into());
@@ -129,9 +133,11 @@
         let is_wrong = match &fate.answer {
             Answer::Value(value) if value == FATE_NEVER => !points.is_empty(),
             Answer::Value(value) if value == FATE_UNDER_WAY => false,
-            Answer::Value(value) => !points.iter().any(|point| fits(value, *point, fate.answered_ms)),
+            Answer::Value(value) => {
+                !points.iter().any(|point| matches_execution(value, *point, fate.answered_ms))
+            }
             Answer::Error(code) => code != FATE_UNKNOWN,
-            // No answer, or that it cannot be told now: nothing was said of the write.
+            // No fate was reported.
             Answer::Rejected(_) | Answer::Aborted | Answer::Missing => false,
         };
         if is_wrong {
@@ -141,8 +147,8 @@
     }
 }
 
-/// Whether "it ran", with the position of its commit perhaps, is true of an execution.
-fn fits(reported: &str, point: LogPoint, answered_ms: i64) -> bool {
+/// Whether a reported fate of an executed write, with its commit position if present, is true for an execution.
+fn matches_execution(reported: &str, point: LogPoint, answered_ms: i64) -> bool {
     let Some(commit) = reported.strip_prefix(FATE_RAN).map(str::trim) else { return false };
     point.at_ms <= answered_ms && (commit.is_empty() || commit.parse() == Ok(point.at_ms))
 }
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -1,91 +1,91 @@
-//! What is recorded of a run: requests, executions, and where logs forked.
+//! Recorded history of a run: requests, executions, and forks of logs.
 
 use crate::verdict::Violation;
 use std::collections::BTreeMap;
 
-/// What kind of request it is.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A read of data that is no older than the bound.
+    /// A read with a bound on staleness.
     Read,
     /// A write that is not idempotent.
     Write,
-    /// A write with an idempotency key: its group drops duplicates for a while.
+    /// A write with an idempotency key: its group drops duplicates within the deduplication window.
     KeyedWrite,
 }
 
-/// What a client was answered.
+/// Answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A value.
+    /// The request succeeded with this value.
     Value(String),
-    /// It did not run, or may run again; when to come back, in milliseconds.
+    /// The request was rejected and may be retried, after the Retry-After time in milliseconds if given.
     Rejected(Option<i64>),
-    /// It may have run.
+    /// The request was aborted and may have been executed.
     Aborted,
     /// Another error, with this SQLSTATE.
     Error(String),
-    /// The connection ended without an answer, or none came in time.
+    /// No answer was received before the connection ended or the client's read timed out.
     Missing,
 }
 
-/// The SQLSTATE that a session is told once if a failover lost something that it saw.
+/// SQLSTATE reported once to a session if a failover lost data that the session had observed.
 pub const SESSION_LOST: &str = "ZG001";
-/// The SQLSTATE if what became of a write is not known.
+/// SQLSTATE reported if the fate of a write is not known.
 pub const FATE_UNKNOWN: &str = "40003";
 
-/// One request as its client saw it.
+/// A request as recorded by its client.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// Its group.
+    /// Number of the group that it was sent to.
     pub group: i64,
-    /// Its kind.
+    /// Kind of the request.
     pub kind: Kind,
     /// When it was sent.
     pub sent_ms: i64,
-    /// When its answer came.
+    /// When its answer was received.
     pub answered_ms: i64,
-    /// How long its client waits.
+    /// Timeout of the client.
     pub timeout_ms: i64,
-    /// Its answer.
+    /// The answer.
     pub answer: Answer,
-    /// Something came behind the answer that belongs to no request.
+    /// The answer was followed by another one that belongs to no request.
     pub surplus: bool,
-    /// Its router was killed while it was open: no answer is owed.
+    /// The router was killed while the request was open, so no answer is required.
     pub cut_off: bool,
 }
 
-/// A place on a group's log: which branch, and how far.
+/// A point on a group's log: a branch and a position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogPoint {
-    /// The branch: the first is 0, each failover begins another.
+    /// Index of the branch. The first one is 0, and each failover begins another.
     pub branch: usize,
-    /// How far.
+    /// Position on the branch, in Unix milliseconds.
     pub at_ms: i64,
 }
 
 impl LogPoint {
-    /// The present end of a log that has forked so often.
+    /// The current end of a log with these forks.
     pub fn newest(forks: &[i64]) -> LogPoint {
         LogPoint { branch: forks.len().saturating_sub(1), at_ms: i64::MAX }
     }
 }
 
-/// What a value shows of the endpoint that made it.
+/// The parsed value of an answer, which describes the state of the endpoint that created it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShownValue<'a> {
-    /// The request that it was made for.
+    /// Id of the request that it was created for.
     pub id: &'a str,
-    /// Up to when the endpoint's data is that of the log that goes on.
+    /// Up to when the endpoint's data is that of the live branch.
     pub consistent_until_ms: i64,
-    /// Where the endpoint was on the log.
+    /// The endpoint's point on the log.
     pub point: LogPoint,
 }
 
 impl ShownValue<'_> {
-    /// From `id consistent-until branch at`.
+    /// Parses `id consistent-until branch at`. Returns `None` if the value is malformed.
     pub fn parse(value: &str) -> Option<ShownValue<'_>> {
         let mut fields = value.split(' ');
         let id = fields.next()?;
@@ -96,61 +96,63 @@
     }
 }
 
-/// A write as an endpoint executed it.
+/// An execution of a write on an endpoint.
 #[derive(Clone, Debug)]
 pub struct Execution {
-    /// The id of its request.
+    /// Id of the request.
     pub id: String,
-    /// Its group.
+    /// Number of the group.
     pub group: i64,
-    /// Where it was committed.
+    /// Log point of the commit.
     pub point: LogPoint,
-    /// By the primary that the group had then.
+    /// The endpoint was the group's primary at that time.
     pub at_primary: bool,
 }
 
-/// What a client was told that asked what became of a write.
+/// The answer to a client's query for the fate of a write.
 #[derive(Clone, Debug)]
 pub struct FateAnswer {
-    /// The id of the write.
+    /// Id of the write.
     pub id: String,
-    /// When it was told.
+    /// When the answer was received.
     pub answered_ms: i64,
-    /// What it was told.
+    /// The answer.
     pub answer: Answer,
 }
 
-/// A run.
+/// History of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Requests of clients without sessions, in any order.
     pub without_session: Vec<RequestRecord>,
-    /// The requests of each session, each sent after the answer to the one before.
+    /// Requests of each session. Each request was sent after the answer to the previous one.
     pub sessions: Vec<Vec<RequestRecord>>,
-    /// What clients were told of writes.
+    /// Answers to queries for the fate of writes.
     pub fates: Vec<FateAnswer>,
-    /// What endpoints executed.
+    /// Executions of writes on endpoints.
     pub executions: Vec<Execution>,
-    /// By group, where each branch of the log left the one before it; the first did nowhere.
+    /// By group, the position at which each branch of the log forked from the previous one; 0 for the first branch.
     pub forks: BTreeMap<i64, Vec<i64>>,
-    /// Violations that endpoints have seen themselves.
+    /// Violations detected by the endpoints themselves.
     pub endpoint_violations: Vec<Violation>,
-    /// How old the data of a read may be when the read is sent.
+    /// Bound on the staleness of a read's data at the time the read is sent.
     pub bound_ms: i64,
-    /// Added to a client's timeout: how long a busy machine may take to wake the client's own thread.
+    /// Tolerance added to a client's timeout for the time until a busy machine schedules the client's thread.
     pub scheduling_slack_ms: i64,
-    /// Added to the bound, which counts from when the router sends: how long a request takes from its client to there.
+    /// Tolerance added to the bound on staleness for the time from the client to the router, since the bound applies
+    /// when the router forwards the read.
     pub network_slack_ms: i64,
 }
 
 impl History {
-    /// Where the log of a group forked.
+    /// Positions at which the branches of a group's log forked.
     pub fn forks_of(&self, group: i64) -> &[i64] {
         self.forks.get(&group).map_or(&[], Vec::as_slice)
     }
 }
 
-/// Whether what is at `shown` has all that was seen at `seen`: both up to there on what their branches share.
+/// Whether the log up to `shown` includes the log up to `seen`: `shown` is not earlier, and no fork between their
+/// branches is before `seen`.
 pub fn includes(forks: &[i64], shown: LogPoint, seen: LogPoint) -> bool {
     let (low, high) = (shown.branch.min(seen.branch), shown.branch.max(seen.branch));
     let first_fork = forks.get(low + 1..=high).into_iter().flatten().min();
--- a/history-checker/src/lib.rs
+++ b/history-checker/src/lib.rs
@@ -1,11 +1,11 @@
-//! Judges what clients sent and saw by what endpoints executed, and by where logs forked. It knows nothing of the router, and
-//! takes none of its words for anything.
+//! Checks a history of client requests against the executions on endpoints and the forks of logs. It is independent of
+//! the router and uses no data from it.
 //!
-//! - [`history`]: what was recorded
-//! - [`verdict`]: the rules, and what broke them
-//! - [`checker`]: the judgement
+//! - [`history`]: the recorded requests, executions and forks
+//! - [`verdict`]: the rules and their violations
+//! - [`checker`]: the check of a history
 //!
-//! Times are Unix milliseconds of one clock, that of the machine on which clients and endpoints ran.
+//! Times are Unix milliseconds of one clock: clients and endpoints run on the same machine.
 
 #![warn(clippy::too_many_lines)]
 
--- a/history-checker/src/session_checker.rs
+++ b/history-checker/src/session_checker.rs
@@ -1,18 +1,18 @@
-//! What holds of a session from one request to the next: the session guarantees of Terry et al. (*Session Guarantees for
-//! Weakly Consistent Replicated Data*, PDIS 1994), and that losses are reported.
+//! Rules for the sequence of a session's requests: the session guarantees of Terry et al. (*Session Guarantees for
+//! Weakly Consistent Replicated Data*, PDIS 1994), and that lost data is reported.
 
 use crate::checker::Checker;
 use crate::history::{includes, Answer, Kind, LogPoint, RequestRecord, ShownValue, SESSION_LOST};
 use crate::verdict::Rule;
 use std::collections::BTreeMap;
 
-/// What one session has seen of one group and was not told to be lost.
+/// Log points of one group that a session has observed and that were not reported as lost.
 #[derive(Default)]
 struct SessionView {
     written: Vec<LogPoint>,
     read: Vec<LogPoint>,
-    /// All of it, also what an answer that broke a rule left behind.
-    ever: Vec<LogPoint>,
+    /// All of them, including those before an answer that violated a guarantee.
+    observed: Vec<LogPoint>,
 }
 
 impl Checker<'_> {
@@ -35,29 +35,29 @@
 
     fn check_guarantees(&mut self, view: &mut SessionView, record: &RequestRecord, point: LogPoint) {
         let forks = self.history.forks_of(record.group);
-        let has_all = |seen: &[LogPoint]| seen.iter().all(|seen| includes(forks, point, *seen));
-        let (has_writes, has_reads) = (has_all(&view.written), has_all(&view.read));
+        let includes_all = |seen: &[LogPoint]| seen.iter().all(|seen| includes(forks, point, *seen));
+        let (has_writes, has_reads) = (includes_all(&view.written), includes_all(&view.read));
         let is_read = record.kind == Kind::Read;
         if !(has_writes && has_reads) {
-            // Reported once; the session goes on from what it was shown.
-            *view = SessionView { ever: std::mem::take(&mut view.ever), ..SessionView::default() };
+            // Each violation is reported once: further answers are compared with this one.
+            *view = SessionView { observed: std::mem::take(&mut view.observed), ..SessionView::default() };
         }
-        view.ever.push(point);
+        view.observed.push(point);
         let seen = if is_read { &mut view.read } else { &mut view.written };
         seen.push(point);
-        let broken = match (is_read, has_writes, has_reads) {
+        let violated = match (is_read, has_writes, has_reads) {
             (_, true, true) => return,
             (false, ..) => Rule::WritesFollowReads,
             (true, false, _) => Rule::ReadYourWrites,
             (true, true, false) => Rule::MonotonicReads,
         };
-        self.verdict.report(broken, &record.id, format!("was answered at {point:?}"));
+        self.verdict.report(violated, &record.id, format!("was answered at {point:?}"));
     }
 
     fn check_loss(&mut self, view: &SessionView, record: &RequestRecord) {
         let forks = self.history.forks_of(record.group);
         let newest = LogPoint::newest(forks);
-        if view.ever.iter().all(|seen| includes(forks, newest, *seen)) {
+        if view.observed.iter().all(|seen| includes(forks, newest, *seen)) {
             let detail = "was told of a loss that is none".into();
             self.verdict.report(Rule::LossReported, &record.id, detail);
         }
--- a/history-checker/src/verdict.rs
+++ b/history-checker/src/verdict.rs
@@ -1,72 +1,72 @@
-//! The rules, and what broke them.
+//! Rules for a history, and their violations.
 
 use std::collections::BTreeMap;
 
-/// A rule.
+/// A rule that a history must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request has one answer, with a value made for it.
+    /// Each request has exactly one answer, with a value created for it.
     OneAnswer,
-    /// It comes in time.
+    /// Answers are received within the client's timeout.
     InTime,
-    /// A write is executed at most once, and none that was executed is rejected.
+    /// A write is executed at most once, and an executed write is not rejected.
     AtMostOnce,
-    /// A read's data is no older than allowed.
+    /// The data of a read is not older than the bound on staleness.
     BoundedStaleness,
-    /// Writes are executed by their group's primary only.
+    /// Writes are executed only by the primary of their group.
     WritesAtPrimary,
-    /// A session's reads show its own writes.
+    /// A session's reads include its own writes.
     ReadYourWrites,
-    /// A session's reads show no less than those before.
+    /// A session's reads include everything that its earlier reads observed.
     MonotonicReads,
-    /// A session's write is on a log that has what the session saw.
+    /// A session's writes are on a log that includes everything that the session has observed.
     WritesFollowReads,
-    /// Sessions that saw what a failover lost are told so, and no others.
+    /// A loss is reported to sessions only if a failover lost data that they had observed.
     LossReported,
-    /// What is said of a write is so, and stays so.
+    /// The reported fate of a write is and remains correct.
     FateCorrect,
-    /// No endpoint in slow start gets more than it can take; endpoints see that themselves.
+    /// No endpoint in slow start is overloaded. Detected by the endpoints.
     SlowStart,
-    /// Nothing new comes after the grace of a drain; endpoints see that themselves.
+    /// No statement arrives at a draining endpoint after the grace period. Detected by the endpoints.
     DrainGrace,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// The id of the request, or the name of the endpoint.
+    /// Id of the request or name of the endpoint.
     pub subject: String,
-    /// What happened.
+    /// Description of the violation.
     pub detail: String,
 }
 
-/// What came of a run.
+/// Result of the check of one or more histories.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Requests.
+    /// Number of requests.
     pub requests: usize,
-    /// Requests that were answered by a value.
+    /// Number of requests that were answered with a value.
     pub succeeded: usize,
-    /// The rules that were broken.
+    /// All violations.
     pub violations: Vec<Violation>,
 }
 
 impl Verdict {
-    /// How often a rule was broken.
+    /// Number of violations of a rule.
     pub fn count(&self, rule: Rule) -> usize {
         self.violations.iter().filter(|violation| violation.rule == rule).count()
     }
 
-    /// Adds the verdict on another run.
+    /// Adds the verdict on another history.
     pub fn add(&mut self, other: Verdict) {
         self.requests += other.requests;
         self.succeeded += other.succeeded;
         self.violations.extend(other.violations);
     }
 
-    /// Each rule that was broken, with how often.
+    /// The violated rules with their numbers of violations.
     pub fn broken_rules(&self) -> BTreeMap<Rule, usize> {
         let mut counts = BTreeMap::new();
         self.violations.iter().for_each(|violation| *counts.entry(violation.rule).or_default() += 1);
