--- a/host-support/src/bootstrap_config.rs
+++ b/host-support/src/bootstrap_config.rs
@@ -1,23 +1,23 @@
-//! The bootstrap configuration of an instance, under the names of the operators' pages. Times are nanoseconds.
+//! Bootstrap configuration of an instance, with the key names of the operators' pages. Times are nanoseconds.
 
 use routing::time::TimeDelta;
 use serde::Deserialize;
 
-/// All that an instance is told about its deployment.
+/// The bootstrap configuration of an instance.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct BootstrapConfig {
-    /// Instances that route to the same endpoints.
+    /// Number of instances that route to the same endpoints.
     pub n_instances: u32,
     /// The methods of requests.
     pub classes: Vec<MethodConfig>,
-    /// How endpoint lists come: `push` or `ask`.
+    /// How endpoint lists are received: `push` from a local agent, or `ask` by polling.
     pub membership_mode: String,
-    /// Replication: what reads must see, and what endpoints check.
+    /// Replication: consistency of reads and the checks of endpoints.
     pub family_info: ReplicationConfig,
-    /// What the instance may do.
+    /// Permissions and limits of the instance.
     pub allowed: Allowances,
-    /// What load reports hold.
+    /// Fields of load reports.
     pub report: ReportConfig,
     /// The operators' rules.
     pub rules: Rules,
@@ -31,48 +31,49 @@
     pub azs: Vec<String>,
 }
 
-/// One method.
+/// Configuration of a method.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MethodConfig {
-    /// Its name.
+    /// Name of the method.
     #[serde(default)]
     pub name: String,
-    /// Its latency objective.
+    /// Latency objective.
     pub aim_ns: i64,
-    /// How long a client waits at most.
+    /// Timeout of clients.
     pub deadline_ns: i64,
     /// `read_like`, `idempotency_key` or `non_idempotent`.
     pub effect: String,
-    /// Who drops duplicates of a key: `all`, `cell` (the group) or another.
+    /// Where duplicates of a key are dropped: `all` groups, `cell` (the group), or another scope.
     #[serde(default)]
     pub key_scope: String,
-    /// The fraction of its value that a late answer has.
+    /// Value of a late answer as a fraction of that of an answer in time.
     #[serde(default)]
     pub late_value: f64,
-    /// How long duplicates of a key are dropped.
+    /// Deduplication window of idempotency keys.
     #[serde(default, rename = "memorySpanNs")]
     pub dedup_window_ns: i64,
-    /// The value of an answer in time.
+    /// Value of an answer in time.
     #[serde(default)]
     pub gain: f64,
 }
 
-/// Replication. Lists have one entry per method.
+/// Configuration of replication. Lists have one entry per method.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ReplicationConfig {
-    /// What an endpoint does with a read for which it is too stale: `off`, `reject` or `hold`.
+    /// How an endpoint handles a read that it is too stale for: `off` (serves it), `reject`, or `hold` until it has
+    /// caught up.
     pub guards: String,
-    /// Bounds on staleness.
+    /// Bounds on the staleness of reads.
     #[serde(default)]
     pub lag_allowed_ns: Vec<i64>,
-    /// `update`, `latest`, `own_writes`, `recent` or `loose`.
+    /// Access of each method: `update`, `latest`, `own_writes`, `recent` or `loose`.
     pub class_read: Vec<String>,
     /// `client` if clients carry the positions of their sessions.
     #[serde(default)]
     pub session_marks: String,
-    /// How long an endpoint that holds a read waits to catch up.
+    /// Maximum time that an endpoint holds a read to catch up.
     #[serde(default, rename = "patienceNs")]
     pub max_catch_up_wait_ns: i64,
     /// The origin of positions.
@@ -80,31 +81,31 @@
     pub counted_from_ns: i64,
 }
 
-/// What the instance may do.
+/// Permissions and limits of an instance.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Allowances {
-    /// Attempts per request at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     #[serde(default)]
     pub may_cancel: bool,
-    /// Endpoints may be asked for health reports.
+    /// Whether health checks may be sent to endpoints.
     #[serde(default)]
     pub probes: bool,
-    /// Clients may be told a Retry-After.
+    /// Whether rejected clients may be sent a Retry-After time.
     #[serde(default)]
     pub retry_after: bool,
-    /// The longest Retry-After that clients honour.
+    /// The longest Retry-After time that clients honour.
     #[serde(default)]
     pub max_retry_after_ns: i64,
-    /// Open requests at most.
+    /// Maximum number of open requests.
     #[serde(default = "default_max_open_requests")]
     pub most_held: usize,
-    /// The longest that connecting to an endpoint may take.
+    /// Timeout of connecting to an endpoint.
     #[serde(default = "default_dial_timeout_ns")]
     pub dial_timeout_ns: i64,
-    /// After this time an endpoint closes an idle connection.
+    /// Time after which an endpoint closes an idle connection.
     #[serde(default = "default_conn_idle_ns")]
     pub conn_idle_ns: i64,
 }
@@ -121,10 +122,10 @@
     30_000_000_000
 }
 
-/// What load reports hold.
+/// Format of load reports.
 #[derive(Deserialize)]
 pub struct ReportConfig {
-    /// The names of their fields, in order.
+    /// Names of the fields, in order.
     #[serde(default)]
     pub names: Vec<String>,
 }
@@ -133,22 +134,22 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Rules {
-    /// Without a poll for this long, changes to the endpoint list count as known.
+    /// Maximum time from one poll to the next: a change to the endpoint list counts as known after it.
     #[serde(default)]
     pub ask_within_ns: i64,
-    /// Fraction of its capacity that an endpoint has right after its start.
+    /// Slow-start fraction: the fraction of its capacity that an endpoint has right after its start.
     #[serde(default)]
     pub cold_from: f64,
     /// Time until a started endpoint has its full capacity.
     #[serde(default)]
     pub cold_ns: i64,
-    /// An endpoint in slow start collapses when it gets more than this multiple of its present capacity ...
+    /// An endpoint in slow start fails under a load of more than this multiple of its current capacity.
     #[serde(default)]
     pub fall_multiple: f64,
-    /// ... for this long.
+    /// Time for which that load must last.
     #[serde(default)]
     pub overload_for_ns: i64,
-    /// An endpoint that is no longer listed may still be used.
+    /// Whether an endpoint that is no longer listed may still be used.
     #[serde(default)]
     pub dropped_stay_open: bool,
     /// Attempts to a draining endpoint must cease within this time.
@@ -157,7 +158,7 @@
 }
 
 impl Rules {
-    /// Within which time attempts to a draining endpoint must cease, if that is set.
+    /// Grace period within which attempts to a draining endpoint must cease, if configured.
     pub fn drain_grace(&self) -> Option<TimeDelta> {
         Some(TimeDelta(self.stop_sending_within_ns)).filter(|grace| grace.0 > 0)
     }
--- a/host-support/src/id_interner.rs
+++ b/host-support/src/id_interner.rs
@@ -1,10 +1,10 @@
-//! Identifiers to dense indices and back.
+//! Mapping of identifiers to dense indices and back.
 
 use std::borrow::Borrow;
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Dense indices of identifiers, in the order in which they were first seen. An identifier keeps its index for good.
+/// Assigns dense indices to identifiers, in the order of their first use. The index of an identifier never changes.
 pub struct IdInterner<K> {
     indices: HashMap<K, usize>,
     ids: Vec<K>,
@@ -17,7 +17,7 @@
 }
 
 impl<K: Hash + Eq + Clone> IdInterner<K> {
-    /// The index of an identifier; a new one if it was not seen before.
+    /// Returns the index of an identifier, and assigns the next one if it has none.
     pub fn intern(&mut self, id: K) -> usize {
         if let Some(&index) = self.indices.get(&id) {
             return index;
@@ -28,7 +28,7 @@
         index
     }
 
-    /// The index of an identifier that was seen before.
+    /// The index of an identifier, if it has one.
     pub fn get<Q: Hash + Eq + ?Sized>(&self, id: &Q) -> Option<usize>
     where
         K: Borrow<Q>,
@@ -36,20 +36,20 @@
         self.indices.get(id).copied()
     }
 
-    /// Whether no identifier was seen.
+    /// Whether no index is assigned.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
 
-    /// Identifiers seen.
+    /// Number of assigned indices.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// The identifier of an index.
+    /// The identifier with this index.
     ///
     /// # Panics
-    /// No identifier has that index.
+    /// If the index is not assigned.
     pub fn id(&self, index: usize) -> &K {
         &self.ids[index]
     }
--- a/host-support/src/lib.rs
+++ b/host-support/src/lib.rs
@@ -1,9 +1,9 @@
-//! What every host of the routing policy needs, whatever its wire. No decision is made here.
+//! Support code for hosts of the routing policy, independent of their wire protocol. It makes no routing decisions.
 //!
-//! - [`bootstrap_config`]: the configuration that an instance is started with, as the operators' pages word it
-//! - [`routing_settings`]: the same, checked and converted to the policy's own settings
-//! - [`id_interner`]: identifiers to dense indices and back
-//! - [`request_registry`]: what a host keeps of each open request
+//! - [`bootstrap_config`]: the bootstrap configuration of an instance, with the key names of the operators' pages
+//! - [`routing_settings`]: its validation and conversion to the settings of the routing policy
+//! - [`id_interner`]: mapping of identifiers to dense indices and back
+//! - [`request_registry`]: data of open requests and the life cycle of their attempts
 
 #![warn(clippy::too_many_lines)]
 
--- a/host-support/src/request_registry.rs
+++ b/host-support/src/request_registry.rs
@@ -1,17 +1,20 @@
-//! Open requests: each is known until it is answered and its last attempt has ended.
+//! Registry of open requests. A request is registered until it is closed and its last attempt has ended.
 
 use routing::RequestId;
 use std::collections::HashMap;
 
 struct Entry<T> {
     value: T,
-    /// Attempts started.
+    /// Number of attempts started so far.
     attempts: u32,
+    /// Number of attempts in flight.
     in_flight: u32,
+    /// The request was answered, or its client has disconnected.
     closed: bool,
 }
 
-/// What a host keeps of each request. It is given back exactly once, when nothing more can come of the request.
+/// The host's data of each open request. It is returned exactly once, when the request is closed and no attempt is in
+/// flight.
 pub struct RequestRegistry<T> {
     entries: HashMap<RequestId, Entry<T>>,
 }
@@ -23,32 +26,32 @@
 }
 
 impl<T> RequestRegistry<T> {
-    /// Registers a request.
+    /// Registers a request with the host's data.
     pub fn insert(&mut self, request: RequestId, value: T) {
         self.entries.insert(request, Entry { value, attempts: 0, in_flight: 0, closed: false });
     }
 
-    /// What is kept of a request.
+    /// The data of a request, if it is registered.
     pub fn get(&self, request: RequestId) -> Option<&T> {
         self.entries.get(&request).map(|entry| &entry.value)
     }
 
-    /// What is kept of a request.
+    /// The mutable data of a request, if it is registered.
     pub fn get_mut(&mut self, request: RequestId) -> Option<&mut T> {
         self.entries.get_mut(&request).map(|entry| &mut entry.value)
     }
 
-    /// All requests that are open, or whose last attempt has not ended, in no order.
+    /// All registered requests, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (RequestId, &T)> {
         self.entries.iter().map(|(request, entry)| (*request, &entry.value))
     }
 
-    /// Whether its client still waits for an answer.
+    /// Whether the client is still waiting for an answer.
     pub fn is_open(&self, request: RequestId) -> bool {
         self.entries.get(&request).is_some_and(|entry| !entry.closed)
     }
 
-    /// Registers the start of an attempt; its number among those of the request, from 0.
+    /// Records the start of an attempt and returns its number within the request, from 0.
     pub fn start_attempt(&mut self, request: RequestId) -> u32 {
         let Some(entry) = self.entries.get_mut(&request) else { return 0 };
         let number = entry.attempts;
@@ -57,7 +60,8 @@
         number
     }
 
-    /// An attempt has ended; `closed` if its client needs no answer any more.
+    /// Records the end of an attempt. `closed` means that the client needs no further answer. Returns the data of the
+    /// request if it is removed.
     pub fn end_attempt(&mut self, request: RequestId, closed: bool) -> Option<T> {
         let entry = self.entries.get_mut(&request)?;
         entry.in_flight = entry.in_flight.saturating_sub(1);
@@ -65,7 +69,8 @@
         self.remove_if_over(request)
     }
 
-    /// The request was answered, or its client is gone.
+    /// Closes a request that was answered or whose client has disconnected. Returns the data of the request if it is
+    /// removed.
     pub fn close(&mut self, request: RequestId) -> Option<T> {
         self.entries.get_mut(&request)?.closed = true;
         self.remove_if_over(request)
@@ -79,12 +84,12 @@
         self.entries.remove(&request).map(|entry| entry.value)
     }
 
-    /// Requests registered.
+    /// Number of registered requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is registered.
+    /// Whether no request is registered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/host-support/src/routing_settings.rs
+++ b/host-support/src/routing_settings.rs
@@ -1,22 +1,22 @@
-//! The bootstrap configuration, checked and converted to the settings of the routing policy.
+//! Validation of the bootstrap configuration and its conversion to the settings of the routing policy.
 
 use crate::bootstrap_config::{BootstrapConfig, MethodConfig};
 use routing::time::TimeDelta;
 use routing::{Access, Idempotency, LagHandling, MethodSettings, RoutingSettings};
 use thiserror::Error;
 
-/// What is wrong with a bootstrap configuration. Each names the key at fault.
+/// Why a bootstrap configuration is invalid. Every error names the key.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A value must be above 0.
+    /// A value is not positive.
     #[error("{0}: must be above 0")]
     NotPositive(&'static str),
-    /// A value is not one of those that the key takes.
+    /// A value is not supported by its key.
     #[error("{key}: {value:?} is not known")]
     UnknownValue {
-        /// The key.
+        /// Key with the value.
         key: &'static str,
-        /// The value.
+        /// The unsupported value.
         value: String,
     },
     /// A list does not have one entry per method.
@@ -31,10 +31,10 @@
     SettingsError::UnknownValue { key, value: value.to_string() }
 }
 
-/// Converts a bootstrap configuration.
+/// Validates and converts a bootstrap configuration.
 ///
 /// # Errors
-/// The first thing that is wrong with it.
+/// The first error found.
 pub fn routing_settings(config: &BootstrapConfig) -> Result<RoutingSettings, SettingsError> {
     check_positive(config)?;
     let replication = &config.family_info;
@@ -108,7 +108,8 @@
         ("read_like", _) => Ok(Idempotency::Idempotent),
         ("idempotency_key", "all") => Ok(Idempotency::Keyed { all_groups: true, dedup_window }),
         ("idempotency_key", "cell") => Ok(Idempotency::Keyed { all_groups: false, dedup_window }),
-        // A zone that drops duplicates is no group of endpoints here: nobody is known to remember.
+        // Any other scope, such as a zone, is not a group of endpoints, so no endpoint can be relied on to drop
+        // duplicates.
         ("idempotency_key", _) => Ok(Idempotency::Keyed { all_groups: false, dedup_window: TimeDelta::ZERO }),
         ("non_idempotent", _) => Ok(Idempotency::NonIdempotent),
         (other, _) => Err(unknown("classes[].effect", other)),
