--- a/operator-config/src/client_class_line.rs
+++ b/operator-config/src/client_class_line.rs
@@ -1,4 +1,4 @@
-//! A line on one class of clients: `admit NAME`, then pairs of a property and its value.
+//! Parser of a client class: `admit NAME`, followed by pairs of a property and its value.
 
 use crate::error::{Problem, ValueError};
 use crate::values::{number, unreadable_item};
@@ -7,12 +7,15 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
+/// Upper bound of numbers of connections and requests, and of rates per second.
 const MAX_NUMBER: usize = 100_000;
 const MAX_WEIGHT: u32 = 1_000;
+/// Longest user name; the same limit as in PostgreSQL.
 const MAX_USER_BYTES: usize = 63;
+/// Longest name of a class.
 const MAX_NAME_BYTES: usize = 32;
 
-/// A property and how its value is taken.
+/// A property of a class and the function that parses and sets its value.
 struct Property {
     name: &'static str,
     set: fn(&mut ClientClass, &str) -> Result<(), ValueError>,
@@ -68,23 +71,24 @@
     }),
 ];
 
-/// A network, or a single address.
+/// Parses a network or a single address.
 fn network(value: &str) -> Result<IpNet, ValueError> {
     let network = value.parse().or_else(|_| value.parse::<IpAddr>().map(IpNet::from));
     network.map_err(|error| unreadable_item(value, error))
 }
 
+/// Parses a user name.
 fn user(value: &str) -> Result<Arc<str>, ValueError> {
-    let fits = (1..=MAX_USER_BYTES).contains(&value.len()) && !value.contains(char::is_control);
-    fits.then(|| value.into()).ok_or_else(|| ValueError::BadUser(value.to_string()))
+    let is_valid = (1..=MAX_USER_BYTES).contains(&value.len()) && !value.contains(char::is_control);
+    is_valid.then(|| value.into()).ok_or_else(|| ValueError::BadUser(value.to_string()))
 }
 
 fn is_class_name(name: &str) -> bool {
-    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
-    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_plain)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_allowed)
 }
 
-/// Reads what stands behind the keyword.
+/// Parses the values after the keyword.
 pub fn parse_class(values: &[String]) -> Result<ClientClass, Problem> {
     let (name, pairs) = values.split_first().ok_or(Problem::NoClassName)?;
     if !is_class_name(name) {
--- a/operator-config/src/error.rs
+++ b/operator-config/src/error.rs
@@ -1,18 +1,18 @@
-//! What can be wrong with an operators' file.
+//! Errors of an operators' file.
 
 use crate::tokens::QuoteError;
 use admission::ClassError;
 use std::fmt;
 use thiserror::Error;
 
-/// What is wrong with one line.
+/// An error in a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The line, from 1.
+    /// Number of the line, from 1.
     pub line: usize,
-    /// Its keyword; empty if it could not be read.
+    /// Keyword of the line; empty if the line could not be split into tokens.
     pub keyword: String,
-    /// What is wrong.
+    /// Why the line is invalid.
     pub problem: Problem,
 }
 
@@ -29,102 +29,102 @@
 
 impl std::error::Error for ConfigError {}
 
-/// What is wrong with a line.
+/// Why a line is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Problem {
-    /// Its words cannot be told apart.
+    /// The line cannot be split into tokens.
     #[error(transparent)]
     Quotes(#[from] QuoteError),
-    /// Its keyword is not known, and not like any that is.
+    /// The keyword is unknown and not similar to a known one.
     #[error("is no keyword")]
     UnknownKeyword,
-    /// Its keyword is not known, and is like this one.
+    /// The keyword is unknown and similar to this one.
     #[error("is no keyword; is {0} meant?")]
     MisspeltKeyword(&'static str),
-    /// Its keyword stands on this line before.
+    /// The keyword was already used on this line.
     #[error("stands on line {0} already")]
     Repeated(usize),
-    /// It does not have one value.
+    /// The line has this number of values instead of one.
     #[error("takes one value, not {0}")]
     ValueCount(usize),
-    /// Its value is wrong.
+    /// The value is invalid.
     #[error(transparent)]
     Value(#[from] ValueError),
-    /// It does not name a class of clients.
+    /// The name of a client class is missing.
     #[error("names no class")]
     NoClassName,
-    /// The name of a class is none.
+    /// The name of a client class is invalid.
     #[error("{0:?} is no name of 1 to 32 letters, digits, - and _")]
     BadClassName(String),
-    /// A property of a class has no value.
+    /// A property of a client class has no value.
     #[error("{0} has no value")]
     MissingValue(String),
-    /// A property of a class is not known.
+    /// A property of a client class is unknown.
     #[error("{name:?} is none of {known}")]
     UnknownProperty {
-        /// The word.
+        /// The unknown property.
         name: String,
-        /// The properties that are known.
+        /// The known properties, separated by commas.
         known: String,
     },
-    /// A property of a class stands there twice.
+    /// A property of a client class is repeated.
     #[error("{0} stands there twice")]
     RepeatedProperty(&'static str),
-    /// The value of a property of a class is wrong.
+    /// The value of a property of a client class is invalid.
     #[error("{property}: {error}")]
     Property {
         /// The property.
         property: &'static str,
-        /// What is wrong with its value.
+        /// Why its value is invalid.
         error: ValueError,
     },
-    /// Classes contradict each other.
+    /// The client classes are inconsistent with each other.
     #[error(transparent)]
     Classes(#[from] ClassError),
 }
 
-/// What is wrong with a value.
+/// Why a value is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ValueError {
-    /// It is not an absolute path.
+    /// The path is not absolute.
     #[error("{0:?} is not an absolute path")]
     NotAbsolute(String),
-    /// It is not within its bounds.
+    /// The value is out of range.
     #[error("{value:?} is not between {least} and {most}")]
     OutOfRange {
         /// The value.
         value: String,
-        /// The least.
+        /// Lower bound.
         least: String,
-        /// The most.
+        /// Upper bound.
         most: String,
     },
-    /// It cannot be read.
+    /// The value cannot be parsed.
     #[error("{value:?}: {reason}")]
     Unreadable {
         /// The value.
         value: String,
-        /// Why not.
+        /// Error of the parser.
         reason: String,
     },
-    /// It is not one of the words that are known.
+    /// The value is not one of the allowed words.
     #[error("{value:?} is none of {known}")]
     NotOneOf {
         /// The value.
         value: String,
-        /// The words.
+        /// The allowed words, separated by commas.
         known: String,
     },
-    /// It is not a percentage.
+    /// The value is not a percentage.
     #[error("{0:?} is no part, as 10% is")]
     NotAPercentage(String),
-    /// It is not the name of a user.
+    /// The value is not a valid user name.
     #[error("{0:?} is no name of 1 to 63 bytes")]
     BadUser(String),
-    /// A burst stands without a rate before it.
+    /// A burst is not preceded by a rate.
     #[error("a burst stands behind its rate")]
     BurstWithoutRate,
-    /// A weight is too large.
+    /// A weight exceeds its maximum.
     #[error("is over 1000")]
     WeightTooLarge,
 }
--- a/operator-config/src/keywords.rs
+++ b/operator-config/src/keywords.rs
@@ -1,11 +1,11 @@
-//! The keywords with one value.
+//! Keywords with one value.
 
 use crate::error::ValueError;
 use crate::settings::{EndpointIdentity, JournalMode, LogFormat, OperatorSettings};
 use crate::values::{duration, number, one_of, path, percentage, size};
 use bytesize::ByteSize;
 
-/// A keyword and how its value is taken.
+/// A keyword and the function that parses and sets its value.
 pub struct Keyword {
     pub name: &'static str,
     pub set: fn(&mut OperatorSettings, &str) -> Result<(), ValueError>,
@@ -18,9 +18,9 @@
     Keyword { name, set }
 }
 
-/// Stores a value that was taken from the operators' file, or passes on why it could not be taken.
-fn store<T>(field: &mut T, taken: Result<T, ValueError>) -> Result<(), ValueError> {
-    *field = taken?;
+/// Sets a field to a parsed value, or returns the parser's error.
+fn store<T>(field: &mut T, parsed: Result<T, ValueError>) -> Result<(), ValueError> {
+    *field = parsed?;
     Ok(())
 }
 
--- a/operator-config/src/lib.rs
+++ b/operator-config/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' file: a keyword and its values on each line, `#` begins a comment, quotes keep blanks. Free of I/O: text in,
-//! settings out, or everything that is wrong with their lines.
+//! Parser of the operators' file: a keyword and its values on each line, `#` begins a comment, quoted values may
+//! contain blanks. No I/O: converts the text to settings or to a list of all errors.
 
 #![warn(clippy::too_many_lines)]
 
--- a/operator-config/src/parser.rs
+++ b/operator-config/src/parser.rs
@@ -1,4 +1,4 @@
-//! Reads a whole file, and collects everything that is wrong with it.
+//! Parser of a whole file, which collects all errors.
 
 use crate::client_class_line::parse_class;
 use crate::error::{ConfigError, Problem};
@@ -6,19 +6,19 @@
 use crate::settings::OperatorSettings;
 use crate::tokens::split;
 
-/// May stand on many lines, one for each class.
+/// Keyword of a client class; may be repeated, once for each class.
 const CLASS_KEYWORD: &str = "admit";
-/// A word that differs from a keyword in no more letters is taken to be misspelt.
+/// Maximum edit distance, in letters, of an unknown word to the keyword that is suggested for it.
 const MAX_MISSPELT_LETTERS: usize = 3;
 
-/// Reads the text of a file.
+/// Parses the text of an operators' file.
 ///
 /// # Errors
-/// Everything that is wrong with it.
+/// All errors in the file, in the order of the lines.
 pub fn parse(text: &str) -> Result<OperatorSettings, Vec<ConfigError>> {
     let mut parser = Parser::default();
     for (index, line) in text.lines().enumerate() {
-        parser.take_line(index + 1, line);
+        parser.parse_line(index + 1, line);
     }
     parser.finish()
 }
@@ -27,30 +27,31 @@
 struct Parser {
     settings: OperatorSettings,
     errors: Vec<ConfigError>,
-    /// Keywords with one value, and where each stands.
+    /// Keywords with one value that were used so far, with their lines.
     seen: Vec<(&'static str, usize)>,
+    /// Line of the last client class: errors of the set of classes are reported there.
     last_class_line: usize,
 }
 
 impl Parser {
-    fn take_line(&mut self, line: usize, text: &str) {
+    fn parse_line(&mut self, line: usize, text: &str) {
         let tokens = match split(text) {
             Ok(tokens) => tokens,
             Err(error) => return self.fail(line, "", error.into()),
         };
         let Some((keyword, values)) = tokens.split_first() else { return };
-        let taken = if keyword == CLASS_KEYWORD {
+        let result = if keyword == CLASS_KEYWORD {
             self.last_class_line = line;
-            self.take_class(values)
+            self.add_class(values)
         } else {
             self.apply_keyword(line, keyword, values)
         };
-        if let Err(problem) = taken {
+        if let Err(problem) = result {
             self.fail(line, keyword, problem);
         }
     }
 
-    fn take_class(&mut self, values: &[String]) -> Result<(), Problem> {
+    fn add_class(&mut self, values: &[String]) -> Result<(), Problem> {
         self.settings.client_classes.push(parse_class(values)?);
         Ok(())
     }
@@ -71,9 +72,9 @@
     }
 
     fn finish(mut self) -> Result<OperatorSettings, Vec<ConfigError>> {
-        // How much capacity there is only a start knows; what classes contradict each other in shows here.
-        let classes = admission::client_class::validate(&self.settings.client_classes, usize::MAX);
-        for error in classes {
+        // The capacity is only known at the start of the server, which validates the classes against it.
+        let class_errors = admission::client_class::validate(&self.settings.client_classes, usize::MAX);
+        for error in class_errors {
             self.fail(self.last_class_line, CLASS_KEYWORD, error.into());
         }
         if self.errors.is_empty() {
--- a/operator-config/src/settings.rs
+++ b/operator-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! What operators can set, and the defaults.
+//! Settings of the operators' file and their defaults.
 
 use admission::concurrency_limiter::ConcurrencyLimits;
 use admission::{AddressPrefixes, ClientClass};
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The form of the log.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
     /// Lines of text.
@@ -16,70 +16,74 @@
     Json,
 }
 
-/// How an endpoint says who it is.
+/// How endpoints report their identity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointIdentity {
-    /// It cannot.
+    /// Endpoints do not report their identity.
     #[default]
     None,
-    /// By PostgreSQL's own functions, see `docs/recovery.md`.
+    /// By PostgreSQL's built-in functions, see `docs/recovery.md`.
     Postgres,
 }
 
-/// Whether writes are recorded, and how far a record must have come before a write is sent.
+/// Whether writes are recorded in the write journal, and how durable a record must be before its write is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum JournalMode {
-    /// They are not.
+    /// Writes are not recorded.
     #[default]
     Off,
-    /// With the operating system: it survives the process.
+    /// Written to the operating system: survives a crash of the process.
     System,
-    /// On the disk: it survives the machine.
+    /// Synced to disk: survives a crash of the machine.
     Disk,
 }
 
-/// All settings. Each is off or at its default if no line names it.
+/// All settings. A setting without a line in the file is off or has its default value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorSettings {
-    /// `state-dir`: where the endpoint list is cached over a restart; none: it is not.
+    /// `state-dir`: directory of the endpoint cache and the write journal. Without it the endpoint list is not cached.
     pub state_dir: Option<PathBuf>,
-    /// `save-gap`: between two saves of the list, at least. 100 ms to an hour.
+    /// `save-gap`: minimum interval between two saves of the endpoint list. 100 ms to an hour.
     pub save_interval: Duration,
-    /// `store-identity`.
+    /// `store-identity`: how endpoints report their identity.
     pub endpoint_identity: EndpointIdentity,
-    /// `session-keys`: the keys that authenticate session tokens; none: there are no tokens.
+    /// `session-keys`: file of the keys that authenticate session tokens; `None` disables tokens.
     pub session_keys: Option<PathBuf>,
-    /// `session-lasts`: how long a token is valid. 1 s to 30 days.
+    /// `session-lasts`: lifetime of session tokens. 1 s to 30 days.
     pub session_lifetime: Duration,
-    /// `write-journal`: it is in the state directory.
+    /// `write-journal`: mode of the write journal in the state directory.
     pub journal_mode: JournalMode,
-    /// `write-journal-keeps`: how long a record is kept. A minute to 30 days.
+    /// `write-journal-keeps`: maximum age of journal records. A minute to 30 days.
     pub journal_max_age: Duration,
-    /// `write-journal-most`: records that are kept. 1,000 to 100 million.
+    /// `write-journal-most`: maximum number of journal records. 1,000 to 100 million.
     pub journal_max_records: u64,
-    /// `admit`: classes of clients, by which connections are admitted; none: whoever comes is, while there is capacity.
+    /// `admit`: client classes. If empty, every connection is admitted while there is capacity.
     pub client_classes: Vec<ClientClass>,
-    /// `admit-prefix-4`, `admit-prefix-6`: how many bits of an address identify a client. 8 to 32, and 16 to 64.
+    /// `admit-prefix-4`, `admit-prefix-6`: prefix lengths in bits by which addresses identify a client. 8 to 32 for
+    /// IPv4, 16 to 64 for IPv6.
     pub address_prefixes: AddressPrefixes,
-    /// `rpcs-at-once`: requests in flight. 1 to 100,000; none: there is no limit.
+    /// `rpcs-at-once`: maximum requests in flight. 1 to 100,000; `None` means no limit.
     pub max_requests_in_flight: Option<usize>,
-    /// `rpcs-waiting`: requests that wait at most. 0 to 100,000; none: four times those in flight.
+    /// `rpcs-waiting`: maximum waiting requests. 0 to 100,000; `None` means four times the maximum in flight.
     pub max_requests_waiting: Option<usize>,
-    /// `rpcs-target`: how long a request may wait whose client's requests have waited without a break. 1 ms to 1 s.
+    /// `rpcs-target`: maximum wait of a request whose client has a standing queue. 1 ms to 1 s.
     pub target_wait: Duration,
-    /// `repeats`: clients' retries per hundred first attempts. 0 to 100; none: they have no budget.
+    /// `repeats`: allowed client retries as a percentage of first attempts. 0 to 100; `None` disables the retry
+    /// budget.
     pub retry_percent: Option<u32>,
-    /// `operators-socket`: where operators ask what the server does; none: they cannot.
+    /// `operators-socket`: path of the admin socket; `None` disables it.
     pub admin_socket: Option<PathBuf>,
-    /// `log-format`.
+    /// `log-format`: format of the log.
     pub log_format: LogFormat,
     /// `log-level`: `error`, `warn`, `info` or `debug`.
     pub log_level: String,
-    /// `log-buffer`: bytes of the log that wait for the writer at most. 4 kB to 16 MB.
+    /// `log-buffer`: maximum size in bytes of the buffer between the log and its writer. 4 kB to 16 MB.
     pub log_buffer: usize,
 }
 
+/// Limit of requests in flight if only other limits on requests are configured: the largest allowed value.
 const DEFAULT_MAX_REQUESTS_IN_FLIGHT: usize = 100_000;
+/// Default ratio of the maximum of waiting requests to the maximum in flight.
 const WAITING_PER_IN_FLIGHT: usize = 4;
 
 impl Default for OperatorSettings {
@@ -108,7 +112,7 @@
 }
 
 impl OperatorSettings {
-    /// The limits on requests, if there are any.
+    /// The limits on requests, if any is configured.
     pub fn concurrency_limits(&self) -> Option<ConcurrencyLimits> {
         let class_limited = self.client_classes.iter().any(|class| class.max_requests.is_some());
         if self.max_requests_in_flight.is_none() && self.retry_percent.is_none() && !class_limited {
@@ -123,7 +127,7 @@
         })
     }
 
-    /// The keywords in which newer settings differ and which only a start can apply.
+    /// Keywords whose values differ in `newer` and that take effect only after a restart.
     pub fn changed_keywords(&self, newer: &OperatorSettings) -> Vec<&'static str> {
         let changes = [
             ("state-dir", self.state_dir != newer.state_dir),
@@ -133,7 +137,8 @@
             ("write-journal", self.journal_mode != newer.journal_mode),
             ("write-journal-keeps", self.journal_max_age != newer.journal_max_age),
             ("write-journal-most", self.journal_max_records != newer.journal_max_records),
-            // Classes apply from a SIGHUP on; whether there are any decides how descriptors are divided.
+            // Classes can be reloaded by SIGHUP, but whether there are any determines the division of file
+            // descriptors.
             ("admit", self.client_classes.is_empty() != newer.client_classes.is_empty()),
             ("operators-socket", self.admin_socket != newer.admin_socket),
             ("log-format", self.log_format != newer.log_format),
--- a/operator-config/src/tokens.rs
+++ b/operator-config/src/tokens.rs
@@ -1,4 +1,4 @@
-//! Splitting a line of the operators' file into tokens.
+//! Tokenizer for a line of the operators' file.
 
 use std::iter::Peekable;
 use std::str::Chars;
@@ -7,16 +7,16 @@
 /// Why a line cannot be split into tokens.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum QuoteError {
-    /// A backslash in quotes stands before anything else.
+    /// A backslash within quotes is followed by a character other than a quote or a backslash.
     #[error("in quotes a \\ stands before a quote or another \\ only")]
     BadEscape,
     /// A quote is not closed.
     #[error("a quote is not closed")]
     Unclosed,
-    /// Something stands right behind a closing quote.
+    /// A closing quote is followed by a character other than a blank or `#`.
     #[error("a blank must stand behind a closing quote")]
     NoBlankBehind,
-    /// A quote stands within a token.
+    /// A quote begins within a token.
     #[error("a quote may only stand at the beginning of a word")]
     WithinToken,
 }
