--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -2,10 +2,10 @@
 //! work is spent on them.
 //!
 //! Below the limit every request is admitted. At the limit, classes share the capacity in proportion to their weights
-//! and the clients of a class share it equally; unused shares are redistributed. Queueing time is bounded by controlled
-//! delay (CoDel) as in Maurer, *Fail at Scale* (ACM Queue 13:8, 2015), applied per client: a request may wait up to
-//! [`INTERVAL`], but only up to the target wait once its client's queue has not been empty for [`INTERVAL`].
-//! So a short burst is worked off, while a standing queue is kept short.
+//! and the clients of a class share it equally; unused shares are redistributed. Queueing time is bounded by
+//! controlled delay (CoDel) as in Maurer, *Fail at Scale* (ACM Queue 13:8, 2015), applied per client: a request may
+//! wait up to [`INTERVAL`], but only up to the target wait once its client's queue has not been empty for
+//! [`INTERVAL`]. So a short burst is worked off, while a standing queue is kept short.
 
 mod arrival_table;
 mod fair_queue;
--- a/recovery/src/endpoint_state.rs
+++ b/recovery/src/endpoint_state.rs
@@ -76,8 +76,8 @@
     !removed(state) && !identified(state)
 }
 
-/// The first rule that matches applies. An identified endpoint that stops answering is not withdrawn, since the routing
-/// policy ejects it; only an endpoint with a wrong identity or one that is no longer listed is withdrawn.
+/// The first rule that matches applies. An identified endpoint that stops answering is not withdrawn, since the
+/// routing policy ejects it; only an endpoint with a wrong identity or one that is no longer listed is withdrawn.
 const RULES: &[Rule] = &[
     (removed, EndpointEvent::Listed, EndpointState::NotAnswered, Effect::Nothing),
     (removed, EndpointEvent::Unlisted, EndpointState::Removed, Effect::Nothing),
@@ -125,8 +125,8 @@
     pub state: EndpointState,
     /// Its last report.
     pub report: RoleReport,
-    /// The first position that it reported as a primary on the current timeline. A member that has passed this position
-    /// received that part of the log from this endpoint.
+    /// The first position that it reported as a primary on the current timeline. A member that has passed this
+    /// position received that part of the log from this endpoint.
     pub first_primary_position: Option<Timestamp>,
     /// Consecutive answers in which it claimed to be primary.
     pub consecutive_claims: u32,
--- a/recovery/src/group_state.rs
+++ b/recovery/src/group_state.rs
@@ -109,8 +109,8 @@
     }
 }
 
-/// The transition on an event. If the only claim is that of the verified member, that member remains verified; if it is
-/// that of another member, no member is eligible until the new claimant is verified.
+/// The transition on an event. If the only claim is that of the verified member, that member remains verified; if it
+/// is that of another member, no member is eligible until the new claimant is verified.
 pub fn next(state: GroupState, event: GroupEvent) -> Transition {
     let Some(rule) = RULES.iter().find(|rule| (rule.from)(state) && (rule.on)(event)) else {
         return Transition { state, eligibility_changed: false };
--- a/recovery/src/query_schedule.rs
+++ b/recovery/src/query_schedule.rs
@@ -42,8 +42,8 @@
         self.other.clear();
     }
 
-    /// When the next query can start, with at most `max_in_flight` concurrent queries. `None` if none is scheduled or the
-    /// limit is reached.
+    /// When the next query can start, with at most `max_in_flight` concurrent queries. `None` if none is scheduled or
+    /// the limit is reached.
     pub fn due(&self, max_in_flight: usize) -> Option<Timestamp> {
         let first = self.urgent.first().into_iter().chain(self.other.first()).map(|query| query.0).min()?;
         let next_burst = if self.started_in_burst < max_in_flight {
--- a/recovery/src/staleness.rs
+++ b/recovery/src/staleness.rs
@@ -99,9 +99,9 @@
     pub saved: Timestamp,
 }
 
-/// Returns the level for a list at the wall-clock time `now`. `latest_report` is the latest position that any endpoint has
-/// reported since this start: it reveals the true age if the local clock was set back. Without `times` the age is
-/// unknown.
+/// Returns the level for a list at the wall-clock time `now`. `latest_report` is the latest position that any
+/// endpoint has reported since this start: it reveals the true age if the local clock was set back. Without `times`
+/// the age is unknown.
 pub fn verification_level(
     times: Option<CacheTimes>,
     now: Timestamp,
--- a/recovery/src/watch_schedule.rs
+++ b/recovery/src/watch_schedule.rs
@@ -1,15 +1,16 @@
 //! Timeouts and reconnection backoff of the watch on discovery.
 //!
-//! A change that a broken watch does not deliver must be known within 6 s of the last event. Discovery sends an empty line
-//! every 2 s as a heartbeat. A watch is closed after 3 s of silence, which tolerates a heartbeat that is 1 s late, and
-//! leaves 3 s to open the next one, including two attempts that time out. Pushed lists come from an agent on this
-//! machine, which replies at once; its list counts as known whether or not a watch is open. So the pause between watches
-//! may not exceed half of the grace period after which no attempts may be sent to a draining endpoint.
+//! A change that a broken watch does not deliver must be known within 6 s of the last event. Discovery sends an empty
+//! line every 2 s as a heartbeat. A watch is closed after 3 s of silence, which tolerates a heartbeat that is 1 s
+//! late, and leaves 3 s to open the next one, including two attempts that time out. Pushed lists come from an agent
+//! on this machine, which replies at once; its list counts as known whether or not a watch is open. So the pause
+//! between watches may not exceed half of the grace period after which no attempts may be sent to a draining
+//! endpoint.
 
 use routing::time::{TimeDelta, Timestamp};
 
-/// Maximum time between two events, an event being a complete list or an empty line. Bytes of an incomplete event do not
-/// count.
+/// Maximum time between two events, an event being a complete list or an empty line. Bytes of an incomplete event do
+/// not count.
 const MAX_SILENCE: TimeDelta = TimeDelta::from_millis(3_000);
 /// Timeout of opening a connection, and of the start of a local agent's response.
 pub const OPEN_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_000);
@@ -36,8 +37,8 @@
 }
 
 impl WatchSchedule {
-    /// Creates a schedule. `from_local_agent` means that lists come from an agent on this machine; `drain_grace` is the
-    /// time within which attempts to a draining endpoint must cease, if known.
+    /// Creates a schedule. `from_local_agent` means that lists come from an agent on this machine; `drain_grace` is
+    /// the time within which attempts to a draining endpoint must cease, if known.
     pub fn new(from_local_agent: bool, drain_grace: Option<TimeDelta>) -> WatchSchedule {
         let within_grace =
             drain_grace.filter(|_| from_local_agent).map(|grace| (grace / 2).max(MIN_PAUSE).min(MAX_PAUSE));
--- a/sessions/src/epochs.rs
+++ b/sessions/src/epochs.rs
@@ -1,5 +1,5 @@
-//! History of each group's log: its epochs, where each began, and whether the log still contains a position. An epoch is a
-//! PostgreSQL timeline: a new one begins when another member is promoted to primary.
+//! History of each group's log: its epochs, where each began, and whether the log still contains a position. An epoch
+//! is a PostgreSQL timeline: a new one begins when another member is promoted to primary.
 
 use crate::positions::{GroupNumber, LogPosition};
 use routing::time::Timestamp;
@@ -82,8 +82,8 @@
         LogPosition { epoch, position: began.unwrap_or(Timestamp(0)) }
     }
 
-    /// Whether an answer from an endpoint at this epoch and position includes everything that the session has observed.
-    /// The epoch in the answer must be recorded before this call: it may be the first evidence of a loss.
+    /// Whether an answer from an endpoint at this epoch and position includes everything that the session has
+    /// observed. The epoch in the answer must be recorded before this call: it may be the first evidence of a loss.
     pub fn shows(
         &self,
         group: GroupNumber,
@@ -109,8 +109,8 @@
     }
 }
 
-/// Whether an epoch later than `number` forked before `position`. Epochs without a reported start are not evidence of a
-/// fork.
+/// Whether an epoch later than `number` forked before `position`. Epochs without a reported start are not evidence of
+/// a fork.
 fn forked_before(known: &Epochs, number: u32, position: Timestamp) -> bool {
     let mut later_starts = known.range(number + 1..).filter_map(|(_, began)| *began);
     later_starts.any(|began| began < position)
--- a/sessions/src/positions.rs
+++ b/sessions/src/positions.rs
@@ -6,8 +6,8 @@
 /// Number of a group in the endpoint list, the same for every instance.
 pub type GroupNumber = i64;
 
-/// Maximum number of groups with a position of their own. A session that has accessed more groups keeps one lower bound
-/// for the others.
+/// Maximum number of groups with a position of their own. A session that has accessed more groups keeps one lower
+/// bound for the others.
 pub const MAX_POSITIONS: usize = 16;
 
 /// A position on a group's log.
@@ -20,8 +20,8 @@
 }
 
 impl LogPosition {
-    /// The later of two positions on one group's log. Epochs are compared first, since positions on an abandoned branch
-    /// may be ahead of those on its successor. Without both epochs only the positions can be compared.
+    /// The later of two positions on one group's log. Epochs are compared first, since positions on an abandoned
+    /// branch may be ahead of those on its successor. Without both epochs only the positions can be compared.
     fn later(self, other: LogPosition) -> LogPosition {
         if self.epoch == 0 || other.epoch == 0 {
             let epoch = self.epoch.max(other.epoch);
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Removes the position of a group whose part of the log was lost, once the client is notified. The caller must then
-    /// [`advance`](Self::advance) the session to the start of the new epoch: otherwise merging another copy would restore
-    /// the lost position.
+    /// Removes the position of a group whose part of the log was lost, once the client is notified. The caller must
+    /// then [`advance`](Self::advance) the session to the start of the new epoch: otherwise merging another copy
+    /// would restore the lost position.
     pub fn remove(&mut self, group: GroupNumber) {
         self.by_group.retain(|(other, _)| *other != group);
     }
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -1,5 +1,5 @@
-//! Session token: the positions of a session, carried by its client and authenticated so that clients can neither forge
-//! nor change one.
+//! Session token: the positions of a session, carried by its client and authenticated so that clients can neither
+//! forge nor change one.
 //!
 //! Binary layout, encoded as base64 (URL alphabet, no padding):
 //!
@@ -174,8 +174,8 @@
         Ok(Keys(keys))
     }
 
-    /// The authentication code over a token's bytes and its audience. The audience is prefixed by its length, so that no
-    /// two pairs of audience and token are authenticated as the same bytes.
+    /// The authentication code over a token's bytes and its audience. The audience is prefixed by its length, so that
+    /// no two pairs of audience and token are authenticated as the same bytes.
     fn mac(key: &[u8], bytes: &[u8], audience: &str) -> Hmac<Sha256> {
         let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC takes a key of any length");
         mac.update(MAC_DOMAIN);
--- a/test-servers/src/bin/writes.rs
+++ b/test-servers/src/bin/writes.rs
@@ -1,5 +1,5 @@
-//! Cost of the write journal: throughput and latency of writes by the number of clients and the durability that a record
-//! must have before its write is sent.
+//! Cost of the write journal: throughput and latency of writes by the number of clients and the durability that a
+//! record must have before its write is sent.
 
 use clap::Parser;
 use hdrhistogram::Histogram;
--- a/test-servers/src/cluster.rs
+++ b/test-servers/src/cluster.rs
@@ -1,8 +1,8 @@
 //! Model of a cluster: its groups, the branches of their logs, the primaries, and the executions on each endpoint.
 //!
-//! Positions are Unix milliseconds. The position of a primary is the current time. The position of a replica is that of its
-//! upstream minus the lag, or where its replication has stopped. A failover forks a new branch: what an isolated old
-//! primary writes afterwards is on an abandoned branch.
+//! Positions are Unix milliseconds. The position of a primary is the current time. The position of a replica is that
+//! of its upstream minus the lag, or where its replication has stopped. A failover forks a new branch: what an
+//! isolated old primary writes afterwards is on an abandoned branch.
 
 use crate::lock;
 use history_checker::{includes, Execution, FateAnswer, History, LogPoint, RequestRecord, Rule, Violation};
@@ -167,7 +167,8 @@
         self.branches.get(&group).into_iter().flatten().map(|branch| branch.forked_ms).collect()
     }
 
-    /// The earlier execution of a write for which an endpoint at log point `at` drops duplicates, given a deduplication window.
+    /// The earlier execution of a write for which an endpoint at log point `at` drops duplicates, given a
+    /// deduplication window.
     pub fn duplicate_of(&self, id: &str, at: LogPoint, window_ms: i64) -> Option<LogPoint> {
         let is_known = |execution: &&Execution| {
             at.at_ms - execution.point.at_ms < window_ms
@@ -230,8 +231,9 @@
         (age_ms < model.duration_ms).then_some(fraction)
     }
 
-    /// Accepts a statement at an endpoint and returns the time until it is done. The single core of an endpoint works on
-    /// statements one after the other, more slowly during slow start. Overload during slow start is reported as a violation.
+    /// Accepts a statement at an endpoint and returns the time until it is done. The single core of an endpoint works
+    /// on statements one after the other, more slowly during slow start. Overload during slow start is reported as a
+    /// violation.
     pub fn accept_work(&mut self, index: EndpointIndex, now_ms: i64, model: &SlowStartModel) -> Duration {
         let fraction = self.slow_start_fraction(index, now_ms, model);
         self.check_overload(index, now_ms, model, fraction);
--- a/test-servers/src/daemon.rs
+++ b/test-servers/src/daemon.rs
@@ -86,8 +86,9 @@
         None
     }
 
-    /// Waits until the log contains `text`, for ten seconds at most. Returns whether it does. Use this instead of reading the
-    /// log once: the effect of an action can be visible before its log line, and a killed daemon logs nothing more.
+    /// Waits until the log contains `text`, for ten seconds at most. Returns whether it does. Use this instead of
+    /// reading the log once: the effect of an action can be visible before its log line, and a killed daemon logs
+    /// nothing more.
     pub fn has_logged(&self, text: &str) -> bool {
         let deadline = Instant::now() + LOG_TIMEOUT;
         while !self.log.lock().expect("no reader panicked").contains(text) {
--- a/test-servers/src/endpoint.rs
+++ b/test-servers/src/endpoint.rs
@@ -182,8 +182,8 @@
         out.extend(reply.epoch);
     }
 
-    /// Executes a statement. Returns `None` if it is a write and the endpoint is not a primary. The answer reflects the
-    /// state at the arrival of the statement, regardless of the service time.
+    /// Executes a statement. Returns `None` if it is a write and the endpoint is not a primary. The answer reflects
+    /// the state at the arrival of the statement, regardless of the service time.
     fn reply(&self, statement: &Statement) -> Option<Reply> {
         let now_ms = unix_ms();
         let mut state = self.cluster.lock();
--- a/test-servers/src/lib.rs
+++ b/test-servers/src/lib.rs
@@ -1,5 +1,5 @@
-//! Test doubles of everything an instance of the router talks to, on loopback and without privileges, and randomized test
-//! runs that are reproducible by their seed.
+//! Test doubles of everything an instance of the router talks to, on loopback and without privileges, and randomized
+//! test runs that are reproducible by their seed.
 //!
 //! - [`cluster`]: model of a cluster: groups, branches of their logs, primaries, slow starts and drains
 //! - [`endpoint`]: a listening endpoint of a cluster
--- a/test-servers/src/restart/client_loop.rs
+++ b/test-servers/src/restart/client_loop.rs
@@ -20,7 +20,8 @@
 const RECONNECT_DELAY: Duration = Duration::from_millis(2);
 /// Pause after a rejection without a Retry-After time.
 const DEFAULT_RETRY_AFTER_MS: i64 = 20;
-/// Shortest and longest pause after a rejection: clients may return before their Retry-After time, to keep up the load.
+/// Shortest and longest pause after a rejection: clients may return before their Retry-After time, to keep up the
+/// load.
 const MIN_RETRY_PAUSE_MS: i64 = 5;
 const MAX_RETRY_PAUSE_MS: i64 = 60;
 /// Pause between two requests: a fixed part, and the exclusive bound of a random one.
--- a/test-servers/src/restart/faults.rs
+++ b/test-servers/src/restart/faults.rs
@@ -30,8 +30,8 @@
     }
 }
 
-/// Applies a fault to the group whose endpoints begin at index `first`. `listed_addresses` are the addresses in the cached
-/// list, by endpoint.
+/// Applies a fault to the group whose endpoints begin at index `first`. `listed_addresses` are the addresses in the
+/// cached list, by endpoint.
 pub fn apply_fault(
     state: &mut ClusterState,
     fault: Fault,
--- a/test-servers/src/restart/run.rs
+++ b/test-servers/src/restart/run.rs
@@ -1,4 +1,5 @@
-//! One run: instances start while discovery is down, clients send requests, discovery returns, and the history is checked.
+//! One run: instances start while discovery is down, clients send requests, discovery returns, and the history is
+//! checked.
 
 use super::client_loop::{ClientRun, FirstServed};
 use super::plan::{DiscoveryReturn, Plan};
--- a/test-servers/src/restart/throughput.rs
+++ b/test-servers/src/restart/throughput.rs
@@ -22,8 +22,8 @@
 const RETRY_DELAY: Duration = Duration::from_millis(2);
 const READ_TIMEOUT_MS: i64 = 400;
 
-/// Measures the reads served per second, with discovery up and a new version of the list every 100 ms. Each client sends
-/// its requests one after the other.
+/// Measures the reads served per second, with discovery up and a new version of the list every 100 ms. Each client
+/// sends its requests one after the other.
 ///
 /// # Errors
 /// The daemon cannot be started.
--- a/test-servers/src/sessions.rs
+++ b/test-servers/src/sessions.rs
@@ -1,5 +1,5 @@
-//! Randomized runs of sessions and writes during kills of instances, moves of clients between instances, replication lag,
-//! and a failover that loses the end of a log. The resulting history is checked.
+//! Randomized runs of sessions and writes during kills of instances, moves of clients between instances, replication
+//! lag, and a failover that loses the end of a log. The resulting history is checked.
 
 use crate::client::{Answer, Client, Kind, RequestRecord};
 use crate::cluster::{unix_ms, Branch, Cluster, EndpointIndex, EndpointModel, OldPrimary};
@@ -356,8 +356,8 @@
         answer
     }
 
-    /// Resolves a write in doubt at the instance that it was sent to: sends it again if it has an idempotency key, in some
-    /// cases after the deduplication window, and queries its fate.
+    /// Resolves a write in doubt at the instance that it was sent to: sends it again if it has an idempotency key, in
+    /// some cases after the deduplication window, and queries its fate.
     fn resolve_doubt(&mut self, instance: usize, write: &Write, origin: Option<String>) {
         let delay_ms = QUERY_DELAYS_MS[self.rng.below(QUERY_DELAYS_MS.len())];
         thread::sleep(Duration::from_millis(delay_ms));
--- a/write-journal/src/encoding.rs
+++ b/write-journal/src/encoding.rs
@@ -65,7 +65,8 @@
         bytes
     }
 
-    /// Decodes a record. Missing or unknown fields do not fail but yield a pending record: the write may have been executed.
+    /// Decodes a record. Missing or unknown fields do not fail but yield a pending record: the write may have been
+    /// executed.
     pub fn decode(bytes: &[u8]) -> Record {
         Record {
             serial: number_at(bytes, SERIAL_AT).unwrap_or(0) as u64,
--- a/write-journal/src/journal.rs
+++ b/write-journal/src/journal.rs
@@ -135,8 +135,8 @@
 }
 
 impl Journal {
-    /// Opens or creates a journal. A new journal is named by the random number `name_seed`, so that it cannot be mistaken
-    /// for a lost one.
+    /// Opens or creates a journal. A new journal is named by the random number `name_seed`, so that it cannot be
+    /// mistaken for a lost one.
     ///
     /// # Errors
     /// The store cannot be opened or written.
@@ -315,8 +315,8 @@
         Ok(self.read(id)?.map(|record| record.first_sent_ms))
     }
 
-    /// Drops records beyond the retention, the oldest first and a bounded number at a time. The oldest serial is raised in
-    /// the same batch, so that a dropped record is never mistaken for a write that was not sent.
+    /// Drops records beyond the retention, the oldest first and a bounded number at a time. The oldest serial is
+    /// raised in the same batch, so that a dropped record is never mistaken for a write that was not sent.
     fn drop_expired(&mut self, wall_ms: i64) -> Result<(), JournalError> {
         let mut writes = self.database.batch();
         let (mut oldest_serial, mut count) = (self.oldest_serial, self.count);
@@ -349,8 +349,8 @@
     }
 }
 
-/// Converts the start of a request to a rejoining one if its id is recorded and the group still drops duplicates of that
-/// write.
+/// Converts the start of a request to a rejoining one if its id is recorded and the group still drops duplicates of
+/// that write.
 fn rejoin(
     before: Option<Record>,
     event: RecordEvent,
--- a/write-journal/src/lib.rs
+++ b/write-journal/src/lib.rs
@@ -1,5 +1,5 @@
-//! Write journal. A write that must not be executed twice is recorded before its last byte is sent to an endpoint, and its
-//! result afterwards. So an instance can report the fate of a write to its client even after a restart.
+//! Write journal. A write that must not be executed twice is recorded before its last byte is sent to an endpoint,
+//! and its result afterwards. So an instance can report the fate of a write to its client even after a restart.
 //!
 //! - [`record_state`]: state machine of a record and the decision on its fate, without I/O
 //! - [`journal`]: storage of the records in an embedded key-value store
--- a/write-journal/src/record_state.rs
+++ b/write-journal/src/record_state.rs
@@ -1,4 +1,5 @@
-//! State machine of a record, and the fate of a write that is reported to its client. Two decision tables, without I/O.
+//! State machine of a record, and the fate of a write that is reported to its client. Two decision tables, without
+//! I/O.
 
 use std::fmt;
 
@@ -91,9 +92,9 @@
     }
 }
 
-/// Remaining time in milliseconds during which duplicates of a write are dropped. `recorded` is the deduplication of its
-/// first attempt, sent at most `elapsed_ms` ago, and `requested` that of the new request. `None` if duplicates are no
-/// longer dropped, or if that is not known.
+/// Remaining time in milliseconds during which duplicates of a write are dropped. `recorded` is the deduplication of
+/// its first attempt, sent at most `elapsed_ms` ago, and `requested` that of the new request. `None` if duplicates
+/// are no longer dropped, or if that is not known.
 pub fn remaining_window_ms(
     recorded: Option<Deduplication>,
     requested: Option<Deduplication>,
@@ -113,8 +114,8 @@
     pub permission: SendPermission,
 }
 
-/// The transition of a record on an event. `Executed` and `Barred` are final, and no attempt is sent in these states. In
-/// the state `Pending`, another request with the same id is sent only if the group drops duplicates.
+/// The transition of a record on an event. `Executed` and `Barred` are final, and no attempt is sent in these states.
+/// In the state `Pending`, another request with the same id is sent only if the group drops duplicates.
 pub fn next(state: Option<RecordState>, event: RecordEvent) -> Transition {
     let unchanged = |permission| Transition { state, permission };
     let becomes = |state, permission| Transition { state: Some(state), permission };
@@ -140,8 +141,8 @@
     }
 }
 
-/// Origin of a connection: the journal of its instance and the journal's next serial when the connection began. Reported
-/// to the client, which passes it back to query the fate of a write.
+/// Origin of a connection: the journal of its instance and the journal's next serial when the connection began.
+/// Reported to the client, which passes it back to query the fate of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Origin {
     /// Name of the journal.
