--- a/operator-config/src/error.rs
+++ b/operator-config/src/error.rs
@@ -90,14 +90,14 @@
     #[error("{0:?} is not an absolute path")]
     NotAbsolute(String),
     /// The value is out of range.
-    #[error("{value:?} is not between {least} and {most}")]
+    #[error("{value:?} is not between {min} and {max}")]
     OutOfRange {
         /// The value.
         value: String,
         /// Lower bound.
-        least: String,
+        min: String,
         /// Upper bound.
-        most: String,
+        max: String,
     },
     /// The value cannot be parsed.
     #[error("{value:?}: {reason}")]
--- a/operator-config/src/values.rs
+++ b/operator-config/src/values.rs
@@ -13,7 +13,7 @@
 const MAX_PERCENT: u32 = 100;
 
 fn out_of_range(value: &str, min: impl Display, max: impl Display) -> ValueError {
-    ValueError::OutOfRange { value: value.to_string(), least: min.to_string(), most: max.to_string() }
+    ValueError::OutOfRange { value: value.to_string(), min: min.to_string(), max: max.to_string() }
 }
 
 fn unreadable(value: &str, reason: impl Display) -> ValueError {
--- a/test-servers/src/restart/scenario.rs
+++ b/test-servers/src/restart/scenario.rs
@@ -56,9 +56,9 @@
         let cached =
             listed().map(|index| cached_entry(&state, index, &listed_addresses[index], now_ms, plan));
         let cached = cached.collect();
-        let present = (0..count).filter(|index| is_member(&state, *index));
+        let members = (0..count).filter(|index| is_member(&state, *index));
         let present_list =
-            present.map(|index| present_entry(&state, index, &addresses[index], plan)).collect();
+            members.map(|index| present_entry(&state, index, &addresses[index], plan)).collect();
         drop(state);
         Scenario { cluster, served, old_list, cached, present_list, groups }
     }
