--- a/admission/src/client_class.rs
+++ b/admission/src/client_class.rs
@@ -1,5 +1,6 @@
 //! Classes of clients, as operators set them.
 
+use crate::client_address::AddressPrefixes;
 use ipnet::IpNet;
 use routing::time::TimeDelta;
 use std::cmp::Reverse;
@@ -57,6 +58,15 @@
     pub max_requests: Option<usize>,
 }
 
+/// By which classes connections are admitted.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ClassSettings {
+    /// The classes of clients.
+    pub classes: Vec<ClientClass>,
+    /// How much of an address identifies a client.
+    pub prefixes: AddressPrefixes,
+}
+
 /// How closely a class describes a client: by a user first, then by the length of the network's prefix.
 type Specificity = (bool, u8);
 
--- a/operator-config/src/keywords.rs
+++ b/operator-config/src/keywords.rs
@@ -26,50 +26,56 @@
 
 /// All keywords with one value, in the order of the operators' page.
 pub const KEYWORDS: &[Keyword] = &[
-    keyword("state-dir", |settings, value| store(&mut settings.state_dir, path(value).map(Some))),
-    keyword("save-gap", |settings, value| store(&mut settings.save_interval, duration(value, "100ms", "1h"))),
+    keyword("state-dir", |settings, value| store(&mut settings.storage.state_dir, path(value).map(Some))),
+    keyword("save-gap", |settings, value| {
+        store(&mut settings.storage.save_interval, duration(value, "100ms", "1h"))
+    }),
     keyword("store-identity", |settings, value| {
         let known = [("none", EndpointIdentity::None), ("postgres", EndpointIdentity::Postgres)];
         store(&mut settings.endpoint_identity, one_of(value, &known))
     }),
-    keyword("session-keys", |settings, value| store(&mut settings.session_keys, path(value).map(Some))),
+    keyword("session-keys", |settings, value| store(&mut settings.sessions.keys, path(value).map(Some))),
     keyword("session-lasts", |settings, value| {
-        store(&mut settings.session_lifetime, duration(value, "1s", "30days"))
+        store(&mut settings.sessions.lifetime, duration(value, "1s", "30days"))
     }),
     keyword("write-journal", |settings, value| {
         let known = [("off", JournalMode::Off), ("system", JournalMode::System), ("disk", JournalMode::Disk)];
-        store(&mut settings.journal_mode, one_of(value, &known))
+        store(&mut settings.storage.journal.mode, one_of(value, &known))
     }),
     keyword("write-journal-keeps", |settings, value| {
-        store(&mut settings.journal_max_age, duration(value, "1m", "30days"))
+        store(&mut settings.storage.journal.max_age, duration(value, "1m", "30days"))
     }),
     keyword("write-journal-most", |settings, value| {
-        store(&mut settings.journal_max_records, number(value, 1_000..=100_000_000))
+        store(&mut settings.storage.journal.max_records, number(value, 1_000..=100_000_000))
     }),
     keyword("admit-prefix-4", |settings, value| {
-        store(&mut settings.address_prefixes.v4, number(value, 8..=32))
+        store(&mut settings.admission.clients.prefixes.v4, number(value, 8..=32))
     }),
     keyword("admit-prefix-6", |settings, value| {
-        store(&mut settings.address_prefixes.v6, number(value, 16..=64))
+        store(&mut settings.admission.clients.prefixes.v6, number(value, 16..=64))
     }),
     keyword("rpcs-at-once", |settings, value| {
-        store(&mut settings.max_requests_in_flight, number(value, 1..=100_000).map(Some))
+        store(&mut settings.admission.requests.max_in_flight, number(value, 1..=100_000).map(Some))
     }),
     keyword("rpcs-waiting", |settings, value| {
-        store(&mut settings.max_requests_waiting, number(value, 0..=100_000).map(Some))
+        store(&mut settings.admission.requests.max_waiting, number(value, 0..=100_000).map(Some))
+    }),
+    keyword("rpcs-target", |settings, value| {
+        store(&mut settings.admission.requests.target_wait, duration(value, "1ms", "1s"))
+    }),
+    keyword("repeats", |settings, value| {
+        store(&mut settings.admission.requests.retry_percent, percentage(value).map(Some))
     }),
-    keyword("rpcs-target", |settings, value| store(&mut settings.target_wait, duration(value, "1ms", "1s"))),
-    keyword("repeats", |settings, value| store(&mut settings.retry_percent, percentage(value).map(Some))),
     keyword("operators-socket", |settings, value| store(&mut settings.admin_socket, path(value).map(Some))),
     keyword("log-format", |settings, value| {
         let known = [("text", LogFormat::Text), ("json", LogFormat::Json)];
-        store(&mut settings.log_format, one_of(value, &known))
+        store(&mut settings.log.format, one_of(value, &known))
     }),
     keyword("log-level", |settings, value| {
         let levels = ["error", "warn", "info", "debug"].map(|level| (level, level));
-        store(&mut settings.log_level, one_of(value, &levels).map(str::to_string))
+        store(&mut settings.log.level, one_of(value, &levels).map(str::to_string))
     }),
     keyword("log-buffer", |settings, value| {
-        store(&mut settings.log_buffer, size(value, ByteSize::kb(4), ByteSize::mb(16)))
+        store(&mut settings.log.max_queued_bytes, size(value, ByteSize::kb(4), ByteSize::mb(16)))
     }),
 ];
--- a/operator-config/src/lib.rs
+++ b/operator-config/src/lib.rs
@@ -13,5 +13,8 @@
 
 pub use error::{ConfigError, Problem, ValueError};
 pub use parser::parse;
-pub use settings::{EndpointIdentity, JournalMode, LogFormat, OperatorSettings};
+pub use settings::{
+    AdmissionSettings, EndpointIdentity, JournalMode, JournalSettings, LogFormat, LogSettings,
+    OperatorSettings, RequestSettings, SessionSettings, StorageSettings,
+};
 pub use tokens::{split, QuoteError};
--- a/operator-config/src/parser.rs
+++ b/operator-config/src/parser.rs
@@ -51,7 +51,7 @@
     }
 
     fn take_class(&mut self, values: &[String]) -> Result<(), Problem> {
-        self.settings.client_classes.push(parse_class(values)?);
+        self.settings.admission.clients.classes.push(parse_class(values)?);
         Ok(())
     }
 
@@ -72,7 +72,7 @@
 
     fn finish(mut self) -> Result<OperatorSettings, Vec<ConfigError>> {
         // How much capacity there is only a start knows; what classes contradict each other in shows here.
-        let classes = admission::client_class::validate(&self.settings.client_classes, usize::MAX);
+        let classes = admission::client_class::validate(&self.settings.admission.clients.classes, usize::MAX);
         for error in classes {
             self.fail(self.last_class_line, CLASS_KEYWORD, error.into());
         }
--- a/operator-config/src/settings.rs
+++ b/operator-config/src/settings.rs
@@ -1,7 +1,7 @@
 //! What operators can set, and the defaults.
 
 use admission::concurrency_limiter::ConcurrencyLimits;
-use admission::{AddressPrefixes, ClientClass};
+use admission::ClassSettings;
 use routing::time::TimeDelta;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -38,107 +38,177 @@
     Disk,
 }
 
-/// All settings. Each is off or at its default if no line names it.
+const DEFAULT_MAX_REQUESTS_IN_FLIGHT: usize = 100_000;
+const WAITING_PER_IN_FLIGHT: usize = 4;
+
+/// The journal of writes; it is in the state directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OperatorSettings {
+pub struct JournalSettings {
+    /// `write-journal`.
+    pub mode: JournalMode,
+    /// `write-journal-keeps`: how long a record is kept. A minute to 30 days.
+    pub max_age: Duration,
+    /// `write-journal-most`: records that are kept. 1,000 to 100 million.
+    pub max_records: u64,
+}
+
+impl Default for JournalSettings {
+    fn default() -> JournalSettings {
+        JournalSettings {
+            mode: JournalMode::default(),
+            max_age: Duration::from_secs(3600),
+            max_records: 1_000_000,
+        }
+    }
+}
+
+/// What is kept on disk.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StorageSettings {
     /// `state-dir`: where the endpoint list is cached over a restart; none: it is not.
     pub state_dir: Option<PathBuf>,
     /// `save-gap`: between two saves of the list, at least. 100 ms to an hour.
     pub save_interval: Duration,
-    /// `store-identity`.
-    pub endpoint_identity: EndpointIdentity,
+    /// The records of writes.
+    pub journal: JournalSettings,
+}
+
+impl Default for StorageSettings {
+    fn default() -> StorageSettings {
+        StorageSettings {
+            state_dir: None,
+            save_interval: Duration::from_secs(1),
+            journal: JournalSettings::default(),
+        }
+    }
+}
+
+/// The tokens that carry what a session has seen.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SessionSettings {
     /// `session-keys`: the keys that authenticate session tokens; none: there are no tokens.
-    pub session_keys: Option<PathBuf>,
+    pub keys: Option<PathBuf>,
     /// `session-lasts`: how long a token is valid. 1 s to 30 days.
-    pub session_lifetime: Duration,
-    /// `write-journal`: it is in the state directory.
-    pub journal_mode: JournalMode,
-    /// `write-journal-keeps`: how long a record is kept. A minute to 30 days.
-    pub journal_max_age: Duration,
-    /// `write-journal-most`: records that are kept. 1,000 to 100 million.
-    pub journal_max_records: u64,
-    /// `admit`: classes of clients, by which connections are admitted; none: whoever comes is, while there is capacity.
-    pub client_classes: Vec<ClientClass>,
-    /// `admit-prefix-4`, `admit-prefix-6`: how many bits of an address identify a client. 8 to 32, and 16 to 64.
-    pub address_prefixes: AddressPrefixes,
+    pub lifetime: Duration,
+}
+
+impl Default for SessionSettings {
+    fn default() -> SessionSettings {
+        SessionSettings { keys: None, lifetime: Duration::from_secs(3600) }
+    }
+}
+
+/// How many requests are worked on, and how many wait.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RequestSettings {
     /// `rpcs-at-once`: requests in flight. 1 to 100,000; none: there is no limit.
-    pub max_requests_in_flight: Option<usize>,
+    pub max_in_flight: Option<usize>,
     /// `rpcs-waiting`: requests that wait at most. 0 to 100,000; none: four times those in flight.
-    pub max_requests_waiting: Option<usize>,
+    pub max_waiting: Option<usize>,
     /// `rpcs-target`: how long a request may wait whose client's requests have waited without a break. 1 ms to 1 s.
     pub target_wait: Duration,
     /// `repeats`: clients' retries per hundred first attempts. 0 to 100; none: they have no budget.
     pub retry_percent: Option<u32>,
-    /// `operators-socket`: where operators ask what the server does; none: they cannot.
-    pub admin_socket: Option<PathBuf>,
-    /// `log-format`.
-    pub log_format: LogFormat,
-    /// `log-level`: `error`, `warn`, `info` or `debug`.
-    pub log_level: String,
-    /// `log-buffer`: bytes of the log that wait for the writer at most. 4 kB to 16 MB.
-    pub log_buffer: usize,
 }
 
-const DEFAULT_MAX_REQUESTS_IN_FLIGHT: usize = 100_000;
-const WAITING_PER_IN_FLIGHT: usize = 4;
-
-impl Default for OperatorSettings {
-    fn default() -> OperatorSettings {
-        OperatorSettings {
-            state_dir: None,
-            save_interval: Duration::from_secs(1),
-            endpoint_identity: EndpointIdentity::default(),
-            session_keys: None,
-            session_lifetime: Duration::from_secs(3600),
-            journal_mode: JournalMode::default(),
-            journal_max_age: Duration::from_secs(3600),
-            journal_max_records: 1_000_000,
-            client_classes: Vec::new(),
-            address_prefixes: AddressPrefixes::default(),
-            max_requests_in_flight: None,
-            max_requests_waiting: None,
+impl Default for RequestSettings {
+    fn default() -> RequestSettings {
+        RequestSettings {
+            max_in_flight: None,
+            max_waiting: None,
             target_wait: Duration::from_millis(10),
             retry_percent: None,
-            admin_socket: None,
-            log_format: LogFormat::default(),
-            log_level: "info".to_string(),
-            log_buffer: 64 << 10,
         }
     }
 }
 
-impl OperatorSettings {
+/// Which connections are admitted, and which requests.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct AdmissionSettings {
+    /// `admit`, `admit-prefix-4`, `admit-prefix-6`: classes of clients, by which connections are admitted. Without any,
+    /// whoever comes is, while there is capacity. A prefix has 8 to 32 bits, and 16 to 64.
+    pub clients: ClassSettings,
+    /// The limits on requests.
+    pub requests: RequestSettings,
+}
+
+impl AdmissionSettings {
     /// The limits on requests, if there are any.
-    pub fn concurrency_limits(&self) -> Option<ConcurrencyLimits> {
-        let class_limited = self.client_classes.iter().any(|class| class.max_requests.is_some());
-        if self.max_requests_in_flight.is_none() && self.retry_percent.is_none() && !class_limited {
+    fn concurrency_limits(&self) -> Option<ConcurrencyLimits> {
+        let requests = &self.requests;
+        let class_limited = self.clients.classes.iter().any(|class| class.max_requests.is_some());
+        if requests.max_in_flight.is_none() && requests.retry_percent.is_none() && !class_limited {
             return None;
         }
-        let max_in_flight = self.max_requests_in_flight.unwrap_or(DEFAULT_MAX_REQUESTS_IN_FLIGHT);
+        let max_in_flight = requests.max_in_flight.unwrap_or(DEFAULT_MAX_REQUESTS_IN_FLIGHT);
         Some(ConcurrencyLimits {
             max_in_flight,
-            max_waiting: self.max_requests_waiting.unwrap_or(max_in_flight * WAITING_PER_IN_FLIGHT),
-            target_wait: TimeDelta(self.target_wait.as_nanos() as i64),
-            retry_percent: self.retry_percent,
+            max_waiting: requests.max_waiting.unwrap_or(max_in_flight * WAITING_PER_IN_FLIGHT),
+            target_wait: TimeDelta(requests.target_wait.as_nanos() as i64),
+            retry_percent: requests.retry_percent,
         })
     }
+}
+
+/// The log of the process.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LogSettings {
+    /// `log-format`.
+    pub format: LogFormat,
+    /// `log-level`: `error`, `warn`, `info` or `debug`.
+    pub level: String,
+    /// `log-buffer`: bytes of the log that wait for the writer at most. 4 kB to 16 MB.
+    pub max_queued_bytes: usize,
+}
+
+impl Default for LogSettings {
+    fn default() -> LogSettings {
+        LogSettings { format: LogFormat::default(), level: "info".to_string(), max_queued_bytes: 64 << 10 }
+    }
+}
+
+/// All settings. Each is off or at its default if no line names it.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct OperatorSettings {
+    /// What is kept on disk.
+    pub storage: StorageSettings,
+    /// `store-identity`.
+    pub endpoint_identity: EndpointIdentity,
+    /// The tokens of sessions.
+    pub sessions: SessionSettings,
+    /// Which connections are admitted, and which requests.
+    pub admission: AdmissionSettings,
+    /// `operators-socket`: where operators ask what the server does; none: they cannot.
+    pub admin_socket: Option<PathBuf>,
+    /// The log.
+    pub log: LogSettings,
+}
+
+impl OperatorSettings {
+    /// The limits on requests, if there are any.
+    pub fn concurrency_limits(&self) -> Option<ConcurrencyLimits> {
+        self.admission.concurrency_limits()
+    }
 
     /// The keywords in which newer settings differ and which only a start can apply.
     pub fn changed_keywords(&self, newer: &OperatorSettings) -> Vec<&'static str> {
+        let (storage, newer_storage) = (&self.storage, &newer.storage);
+        let (journal, newer_journal) = (&storage.journal, &newer_storage.journal);
+        let (clients, newer_clients) = (&self.admission.clients, &newer.admission.clients);
         let changes = [
-            ("state-dir", self.state_dir != newer.state_dir),
+            ("state-dir", storage.state_dir != newer_storage.state_dir),
             ("store-identity", self.endpoint_identity != newer.endpoint_identity),
-            ("session-keys", self.session_keys != newer.session_keys),
-            ("session-lasts", self.session_lifetime != newer.session_lifetime),
-            ("write-journal", self.journal_mode != newer.journal_mode),
-            ("write-journal-keeps", self.journal_max_age != newer.journal_max_age),
-            ("write-journal-most", self.journal_max_records != newer.journal_max_records),
+            ("session-keys", self.sessions.keys != newer.sessions.keys),
+            ("session-lasts", self.sessions.lifetime != newer.sessions.lifetime),
+            ("write-journal", journal.mode != newer_journal.mode),
+            ("write-journal-keeps", journal.max_age != newer_journal.max_age),
+            ("write-journal-most", journal.max_records != newer_journal.max_records),
             // Classes apply from a SIGHUP on; whether there are any decides how descriptors are divided.
-            ("admit", self.client_classes.is_empty() != newer.client_classes.is_empty()),
+            ("admit", clients.classes.is_empty() != newer_clients.classes.is_empty()),
             ("operators-socket", self.admin_socket != newer.admin_socket),
-            ("log-format", self.log_format != newer.log_format),
-            ("log-level", self.log_level != newer.log_level),
-            ("log-buffer", self.log_buffer != newer.log_buffer),
+            ("log-format", self.log.format != newer.log.format),
+            ("log-level", self.log.level != newer.log.level),
+            ("log-buffer", self.log.max_queued_bytes != newer.log.max_queued_bytes),
         ];
         changes.into_iter().filter(|(_, changed)| *changed).map(|(keyword, _)| keyword).collect()
     }
--- a/operator-config/tests/lines.rs
+++ b/operator-config/tests/lines.rs
@@ -11,15 +11,15 @@
     let text = "# kept over a restart\n\nstate-dir \"/var/lib/ginger wick\" # quoted\nsave-gap 250ms\n\
         store-identity postgres\nlog-format json\nlog-level warn\nlog-buffer 1MB\n";
     let settings = parse(text).expect("all fit");
-    assert_eq!(settings.state_dir, Some(PathBuf::from("/var/lib/ginger wick")));
-    assert_eq!(settings.save_interval, Duration::from_millis(250));
+    assert_eq!(settings.storage.state_dir, Some(PathBuf::from("/var/lib/ginger wick")));
+    assert_eq!(settings.storage.save_interval, Duration::from_millis(250));
     assert_eq!(
-        (settings.endpoint_identity, settings.log_format),
+        (settings.endpoint_identity, settings.log.format),
         (EndpointIdentity::Postgres, LogFormat::Json)
     );
-    assert_eq!(settings.log_buffer, 1_000_000);
+    assert_eq!(settings.log.max_queued_bytes, 1_000_000);
     let none = parse("").expect("an empty file is one");
-    assert_eq!((none.state_dir, none.endpoint_identity), (None, EndpointIdentity::None));
+    assert_eq!((none.storage.state_dir, none.endpoint_identity), (None, EndpointIdentity::None));
 }
 
 #[test]
@@ -47,7 +47,7 @@
     let text = "admit desk from 10.20.0.0/16,10.30.4.7,2001:db8::/32 keep 40 most 80\n\
         admit others each 20 rate 50 burst 200\nadmit-prefix-4 24\n";
     let settings = parse(text).expect("all fit");
-    let [desk, others] = &settings.client_classes[..] else { panic!("two classes") };
+    let [desk, others] = &settings.admission.clients.classes[..] else { panic!("two classes") };
     let networks: Vec<String> = desk.networks.iter().map(|range| range.to_string()).collect();
     assert_eq!(networks, ["10.20.0.0/16", "10.30.4.7/32", "2001:db8::/32"]);
     assert_eq!(
@@ -58,8 +58,8 @@
         (others.max_per_address, others.rate.map(|rate| (rate.per_second, rate.burst))),
         (Some(20), Some((50, 200)))
     );
-    assert_eq!((settings.address_prefixes.v4, settings.address_prefixes.v6), (24, 64));
-    let rate = parse("admit others rate 7\n").expect("fits").client_classes[0].rate;
+    assert_eq!((settings.admission.clients.prefixes.v4, settings.admission.clients.prefixes.v6), (24, 64));
+    let rate = parse("admit others rate 7\n").expect("fits").admission.clients.classes[0].rate;
     assert_eq!(rate.map(|rate| rate.burst), Some(7), "a second's worth at once");
     for (line, why) in [
         ("admit", "names no class"),
--- a/server/src/cli/check.rs
+++ b/server/src/cli/check.rs
@@ -16,7 +16,7 @@
     match operator_file::read(operator_file) {
         Ok(settings) => {
             problems.extend(state_dir_problem(&settings));
-            problems.extend(settings.session_keys.as_deref().and_then(|path| read_session_keys(path).err()));
+            problems.extend(settings.sessions.keys.as_deref().and_then(|path| read_session_keys(path).err()));
         }
         Err(errors) => problems.extend(errors.iter().map(|error| error.to_string())),
     }
@@ -28,7 +28,7 @@
 }
 
 fn state_dir_problem(settings: &OperatorSettings) -> Option<String> {
-    let path = settings.state_dir.as_ref()?;
+    let path = settings.storage.state_dir.as_ref()?;
     match std::fs::metadata(path) {
         Ok(found) if found.is_dir() => None,
         Ok(_) => Some(format!("state-dir: {}: no directory", path.display())),
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -8,7 +8,7 @@
 use admission::concurrency_limiter::ClientKey;
 use admission::connection_limiter::ConnectionLimits;
 use admission::handshake_queue::{Enqueued, HandshakeId, HandshakeQueue};
-use admission::{AddressPrefixes, AdmittedConnection, ClassError, ClientClass, ConnectionLimiter, Rejection};
+use admission::{AdmittedConnection, ClassError, ClassSettings, ClientClass, ConnectionLimiter, Rejection};
 use routing::time::TimeDelta;
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -129,15 +129,6 @@
     pub remembered_addresses: usize,
 }
 
-/// How admission control is set.
-#[derive(Clone)]
-pub struct ClassSettings {
-    /// The classes of clients.
-    pub classes: Vec<ClientClass>,
-    /// How much of an address identifies a client.
-    pub prefixes: AddressPrefixes,
-}
-
 impl AdmissionControl {
     /// For a server that may tell clients to stay away for `max_retry_after` at most.
     ///
--- a/server/src/config/operator_file.rs
+++ b/server/src/config/operator_file.rs
@@ -59,8 +59,8 @@
 /// How the log is written.
 pub fn log_style(settings: &OperatorSettings) -> LogStyle {
     LogStyle {
-        json: settings.log_format == LogFormat::Json,
-        level: settings.log_level.parse().unwrap_or(tracing::Level::INFO),
-        max_queued_bytes: settings.log_buffer,
+        json: settings.log.format == LogFormat::Json,
+        level: settings.log.level.parse().unwrap_or(tracing::Level::INFO),
+        max_queued_bytes: settings.log.max_queued_bytes,
     }
 }
--- a/server/src/startup/foundation.rs
+++ b/server/src/startup/foundation.rs
@@ -1,7 +1,7 @@
 //! What all parts of the server stand on: timers, resource limits, counters and admission control.
 
 use crate::admin::socket;
-use crate::clients::admission_control::{AdmissionControl, ClassSettings};
+use crate::clients::admission_control::AdmissionControl;
 use crate::exit_status::{ExitStatus, Failure};
 use crate::log;
 use crate::runtime::clock::{Clock, Timers};
@@ -85,13 +85,13 @@
     };
     let descriptors = descriptors.saturating_sub(descriptors_for_operators(operators));
     let memory_bytes = limits.memory_mb << BYTES_PER_MIB_SHIFT;
-    ResourceLimits::new(descriptors, memory_bytes, !operators.client_classes.is_empty())
+    ResourceLimits::new(descriptors, memory_bytes, !operators.admission.clients.classes.is_empty())
 }
 
 /// Descriptors that the server itself holds for what operators have set.
 fn descriptors_for_operators(operators: &OperatorSettings) -> usize {
-    let cache = if operators.state_dir.is_some() { endpoint_cache::DESCRIPTORS } else { 0 };
-    let has_journal = operators.journal_mode != JournalMode::Off;
+    let cache = if operators.storage.state_dir.is_some() { endpoint_cache::DESCRIPTORS } else { 0 };
+    let has_journal = operators.storage.journal.mode != JournalMode::Off;
     let journal = if has_journal { write_journal::journal::DESCRIPTORS } else { 0 };
     let admin = if operators.admin_socket.is_some() { socket::DESCRIPTORS } else { 0 };
     cache + journal + admin
@@ -102,16 +102,14 @@
     timers: &Arc<Timers>,
     resources: &Arc<ResourceLimits>,
 ) -> Result<Option<Arc<AdmissionControl>>, Failure> {
-    let operators = &configuration.operators;
-    if operators.client_classes.is_empty() {
+    let clients = configuration.operators.admission.clients.clone();
+    if clients.classes.is_empty() {
         return Ok(None);
     }
-    let classes =
-        ClassSettings { classes: operators.client_classes.clone(), prefixes: operators.address_prefixes };
     // If no Retry-After may be told, it does not matter which.
     let max_retry_after = configuration.bootstrap.settings.max_retry_after.unwrap_or(TimeDelta::ZERO);
     let seed = unpredictable_seed();
-    let admission = AdmissionControl::new(classes, max_retry_after, seed, timers.clone(), resources.clone());
+    let admission = AdmissionControl::new(clients, max_retry_after, seed, timers.clone(), resources.clone());
     admission.map(Some).map_err(|errors| {
         Failure::all(ExitStatus::ConfigError, errors.iter().map(|error| format!("admit: {error}")))
     })
--- a/server/src/startup/reload.rs
+++ b/server/src/startup/reload.rs
@@ -1,6 +1,5 @@
 //! SIGHUP: both files are read again. A file that cannot be used changes nothing.
 
-use crate::clients::admission_control::ClassSettings;
 use crate::clients::session_tokens::read_keys;
 use crate::config::bootstrap::{Bootstrap, BootstrapError, ReadAt};
 use crate::config::operator_file::{self, OperatorFileError};
@@ -41,7 +40,7 @@
             log_needs_restart(keyword);
         }
         if let Some(cache) = &self.endpoint_cache {
-            cache.set_min_interval(newer.save_interval);
+            cache.set_min_interval(newer.storage.save_interval);
         }
         match self.apply_classes(newer) {
             Ok(()) => {
@@ -54,18 +53,18 @@
     }
 
     fn apply_classes(&self, newer: &OperatorSettings) -> Result<(), Vec<ClassError>> {
-        let Some(admission) = self.admission.as_ref().filter(|_| !newer.client_classes.is_empty()) else {
+        let clients = &newer.admission.clients;
+        let Some(admission) = self.admission.as_ref().filter(|_| !clients.classes.is_empty()) else {
             return Ok(());
         };
-        let classes = newer.client_classes.clone();
-        admission.set_classes(ClassSettings { classes, prefixes: newer.address_prefixes })?;
+        admission.set_classes(clients.clone())?;
         log!(INFO; "client classes reloaded: {}", admission.summary());
         Ok(())
     }
 
     /// The file of keys is the one that the start was told of; its content may have changed.
     fn apply_session_keys(&self) {
-        let path = self.configuration.operators.session_keys.as_ref();
+        let path = self.configuration.operators.sessions.keys.as_ref();
         let (Some(tokens), Some(path)) = (&self.session_tokens, path) else { return };
         match read_keys(path) {
             Ok(keys) => tokens.set_keys(keys),
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -27,7 +27,7 @@
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::TcpListener;
 use may::sync::mpsc::{channel, Receiver, Sender};
-use operator_config::{EndpointIdentity, JournalMode, OperatorSettings};
+use operator_config::{EndpointIdentity, JournalMode, OperatorSettings, StorageSettings};
 use recovery::discovery_incarnation::IncarnationTracker;
 use recovery::watch_schedule::WatchSchedule;
 use routing::rng::Mwc;
@@ -92,11 +92,10 @@
     pub fn start(clock: Clock, configuration: Configuration) -> Result<Server, Failure> {
         let foundation = Foundation::new(clock, &configuration)?;
         let listener = bind(configuration.bootstrap.listen)?;
-        let journal = open_journal(&configuration.operators)?;
-        let operators = &configuration.operators;
-        let open_cache =
-            |path: &std::path::PathBuf| EndpointCache::open(path, clock, operators.save_interval);
-        let cache = operators.state_dir.as_ref().map(open_cache);
+        let journal = open_journal(&configuration.operators.storage)?;
+        let storage = &configuration.operators.storage;
+        let open_cache = |path: &std::path::PathBuf| EndpointCache::open(path, clock, storage.save_interval);
+        let cache = storage.state_dir.as_ref().map(open_cache);
         let (control, messages) = channel();
         let builder = Builder { clock, configuration, foundation, control, journal, cache };
         builder.start(listener, messages)
@@ -220,7 +219,7 @@
 
     fn session_tokens(&mut self) -> Option<Arc<SessionTokens>> {
         let keys = self.configuration.session_keys.take()?;
-        let lifetime = TimeDelta(self.configuration.operators.session_lifetime.as_nanos() as i64);
+        let lifetime = TimeDelta(self.configuration.operators.sessions.lifetime.as_nanos() as i64);
         Some(Arc::new(SessionTokens::new(keys, lifetime, unpredictable_seed())))
     }
 
@@ -267,7 +266,7 @@
     ) -> ClientContext {
         let Foundation { timers, resources, admission, methods, .. } = &self.foundation;
         let settings = &self.configuration.bootstrap.settings;
-        let prefixes = self.configuration.operators.address_prefixes;
+        let prefixes = self.configuration.operators.admission.clients.prefixes;
         ClientContext {
             timers: timers.clone(),
             resources: resources.clone(),
@@ -310,18 +309,18 @@
 
 /// Opens the journal of writes, if one is kept. Without it nothing may be promised, so a server that cannot have it does not
 /// start.
-fn open_journal(operators: &OperatorSettings) -> Result<Option<Arc<WriteJournal>>, Failure> {
-    let durability = match operators.journal_mode {
+fn open_journal(settings: &StorageSettings) -> Result<Option<Arc<WriteJournal>>, Failure> {
+    let durability = match settings.journal.mode {
         JournalMode::Off => return Ok(None),
         JournalMode::System => Durability::System,
         JournalMode::Disk => Durability::Disk,
     };
     let failure =
         |problem: String| Failure::new(ExitStatus::ConfigError, format!("write-journal: {problem}"));
-    let state_dir = operators.state_dir.as_ref().ok_or_else(|| failure("it needs a state-dir".into()))?;
+    let state_dir = settings.state_dir.as_ref().ok_or_else(|| failure("it needs a state-dir".into()))?;
     let retention = Retention {
-        max_records: operators.journal_max_records,
-        max_age_ms: operators.journal_max_age.as_millis() as i64,
+        max_records: settings.journal.max_records,
+        max_age_ms: settings.journal.max_age.as_millis() as i64,
     };
     let path = state_dir.join(JOURNAL_DIRECTORY);
     let journal = WriteJournal::start(&path, durability, retention, unpredictable_seed());
@@ -331,5 +330,5 @@
 /// The limits on requests, and the classes that share them, if there are any.
 pub(super) fn queue_limits(operators: &OperatorSettings) -> Option<QueueLimits> {
     let limits = operators.concurrency_limits()?;
-    Some(QueueLimits { limits, classes: operators.client_classes.clone() })
+    Some(QueueLimits { limits, classes: operators.admission.clients.classes.clone() })
 }
