--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -16,19 +16,19 @@
         let quick = self.quick_latency[request.method];
         let suits_all = TimeDelta::from_secs_f64(quick) + self.settings.tightest_objective / 2;
         let queue = if method.delays_replication { timeout } else { suits_all };
-        let endpoint = &mut self.endpoints[index];
+        let capacity = &mut self.endpoints[index].capacity;
         request.in_flight = Some(InFlightAttempt {
             number: request.attempts,
             started_at: self.now,
             work: quick,
             queue_threshold: queue.min(timeout * 3 / 4),
-            under_pressure: !endpoint.accepts(endpoint.concurrency_limit * 0.5, 0.0, self.now),
+            under_pressure: !capacity.accepts(capacity.concurrency_limit * 0.5, 0.0, self.now),
         });
         request.attempts += 1;
         if let Some(session) = request.recorded_session {
             self.session_writes.started(session);
         }
-        endpoint.start_work(quick, self.now);
+        capacity.start_work(quick, self.now);
         self.actions.push(Action::StartAttempt { request: id, endpoint: index, timeout });
     }
 
@@ -46,7 +46,7 @@
         let (endpoint, group) = (&self.endpoints[index], &self.groups[request.group]);
         let is_current = request.in_flight.as_ref().is_some_and(|attempt| attempt.number == number);
         let may_run = request.retry_until.is_none_or(|until| now < until);
-        if !is_current || !may_run || !endpoint.serving {
+        if !is_current || !may_run || !endpoint.listing.serving {
             return false;
         }
         if group.primary == Some(index) {
@@ -57,7 +57,8 @@
             return discovers && group.is_eligible(index);
         }
         let checked_there = self.settings.settings.lag_handling != LagHandling::ServeStale;
-        (checked_there && !request.carries_position) || endpoint.position >= self.required_position(request)
+        let position = endpoint.reported.position;
+        (checked_there && !request.carries_position) || position >= self.required_position(request)
     }
 
     pub(crate) fn finish_attempt(&mut self, end: &AttemptEnd) {
--- a/routing/src/policy/concurrency_limit.rs
+++ b/routing/src/policy/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! How many attempts an endpoint gets: an adaptive concurrency limit, and slow start after its process has
 //! started.
 
-use crate::state::endpoint::Endpoint;
+use crate::state::endpoint::{Endpoint, EndpointCapacity};
 use crate::time::Timestamp;
 use crate::{AttemptEnd, AttemptOutcome, EndpointIndex, MethodIndex, RoutingPolicy};
 
@@ -12,12 +12,12 @@
 /// What settings allow in slow start is divided by this; the rest is left to chance.
 const SLOW_START_MARGIN: f64 = 3.0;
 
-impl Endpoint {
+impl EndpointCapacity {
     /// Whether it takes another attempt within a limit; below 1, once no more than `allowance` seconds of
     /// earlier work are outstanding at that rate.
     pub(super) fn accepts(&self, limit: f64, allowance: f64, now: Timestamp) -> bool {
         let in_flight = f64::from(self.in_flight);
-        in_flight < limit.max(1.0) && (limit >= 1.0 || self.outstanding_work(limit, now) <= allowance)
+        in_flight < limit.max(1.0) && (limit >= 1.0 || self.work.outstanding(limit, now) <= allowance)
     }
 
     /// Reduces the limit because of a late answer, once for attempts that started before the last reduction.
@@ -35,13 +35,14 @@
         let endpoint = &self.endpoints[index];
         let unchecked = !self.settings.settings.may_check_health;
         // A write goes by the list's role: an endpoint that is not the primary rejects it untouched.
-        let claims_write = self.settings.methods[method].is_write() && endpoint.primary_claim.is_some();
+        let claims_primary = endpoint.role.primary_claim.is_some();
+        let claims_write = self.settings.methods[method].is_write() && claims_primary;
         let is_known = unchecked || claims_write || endpoint.has_answered();
         // An ineligible endpoint that claims to be primary may be on a log of its own.
-        let diverged = endpoint.primary_claim.is_some() && !self.groups[endpoint.group].is_eligible(index);
+        let diverged = claims_primary && !self.groups[endpoint.listing.group].is_eligible(index);
         let fraction = self.slow_start_fraction(endpoint);
         let is_light = fraction.is_none_or(|fraction| self.is_light(self.quick_latency[method], fraction));
-        endpoint.serving && is_known && self.is_healthy(endpoint) && is_light && !diverged
+        endpoint.listing.serving && is_known && self.is_healthy(endpoint) && is_light && !diverged
     }
 
     /// Whether an endpoint has capacity for another attempt within a share of its limit.
@@ -49,10 +50,10 @@
         let endpoint = &self.endpoints[index];
         // Requests come in twos by chance: no sign of a queue at a warm endpoint whose limit was not reduced.
         let warm = self.slow_start_fraction(endpoint).is_none();
-        let tolerant = warm && endpoint.concurrency_limit >= self.settings.initial_limit;
+        let tolerant = warm && endpoint.capacity.concurrency_limit >= self.settings.initial_limit;
         let tolerance = share * self.settings.tightest_objective.as_secs_f64() / 4.0;
-        let limit = endpoint.concurrency_limit.min(self.slow_start_limit(endpoint)) * share;
-        endpoint.accepts(limit, if tolerant { tolerance } else { 0.0 }, self.now)
+        let limit = endpoint.capacity.concurrency_limit.min(self.slow_start_limit(endpoint)) * share;
+        endpoint.capacity.accepts(limit, if tolerant { tolerance } else { 0.0 }, self.now)
     }
 
     /// The limit of an endpoint in slow start. With few instances, a part of the work that may lie at one of
@@ -88,18 +89,17 @@
         let succeeded = end.outcome == AttemptOutcome::Succeeded;
         let work = in_flight.filter(|_| succeeded).map_or(0.0, |attempt| attempt.work);
         let endpoint = &mut self.endpoints[end.endpoint];
-        endpoint.finish_work(work, self.settings.settings.overload_window, now);
+        endpoint.capacity.finish_work(work, self.settings.settings.overload_window, now);
         // What a reduction took comes back even without pressure: with many instances each is under pressure
         // too seldom to win it back.
-        let below_initial = endpoint.concurrency_limit < self.settings.initial_limit;
+        let below_initial = endpoint.capacity.concurrency_limit < self.settings.initial_limit;
         let saturated = endpoint.reported_busier_than(SATURATED_LOAD, now - self.settings.max_report_age * 4);
         let may_raise = (under_pressure || below_initial) && !saturated;
         let late = end.outcome == AttemptOutcome::TimedOut || (succeeded && end.elapsed >= queue_threshold);
         if succeeded || end.outcome == AttemptOutcome::NotEligible {
-            (endpoint.answered_at, endpoint.consecutive_failures) = (now, 0);
-            let limit = endpoint.concurrency_limit;
-            endpoint.concurrency_limit +=
-                if may_raise && !late { (1.0 / limit).min(limit / 4.0) } else { 0.0 };
+            (endpoint.health.answered_at, endpoint.health.consecutive_failures) = (now, 0);
+            let limit = &mut endpoint.capacity.concurrency_limit;
+            *limit += if may_raise && !late { (1.0 / *limit).min(*limit / 4.0) } else { 0.0 };
         } else {
             self.record_failure(end.endpoint, end.outcome, started_at);
         }
@@ -111,12 +111,12 @@
     /// With limits below 1 each endpoint answers too seldom: what one replica shows has to do for all of its
     /// group.
     fn reduce_limits(&mut self, index: EndpointIndex, started_at: Timestamp) {
-        let group = &self.groups[self.endpoints[index].group];
+        let group = &self.groups[self.endpoints[index].listing.group];
         for &member in &group.members {
             let endpoint = &mut self.endpoints[member];
             let are_replicas = ![index, member].map(Some).contains(&group.primary);
-            if member == index || (are_replicas && endpoint.concurrency_limit < 1.0) {
-                endpoint.reduce_limit(started_at, self.now, self.settings.min_limit);
+            if member == index || (are_replicas && endpoint.capacity.concurrency_limit < 1.0) {
+                endpoint.capacity.reduce_limit(started_at, self.now, self.settings.min_limit);
             }
         }
     }
--- a/routing/src/policy/endpoint_state.rs
+++ b/routing/src/policy/endpoint_state.rs
@@ -1,7 +1,7 @@
 //! What is taken from the endpoint list and from endpoints' own reports, and who is taken for the primary of
 //! a group.
 
-use crate::state::endpoint::{Endpoint, LoadReport};
+use crate::state::endpoint::{LoadReport, RoleEvidence};
 use crate::time::Timestamp;
 use crate::{Action, EndpointIndex, EndpointRecord, EndpointReport, EndpointStatus};
 use crate::{GroupIndex, Role, RoutingPolicy};
@@ -25,7 +25,7 @@
     pub(crate) fn apply_endpoint_list(&mut self, complete: bool, records: &[EndpointRecord]) {
         let unlisted_stay_usable = self.settings.settings.unlisted_stay_usable;
         let unlisted = self.endpoints.iter_mut().filter(|_| complete);
-        unlisted.for_each(|endpoint| endpoint.serving &= unlisted_stay_usable);
+        unlisted.for_each(|endpoint| endpoint.listing.serving &= unlisted_stay_usable);
         // A watch that stands needs no renewal; one that was lost unnoticed does.
         self.next_list_poll = self.settings.list_poll_interval.map(|interval| self.now + interval * 4);
         for record in records {
@@ -37,27 +37,29 @@
 
     fn apply_record(&mut self, record: &EndpointRecord) {
         let endpoint = &mut self.endpoints[record.endpoint];
-        let stays_usable = endpoint.serving && self.settings.settings.unlisted_stay_usable;
-        endpoint.serving = match record.status {
+        let stays_usable = endpoint.listing.serving && self.settings.settings.unlisted_stay_usable;
+        let listing = &mut endpoint.listing;
+        listing.serving = match record.status {
             EndpointStatus::Serving => true,
             EndpointStatus::Draining => false,
             EndpointStatus::Removed => stays_usable,
         };
         // A start that was only presumed gives way to the list's record of it.
-        endpoint.started_at = endpoint.started_at.filter(|_| !endpoint.start_presumed);
-        endpoint.start_presumed = record.start_presumed;
-        if record.started_at > endpoint.started_at {
-            endpoint.started_at = record.started_at;
-            endpoint.last_attempt_at = self.now;
+        listing.started_at = listing.started_at.filter(|_| !listing.start_presumed);
+        listing.start_presumed = record.start_presumed;
+        if record.started_at > listing.started_at {
+            listing.started_at = record.started_at;
+            endpoint.capacity.work.last_attempt_at = self.now;
             // Jitter: each instance makes its first attempt at a starting endpoint at a time of its own.
             let jitter = self.rng.below(64) as f64 / 256.0;
-            endpoint.work_at_last_attempt = jitter * self.settings.tightest_objective.as_secs_f64();
+            endpoint.capacity.work.at_last_attempt = jitter * self.settings.tightest_objective.as_secs_f64();
         }
         // The list's role is the weakest evidence: it counts only until the endpoint itself has answered.
-        let claimed_at = endpoint.primary_claim.unwrap_or_default();
-        let role_evidence_at = endpoint.answered_at.max(endpoint.primary_denied_at).max(claimed_at);
+        let role = &mut endpoint.role;
+        let claimed_at = role.primary_claim.unwrap_or_default();
+        let role_evidence_at = endpoint.health.answered_at.max(role.primary_denied_at).max(claimed_at);
         if role_evidence_at == Timestamp::DISTANT_PAST {
-            endpoint.primary_claim = record.primary.then_some(Timestamp::DISTANT_PAST);
+            role.primary_claim = record.primary.then_some(Timestamp::DISTANT_PAST);
         }
     }
 
@@ -69,15 +71,16 @@
         // A report of a time to come proves nothing, least of all freshness.
         let from_future = report.position > Some(now + self.settings.answer_margin);
         let report = if from_future { EndpointReport::default() } else { report };
+        let reported = &mut endpoint.reported;
         if let Some(position) = report.position {
-            endpoint.position = endpoint.position.max(Some(position.min(now)));
-            endpoint.reported_at = now;
+            reported.position = reported.position.max(Some(position.min(now)));
+            reported.position_reported_at = now;
         }
         if let Some(busy) = report.load {
-            endpoint.load = Some(LoadReport { busy, at: now });
+            reported.load = Some(LoadReport { busy, at: now });
         }
-        endpoint.apply_role(report, is_answer, now);
-        let group = endpoint.group;
+        endpoint.role.apply(report, is_answer, now);
+        let group = endpoint.listing.group;
         self.update_primary(group);
     }
 
@@ -85,13 +88,13 @@
     pub(crate) fn update_primary(&mut self, group: GroupIndex) {
         let members = self.groups[group].members.iter().copied();
         let eligible = members.filter(|&member| self.groups[group].is_eligible(member));
-        let claims = eligible.filter_map(|member| Some((self.endpoints[member].primary_claim?, member)));
+        let claims = eligible.filter_map(|member| Some((self.endpoints[member].role.primary_claim?, member)));
         self.groups[group].primary = claims.max().map(|(_, member)| member);
     }
 }
 
-impl Endpoint {
-    fn apply_role(&mut self, report: EndpointReport, is_answer: bool, now: Timestamp) {
+impl RoleEvidence {
+    fn apply(&mut self, report: EndpointReport, is_answer: bool, now: Timestamp) {
         match report.role {
             Some(Role::Primary) => {
                 let undated = if is_answer { now } else { self.primary_denied_at };
--- a/routing/src/policy/health_checks.rs
+++ b/routing/src/policy/health_checks.rs
@@ -15,20 +15,21 @@
     /// do not shorten it.
     fn eject(&mut self, index: EndpointIndex) {
         let (now, base) = (self.now, self.settings.tick_interval * 2);
-        let endpoint = &mut self.endpoints[index];
-        if endpoint.ejected_until <= now {
-            endpoint.consecutive_failures = (endpoint.consecutive_failures + 1).min(MAX_COUNTED_FAILURES);
-            endpoint.ejected_until = now + base * (1 << (endpoint.consecutive_failures - 1));
+        let health = &mut self.endpoints[index].health;
+        if health.ejected_until <= now {
+            health.consecutive_failures = (health.consecutive_failures + 1).min(MAX_COUNTED_FAILURES);
+            health.ejected_until = now + base * (1 << (health.consecutive_failures - 1));
         }
-        endpoint.failed_at = now;
+        health.failed_at = now;
     }
 
     /// Whether an endpoint is not ejected and has not failed, or may get its single attempt.
     pub(super) fn is_healthy(&self, endpoint: &Endpoint) -> bool {
         let unchecked = !self.settings.settings.may_check_health;
-        let may_show_itself = unchecked || endpoint.answered_at > endpoint.failed_at;
-        let single_attempt = endpoint.in_flight == 0 && may_show_itself;
-        endpoint.ejected_until <= self.now && (endpoint.consecutive_failures == 0 || single_attempt)
+        let health = &endpoint.health;
+        let may_show_itself = unchecked || health.answered_at > health.failed_at;
+        let single_attempt = endpoint.capacity.in_flight == 0 && may_show_itself;
+        health.ejected_until <= self.now && (health.consecutive_failures == 0 || single_attempt)
     }
 
     /// What an attempt without an answer of use says of the endpoint's health.
@@ -38,24 +39,24 @@
         outcome: AttemptOutcome,
         started_at: Timestamp,
     ) {
-        let endpoint = &mut self.endpoints[index];
-        let answered_since_failure = endpoint.answered_at > endpoint.failed_at;
+        let health = &mut self.endpoints[index].health;
+        let answered_since_failure = health.answered_at > health.failed_at;
         match outcome {
             // Slow is not silent: only an endpoint that has answered nothing since has failed.
-            AttemptOutcome::TimedOut if endpoint.answered_at >= started_at => {}
+            AttemptOutcome::TimedOut if health.answered_at >= started_at => {}
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
             // One bad answer among good ones ejects nobody; the next one in a row does.
             AttemptOutcome::Failed | AttemptOutcome::ConnectionLost if answered_since_failure => {
-                endpoint.failed_at = self.now;
+                health.failed_at = self.now;
             }
             _ => self.eject(index),
         }
     }
 
     pub(crate) fn on_health_check_ended(&mut self, index: EndpointIndex, outcome: AttemptOutcome) {
-        self.endpoints[index].health_check_in_flight = false;
+        self.endpoints[index].health.check_in_flight = false;
         match outcome {
-            AttemptOutcome::Succeeded => self.endpoints[index].answered_at = self.now,
+            AttemptOutcome::Succeeded => self.endpoints[index].health.answered_at = self.now,
             // Too many checked it at once: that says nothing of its health.
             AttemptOutcome::Rejected => {}
             _ => self.eject(index),
@@ -88,8 +89,8 @@
                 return;
             }
             let Some(endpoint) = self.next_health_check(group) else { return };
-            self.endpoints[endpoint].health_check_in_flight = true;
-            self.endpoints[endpoint].health_checked_at = self.now;
+            let health = &mut self.endpoints[endpoint].health;
+            (health.check_in_flight, health.checked_at) = (true, self.now);
             self.groups[group].health_check_credit -= 1.0;
             self.actions.push(Action::CheckHealth { endpoint });
         }
@@ -111,8 +112,7 @@
         members.retain(|&member| self.is_check_due(member, waiting, fresh_known));
         let (endpoints, rng, max_age) = (&self.endpoints, &mut self.rng, self.settings.max_report_age);
         members.into_iter().min_by_key(|&member| {
-            let endpoint = &endpoints[member];
-            let lag = endpoint.position.map_or(max_age, |position| endpoint.reported_at - position);
+            let lag = endpoints[member].reported.lag().unwrap_or(max_age);
             let rank = if primary_lost { 0 } else { lag.0 / max_age.0.max(1) };
             (rank, rng.below(1 << 16))
         })
@@ -121,12 +121,12 @@
     fn is_check_due(&self, index: EndpointIndex, waiting: bool, fresh_known: bool) -> bool {
         let endpoint = &self.endpoints[index];
         let max_age = self.settings.max_report_age / if waiting { 2 } else { 1 };
-        let ejection_over = endpoint.consecutive_failures > 0 && endpoint.ejected_until <= self.now;
-        let outdated = endpoint.reported_at + max_age <= self.now && !fresh_known;
-        let backoff = if endpoint.consecutive_failures > 1 { 2 } else { 1 };
+        let health = &endpoint.health;
+        let ejection_over = health.consecutive_failures > 0 && health.ejected_until <= self.now;
+        let outdated = endpoint.reported.position_reported_at + max_age <= self.now && !fresh_known;
+        let backoff = if health.consecutive_failures > 1 { 2 } else { 1 };
         let interval = self.settings.tick_interval * 2 * backoff;
-        let checked_recently =
-            endpoint.health_check_in_flight || endpoint.health_checked_at + interval > self.now;
-        endpoint.serving && (ejection_over || outdated) && !checked_recently
+        let checked_recently = health.check_in_flight || health.checked_at + interval > self.now;
+        endpoint.listing.serving && (ejection_over || outdated) && !checked_recently
     }
 }
--- a/routing/src/policy/replica_selection.rs
+++ b/routing/src/policy/replica_selection.rs
@@ -61,8 +61,9 @@
             return None;
         }
         let lately = self.now - self.settings.tightest_objective * 4;
-        let denied_at = |index: EndpointIndex| self.endpoints[index].primary_denied_at;
-        let is_free = |index: EndpointIndex| self.endpoints[index].in_flight == 0 && group.is_eligible(index);
+        let denied_at = |index: EndpointIndex| self.endpoints[index].role.primary_denied_at;
+        let in_flight = |index: EndpointIndex| self.endpoints[index].capacity.in_flight;
+        let is_free = |index: EndpointIndex| in_flight(index) == 0 && group.is_eligible(index);
         let mut candidates = group.members.clone();
         candidates
             .retain(|&index| denied_at(index) < lately && is_free(index) && self.is_usable(index, method));
@@ -93,8 +94,8 @@
             (only_one || Some(index) != request.avoid_endpoint) && self.has_capacity(index, share)
         });
         let required = self.required_position(request);
-        let is_fresh =
-            |index: &EndpointIndex| required.is_none() || self.endpoints[*index].position >= required;
+        let position = |index: EndpointIndex| self.endpoints[index].reported.position;
+        let is_fresh = |index: &EndpointIndex| required.is_none() || position(*index) >= required;
         if replicas.iter().any(is_fresh) {
             replicas.retain(is_fresh);
             return Some(replicas);
@@ -117,7 +118,8 @@
             // An endpoint's wait is worth trying only if the lag it last reported could be made up within it.
             LagHandling::Wait(max_wait) if first_try => replicas.retain(|index| catches_up(index, max_wait)),
             LagHandling::Reject if first_try && !is_strong => {
-                let freshest = replicas.into_iter().max_by_key(|&index| self.endpoints[index].position);
+                let freshest =
+                    replicas.into_iter().max_by_key(|&index| self.endpoints[index].reported.position);
                 replicas = freshest.into_iter().collect();
             }
             // Departure: if every replica is too far behind to make it up by then, the wait is left out.
@@ -129,16 +131,15 @@
 
     /// Whether an endpoint's data may become fresh enough within this time, by the lag that it last reported.
     fn may_catch_up(&self, request: &Request, index: EndpointIndex, within: TimeDelta) -> bool {
-        let endpoint = &self.endpoints[index];
         let required = self.required_position(request);
         let allowed = required.map(|at| self.now - at + within + self.settings.max_report_age);
-        endpoint.position.is_some_and(|position| allowed >= Some(endpoint.reported_at - position))
+        self.endpoints[index].reported.lag().is_some_and(|lag| allowed >= Some(lag))
     }
 
     /// Departure: a read without a bound that may take longer than others' bounds keeps to the half of the
     /// replicas that is most behind: long reads on all of them would let none apply its log.
     fn replica_for_long_read(&self, mut replicas: Candidates, share: f64) -> Option<Candidates> {
-        replicas.sort_by_key(|&index| self.endpoints[index].position);
+        replicas.sort_by_key(|&index| self.endpoints[index].reported.position);
         replicas.truncate(replicas.len().div_ceil(2));
         replicas.into_iter().find(|&index| self.has_capacity(index, share)).map(|index| vec![index])
     }
@@ -149,11 +150,11 @@
         let (settings, endpoints, rng) = (&self.settings.settings, &self.endpoints, &mut self.rng);
         candidates.iter().copied().min_by_key(|&index| {
             let endpoint = &endpoints[index];
-            let other_zone = endpoint.zone != settings.zone;
+            let other_zone = endpoint.listing.zone != settings.zone;
             // Without health checks only an answer tells who is who: first those that were never tried.
-            let untried = !endpoint.has_answered() && endpoint.in_flight == 0;
+            let untried = !endpoint.has_answered() && endpoint.capacity.in_flight == 0;
             let known = settings.may_check_health || !untried;
-            (known, endpoint.in_flight + u32::from(other_zone), other_zone, rng.below(1 << 16))
+            (known, endpoint.capacity.in_flight + u32::from(other_zone), other_zone, rng.below(1 << 16))
         })
     }
 }
--- a/routing/src/routing_policy.rs
+++ b/routing/src/routing_policy.rs
@@ -116,8 +116,8 @@
 
     /// Positions that every usable endpoint has reached bind no session any more.
     fn expire_session_writes(&mut self) {
-        let serving = self.endpoints.iter().filter(|endpoint| endpoint.serving);
-        let reached_by_all = serving.map(|endpoint| endpoint.position).min().flatten();
+        let serving = self.endpoints.iter().filter(|endpoint| endpoint.listing.serving);
+        let reached_by_all = serving.map(|endpoint| endpoint.reported.position).min().flatten();
         self.session_writes.expire(reached_by_all);
     }
 
@@ -141,36 +141,37 @@
         if !self.groups[group].members.contains(&index) {
             self.groups[group].members.push(index);
             let endpoint = &mut self.endpoints[index];
-            endpoint.group = group;
-            endpoint.zone = zone;
-            endpoint.concurrency_limit = self.settings.initial_limit;
+            endpoint.listing.group = group;
+            endpoint.listing.zone = zone;
+            endpoint.capacity.concurrency_limit = self.settings.initial_limit;
         }
     }
 
     /// Whether a group's primary is known, serving, and has not failed lately.
     pub(crate) fn has_healthy_primary(&self, group: &Group) -> bool {
         let primary = group.primary.map(|index| &self.endpoints[index]);
-        primary.is_some_and(|primary| primary.consecutive_failures == 0 && primary.serving)
+        primary.is_some_and(|primary| primary.health.consecutive_failures == 0 && primary.listing.serving)
     }
 
     /// The group of an endpoint, if any list has named it.
     fn group_of(&self, index: EndpointIndex) -> Option<GroupIndex> {
-        self.endpoints.get(index).map(|endpoint| endpoint.group)
+        self.endpoints.get(index).map(|endpoint| endpoint.listing.group)
     }
 
     /// Work done lately for this instance at the mean warm endpoint, in seconds.
     pub(crate) fn mean_warm_work(&self) -> f64 {
         let window = self.settings.settings.overload_window;
-        let is_warm = |endpoint: &&Endpoint| endpoint.serving && self.slow_start_fraction(endpoint).is_none();
+        let is_warm =
+            |endpoint: &&Endpoint| endpoint.listing.serving && self.slow_start_fraction(endpoint).is_none();
         let warm = self.endpoints.iter().filter(is_warm);
-        let work: Vec<f64> = warm.map(|endpoint| endpoint.recent_work(window, self.now)).collect();
+        let work: Vec<f64> = warm.map(|endpoint| endpoint.capacity.work.recent(window, self.now)).collect();
         work.iter().sum::<f64>() / work.len().max(1) as f64
     }
 
     /// The fraction of its capacity that an endpoint in slow start has, by the settings; none if it is warm.
     pub(crate) fn slow_start_fraction(&self, endpoint: &Endpoint) -> Option<f64> {
         let settings = &self.settings.settings;
-        let age = self.now - endpoint.started_at?;
+        let age = self.now - endpoint.listing.started_at?;
         let warmed = age.as_secs_f64() / settings.slow_start_duration.as_secs_f64().max(1e-9);
         let fraction = settings.slow_start_fraction + (1.0 - settings.slow_start_fraction) * warmed;
         (age < settings.slow_start_duration).then_some(fraction)
--- a/routing/src/snapshot.rs
+++ b/routing/src/snapshot.rs
@@ -40,15 +40,18 @@
         let endpoint = self.endpoints.get(index)?;
         let age = |at: Timestamp| (at > Timestamp::DISTANT_PAST).then(|| now - at);
         Some(EndpointSnapshot {
-            serving: endpoint.serving,
-            primary: self.groups.get(endpoint.group).is_some_and(|group| group.primary == Some(index)),
-            in_flight: endpoint.in_flight,
-            concurrency_limit: endpoint.concurrency_limit,
-            ejected_for: (endpoint.ejected_until > now).then(|| endpoint.ejected_until - now),
-            lag: endpoint.position.map(|position| endpoint.reported_at - position),
-            report_age: age(endpoint.reported_at),
-            answer_age: age(endpoint.answered_at),
-            load: endpoint.load.map(|load| load.busy),
+            serving: endpoint.listing.serving,
+            primary: self
+                .groups
+                .get(endpoint.listing.group)
+                .is_some_and(|group| group.primary == Some(index)),
+            in_flight: endpoint.capacity.in_flight,
+            concurrency_limit: endpoint.capacity.concurrency_limit,
+            ejected_for: (endpoint.health.ejected_until > now).then(|| endpoint.health.ejected_until - now),
+            lag: endpoint.reported.lag(),
+            report_age: age(endpoint.reported.position_reported_at),
+            answer_age: age(endpoint.health.answered_at),
+            load: endpoint.reported.load.map(|load| load.busy),
             slow_start_fraction: self.slow_start_fraction(endpoint),
         })
     }
