--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -24,5 +24,5 @@
 pub use events::*;
 pub use routing_policy::RoutingPolicy;
 pub use settings::*;
-pub use snapshot::EndpointSnapshot;
+pub use snapshot::{CapacitySnapshot, EndpointSnapshot, ReportSnapshot};
 pub use state::session_writes::SessionWrites;
--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -14,18 +14,18 @@
         let timeout = (until - self.now).max(TimeDelta(1));
         // The queue that any method leaves must suit the tightest objective, or patient methods crowd it out.
         let quick = self.quick_latency[request.method];
-        let suits_all = TimeDelta::from_secs_f64(quick) + self.settings.tightest_objective / 2;
+        let suits_all = TimeDelta::from_secs_f64(quick) + self.settings.times.tightest_objective / 2;
         let queue = if method.delays_replication { timeout } else { suits_all };
         let capacity = &mut self.endpoints[index].capacity;
         request.in_flight = Some(InFlightAttempt {
-            number: request.attempts,
+            number: request.attempts.started,
             started_at: self.now,
             work: quick,
             queue_threshold: queue.min(timeout * 3 / 4),
             under_pressure: !capacity.accepts(capacity.concurrency_limit * 0.5, 0.0, self.now),
         });
-        request.attempts += 1;
-        if let Some(session) = request.recorded_session {
+        request.attempts.started += 1;
+        if let Some(session) = request.session.recorded_session {
             self.session_writes.started(session);
         }
         capacity.start_work(quick, self.now);
@@ -45,7 +45,7 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let (endpoint, group) = (&self.endpoints[index], &self.groups[request.group]);
         let is_current = request.in_flight.as_ref().is_some_and(|attempt| attempt.number == number);
-        let may_run = request.retry_until.is_none_or(|until| now < until);
+        let may_run = request.attempts.retry_until.is_none_or(|until| now < until);
         if !is_current || !may_run || !endpoint.listing.serving {
             return false;
         }
@@ -58,7 +58,7 @@
         }
         let checked_there = self.settings.settings.lag_handling != LagHandling::ServeStale;
         let position = endpoint.reported.position;
-        (checked_there && !request.carries_position) || position >= self.required_position(request)
+        (checked_there && !request.session.carries_position) || position >= self.required_position(request)
     }
 
     pub(crate) fn finish_attempt(&mut self, end: &AttemptEnd) {
@@ -72,12 +72,12 @@
             *quick *= if end.elapsed.as_secs_f64() > *quick { 1.02 } else { 0.95 };
         } else {
             let not_sent = matches!(end.outcome, AttemptOutcome::NotSent | AttemptOutcome::Unreachable);
-            request.eligibility_rejections += u32::from(end.outcome == AttemptOutcome::NotEligible);
-            request.avoid_endpoint = Some(end.endpoint);
-            request.reached_endpoint |= !not_sent;
+            request.attempts.eligibility_rejections += u32::from(end.outcome == AttemptOutcome::NotEligible);
+            request.attempts.avoid_endpoint = Some(end.endpoint);
+            request.attempts.reached_endpoint |= !not_sent;
             if !end.outcome.proves_not_executed() {
                 let until = attempt.started_at + self.settings.methods[request.method].retry_window;
-                request.retry_until = request.retry_until.or(Some(until));
+                request.attempts.retry_until = request.attempts.retry_until.or(Some(until));
             }
         }
         let event = if end.request_closed { RequestEvent::Closed } else { RequestEvent::AttemptFailed };
--- a/routing/src/policy/compiled_settings.rs
+++ b/routing/src/policy/compiled_settings.rs
@@ -1,6 +1,6 @@
 //! What the settings come to: a policy for each method, and the intervals and limits derived from them.
 
-use crate::state::compiled_settings::{CompiledSettings, MethodPolicy};
+use crate::state::compiled_settings::{CompiledSettings, ConcurrencyBounds, DerivedTimes, MethodPolicy};
 use crate::time::TimeDelta;
 use crate::{Access, Idempotency, MethodIndex, MethodSettings, RoutingSettings};
 
@@ -44,14 +44,18 @@
         CompiledSettings {
             methods: methods.iter().map(|m| MethodPolicy::new(m, answer_margin, tightest_bound)).collect(),
             retry_order: retry_order(methods),
-            list_poll_interval: settings.list_poll_within.map(|within| within / 2),
-            answer_margin,
-            tick_interval: (tightest_objective / 8).max(settings.clock_resolution),
-            max_report_age: tightest_bound.unwrap_or(tightest_objective * 4) / 4,
-            tightest_objective,
+            times: DerivedTimes {
+                list_poll_interval: settings.list_poll_within.map(|within| within / 2),
+                answer_margin,
+                tick_interval: (tightest_objective / 8).max(settings.clock_resolution),
+                max_report_age: tightest_bound.unwrap_or(tightest_objective * 4) / 4,
+                tightest_objective,
+            },
             instance_share,
-            initial_limit: (INITIAL_CONCURRENCY * instance_share).min(INITIAL_CONCURRENCY / 4.0),
-            min_limit: INITIAL_CONCURRENCY / 4.0 * instance_share,
+            concurrency: ConcurrencyBounds {
+                initial_limit: (INITIAL_CONCURRENCY * instance_share).min(INITIAL_CONCURRENCY / 4.0),
+                min_limit: INITIAL_CONCURRENCY / 4.0 * instance_share,
+            },
             settings: settings.clone(),
         }
     }
--- a/routing/src/policy/concurrency_limit.rs
+++ b/routing/src/policy/concurrency_limit.rs
@@ -50,8 +50,8 @@
         let endpoint = &self.endpoints[index];
         // Requests come in twos by chance: no sign of a queue at a warm endpoint whose limit was not reduced.
         let warm = self.slow_start_fraction(endpoint).is_none();
-        let tolerant = warm && endpoint.capacity.concurrency_limit >= self.settings.initial_limit;
-        let tolerance = share * self.settings.tightest_objective.as_secs_f64() / 4.0;
+        let tolerant = warm && endpoint.capacity.concurrency_limit >= self.settings.concurrency.initial_limit;
+        let tolerance = share * self.settings.times.tightest_objective.as_secs_f64() / 4.0;
         let limit = endpoint.capacity.concurrency_limit.min(self.slow_start_limit(endpoint)) * share;
         endpoint.capacity.accepts(limit, if tolerant { tolerance } else { 0.0 }, self.now)
     }
@@ -92,8 +92,9 @@
         endpoint.capacity.finish_work(work, self.settings.settings.overload_window, now);
         // What a reduction took comes back even without pressure: with many instances each is under pressure
         // too seldom to win it back.
-        let below_initial = endpoint.capacity.concurrency_limit < self.settings.initial_limit;
-        let saturated = endpoint.reported_busier_than(SATURATED_LOAD, now - self.settings.max_report_age * 4);
+        let below_initial = endpoint.capacity.concurrency_limit < self.settings.concurrency.initial_limit;
+        let saturated =
+            endpoint.reported_busier_than(SATURATED_LOAD, now - self.settings.times.max_report_age * 4);
         let may_raise = (under_pressure || below_initial) && !saturated;
         let late = end.outcome == AttemptOutcome::TimedOut || (succeeded && end.elapsed >= queue_threshold);
         if succeeded || end.outcome == AttemptOutcome::NotEligible {
@@ -116,7 +117,7 @@
             let endpoint = &mut self.endpoints[member];
             let are_replicas = ![index, member].map(Some).contains(&group.primary);
             if member == index || (are_replicas && endpoint.capacity.concurrency_limit < 1.0) {
-                endpoint.capacity.reduce_limit(started_at, self.now, self.settings.min_limit);
+                endpoint.capacity.reduce_limit(started_at, self.now, self.settings.concurrency.min_limit);
             }
         }
     }
--- a/routing/src/policy/endpoint_state.rs
+++ b/routing/src/policy/endpoint_state.rs
@@ -10,7 +10,7 @@
     /// Polls the endpoint list if that is due.
     pub(crate) fn poll_endpoint_list(&mut self) {
         if self.next_list_poll.is_some_and(|at| at <= self.now) {
-            self.next_list_poll = self.settings.list_poll_interval.map(|interval| self.now + interval);
+            self.next_list_poll = self.settings.times.list_poll_interval.map(|interval| self.now + interval);
             self.actions.push(Action::WatchEndpointList);
         }
     }
@@ -18,7 +18,7 @@
     /// After a failure, with jitter: many instances that polled again in step would fail together again.
     pub(crate) fn postpone_list_poll(&mut self) {
         let jitter = self.rng.below(16) as i64;
-        let delay = self.settings.list_poll_interval.map(|interval| interval / 64 * (16 + jitter));
+        let delay = self.settings.times.list_poll_interval.map(|interval| interval / 64 * (16 + jitter));
         self.next_list_poll = delay.map(|delay| self.now + delay);
     }
 
@@ -27,7 +27,7 @@
         let unlisted = self.endpoints.iter_mut().filter(|_| complete);
         unlisted.for_each(|endpoint| endpoint.listing.serving &= unlisted_stay_usable);
         // A watch that stands needs no renewal; one that was lost unnoticed does.
-        self.next_list_poll = self.settings.list_poll_interval.map(|interval| self.now + interval * 4);
+        self.next_list_poll = self.settings.times.list_poll_interval.map(|interval| self.now + interval * 4);
         for record in records {
             self.ensure_endpoint(record.endpoint, record.group, record.zone);
             self.apply_record(record);
@@ -52,7 +52,8 @@
             endpoint.capacity.work.last_attempt_at = self.now;
             // Jitter: each instance makes its first attempt at a starting endpoint at a time of its own.
             let jitter = self.rng.below(64) as f64 / 256.0;
-            endpoint.capacity.work.at_last_attempt = jitter * self.settings.tightest_objective.as_secs_f64();
+            endpoint.capacity.work.at_last_attempt =
+                jitter * self.settings.times.tightest_objective.as_secs_f64();
         }
         // The list's role is the weakest evidence: it counts only until the endpoint itself has answered.
         let role = &mut endpoint.role;
@@ -69,7 +70,7 @@
         let now = self.now;
         let Some(endpoint) = self.endpoints.get_mut(index) else { return };
         // A report of a time to come proves nothing, least of all freshness.
-        let from_future = report.position > Some(now + self.settings.answer_margin);
+        let from_future = report.position > Some(now + self.settings.times.answer_margin);
         let report = if from_future { EndpointReport::default() } else { report };
         let reported = &mut endpoint.reported;
         if let Some(position) = report.position {
--- a/routing/src/policy/health_checks.rs
+++ b/routing/src/policy/health_checks.rs
@@ -14,7 +14,7 @@
     /// itself: one that fails fast would otherwise look idle and attract all requests. Answers from elsewhere
     /// do not shorten it.
     fn eject(&mut self, index: EndpointIndex) {
-        let (now, base) = (self.now, self.settings.tick_interval * 2);
+        let (now, base) = (self.now, self.settings.times.tick_interval * 2);
         let health = &mut self.endpoints[index].health;
         if health.ejected_until <= now {
             health.consecutive_failures = (health.consecutive_failures + 1).min(MAX_COUNTED_FAILURES);
@@ -74,7 +74,7 @@
     /// With few instances, or without a known primary, requests that wait earn some more.
     pub(crate) fn accrue_health_check_credit(&mut self, index: GroupIndex) {
         let group = &self.groups[index];
-        let many_instances = self.settings.initial_limit < 1.0;
+        let many_instances = self.settings.concurrency.initial_limit < 1.0;
         let idle = !group.has_waiting() || (self.has_healthy_primary(group) && many_instances);
         if group.health_check_credit < 1.0 && !idle {
             self.groups[index].health_check_credit += CREDIT_PER_TICK;
@@ -106,11 +106,11 @@
         let mut members = group.members.clone();
         members.retain(|&member| primary_lost || !is_primary(member));
         // Another replica's report is of use only if none is known that would do.
-        let fresh_from = self.now - self.settings.max_report_age * 4;
+        let fresh_from = self.now - self.settings.times.max_report_age * 4;
         let is_fresh = |member: &EndpointIndex| self.endpoints[*member].is_fresh_since(fresh_from);
         let fresh_known = !waiting && members.iter().any(is_fresh);
         members.retain(|&member| self.is_check_due(member, waiting, fresh_known));
-        let (endpoints, rng, max_age) = (&self.endpoints, &mut self.rng, self.settings.max_report_age);
+        let (endpoints, rng, max_age) = (&self.endpoints, &mut self.rng, self.settings.times.max_report_age);
         members.into_iter().min_by_key(|&member| {
             let lag = endpoints[member].reported.lag().unwrap_or(max_age);
             let rank = if primary_lost { 0 } else { lag.0 / max_age.0.max(1) };
@@ -120,12 +120,12 @@
 
     fn is_check_due(&self, index: EndpointIndex, waiting: bool, fresh_known: bool) -> bool {
         let endpoint = &self.endpoints[index];
-        let max_age = self.settings.max_report_age / if waiting { 2 } else { 1 };
+        let max_age = self.settings.times.max_report_age / if waiting { 2 } else { 1 };
         let health = &endpoint.health;
         let ejection_over = health.consecutive_failures > 0 && health.ejected_until <= self.now;
         let outdated = endpoint.reported.position_reported_at + max_age <= self.now && !fresh_known;
         let backoff = if health.consecutive_failures > 1 { 2 } else { 1 };
-        let interval = self.settings.tick_interval * 2 * backoff;
+        let interval = self.settings.times.tick_interval * 2 * backoff;
         let checked_recently = health.check_in_flight || health.checked_at + interval > self.now;
         endpoint.listing.serving && (ejection_over || outdated) && !checked_recently
     }
--- a/routing/src/policy/replica_selection.rs
+++ b/routing/src/policy/replica_selection.rs
@@ -48,7 +48,7 @@
             return None;
         }
         let primary_share = if is_strong { share } else { PRIMARY_READ_SHARE * share };
-        let since = self.now - self.settings.max_report_age * 4;
+        let since = self.now - self.settings.times.max_report_age * 4;
         let is_busy = self.endpoints[primary].reported_busier_than(PRIMARY_MAX_LOAD, since);
         (self.has_capacity(primary, primary_share) && (is_strong || !is_busy)).then_some(primary)
     }
@@ -60,7 +60,7 @@
         if self.settings.settings.may_check_health || group.primary.is_some() {
             return None;
         }
-        let lately = self.now - self.settings.tightest_objective * 4;
+        let lately = self.now - self.settings.times.tightest_objective * 4;
         let denied_at = |index: EndpointIndex| self.endpoints[index].role.primary_denied_at;
         let in_flight = |index: EndpointIndex| self.endpoints[index].capacity.in_flight;
         let is_free = |index: EndpointIndex| in_flight(index) == 0 && group.is_eligible(index);
@@ -75,8 +75,8 @@
     /// The position that a read must see now.
     pub(super) fn required_position(&self, request: &Request) -> Option<Timestamp> {
         match self.settings.methods[request.method].access {
-            Access::BoundedRead(bound) => Some(self.now - bound).max(request.required_position),
-            _ => request.required_position,
+            Access::BoundedRead(bound) => Some(self.now - bound).max(request.session.required_position),
+            _ => request.session.required_position,
         }
     }
 
@@ -86,12 +86,12 @@
         let group = &self.groups[request.group];
         let mut replicas = group.members.clone();
         replicas.retain(|&index| group.primary != Some(index) && self.is_usable(index, request.method));
-        if method.delays_replication && !request.carries_position && !replicas.is_empty() {
+        if method.delays_replication && !request.session.carries_position && !replicas.is_empty() {
             return self.replica_for_long_read(replicas, share);
         }
-        let only_one = replicas.len() == 1 && request.eligibility_rejections == 0;
+        let only_one = replicas.len() == 1 && request.attempts.eligibility_rejections == 0;
         replicas.retain(|&index| {
-            (only_one || Some(index) != request.avoid_endpoint) && self.has_capacity(index, share)
+            (only_one || Some(index) != request.attempts.avoid_endpoint) && self.has_capacity(index, share)
         });
         let required = self.required_position(request);
         let position = |index: EndpointIndex| self.endpoints[index].reported.position;
@@ -111,10 +111,10 @@
         let is_strong = method.access == Access::StrongRead;
         let may_wait = !is_strong && self.now - request.deadlines.arrived_at < half_objective;
         let worth_waiting = may_wait && replicas.iter().any(|index| catches_up(index, half_objective));
-        let first_try = request.eligibility_rejections == 0;
+        let first_try = request.attempts.eligibility_rejections == 0;
         match self.settings.settings.lag_handling {
-            _ if request.carries_position && worth_waiting => return None,
-            _ if request.carries_position => replicas.clear(),
+            _ if request.session.carries_position && worth_waiting => return None,
+            _ if request.session.carries_position => replicas.clear(),
             // An endpoint's wait is worth trying only if the lag it last reported could be made up within it.
             LagHandling::Wait(max_wait) if first_try => replicas.retain(|index| catches_up(index, max_wait)),
             LagHandling::Reject if first_try && !is_strong => {
@@ -132,7 +132,7 @@
     /// Whether an endpoint's data may become fresh enough within this time, by the lag that it last reported.
     fn may_catch_up(&self, request: &Request, index: EndpointIndex, within: TimeDelta) -> bool {
         let required = self.required_position(request);
-        let allowed = required.map(|at| self.now - at + within + self.settings.max_report_age);
+        let allowed = required.map(|at| self.now - at + within + self.settings.times.max_report_age);
         self.endpoints[index].reported.lag().is_some_and(|lag| allowed >= Some(lag))
     }
 
--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -1,6 +1,6 @@
 //! The lifecycle of a request: a table of transitions, its arrival, its final answer, and requests that wait.
 
-use crate::state::request::{Request, RequestDeadlines, RequestEvent, RequestPhase};
+use crate::state::request::{Request, RequestDeadlines, RequestEvent, RequestPhase, SessionRequirement};
 use crate::state::timer_tag::TimerTag;
 use crate::time::TimeDelta;
 use crate::{Access, Action, GroupIndex, RequestArrival, RequestId, RoutingPolicy};
@@ -60,7 +60,7 @@
             Access::SessionRead => self.session_writes.required_position(arrival.session, self.now),
             _ => None,
         };
-        let answer_by = arrival.deadline - self.settings.answer_margin;
+        let answer_by = arrival.deadline - self.settings.times.answer_margin;
         let objective = arrival.received_at + method.latency_objective;
         Request {
             method: arrival.method,
@@ -70,9 +70,11 @@
                 useful_until: if method.useful_when_late { answer_by } else { answer_by.min(objective) },
                 answer_by,
             },
-            required_position: required.max(arrival.seen_position),
-            recorded_session: arrival.session.filter(|_| method.is_write() && !clients_hold_positions),
-            carries_position: arrival.seen_position.is_some(),
+            session: SessionRequirement {
+                required_position: required.max(arrival.seen_position),
+                carries_position: arrival.seen_position.is_some(),
+                recorded_session: arrival.session.filter(|_| method.is_write() && !clients_hold_positions),
+            },
             client_retry: arrival.client_retry && !method.useful_when_late,
             ..Request::default()
         }
@@ -117,16 +119,16 @@
         // Never more than a third: a method that is no longer attempted would be taken for slow for ever.
         let needed = twice_quick.min(self.settings.methods[request.method].latency_objective / 3);
         let too_late = self.now + needed >= request.deadlines.useful_until;
-        let retry_over = request.retry_until.is_some_and(|until| self.now >= until);
+        let retry_over = request.attempts.retry_until.is_some_and(|until| self.now >= until);
         // A client that has waited half of its time for nothing had better ask elsewhere.
-        let unsent = !request.reached_endpoint && self.now >= request.deadlines.half_time();
-        retry_over || too_late || unsent || request.attempts >= self.settings.settings.max_attempts
+        let unsent = !request.attempts.reached_endpoint && self.now >= request.deadlines.half_time();
+        retry_over || too_late || unsent || request.attempts.started >= self.settings.settings.max_attempts
     }
 
     /// Gives the final answer, at once. It invites a retry only if that does no harm.
     fn give_up(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let may_have_run = request.retry_until.is_some() || request.in_flight.is_some();
+        let may_have_run = request.attempts.retry_until.is_some() || request.in_flight.is_some();
         if self.settings.methods[request.method].client_may_retry || !may_have_run {
             let left = (request.deadlines.answer_by - self.now).max(TimeDelta::ZERO);
             let retry_after = self.settings.settings.max_retry_after.map(|longest| left.min(longest));
--- a/routing/src/routing_policy.rs
+++ b/routing/src/routing_policy.rs
@@ -35,7 +35,7 @@
         let settings = CompiledSettings::new(settings);
         let mut policy = RoutingPolicy {
             quick_latency: settings.methods.iter().map(|method| method.initial_quick_latency()).collect(),
-            next_list_poll: settings.list_poll_interval.map(|_| now),
+            next_list_poll: settings.times.list_poll_interval.map(|_| now),
             settings,
             rng: Mwc::new(seed),
             now,
@@ -110,7 +110,7 @@
     }
 
     fn schedule_tick(&mut self) {
-        let at = self.now + self.settings.tick_interval;
+        let at = self.now + self.settings.times.tick_interval;
         self.set_timer(TimerTag::Tick, at);
     }
 
@@ -143,7 +143,7 @@
             let endpoint = &mut self.endpoints[index];
             endpoint.listing.group = group;
             endpoint.listing.zone = zone;
-            endpoint.capacity.concurrency_limit = self.settings.initial_limit;
+            endpoint.capacity.concurrency_limit = self.settings.concurrency.initial_limit;
         }
     }
 
--- a/routing/src/state/compiled_settings.rs
+++ b/routing/src/state/compiled_settings.rs
@@ -25,12 +25,8 @@
     }
 }
 
-/// The settings of an instance, and the intervals and limits derived from them.
-pub struct CompiledSettings {
-    pub settings: RoutingSettings,
-    pub methods: Vec<MethodPolicy>,
-    /// Methods in the order in which waiting requests are retried.
-    pub retry_order: Vec<MethodIndex>,
+/// Times that follow from the settings.
+pub struct DerivedTimes {
     pub list_poll_interval: Option<TimeDelta>,
     /// A final answer is given this long before its deadline.
     pub answer_margin: TimeDelta,
@@ -39,10 +35,24 @@
     pub max_report_age: TimeDelta,
     /// The shortest latency objective.
     pub tightest_objective: TimeDelta,
-    /// The fraction of all instances' traffic that is taken to be this instance's.
-    pub instance_share: f64,
-    /// The first concurrency limit of an endpoint.
+}
+
+/// Where the concurrency limits of endpoints begin and end.
+pub struct ConcurrencyBounds {
+    /// The first limit of an endpoint.
     pub initial_limit: f64,
     /// Below this no limit is reduced.
     pub min_limit: f64,
 }
+
+/// The settings of an instance, and the times and limits derived from them.
+pub struct CompiledSettings {
+    pub settings: RoutingSettings,
+    pub methods: Vec<MethodPolicy>,
+    /// Methods in the order in which waiting requests are retried.
+    pub retry_order: Vec<MethodIndex>,
+    pub times: DerivedTimes,
+    /// The fraction of all instances' traffic that is taken to be this instance's.
+    pub instance_share: f64,
+    pub concurrency: ConcurrencyBounds,
+}
--- a/routing/src/state/request.rs
+++ b/routing/src/state/request.rs
@@ -49,35 +49,47 @@
     }
 }
 
-/// An open request.
-#[derive(Default)]
-pub struct Request {
-    pub phase: RequestPhase,
-    pub method: MethodIndex,
-    pub group: GroupIndex,
-    pub deadlines: RequestDeadlines,
+/// What a request's session needs: the positions that a read must see, and the writes that later reads must.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct SessionRequirement {
     /// The position that a read must see however stale it may be: that of its arrival, or of what its session wrote or
     /// saw.
     pub required_position: Option<Timestamp>,
-    /// The session that a write is recorded for, if sessions are remembered here.
-    pub recorded_session: Option<u64>,
     /// Its session has seen a position that no endpoint checks by itself.
     pub carries_position: bool,
+    /// The session that a write is recorded for, if sessions are remembered here.
+    pub recorded_session: Option<u64>,
+}
+
+/// What the attempts of a request have come to.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct AttemptHistory {
     /// Attempts started.
-    pub attempts: u32,
+    pub started: u32,
     /// One of them has reached an endpoint, whether or not it ran.
     pub reached_endpoint: bool,
-    pub in_flight: Option<InFlightAttempt>,
-    /// Set once it may have run: until then it may be retried.
+    /// Set once the request may have run: until then it may be retried.
     pub retry_until: Option<Timestamp>,
     /// Attempts rejected because the endpoint was not the primary or too stale.
     pub eligibility_rejections: u32,
-    /// Its client sent it before, most likely until an answer had no value any more.
-    pub client_retry: bool,
     /// The endpoint of the last failed attempt, used again only if it is the only one.
     pub avoid_endpoint: Option<EndpointIndex>,
 }
 
+/// An open request.
+#[derive(Default)]
+pub struct Request {
+    pub phase: RequestPhase,
+    pub method: MethodIndex,
+    pub group: GroupIndex,
+    pub deadlines: RequestDeadlines,
+    pub session: SessionRequirement,
+    /// Its client sent it before, most likely until an answer had no value any more.
+    pub client_retry: bool,
+    pub attempts: AttemptHistory,
+    pub in_flight: Option<InFlightAttempt>,
+}
+
 /// An attempt that is in flight.
 pub struct InFlightAttempt {
     /// Among the attempts of its request, from 0.
--- a/server/src/admin/endpoint_page.rs
+++ b/server/src/admin/endpoint_page.rs
@@ -34,17 +34,17 @@
     };
     cells[2] = state_label(endpoint);
     cells[3] = if endpoint.primary { "primary" } else { "replica" }.into();
-    cells[4] = endpoint.in_flight.to_string();
-    cells[5] = format!("{:.2}", endpoint.concurrency_limit);
+    cells[4] = endpoint.capacity.in_flight.to_string();
+    cells[5] = format!("{:.2}", endpoint.capacity.concurrency_limit);
     cells[6] = cell_or_empty(endpoint.ejected_for.map(format_delta));
-    cells[7] = cell_or_empty(endpoint.lag.map(format_delta));
-    cells[8] = cell_or_empty(endpoint.report_age.map(format_delta));
-    cells[9] = cell_or_empty(endpoint.load.map(|load| format!("{load:.2}")));
+    cells[7] = cell_or_empty(endpoint.report.lag.map(format_delta));
+    cells[8] = cell_or_empty(endpoint.report.age.map(format_delta));
+    cells[9] = cell_or_empty(endpoint.report.load.map(|load| format!("{load:.2}")));
     cells
 }
 
 fn state_label(endpoint: &EndpointSnapshot) -> String {
-    match (endpoint.serving, endpoint.slow_start_fraction) {
+    match (endpoint.serving, endpoint.capacity.slow_start_fraction) {
         (false, _) => "closed".to_string(),
         (true, Some(fraction)) => format!("cold, {:.0}%", fraction * 100.0),
         (true, None) => "open".to_string(),
