--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -71,10 +71,7 @@
             let quick = &mut self.quick_latency[request.method];
             *quick *= if end.elapsed.as_secs_f64() > *quick { 1.02 } else { 0.95 };
         } else {
-            let not_sent = matches!(end.outcome, AttemptOutcome::NotSent | AttemptOutcome::Unreachable);
-            request.attempts.eligibility_rejections += u32::from(end.outcome == AttemptOutcome::NotEligible);
-            request.attempts.avoid_endpoint = Some(end.endpoint);
-            request.attempts.reached_endpoint |= !not_sent;
+            request.attempts.record_failure(end);
             if !end.outcome.proves_not_executed() {
                 let until = attempt.started_at + self.settings.methods[request.method].retry_window;
                 request.attempts.retry_until = request.attempts.retry_until.or(Some(until));
--- a/routing/src/policy/concurrency_limit.rs
+++ b/routing/src/policy/concurrency_limit.rs
@@ -102,7 +102,7 @@
             let limit = &mut endpoint.capacity.concurrency_limit;
             *limit += if may_raise && !late { (1.0 / *limit).min(*limit / 4.0) } else { 0.0 };
         } else {
-            self.record_failure(end.endpoint, end.outcome, started_at);
+            self.record_failure(end);
         }
         if late {
             self.reduce_limits(end.endpoint, started_at);
--- a/routing/src/policy/endpoint_state.rs
+++ b/routing/src/policy/endpoint_state.rs
@@ -1,7 +1,7 @@
 //! What is taken from the endpoint list and from endpoints' own reports, and who is taken for the primary of
 //! a group.
 
-use crate::state::endpoint::{LoadReport, RoleEvidence};
+use crate::state::endpoint::{Endpoint, LoadReport, RoleEvidence};
 use crate::time::Timestamp;
 use crate::{Action, EndpointIndex, EndpointRecord, EndpointReport, EndpointStatus};
 use crate::{GroupIndex, Role, RoutingPolicy};
@@ -36,9 +36,8 @@
     }
 
     fn apply_record(&mut self, record: &EndpointRecord) {
-        let endpoint = &mut self.endpoints[record.endpoint];
-        let stays_usable = endpoint.listing.serving && self.settings.settings.unlisted_stay_usable;
-        let listing = &mut endpoint.listing;
+        let Endpoint { listing, role, health, capacity, .. } = &mut self.endpoints[record.endpoint];
+        let stays_usable = listing.serving && self.settings.settings.unlisted_stay_usable;
         listing.serving = match record.status {
             EndpointStatus::Serving => true,
             EndpointStatus::Draining => false,
@@ -49,17 +48,13 @@
         listing.start_presumed = record.start_presumed;
         if record.started_at > listing.started_at {
             listing.started_at = record.started_at;
-            endpoint.capacity.work.last_attempt_at = self.now;
+            capacity.work.last_attempt_at = self.now;
             // Jitter: each instance makes its first attempt at a starting endpoint at a time of its own.
             let jitter = self.rng.below(64) as f64 / 256.0;
-            endpoint.capacity.work.at_last_attempt =
-                jitter * self.settings.times.tightest_objective.as_secs_f64();
+            capacity.work.at_last_attempt = jitter * self.settings.times.tightest_objective.as_secs_f64();
         }
         // The list's role is the weakest evidence: it counts only until the endpoint itself has answered.
-        let role = &mut endpoint.role;
-        let claimed_at = role.primary_claim.unwrap_or_default();
-        let role_evidence_at = endpoint.health.answered_at.max(role.primary_denied_at).max(claimed_at);
-        if role_evidence_at == Timestamp::DISTANT_PAST {
+        if health.answered_at.max(role.latest_evidence_at()) == Timestamp::DISTANT_PAST {
             role.primary_claim = record.primary.then_some(Timestamp::DISTANT_PAST);
         }
     }
@@ -72,13 +67,11 @@
         // A report of a time to come proves nothing, least of all freshness.
         let from_future = report.position > Some(now + self.settings.times.answer_margin);
         let report = if from_future { EndpointReport::default() } else { report };
-        let reported = &mut endpoint.reported;
         if let Some(position) = report.position {
-            reported.position = reported.position.max(Some(position.min(now)));
-            reported.position_reported_at = now;
+            endpoint.reported.record_position(position.min(now), now);
         }
         if let Some(busy) = report.load {
-            reported.load = Some(LoadReport { busy, at: now });
+            endpoint.reported.load = Some(LoadReport { busy, at: now });
         }
         endpoint.role.apply(report, is_answer, now);
         let group = endpoint.listing.group;
--- a/routing/src/policy/health_checks.rs
+++ b/routing/src/policy/health_checks.rs
@@ -1,8 +1,7 @@
 //! Health checks, and the ejection of endpoints that fail.
 
 use crate::state::endpoint::Endpoint;
-use crate::time::Timestamp;
-use crate::{Action, AttemptOutcome, EndpointIndex, GroupIndex, RoutingPolicy};
+use crate::{Action, AttemptEnd, AttemptOutcome, EndpointIndex, GroupIndex, RoutingPolicy};
 
 /// Failures in a row from which the ejection time grows no further.
 const MAX_COUNTED_FAILURES: u32 = 5;
@@ -28,20 +27,16 @@
         let unchecked = !self.settings.settings.may_check_health;
         let health = &endpoint.health;
         let may_show_itself = unchecked || health.answered_at > health.failed_at;
-        let single_attempt = endpoint.capacity.in_flight == 0 && may_show_itself;
+        let single_attempt = endpoint.is_idle() && may_show_itself;
         health.ejected_until <= self.now && (health.consecutive_failures == 0 || single_attempt)
     }
 
     /// What an attempt without an answer of use says of the endpoint's health.
-    pub(super) fn record_failure(
-        &mut self,
-        index: EndpointIndex,
-        outcome: AttemptOutcome,
-        started_at: Timestamp,
-    ) {
-        let health = &mut self.endpoints[index].health;
+    pub(super) fn record_failure(&mut self, end: &AttemptEnd) {
+        let started_at = self.now - end.elapsed;
+        let health = &mut self.endpoints[end.endpoint].health;
         let answered_since_failure = health.answered_at > health.failed_at;
-        match outcome {
+        match end.outcome {
             // Slow is not silent: only an endpoint that has answered nothing since has failed.
             AttemptOutcome::TimedOut if health.answered_at >= started_at => {}
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
@@ -49,7 +44,7 @@
             AttemptOutcome::Failed | AttemptOutcome::ConnectionLost if answered_since_failure => {
                 health.failed_at = self.now;
             }
-            _ => self.eject(index),
+            _ => self.eject(end.endpoint),
         }
     }
 
@@ -119,14 +114,13 @@
     }
 
     fn is_check_due(&self, index: EndpointIndex, waiting: bool, fresh_known: bool) -> bool {
-        let endpoint = &self.endpoints[index];
+        let Endpoint { listing, reported, health, .. } = &self.endpoints[index];
         let max_age = self.settings.times.max_report_age / if waiting { 2 } else { 1 };
-        let health = &endpoint.health;
         let ejection_over = health.consecutive_failures > 0 && health.ejected_until <= self.now;
-        let outdated = endpoint.reported.position_reported_at + max_age <= self.now && !fresh_known;
+        let outdated = reported.position_reported_at + max_age <= self.now && !fresh_known;
         let backoff = if health.consecutive_failures > 1 { 2 } else { 1 };
         let interval = self.settings.times.tick_interval * 2 * backoff;
         let checked_recently = health.check_in_flight || health.checked_at + interval > self.now;
-        endpoint.listing.serving && (ejection_over || outdated) && !checked_recently
+        listing.serving && (ejection_over || outdated) && !checked_recently
     }
 }
--- a/routing/src/policy/replica_selection.rs
+++ b/routing/src/policy/replica_selection.rs
@@ -62,8 +62,7 @@
         }
         let lately = self.now - self.settings.times.tightest_objective * 4;
         let denied_at = |index: EndpointIndex| self.endpoints[index].role.primary_denied_at;
-        let in_flight = |index: EndpointIndex| self.endpoints[index].capacity.in_flight;
-        let is_free = |index: EndpointIndex| in_flight(index) == 0 && group.is_eligible(index);
+        let is_free = |index: EndpointIndex| self.endpoints[index].is_idle() && group.is_eligible(index);
         let mut candidates = group.members.clone();
         candidates
             .retain(|&index| denied_at(index) < lately && is_free(index) && self.is_usable(index, method));
@@ -152,7 +151,7 @@
             let endpoint = &endpoints[index];
             let other_zone = endpoint.listing.zone != settings.zone;
             // Without health checks only an answer tells who is who: first those that were never tried.
-            let untried = !endpoint.has_answered() && endpoint.capacity.in_flight == 0;
+            let untried = !endpoint.has_answered() && endpoint.is_idle();
             let known = settings.may_check_health || !untried;
             (known, endpoint.capacity.in_flight + u32::from(other_zone), other_zone, rng.below(1 << 16))
         })
--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -5,6 +5,7 @@
 use crate::time::TimeDelta;
 use crate::{Access, Action, GroupIndex, RequestArrival, RequestId, RoutingPolicy};
 use std::collections::BTreeSet;
+use RequestEvent::{AnswerDue, AttemptFailed, Closed, EndpointSelected, NoProspect, Progress};
 use RequestPhase::{Done, InFlight, Waiting};
 
 #[derive(Clone, Copy)]
@@ -19,18 +20,13 @@
 type Transition = (RequestPhase, fn(RequestEvent) -> bool, RequestPhase, Step);
 
 const TRANSITIONS: &[Transition] = &[
-    (Waiting, |event| event == RequestEvent::Progress, Waiting, Step::SelectEndpoint),
-    (Waiting, |event| matches!(event, RequestEvent::EndpointSelected(_)), InFlight, Step::StartAttempt),
-    (
-        Waiting,
-        |event| matches!(event, RequestEvent::NoProspect | RequestEvent::AnswerDue),
-        Done,
-        Step::GiveUp,
-    ),
-    (Waiting, |event| event == RequestEvent::Closed, Done, Step::Nothing),
-    (InFlight, |event| event == RequestEvent::AttemptFailed, Waiting, Step::SelectEndpoint),
-    (InFlight, |event| event == RequestEvent::AnswerDue, Done, Step::GiveUp),
-    (InFlight, |event| event == RequestEvent::Closed, Done, Step::Nothing),
+    (Waiting, |event| event == Progress, Waiting, Step::SelectEndpoint),
+    (Waiting, |event| matches!(event, EndpointSelected(_)), InFlight, Step::StartAttempt),
+    (Waiting, |event| matches!(event, NoProspect | AnswerDue), Done, Step::GiveUp),
+    (Waiting, |event| event == Closed, Done, Step::Nothing),
+    (InFlight, |event| event == AttemptFailed, Waiting, Step::SelectEndpoint),
+    (InFlight, |event| event == AnswerDue, Done, Step::GiveUp),
+    (InFlight, |event| event == Closed, Done, Step::Nothing),
 ];
 
 impl RoutingPolicy {
@@ -46,7 +42,7 @@
         self.set_timer(TimerTag::HalfTime(id), request.deadlines.half_time());
         self.set_timer(TimerTag::AnswerDue(id), request.deadlines.answer_by);
         self.requests.insert(id, request);
-        self.transition(id, RequestEvent::Progress);
+        self.transition(id, Progress);
         self.earn_health_check(group, arrival.client_retry);
         self.schedule_health_checks(group, is_read);
     }
@@ -95,7 +91,7 @@
                 _ => None,
             };
             match (step, event) {
-                (Step::StartAttempt, RequestEvent::EndpointSelected(endpoint)) => {
+                (Step::StartAttempt, EndpointSelected(endpoint)) => {
                     self.start_attempt(id, endpoint);
                 }
                 (Step::GiveUp, _) => self.give_up(id),
@@ -150,7 +146,7 @@
             // oldest first, for what only waiting makes possible.
             for end in [BTreeSet::last, BTreeSet::first] {
                 while let Some(&next) = end(&self.groups[group].waiting[method]) {
-                    self.transition(next, RequestEvent::Progress);
+                    self.transition(next, Progress);
                     if end(&self.groups[group].waiting[method]) == Some(&next) {
                         break;
                     }
--- a/routing/src/state/endpoint.rs
+++ b/routing/src/state/endpoint.rs
@@ -34,6 +34,12 @@
 }
 
 impl ReportedState {
+    /// A position was reported.
+    pub fn record_position(&mut self, position: Timestamp, now: Timestamp) {
+        self.position = self.position.max(Some(position));
+        self.position_reported_at = now;
+    }
+
     /// How far the data was behind when a position was last reported.
     pub fn lag(&self) -> Option<TimeDelta> {
         self.position.map(|position| self.position_reported_at - position)
@@ -49,6 +55,13 @@
     pub primary_denied_at: Timestamp,
 }
 
+impl RoleEvidence {
+    /// The time of the latest evidence; [`Timestamp::DISTANT_PAST`] if there is none.
+    pub fn latest_evidence_at(&self) -> Timestamp {
+        self.primary_denied_at.max(self.primary_claim.unwrap_or_default())
+    }
+}
+
 /// How attempts at an endpoint and its health checks have ended lately.
 #[derive(Default)]
 pub struct EndpointHealth {
@@ -140,6 +153,11 @@
             && self.health.consecutive_failures == 0
     }
 
+    /// Whether no attempt of this instance is in flight at it.
+    pub fn is_idle(&self) -> bool {
+        self.capacity.in_flight == 0
+    }
+
     /// Whether it has ever answered.
     pub fn has_answered(&self) -> bool {
         self.health.answered_at > Timestamp::DISTANT_PAST
--- a/routing/src/state/request.rs
+++ b/routing/src/state/request.rs
@@ -1,6 +1,6 @@
 //! A request that is open, and its attempt in flight.
 
-use crate::events::{EndpointIndex, GroupIndex, MethodIndex};
+use crate::events::{AttemptEnd, AttemptOutcome, EndpointIndex, GroupIndex, MethodIndex};
 use crate::time::{TimeDelta, Timestamp};
 
 /// How far a request has come.
@@ -76,6 +76,16 @@
     pub avoid_endpoint: Option<EndpointIndex>,
 }
 
+impl AttemptHistory {
+    /// An attempt has ended without a value.
+    pub fn record_failure(&mut self, end: &AttemptEnd) {
+        let not_sent = matches!(end.outcome, AttemptOutcome::NotSent | AttemptOutcome::Unreachable);
+        self.reached_endpoint |= !not_sent;
+        self.eligibility_rejections += u32::from(end.outcome == AttemptOutcome::NotEligible);
+        self.avoid_endpoint = Some(end.endpoint);
+    }
+}
+
 /// An open request.
 #[derive(Default)]
 pub struct Request {
