--- a/routing/src/events.rs
+++ b/routing/src/events.rs
@@ -136,15 +136,22 @@
     pub client_retry: bool,
 }
 
-/// How an attempt ended.
-#[derive(Clone, Debug)]
-pub struct AttemptEnd {
+/// Which attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptId {
     /// Its request.
     pub request: RequestId,
     /// Its number among the attempts of the request, from 0.
-    pub attempt: u32,
-    /// Where it was sent.
+    pub number: u32,
+    /// Where it is sent.
     pub endpoint: EndpointIndex,
+}
+
+/// How an attempt ended.
+#[derive(Clone, Debug)]
+pub struct AttemptEnd {
+    /// Which attempt.
+    pub attempt: AttemptId,
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// Time since it started.
--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -63,8 +63,8 @@
 
     pub(crate) fn finish_attempt(&mut self, end: &AttemptEnd) {
         self.record_session_write(end);
-        let Some(request) = self.requests.get_mut(&end.request) else { return };
-        let Some(attempt) = request.in_flight.take_if(|attempt| attempt.number == end.attempt) else {
+        let Some(request) = self.requests.get_mut(&end.attempt.request) else { return };
+        let Some(attempt) = request.in_flight.take_if(|attempt| attempt.number == end.attempt.number) else {
             return;
         };
         if end.outcome == AttemptOutcome::Succeeded {
@@ -78,7 +78,7 @@
             }
         }
         let event = if end.request_closed { RequestEvent::Closed } else { RequestEvent::AttemptFailed };
-        self.transition(end.request, event);
+        self.transition(end.attempt.request, event);
     }
 
     /// A write that may have run binds its session's reads, even if nobody waits for its answer any more.
--- a/routing/src/policy/concurrency_limit.rs
+++ b/routing/src/policy/concurrency_limit.rs
@@ -83,12 +83,13 @@
     /// Adapts the endpoint's limit and health to how an attempt ended.
     pub(crate) fn update_endpoint_load(&mut self, end: &AttemptEnd) {
         let (now, started_at) = (self.now, self.now - end.elapsed);
-        let in_flight = self.requests.get(&end.request).and_then(|request| request.in_flight.as_ref());
+        let in_flight =
+            self.requests.get(&end.attempt.request).and_then(|request| request.in_flight.as_ref());
         let queue_threshold = in_flight.map_or(end.elapsed, |attempt| attempt.queue_threshold);
         let under_pressure = in_flight.is_some_and(|attempt| attempt.under_pressure);
         let succeeded = end.outcome == AttemptOutcome::Succeeded;
         let work = in_flight.filter(|_| succeeded).map_or(0.0, |attempt| attempt.work);
-        let endpoint = &mut self.endpoints[end.endpoint];
+        let endpoint = &mut self.endpoints[end.attempt.endpoint];
         endpoint.capacity.finish_work(work, self.settings.settings.overload_window, now);
         // What a reduction took comes back even without pressure: with many instances each is under pressure
         // too seldom to win it back.
@@ -105,7 +106,7 @@
             self.record_failure(end);
         }
         if late {
-            self.reduce_limits(end.endpoint, started_at);
+            self.reduce_limits(end.attempt.endpoint, started_at);
         }
     }
 
--- a/routing/src/policy/health_checks.rs
+++ b/routing/src/policy/health_checks.rs
@@ -34,7 +34,7 @@
     /// What an attempt without an answer of use says of the endpoint's health.
     pub(super) fn record_failure(&mut self, end: &AttemptEnd) {
         let started_at = self.now - end.elapsed;
-        let health = &mut self.endpoints[end.endpoint].health;
+        let health = &mut self.endpoints[end.attempt.endpoint].health;
         let answered_since_failure = health.answered_at > health.failed_at;
         match end.outcome {
             // Slow is not silent: only an endpoint that has answered nothing since has failed.
@@ -44,7 +44,7 @@
             AttemptOutcome::Failed | AttemptOutcome::ConnectionLost if answered_since_failure => {
                 health.failed_at = self.now;
             }
-            _ => self.eject(end.endpoint),
+            _ => self.eject(end.attempt.endpoint),
         }
     }
 
--- a/routing/src/routing_policy.rs
+++ b/routing/src/routing_policy.rs
@@ -90,9 +90,9 @@
     }
 
     fn on_attempt_ended(&mut self, end: &AttemptEnd) {
-        let Some(group) = self.group_of(end.endpoint) else { return };
-        self.apply_report(end.endpoint, end.load_report, false);
-        self.apply_report(end.endpoint, end.answer_report, true);
+        let Some(group) = self.group_of(end.attempt.endpoint) else { return };
+        self.apply_report(end.attempt.endpoint, end.load_report, false);
+        self.apply_report(end.attempt.endpoint, end.answer_report, true);
         self.update_endpoint_load(end);
         self.finish_attempt(end);
         self.retry_waiting(group);
--- a/routing/src/state/request.rs
+++ b/routing/src/state/request.rs
@@ -82,7 +82,7 @@
         let not_sent = matches!(end.outcome, AttemptOutcome::NotSent | AttemptOutcome::Unreachable);
         self.reached_endpoint |= !not_sent;
         self.eligibility_rejections += u32::from(end.outcome == AttemptOutcome::NotEligible);
-        self.avoid_endpoint = Some(end.endpoint);
+        self.avoid_endpoint = Some(end.attempt.endpoint);
     }
 }
 
--- a/routing/tests/support/events.rs
+++ b/routing/tests/support/events.rs
@@ -48,15 +48,13 @@
 /// empty reports.
 pub fn attempt_end(
     request: RequestId,
-    attempt: u32,
+    number: u32,
     endpoint: EndpointIndex,
     outcome: AttemptOutcome,
     elapsed: TimeDelta,
 ) -> AttemptEnd {
     AttemptEnd {
-        request,
-        attempt,
-        endpoint,
+        attempt: AttemptId { request, number, endpoint },
         outcome,
         elapsed,
         request_closed: false,
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -235,7 +235,7 @@
     /// `primary` gives, if any.
     pub fn end(&mut self, request: RequestId, outcome: AttemptOutcome, primary: Option<bool>) {
         let Some(open) = self.open_requests.get_mut(&request) else { return };
-        let Some(InFlight { attempt, endpoint, sent }) = open.in_flight.take() else { return };
+        let Some(InFlight { attempt: number, endpoint, sent }) = open.in_flight.take() else { return };
         if !outcome.proves_not_executed() {
             open.first_run_at = open.first_run_at.or(Some(sent));
         }
@@ -254,9 +254,7 @@
         let (elapsed, load_report) = (self.now - sent, EndpointReport::default());
         let write_session = None;
         self.report(Event::AttemptEnded(AttemptEnd {
-            request,
-            attempt,
-            endpoint,
+            attempt: AttemptId { request, number, endpoint },
             outcome,
             elapsed,
             request_closed,
--- a/server/src/control/actions.rs
+++ b/server/src/control/actions.rs
@@ -3,11 +3,11 @@
 use crate::control::active_request::{Location, StartedAttempt};
 use crate::control::control_loop::ControlLoop;
 use crate::log;
-use crate::messages::control::{AttemptJob, AttemptReport};
+use crate::messages::control::{AttemptJob, AttemptReport, AttemptTimes};
 use crate::messages::response::Response;
 use crate::runtime::cancellation::CancellationToken;
 use routing::time::{TimeDelta, Timestamp};
-use routing::{Action, AttemptOutcome, EndpointIndex, EndpointReport, Event, RequestId};
+use routing::{Action, AttemptId, AttemptOutcome, EndpointIndex, EndpointReport, Event, RequestId};
 use std::sync::Arc;
 
 impl ControlLoop {
@@ -59,20 +59,17 @@
         let cancellation = Arc::new(CancellationToken::default());
         active.attempt = Some(StartedAttempt { number, cancellation: cancellation.clone() });
         active.in_flight = Some(Location { endpoint, since: now });
+        let attempt = AttemptId { request, number, endpoint };
         let Some(addr) = addr else {
-            return Some(AttemptReport::not_sent(request, number, endpoint, now));
+            return Some(AttemptReport::not_sent(attempt, now));
         };
         self.dispatcher.start_attempt(AttemptJob {
-            request,
-            number,
-            endpoint,
+            attempt,
             addr,
-            started_at: now,
-            deadline: now + timeout,
+            times: AttemptTimes { started_at: now, deadline: now + timeout },
             text: active.text.clone(),
             cancellation,
-            journal_entry: active.journal_entry(),
-            needs_epoch: active.needs_epoch(),
+            preconditions: active.send_preconditions(),
         });
         None
     }
--- a/server/src/control/active_request.rs
+++ b/server/src/control/active_request.rs
@@ -1,5 +1,6 @@
 //! What the control loop keeps of an open request.
 
+use crate::messages::control::SendPreconditions;
 use crate::messages::journal_entry::JournalEntry;
 use crate::messages::request::RequestText;
 use crate::messages::response::{Response, ResponseTicket};
@@ -74,8 +75,13 @@
         }
     }
 
+    /// What must be done before an attempt is sent.
+    pub fn send_preconditions(&self) -> SendPreconditions {
+        SendPreconditions { journal_entry: self.journal_entry(), needs_epoch: self.needs_epoch() }
+    }
+
     /// What must be recorded before an attempt is sent.
-    pub fn journal_entry(&self) -> Option<JournalEntry> {
+    fn journal_entry(&self) -> Option<JournalEntry> {
         if !self.is_journaled {
             return None;
         }
@@ -86,7 +92,7 @@
     }
 
     /// A write of a session that has seen an epoch: it must go to a log that has what the session saw.
-    pub fn needs_epoch(&self) -> bool {
+    fn needs_epoch(&self) -> bool {
         !self.is_read && self.seen.is_some_and(|seen| seen.epoch > 0)
     }
 }
--- a/server/src/control/request_handling.rs
+++ b/server/src/control/request_handling.rs
@@ -13,7 +13,8 @@
 use recovery::primary_discovery;
 use routing::time::{TimeDelta, Timestamp};
 use routing::{
-    Access, AttemptEnd, AttemptOutcome, Event, Idempotency, RequestArrival, RequestId, RoutingSettings,
+    Access, AttemptEnd, AttemptId, AttemptOutcome, Event, Idempotency, RequestArrival, RequestId,
+    RoutingSettings,
 };
 use sessions::epochs::{Epoch, PositionStatus};
 use sessions::positions::GroupNumber;
@@ -74,9 +75,9 @@
     }
 
     pub(super) fn on_confirm(&mut self, now: Timestamp, question: &ConfirmAttempt) {
-        let ConfirmAttempt { request, attempt, endpoint, .. } = *question;
+        let AttemptId { request, number, endpoint } = question.attempt;
         let holds = self.state.requests.is_open(request)
-            && self.state.policy.confirm_attempt(now, request, attempt, endpoint);
+            && self.state.policy.confirm_attempt(now, request, number, endpoint);
         let _ = question.reply.send(holds && self.state.session_is_consistent(now, request));
     }
 
@@ -87,8 +88,8 @@
     }
 
     pub(super) fn on_attempt_ended(&mut self, now: Timestamp, report: AttemptReport) {
-        let (endpoint, queried_at) = (report.endpoint, report.started_at);
-        let answer_report = report.answer_report;
+        let (endpoint, queried_at) = (report.attempt.endpoint, report.started_at);
+        let answer_report = report.reports.answer;
         self.state.end_attempt(now, report, self.settings.max_retry_after);
         self.observe_report(now, endpoint, queried_at, answer_report);
     }
@@ -220,7 +221,7 @@
         report: AttemptReport,
         retry_after: Option<TimeDelta>,
     ) {
-        let Some(active) = self.requests.get_mut(report.request) else { return };
+        let Some(active) = self.requests.get_mut(report.attempt.request) else { return };
         active.in_flight = None;
         let (outcome, elapsed) = (report.outcome, now - report.started_at);
         record_outcome(active, &report, self.journal.as_deref());
@@ -228,18 +229,16 @@
             active.answer(&self.metrics, now, Response::Error(ID_RECORDED));
         }
         let mut end = AttemptEnd {
-            request: report.request,
-            attempt: report.number,
-            endpoint: report.endpoint,
+            attempt: report.attempt,
             outcome,
             elapsed,
             request_closed: false,
             write_session: active.write_session,
-            answer_report: report.answer_report,
-            load_report: report.load_report,
+            answer_report: report.reports.answer,
+            load_report: report.reports.load,
         };
         if outcome == AttemptOutcome::Succeeded {
-            if let Some(epoch) = report.epoch {
+            if let Some(epoch) = report.reports.epoch {
                 self.epochs.record(active.group, epoch);
             }
             if active.ticket.is_some() {
@@ -249,7 +248,7 @@
         }
         self.metrics.attempt_ended(outcome, elapsed);
         end.request_closed = active.ticket.is_none();
-        let (request, request_closed) = (end.request, end.request_closed);
+        let (request, request_closed) = (end.attempt.request, end.request_closed);
         self.trace_attempt_end(&end);
         self.report(now, Event::AttemptEnded(end));
         let removed = self.requests.end_attempt(request, request_closed);
@@ -260,9 +259,9 @@
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
-        let Some(active) = self.requests.get(end.request) else { return };
-        let (request, attempt, group) = (end.request, end.attempt, active.group);
-        let (endpoint, outcome) = (self.endpoints.id(end.endpoint), end.outcome);
+        let Some(active) = self.requests.get(end.attempt.request) else { return };
+        let (request, attempt, group) = (end.attempt.request, end.attempt.number, active.group);
+        let (endpoint, outcome) = (self.endpoints.id(end.attempt.endpoint), end.outcome);
         let took_us = end.elapsed.0 / 1_000;
         tracing::debug!(
             request, request_id = %active.id, attempt, %endpoint, group, ?outcome, took_us, "attempt ended"
@@ -291,7 +290,7 @@
     active.may_have_run |= active.is_duplicate || !report.outcome.proves_not_executed();
     let Some(journal) = journal.filter(|_| active.recorded) else { return };
     if report.outcome == AttemptOutcome::Succeeded {
-        let commit = report.answer_report.position.filter(|_| is_first);
+        let commit = report.reports.answer.position.filter(|_| is_first);
         let commit_ms = commit.map(|position| position.0 / NANOS_PER_MILLI);
         journal.record_end(&active.id, RecordEvent::Executed(commit_ms));
     }
--- a/server/src/control/response_check.rs
+++ b/server/src/control/response_check.rs
@@ -24,8 +24,8 @@
     retry_after: Option<TimeDelta>,
 ) -> Response {
     let session_lost = is_session_lost(epochs, request);
-    let position = report.answer_report.position;
-    let shows = |seen| epochs.shows(request.group, seen, report.epoch, position);
+    let position = report.reports.answer.position;
+    let shows = |seen| epochs.shows(request.group, seen, report.reports.epoch, position);
     if request.is_read && session_lost {
         return Response::SessionLost { restart_position: epochs.restart_position(request.group) };
     }
@@ -34,7 +34,7 @@
     }
     // What an endpoint does not report it may have seen up to now.
     let position = LogPosition {
-        epoch: report.epoch.map_or(0, |epoch| epoch.number),
+        epoch: report.reports.epoch.map_or(0, |epoch| epoch.number),
         position: position.unwrap_or(now),
     };
     let evidence = SessionEvidence { position: Some(position), session_lost };
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -1,10 +1,11 @@
 //! Attempts: one coroutine each, from the connection that it takes to the outcome that it reports.
 
+use crate::endpoints::completion_guard::CompletionGuard;
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
 use crate::endpoints::query::{send, HEALTH_STATEMENT};
-use crate::endpoints::response_parser::{AnswerReports, ResponseParser};
-use crate::messages::control::{AttemptJob, AttemptReport, ConfirmAttempt, ControlMessage};
+use crate::endpoints::response_parser::ResponseParser;
+use crate::messages::control::{AnswerReports, AttemptJob, AttemptReport, ConfirmAttempt, ControlMessage};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::storage::journal::WriteJournal;
 use may::sync::mpsc::{channel, Sender};
@@ -12,20 +13,6 @@
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
 
-/// Reports the end of an attempt exactly once: one that is dropped by a panic may have run.
-struct AttemptGuard {
-    control: Sender<ControlMessage>,
-    report: Option<AttemptReport>,
-}
-
-impl Drop for AttemptGuard {
-    fn drop(&mut self) {
-        if let Some(report) = self.report.take() {
-            let _ = self.control.send(ControlMessage::AttemptEnded(Box::new(report)));
-        }
-    }
-}
-
 /// What came of an attempt, and the connection if it can be used again.
 pub struct Answer {
     /// How it ended.
@@ -51,22 +38,18 @@
     control: Sender<ControlMessage>,
     job: &AttemptJob,
 ) {
-    let not_sent = AttemptReport::not_sent(job.request, job.number, job.endpoint, job.started_at);
-    let report = AttemptReport { outcome: AttemptOutcome::ConnectionLost, ..not_sent };
-    let mut guard = AttemptGuard { control, report: Some(report) };
-    let mut attempt = Attempt { pool, journal, control: &guard.control, job, journal_verdict: None };
-    let answer = attempt.run();
+    let started_at = job.times.started_at;
+    // An attempt that ends in a panic may have run.
+    let not_sent = AttemptReport::not_sent(job.attempt, started_at);
+    let if_lost = AttemptReport { outcome: AttemptOutcome::ConnectionLost, ..not_sent };
+    let guard =
+        CompletionGuard::new(control, if_lost, |report| ControlMessage::AttemptEnded(Box::new(report)));
+    let mut attempt = Attempt { pool, journal, control: guard.control(), job, journal_verdict: None };
+    let Answer { outcome, value, reports, connection } = attempt.run();
     let journal_verdict = attempt.journal_verdict;
-    if let Some(report) = &mut guard.report {
-        report.outcome = answer.outcome;
-        report.value = answer.value;
-        report.answer_report = answer.reports.answer;
-        report.load_report = answer.reports.load;
-        report.epoch = answer.reports.epoch;
-        report.journal_verdict = journal_verdict;
-    }
-    drop(guard);
-    if let Some(connection) = answer.connection {
+    let attempt = job.attempt;
+    guard.complete(AttemptReport { attempt, started_at, outcome, value, reports, journal_verdict });
+    if let Some(connection) = connection {
         pool.give_back(job.addr, connection);
     }
 }
@@ -94,7 +77,7 @@
 
 impl Attempt<'_> {
     fn limits(&self) -> IoLimits<'_> {
-        IoLimits { deadline: self.job.deadline, cancellation: &self.job.cancellation }
+        IoLimits { deadline: self.job.times.deadline, cancellation: &self.job.cancellation }
     }
 
     fn run(&mut self) -> Answer {
@@ -118,7 +101,7 @@
 
     fn run_on(&mut self, mut connection: PeerConnection, is_reused: bool) -> Step {
         connection.arm(self.limits());
-        if self.job.needs_epoch && !connection.epoch_confirmed {
+        if self.job.preconditions.needs_epoch && !connection.epoch_confirmed {
             connection = match self.query_epoch(connection) {
                 Ok(connection) => connection,
                 Err(stop) => return unsent(stop, is_reused),
@@ -144,7 +127,7 @@
     /// Sends the request with the time that is left of it.
     fn send(&self, connection: &mut PeerConnection) -> Result<(), IoStop> {
         let text = &self.job.text;
-        let remaining = self.job.deadline - self.pool.timers.now();
+        let remaining = self.job.times.deadline - self.pool.timers.now();
         let timeout_ms = (remaining.0 / NANOS_PER_MILLI).max(1).to_string();
         let head = &text.body[..text.timeout_digits.start];
         let tail = &text.body[text.timeout_digits.end..];
@@ -155,7 +138,9 @@
 
     /// Whether the attempt is recorded, if it must be. It is recorded once, whatever connection it is sent on.
     fn is_recorded(&mut self) -> bool {
-        let (Some(entry), Some(journal)) = (&self.job.journal_entry, self.journal) else { return true };
+        let (Some(entry), Some(journal)) = (&self.job.preconditions.journal_entry, self.journal) else {
+            return true;
+        };
         if self.journal_verdict.is_none() {
             self.journal_verdict = Some(journal.record_send(entry));
         }
@@ -164,12 +149,7 @@
 
     fn is_confirmed(&self) -> bool {
         let (reply, confirmed) = channel();
-        let question = ConfirmAttempt {
-            request: self.job.request,
-            attempt: self.job.number,
-            endpoint: self.job.endpoint,
-            reply,
-        };
+        let question = ConfirmAttempt { attempt: self.job.attempt, reply };
         let asked = self.control.send(ControlMessage::Confirm(question));
         asked.is_ok() && confirmed.recv().unwrap_or(false)
     }
@@ -180,7 +160,7 @@
         send(&mut connection, HEALTH_STATEMENT, self.limits())?;
         let answer = read_answer(connection, self.limits());
         if let Some(epoch) = answer.reports.epoch {
-            let message = ControlMessage::EpochReported { request: self.job.request, epoch };
+            let message = ControlMessage::EpochReported { request: self.job.attempt.request, epoch };
             let _ = self.control.send(message);
         }
         answer.connection.ok_or(match answer.outcome {
--- a/server/src/endpoints/health_check.rs
+++ b/server/src/endpoints/health_check.rs
@@ -1,5 +1,6 @@
 //! Health checks, and the queries of primary discovery: one coroutine each. They share the attempts' connections.
 
+use crate::endpoints::completion_guard::CompletionGuard;
 use crate::endpoints::connection::IoLimits;
 use crate::endpoints::load_report;
 use crate::endpoints::pool::ConnectionPool;
@@ -15,20 +16,6 @@
 const IDENTITY_STATEMENT: &str =
     "SELECT concat_ws(',', current_setting('cluster_name'), timeline_id) FROM pg_control_checkpoint()";
 
-/// Reports the end of a health check exactly once: an endpoint whose check never ended would not be checked again.
-struct HealthCheckGuard {
-    control: Sender<ControlMessage>,
-    end: Option<HealthCheckEnd>,
-}
-
-impl Drop for HealthCheckGuard {
-    fn drop(&mut self) {
-        if let Some(end) = self.end.take() {
-            let _ = self.control.send(ControlMessage::HealthCheckEnded(end));
-        }
-    }
-}
-
 /// Asks an endpoint for its load report.
 pub fn check_health(
     pool: &ConnectionPool,
@@ -37,26 +24,21 @@
     addr: SocketAddr,
     timeout: TimeDelta,
 ) {
-    // Until it has ended otherwise.
-    let end = HealthCheckEnd {
+    let if_lost = HealthCheckEnd {
         endpoint,
         outcome: AttemptOutcome::ConnectionLost,
         elapsed: timeout,
         report: EndpointReport::default(),
     };
-    let mut guard = HealthCheckGuard { control, end: Some(end) };
+    let guard = CompletionGuard::new(control, if_lost, ControlMessage::HealthCheckEnded);
     let started_at = pool.timers.now();
     let result = query_health(pool, addr, started_at + timeout);
-    if let Some(end) = &mut guard.end {
-        end.elapsed = pool.timers.now() - started_at;
-        match result {
-            Ok(answer) => {
-                end.outcome = answer.outcome;
-                end.report = answer.report;
-            }
-            Err(error) => end.outcome = error.outcome,
-        }
-    }
+    let elapsed = pool.timers.now() - started_at;
+    let (outcome, report) = match result {
+        Ok(answer) => (answer.outcome, answer.report),
+        Err(error) => (error.outcome, EndpointReport::default()),
+    };
+    guard.complete(HealthCheckEnd { endpoint, outcome, elapsed, report });
 }
 
 fn query_health(
@@ -71,20 +53,6 @@
     Ok(QueryAnswer { outcome: result.outcome, report, identity: None })
 }
 
-/// Reports the end of a query exactly once, however its coroutine ends.
-struct QueryGuard {
-    control: Sender<ControlMessage>,
-    end: Option<QueryEnd>,
-}
-
-impl Drop for QueryGuard {
-    fn drop(&mut self) {
-        if let Some(end) = self.end.take() {
-            let _ = self.control.send(ControlMessage::QueryEnded(end));
-        }
-    }
-}
-
 /// Asks an endpoint what primary discovery has to know of it.
 pub fn query_for_discovery(
     pool: &ConnectionPool,
@@ -96,11 +64,10 @@
 ) {
     let queried_at = pool.timers.now();
     let answer = Err(AttemptOutcome::ConnectionLost.into());
-    let mut guard = QueryGuard { control, end: Some(QueryEnd { endpoint, queried_at, answer }) };
+    let if_lost = QueryEnd { endpoint, queried_at, answer };
+    let guard = CompletionGuard::new(control, if_lost, ControlMessage::QueryEnded);
     let answer = query_identity_and_health(pool, addr, queried_at + timeout, asks_identity);
-    if let Some(end) = &mut guard.end {
-        end.answer = answer;
-    }
+    guard.complete(QueryEnd { endpoint, queried_at, answer });
 }
 
 fn query_identity_and_health(
--- a/server/src/endpoints/mod.rs
+++ b/server/src/endpoints/mod.rs
@@ -1,6 +1,7 @@
 //! Connections to endpoints, and the attempts, health checks and queries that use them.
 
 pub mod attempt;
+pub mod completion_guard;
 pub mod connection;
 pub mod dispatcher;
 pub mod health_check;
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -2,11 +2,12 @@
 //! what is not exactly where the grammar has it makes the answer invalid, however it goes on.
 
 use crate::endpoints::load_report::{self, plain_number};
+use crate::messages::control::AnswerReports;
 use crate::protocol::decode;
 use crate::protocol::framing::{frame, HEADER_BYTES, MAX_VALUE_BYTES};
 use crate::protocol::sqlstate::endpoint as sqlstate;
 use crate::runtime::clock;
-use routing::{AttemptOutcome, EndpointReport, Role};
+use routing::{AttemptOutcome, Role};
 use sessions::epochs::Epoch;
 use std::ops::Range;
 
@@ -76,17 +77,6 @@
 /// The messages of a value, in order.
 const VALUE_TAGS: &[u8; 3] = b"TDC";
 
-/// What an answer says of its endpoint beside the value.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct AnswerReports {
-    /// What the answer itself says, as of now.
-    pub answer: EndpointReport,
-    /// A load report that came with it.
-    pub load: EndpointReport,
-    /// The epoch of the log that it was answered from.
-    pub epoch: Option<Epoch>,
-}
-
 /// An answer as far as it has come.
 #[derive(Debug, Default)]
 pub struct ResponseParser {
--- a/server/src/messages/control.rs
+++ b/server/src/messages/control.rs
@@ -11,7 +11,7 @@
 use endpoint_cache::CachedEndpointList;
 use may::sync::mpsc::Sender;
 use routing::time::{TimeDelta, Timestamp};
-use routing::{AttemptOutcome, EndpointIndex, EndpointReport, RequestId};
+use routing::{AttemptId, AttemptOutcome, EndpointIndex, EndpointReport, RequestId};
 use sessions::epochs::Epoch;
 use std::net::SocketAddr;
 use std::sync::{mpsc, Arc};
@@ -29,12 +29,8 @@
 
 /// Asked right before an attempt's bytes are sent.
 pub struct ConfirmAttempt {
-    /// Its request.
-    pub request: RequestId,
-    /// Its number.
-    pub attempt: u32,
-    /// Where it goes.
-    pub endpoint: EndpointIndex,
+    /// Which attempt.
+    pub attempt: AttemptId,
     /// Whether it may be sent.
     pub reply: Sender<bool>,
 }
@@ -157,72 +153,75 @@
     }
 }
 
-/// An attempt to be made.
-pub struct AttemptJob {
-    /// Its request.
-    pub request: RequestId,
-    /// Its number among those of the request, from 0.
-    pub number: u32,
-    /// Where it goes.
-    pub endpoint: EndpointIndex,
-    /// The address of that.
-    pub addr: SocketAddr,
+/// When an attempt was started, and when it times out.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptTimes {
     /// When it was started.
     pub started_at: Timestamp,
     /// When it times out.
     pub deadline: Timestamp,
+}
+
+/// What must be done before an attempt is sent.
+pub struct SendPreconditions {
+    /// What must be recorded.
+    pub journal_entry: Option<JournalEntry>,
+    /// It must go to a log that has what its session saw: the endpoint reports its epoch first.
+    pub needs_epoch: bool,
+}
+
+/// An attempt to be made.
+pub struct AttemptJob {
+    /// Which attempt.
+    pub attempt: AttemptId,
+    /// The address of its endpoint.
+    pub addr: SocketAddr,
+    /// Its times.
+    pub times: AttemptTimes,
     /// What is sent.
     pub text: Arc<RequestText>,
     /// Cancels it.
     pub cancellation: Arc<CancellationToken>,
-    /// What must be recorded before it is sent.
-    pub journal_entry: Option<JournalEntry>,
-    /// It must go to a log that has what its session saw: the endpoint reports its epoch first.
-    pub needs_epoch: bool,
+    /// What must be done before it is sent.
+    pub preconditions: SendPreconditions,
+}
+
+/// What an answer says of its endpoint.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct AnswerReports {
+    /// What the answer itself says, as of now.
+    pub answer: EndpointReport,
+    /// A load report that came with it.
+    pub load: EndpointReport,
+    /// The epoch of the log that it was answered from.
+    pub epoch: Option<Epoch>,
 }
 
 /// What became of an attempt.
 pub struct AttemptReport {
-    /// Its request.
-    pub request: RequestId,
-    /// Its number.
-    pub number: u32,
-    /// Where it went.
-    pub endpoint: EndpointIndex,
+    /// Which attempt.
+    pub attempt: AttemptId,
     /// When it was started.
     pub started_at: Timestamp,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// What the answer says of its endpoint.
-    pub answer_report: EndpointReport,
-    /// A load report that came with it.
-    pub load_report: EndpointReport,
-    /// The epoch of the log that it was answered from.
-    pub epoch: Option<Epoch>,
     /// The messages of the value.
     pub value: Vec<u8>,
+    /// What the answer says of its endpoint.
+    pub reports: AnswerReports,
     /// What the journal said, if it was asked, whether or not the attempt was sent then.
     pub journal_verdict: Option<JournalVerdict>,
 }
 
 impl AttemptReport {
     /// Of an attempt that was not sent.
-    pub fn not_sent(
-        request: RequestId,
-        number: u32,
-        endpoint: EndpointIndex,
-        started_at: Timestamp,
-    ) -> AttemptReport {
+    pub fn not_sent(attempt: AttemptId, started_at: Timestamp) -> AttemptReport {
         AttemptReport {
-            request,
-            number,
-            endpoint,
+            attempt,
             started_at,
             outcome: AttemptOutcome::NotSent,
-            answer_report: EndpointReport::default(),
-            load_report: EndpointReport::default(),
-            epoch: None,
             value: Vec::new(),
+            reports: AnswerReports::default(),
             journal_verdict: None,
         }
     }
--- a/server/tests/attempts.rs
+++ b/server/tests/attempts.rs
@@ -6,10 +6,10 @@
 use common::{message, value_messages};
 use may::sync::mpsc::{channel, Receiver, Sender};
 use routing::time::TimeDelta;
-use routing::AttemptOutcome;
+use routing::{AttemptId, AttemptOutcome};
 use server::endpoints::attempt::run_attempt;
 use server::endpoints::pool::ConnectionPool;
-use server::messages::control::{AttemptJob, AttemptReport, ControlMessage};
+use server::messages::control::{AttemptJob, AttemptReport, AttemptTimes, ControlMessage, SendPreconditions};
 use server::messages::request::RequestText;
 use server::protocol::decode::only_row;
 use server::runtime::cancellation::CancellationToken;
@@ -150,16 +150,12 @@
         let charge = ResourceLimits::new(1, 1 << 20, false).buffer_charge();
         let started_at = self.pool.timers.now();
         AttemptJob {
-            request: 1,
-            number: 0,
-            endpoint: 0,
+            attempt: AttemptId { request: 1, number: 0, endpoint: 0 },
             addr: endpoint.addr,
-            started_at,
-            deadline: started_at + SECOND * 5,
+            times: AttemptTimes { started_at, deadline: started_at + SECOND * 5 },
             text: Arc::new(RequestText { body, timeout_digits: 9..10, charge }),
             cancellation,
-            journal_entry: None,
-            needs_epoch: false,
+            preconditions: SendPreconditions { journal_entry: None, needs_epoch: false },
         }
     }
 }
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -6,7 +6,7 @@
 use may::net::TcpStream;
 use may::sync::mpsc::{channel, Sender};
 use routing::time::TimeDelta;
-use routing::{MethodIndex, RequestId};
+use routing::{AttemptId, MethodIndex, RequestId};
 use server::control::control_loop::{ControlLoop, ControlSetup};
 use server::endpoints::dispatcher::AttemptDispatcher;
 use server::endpoints::pool::ConnectionPool;
@@ -178,8 +178,9 @@
     rig.write(1, 60_000);
     rig.write(2, 60_000);
     // An endpoint that the policy was never notified of: its table has no such row.
+    let attempt = AttemptId { request: 1, number: 0, endpoint: 99 };
     let (reply, _confirmed) = channel();
-    rig.send(ControlMessage::Confirm(ConfirmAttempt { request: 1, attempt: 0, endpoint: 99, reply }));
+    rig.send(ControlMessage::Confirm(ConfirmAttempt { attempt, reply }));
     assert_eq!(rig.responses(2), [(1, Response::Aborted), (2, Response::Aborted)]);
     rig.write(3, 200);
     let response = rig.response_to(3);
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -156,7 +156,7 @@
     fn end_attempt(&mut self, end: &AttemptEnd) {
         let instance = self.instances.get(&end.front);
         let Some(ended) = instance.and_then(|instance| instance.attempt_ended(end)) else { return };
-        let request = ended.request;
+        let request = ended.attempt.request;
         self.report(end.front, Event::AttemptEnded(ended));
         if let Some(instance) = self.instances.get_mut(&end.front) {
             instance.end_attempt(request, end.done_flag);
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -8,8 +8,8 @@
 use host_support::routing_settings::routing_settings;
 use routing::time::{TimeDelta, Timestamp};
 use routing::{
-    Access, Action, AttemptEnd, AttemptOutcome, EndpointRecord, EndpointReport, EndpointStatus, Event,
-    RequestArrival, RequestId, Role, RoutingPolicy,
+    Access, Action, AttemptEnd, AttemptId, AttemptOutcome, EndpointRecord, EndpointReport, EndpointStatus,
+    Event, RequestArrival, RequestId, Role, RoutingPolicy,
 };
 use std::collections::HashMap;
 
@@ -131,9 +131,7 @@
     pub fn attempt_ended(&self, end: &messages::AttemptEnd) -> Option<AttemptEnd> {
         let request = self.request(&end.request_id)?;
         Some(AttemptEnd {
-            request,
-            attempt: end.hop,
-            endpoint: self.endpoints.get(&*end.store)?,
+            attempt: AttemptId { request, number: end.hop, endpoint: self.endpoints.get(&*end.store)? },
             outcome: outcome(end.status),
             elapsed: TimeDelta(end.wait_time_ns),
             request_closed: end.done_flag,
