--- a/server/src/admin/request_page.rs
+++ b/server/src/admin/request_page.rs
@@ -28,9 +28,9 @@
 
     fn request_cells(&self, request: &RequestSnapshot, now: Timestamp) -> [String; COLUMNS.len()] {
         [
-            request.id.to_string(),
-            self.methods.get(request.method).cloned().unwrap_or_default(),
-            request.group.to_string(),
+            request.identity.id.to_string(),
+            self.methods.get(request.identity.method).cloned().unwrap_or_default(),
+            request.identity.group.to_string(),
             format_delta(now - request.received_at),
             request.attempts.to_string(),
             whereabouts(request, now),
--- a/server/src/clients/connection.rs
+++ b/server/src/clients/connection.rs
@@ -205,11 +205,9 @@
             self.stalled_since = None;
             return false;
         }
-        if self.stalled_since.is_none() {
-            self.wake_at(now + CLIENT_TIMEOUT);
-        }
-        let since = *self.stalled_since.get_or_insert(now);
-        now >= since + CLIENT_TIMEOUT
+        let is_overdue = self.is_overdue(self.stalled_since, now);
+        self.stalled_since.get_or_insert(now);
+        is_overdue
     }
 
     fn read(&mut self) -> ReadStep {
@@ -268,11 +266,18 @@
             self.message_due_since = None;
             return false;
         }
-        if self.message_due_since.is_none() {
+        let is_overdue = self.is_overdue(self.message_due_since, now);
+        self.message_due_since.get_or_insert(now);
+        is_overdue
+    }
+
+    /// Whether the client has owed something for too long since then. If it owes it only from now on, the connection is woken
+    /// when that will be too long.
+    fn is_overdue(&self, since: Option<Timestamp>, now: Timestamp) -> bool {
+        if since.is_none() {
             self.wake_at(now + CLIENT_TIMEOUT);
         }
-        let since = *self.message_due_since.get_or_insert(now);
-        now >= since + CLIENT_TIMEOUT
+        since.is_some_and(|since| now >= since + CLIENT_TIMEOUT)
     }
 
     fn should_close(&self) -> bool {
--- a/server/src/clients/requests.rs
+++ b/server/src/clients/requests.rs
@@ -143,11 +143,11 @@
             return self.responses.push_ready(encode_response(response, None));
         }
         if let (Some(tokens), Some(session)) = (&self.context.session_tokens, &mut self.session) {
-            header.seen = tokens.seen(self.context.timers.now(), session, header.group);
+            header.session.seen = tokens.seen(self.context.timers.now(), session, header.identity.group);
         }
         header.client.clone_from(&self.client);
         let request = self.next_request_id();
-        self.responses.push_pending(request, header.group);
+        self.responses.push_pending(request, header.identity.group);
         let mut charge = self.context.resources.buffer_charge();
         charge.set(body.len());
         let text = RequestText { body, timeout_digits: header.timeout_digits.clone(), charge };
--- a/server/src/control/actions.rs
+++ b/server/src/control/actions.rs
@@ -57,8 +57,11 @@
         let addr = state.addr(endpoint);
         let active = state.requests.get_mut(request)?;
         let cancellation = Arc::new(CancellationToken::default());
-        active.attempt = Some(StartedAttempt { number, cancellation: cancellation.clone() });
-        active.in_flight = Some(Location { endpoint, since: now });
+        active.attempt = Some(StartedAttempt {
+            number,
+            cancellation: cancellation.clone(),
+            in_flight: Some(Location { endpoint, since: now }),
+        });
         let attempt = AttemptId { request, number, endpoint };
         let Some(addr) = addr else {
             return Some(AttemptReport::not_sent(attempt, now));
@@ -75,12 +78,13 @@
     }
 
     fn on_attempt_not_sent(&mut self, now: Timestamp, report: AttemptReport) {
-        self.state.end_attempt(now, report, self.settings.max_retry_after);
+        self.state.end_attempt(now, report, self.config.settings.max_retry_after);
     }
 
     /// A duplicate of what may have run in an earlier request is aborted: that it did not run is not known any more.
     fn reject(&mut self, now: Timestamp, request: RequestId, retry_after: Option<TimeDelta>) {
-        let is_duplicate = self.state.requests.get(request).is_some_and(|active| active.is_duplicate);
+        let is_duplicate =
+            self.state.requests.get(request).is_some_and(|active| active.execution.is_duplicate);
         if is_duplicate {
             self.state.trace(request, "abort", now);
             self.state.answer(now, request, Response::Aborted);
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -28,16 +28,22 @@
     pub cache: Option<Arc<EndpointCacheWriter>>,
 }
 
-/// What a control loop is made from.
-pub struct ControlSetup {
+/// What a router is told when it starts.
+pub struct RouterConfig {
     /// The settings of the routing policy.
     pub settings: RoutingSettings,
-    /// For randomness.
+    /// For randomness. A router that starts anew after a panic takes the next one.
     pub seed: u64,
     /// The names of the zones.
     pub zones: Vec<String>,
     /// Open requests at most.
     pub max_open_requests: usize,
+}
+
+/// What a control loop is made from.
+pub struct ControlSetup {
+    /// What the router is told.
+    pub config: RouterConfig,
     /// Starts attempts.
     pub dispatcher: AttemptDispatcher,
     /// What comes.
@@ -48,10 +54,7 @@
 
 /// The control loop.
 pub struct ControlLoop {
-    pub(super) settings: RoutingSettings,
-    seed: u64,
-    pub(super) zones: Vec<String>,
-    pub(super) max_open_requests: usize,
+    pub(super) config: RouterConfig,
     pub(super) dispatcher: AttemptDispatcher,
     messages: Receiver<ControlMessage>,
     /// The endpoint list as it was given last, by name: what a new router state starts with.
@@ -70,19 +73,16 @@
 impl ControlLoop {
     /// A control loop that has handled nothing yet.
     pub fn new(setup: ControlSetup) -> ControlLoop {
-        let ControlSetup { settings, seed, zones, max_open_requests, dispatcher, messages, recovery } = setup;
+        let ControlSetup { config, dispatcher, messages, recovery } = setup;
         let state = RouterState::new(RouterSetup {
-            seed,
-            settings: &settings,
+            seed: config.seed,
+            settings: &config.settings,
             dispatcher: &dispatcher,
             recovery: recovery.as_ref(),
             queue_limits: None,
         });
         ControlLoop {
-            settings,
-            seed,
-            zones,
-            max_open_requests,
+            config,
             dispatcher,
             messages,
             listed: BTreeMap::new(),
@@ -107,12 +107,12 @@
     }
 
     fn reset(&mut self) {
-        self.seed = self.seed.wrapping_add(1);
+        self.config.seed = self.config.seed.wrapping_add(1);
         self.list_was_confirmed =
             self.state.discovery.as_ref().is_some_and(PrimaryDiscovery::is_list_confirmed);
         self.state = RouterState::new(RouterSetup {
-            seed: self.seed,
-            settings: &self.settings,
+            seed: self.config.seed,
+            settings: &self.config.settings,
             dispatcher: &self.dispatcher,
             recovery: self.recovery.as_ref(),
             queue_limits: self.queue_limits.clone(),
@@ -156,7 +156,7 @@
         if self.recovery.is_some() && !self.list_was_confirmed {
             self.state.take_cached_list(endpoints, Vec::new(), now);
         } else {
-            self.state.take_list(true, &endpoints, &self.zones, now);
+            self.state.take_list(true, &endpoints, &self.config.zones, now);
         }
     }
 
@@ -196,7 +196,7 @@
                 self.state.queue = Some(queue);
             }
             (None, Some(limits)) => {
-                let queue = RequestQueue::new(limits, self.settings.max_retry_after, self.seed);
+                let queue = RequestQueue::new(limits, self.config.settings.max_retry_after, self.config.seed);
                 self.state.queue = Some(queue);
             }
             (Some(queue), None) => admitted = queue.into_waiting(),
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -36,7 +36,7 @@
         for listed in &endpoints {
             self.listed.insert(listed.name.clone(), listed.clone());
         }
-        for addr in self.state.take_list(complete, &endpoints, &self.zones, now) {
+        for addr in self.state.take_list(complete, &endpoints, &self.config.zones, now) {
             self.dispatcher.pool.close_idle(&addr);
         }
         let addrs: BTreeSet<SocketAddr> = self.state.listed.iter().filter_map(|listed| listed.addr).collect();
@@ -139,14 +139,14 @@
     /// An endpoint of a cached list may be used. It may have started only just now: nobody has seen it before.
     fn admit_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.state.not_admitted.remove(&endpoint) else { return };
-        let record = self.state.record(&listed, &self.zones);
+        let record = self.state.record(&listed, &self.config.zones);
         let record = EndpointRecord { started_at: Some(now), start_presumed: true, primary: false, ..record };
         self.state.report(now, Event::EndpointList { complete: false, records: vec![record] });
     }
 
     fn withdraw_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.listed.get(self.state.endpoints.id(endpoint)) else { return };
-        let record = self.state.record(listed, &self.zones);
+        let record = self.state.record(listed, &self.config.zones);
         let record = EndpointRecord { status: EndpointStatus::Draining, ..record };
         self.state.not_admitted.insert(endpoint, listed.clone());
         self.state.report(now, Event::EndpointList { complete: false, records: vec![record] });
--- a/server/src/control/request_handling.rs
+++ b/server/src/control/request_handling.rs
@@ -1,12 +1,13 @@
 //! Requests: their admission, their attempts' ends, and clients that are gone.
 
-use crate::control::active_request::ActiveRequest;
+use crate::control::active_request::{ActiveRequest, ExecutionState, PendingResponse};
 use crate::control::control_loop::ControlLoop;
 use crate::control::request_queue::QueuedRequest;
 use crate::control::response_check::{checked_response, is_session_lost};
 use crate::control::router_state::RouterState;
 use crate::messages::control::{AttemptReport, ConfirmAttempt, FateQuery, HealthCheckEnd, IncomingRequest};
 use crate::messages::journal_entry::JournalVerdict;
+use crate::messages::request::ClientRequest;
 use crate::messages::response::Response;
 use crate::protocol::sqlstate::{ClientError, SqlState};
 use crate::storage::journal::WriteJournal;
@@ -43,11 +44,11 @@
         loop {
             for queued in admitted.drain(..) {
                 let request = queued.request();
-                if self.state.requests.len() >= self.max_open_requests {
-                    let retry_after = self.settings.max_retry_after;
+                if self.state.requests.len() >= self.config.max_open_requests {
+                    let retry_after = self.config.settings.max_retry_after;
                     queued.incoming.ticket.answer(Response::Rejected { retry_after });
                     self.state.finished.push(request);
-                } else if !self.state.take_request(now, queued, &self.settings) {
+                } else if !self.state.take_request(now, queued, &self.config.settings) {
                     // Unless it is open, nothing else would tell that nothing more comes of it.
                     self.state.finished.push(request);
                 }
@@ -83,14 +84,14 @@
 
     pub(super) fn on_epoch_reported(&mut self, request: RequestId, epoch: Epoch) {
         if let Some(active) = self.state.requests.get(request) {
-            self.state.epochs.record(active.group, epoch);
+            self.state.epochs.record(active.identity.group, epoch);
         }
     }
 
     pub(super) fn on_attempt_ended(&mut self, now: Timestamp, report: AttemptReport) {
         let (endpoint, queried_at) = (report.attempt.endpoint, report.started_at);
         let answer_report = report.reports.answer;
-        self.state.end_attempt(now, report, self.settings.max_retry_after);
+        self.state.end_attempt(now, report, self.config.settings.max_retry_after);
         self.observe_report(now, endpoint, queried_at, answer_report);
     }
 
@@ -133,7 +134,7 @@
         let request = arrival.request;
         let abort_at = arrival.deadline - settings.clock_resolution;
         let active = self.active_request(*incoming, received_at, abort_at, settings);
-        self.ids.insert(active.id.clone());
+        self.ids.insert(active.identity.id.clone());
         self.requests.insert(request, active);
         self.deadlines.set_abort_time(abort_at, request);
         let waiting = primary_discovery::Event::RequestWaiting { group: arrival.group };
@@ -152,34 +153,34 @@
         received_at: Timestamp,
         settings: &RoutingSettings,
     ) -> Result<RequestArrival, Response> {
-        let header = &incoming.header;
+        let ClientRequest { identity, session, .. } = &incoming.header;
         if self.groups.is_empty() {
             // No list has come yet: which groups there are is not known.
             return Err(Response::Rejected { retry_after: settings.max_retry_after });
         }
-        let group = self.groups.get(&header.group).ok_or(Response::Error(UNKNOWN_GROUP))?;
-        let seen_position = match header.seen.map(|seen| self.epochs.status(header.group, seen)) {
+        let group = self.groups.get(&identity.group).ok_or(Response::Error(UNKNOWN_GROUP))?;
+        let seen_position = match session.seen.map(|seen| self.epochs.status(identity.group, seen)) {
             Some(PositionStatus::Lost) => {
-                let restart_position = self.epochs.restart_position(header.group);
+                let restart_position = self.epochs.restart_position(identity.group);
                 return Err(Response::SessionLost { restart_position });
             }
             Some(PositionStatus::OnLog(position) | PositionStatus::UnknownEpoch(position)) => Some(position),
             None => None,
         };
         // An endpoint would take the second request for a duplicate of the first.
-        if self.ids.contains(&header.id) {
+        if self.ids.contains(&identity.id) {
             return Err(Response::Error(ID_IN_USE));
         }
         Ok(RequestArrival {
             request: incoming.ticket.request,
-            method: header.method,
+            method: identity.method,
             group,
-            session: header.session,
-            last_write: header.last_write,
+            session: session.number,
+            last_write: session.last_write,
             seen_position,
             received_at,
-            deadline: header.deadline,
-            client_retry: header.client_retry,
+            deadline: incoming.header.deadline,
+            client_retry: incoming.header.client_retry,
         })
     }
 
@@ -191,27 +192,21 @@
         settings: &RoutingSettings,
     ) -> ActiveRequest {
         let IncomingRequest { header, text, ticket } = incoming;
-        let method = settings.methods.get(header.method);
+        let method = settings.methods.get(header.identity.method);
         let idempotency = method.map(|method| method.idempotency);
         let is_read = method.is_some_and(|method| method.access != Access::Write);
         ActiveRequest {
-            write_session: header.session.filter(|_| !is_read),
-            is_journaled: self.journal.is_some() && idempotency != Some(Idempotency::Idempotent),
-            deduplication: deduplication(idempotency, header.group, settings.clock_resolution),
-            id: header.id,
-            method: header.method,
-            group: header.group,
-            seen: header.seen,
+            execution: ExecutionState {
+                is_journaled: self.journal.is_some() && idempotency != Some(Idempotency::Idempotent),
+                deduplication: deduplication(idempotency, header.identity.group, settings.clock_resolution),
+                ..ExecutionState::default()
+            },
+            identity: header.identity,
             is_read,
-            recorded: false,
-            is_duplicate: false,
-            may_have_run: false,
-            received_at,
-            abort_at,
-            ticket: Some(ticket),
+            session: header.session,
+            response: PendingResponse { ticket: Some(ticket), received_at, abort_at },
             text: Arc::new(text),
             attempt: None,
-            in_flight: None,
         }
     }
 
@@ -222,7 +217,9 @@
         retry_after: Option<TimeDelta>,
     ) {
         let Some(active) = self.requests.get_mut(report.attempt.request) else { return };
-        active.in_flight = None;
+        if let Some(attempt) = &mut active.attempt {
+            attempt.in_flight = None;
+        }
         let (outcome, elapsed) = (report.outcome, now - report.started_at);
         record_outcome(active, &report, self.journal.as_deref());
         if report.journal_verdict == Some(JournalVerdict::IdInUse) {
@@ -233,21 +230,21 @@
             outcome,
             elapsed,
             request_closed: false,
-            write_session: active.write_session,
+            write_session: active.write_session(),
             answer_report: report.reports.answer,
             load_report: report.reports.load,
         };
         if outcome == AttemptOutcome::Succeeded {
             if let Some(epoch) = report.reports.epoch {
-                self.epochs.record(active.group, epoch);
+                self.epochs.record(active.identity.group, epoch);
             }
-            if active.ticket.is_some() {
+            if active.response.ticket.is_some() {
                 let response = checked_response(&self.epochs, active, report, now, retry_after);
                 active.answer(&self.metrics, now, response);
             }
         }
         self.metrics.attempt_ended(outcome, elapsed);
-        end.request_closed = active.ticket.is_none();
+        end.request_closed = active.response.ticket.is_none();
         let (request, request_closed) = (end.attempt.request, end.request_closed);
         self.trace_attempt_end(&end);
         self.report(now, Event::AttemptEnded(end));
@@ -260,11 +257,11 @@
             return;
         }
         let Some(active) = self.requests.get(end.attempt.request) else { return };
-        let (request, attempt, group) = (end.attempt.request, end.attempt.number, active.group);
+        let (request, attempt, group) = (end.attempt.request, end.attempt.number, active.identity.group);
         let (endpoint, outcome) = (self.endpoints.id(end.attempt.endpoint), end.outcome);
         let took_us = end.elapsed.0 / 1_000;
         tracing::debug!(
-            request, request_id = %active.id, attempt, %endpoint, group, ?outcome, took_us, "attempt ended"
+            request, request_id = %active.identity.id, attempt, %endpoint, group, ?outcome, took_us, "attempt ended"
         );
     }
 
@@ -274,7 +271,7 @@
         let Some(active) = self.requests.get_mut(request) else { return false };
         let is_lost = is_session_lost(&self.epochs, active);
         if is_lost {
-            let restart_position = self.epochs.restart_position(active.group);
+            let restart_position = self.epochs.restart_position(active.identity.group);
             active.answer(&self.metrics, now, Response::SessionLost { restart_position });
         }
         !is_lost
@@ -284,15 +281,16 @@
 /// Keeps what an attempt shows of its request, in the journal too. If an attempt before may have run, the answer may be that to
 /// a retry, and its position no commit's.
 fn record_outcome(active: &mut ActiveRequest, report: &AttemptReport, journal: Option<&WriteJournal>) {
-    active.is_duplicate |= report.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
-    let is_first = !active.is_duplicate && !active.may_have_run;
-    active.recorded |= report.journal_verdict.is_some_and(JournalVerdict::allows_sending);
-    active.may_have_run |= active.is_duplicate || !report.outcome.proves_not_executed();
-    let Some(journal) = journal.filter(|_| active.recorded) else { return };
+    let execution = &mut active.execution;
+    execution.is_duplicate |= report.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
+    let is_first = !execution.is_duplicate && !execution.may_have_run;
+    execution.recorded |= report.journal_verdict.is_some_and(JournalVerdict::allows_sending);
+    execution.may_have_run |= execution.is_duplicate || !report.outcome.proves_not_executed();
+    let Some(journal) = journal.filter(|_| execution.recorded) else { return };
     if report.outcome == AttemptOutcome::Succeeded {
         let commit = report.reports.answer.position.filter(|_| is_first);
         let commit_ms = commit.map(|position| position.0 / NANOS_PER_MILLI);
-        journal.record_end(&active.id, RecordEvent::Executed(commit_ms));
+        journal.record_end(&active.identity.id, RecordEvent::Executed(commit_ms));
     }
 }
 
--- a/server/src/control/request_queue.rs
+++ b/server/src/control/request_queue.rs
@@ -143,7 +143,7 @@
             classes: classes.collect(),
             shed: shed.collect(),
             top_clients: clients.collect(),
-            waiting: waiting.map(|it| (it.incoming.header.id.to_string(), it.received_at)).collect(),
+            waiting: waiting.map(|it| (it.incoming.header.identity.id.to_string(), it.received_at)).collect(),
         }
     }
 }
--- a/server/src/control/response_check.rs
+++ b/server/src/control/response_check.rs
@@ -10,8 +10,8 @@
 
 /// Whether what a request's session has seen is lost, by all that was reported until now.
 pub fn is_session_lost(epochs: &EpochHistory, request: &ActiveRequest) -> bool {
-    let status = |seen| epochs.status(request.group, seen);
-    request.seen.is_some_and(|seen| status(seen) == PositionStatus::Lost)
+    let status = |seen| epochs.status(request.identity.group, seen);
+    request.session.seen.is_some_and(|seen| status(seen) == PositionStatus::Lost)
 }
 
 /// The response for a value that an endpoint has answered. A read whose session has seen more than this endpoint's log shows
@@ -25,11 +25,11 @@
 ) -> Response {
     let session_lost = is_session_lost(epochs, request);
     let position = report.reports.answer.position;
-    let shows = |seen| epochs.shows(request.group, seen, report.reports.epoch, position);
+    let shows = |seen| epochs.shows(request.identity.group, seen, report.reports.epoch, position);
     if request.is_read && session_lost {
-        return Response::SessionLost { restart_position: epochs.restart_position(request.group) };
+        return Response::SessionLost { restart_position: epochs.restart_position(request.identity.group) };
     }
-    if request.is_read && !request.seen.is_none_or(shows) {
+    if request.is_read && !request.session.seen.is_none_or(shows) {
         return Response::Rejected { retry_after };
     }
     // What an endpoint does not report it may have seen up to now.
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -183,11 +183,13 @@
     /// Nothing more can come of a request that was removed: what was kept of it is given back.
     pub fn finish(&mut self, request: RequestId, removed: Option<ActiveRequest>) {
         let Some(active) = removed else { return };
-        self.ids.remove(&active.id);
-        if let Some(journal) = self.journal.as_ref().filter(|_| active.recorded && !active.may_have_run) {
-            journal.record_end(&active.id, RecordEvent::NotExecuted);
+        self.ids.remove(&active.identity.id);
+        if let Some(journal) =
+            self.journal.as_ref().filter(|_| active.execution.recorded && !active.execution.may_have_run)
+        {
+            journal.record_end(&active.identity.id, RecordEvent::NotExecuted);
         }
-        self.deadlines.remove_abort_time(active.abort_at, request);
+        self.deadlines.remove_abort_time(active.response.abort_at, request);
         if self.queue.is_some() {
             self.finished.push(request);
         }
@@ -199,16 +201,16 @@
             return;
         }
         let Some(active) = self.requests.get(request) else { return };
-        let (group, is_read) = (active.group, active.is_read);
-        let held_us = (now - active.received_at).0 / 1_000;
-        tracing::debug!(request, request_id = %active.id, group, is_read, held_us, decision, "decided");
+        let (group, is_read) = (active.identity.group, active.is_read);
+        let held_us = (now - active.response.received_at).0 / 1_000;
+        tracing::debug!(request, request_id = %active.identity.id, group, is_read, held_us, decision, "decided");
     }
 
     /// What there is, the oldest requests first.
     pub fn snapshot(&self, now: Timestamp) -> ServerSnapshot {
         let requests = self.requests.iter().map(|(request, active)| self.request_snapshot(request, active));
         let mut requests: Vec<RequestSnapshot> = requests.collect();
-        requests.sort_by(|a, b| (a.received_at, &a.id).cmp(&(b.received_at, &b.id)));
+        requests.sort_by(|a, b| (a.received_at, &a.identity.id).cmp(&(b.received_at, &b.identity.id)));
         requests.truncate(MAX_REQUESTS);
         let endpoints = (0..self.listed.len()).map(|endpoint| EndpointRow {
             name: self.endpoints.id(endpoint).clone(),
@@ -226,15 +228,13 @@
     }
 
     fn request_snapshot(&self, request: RequestId, active: &ActiveRequest) -> RequestSnapshot {
-        let in_flight = active.in_flight.as_ref().map(|location| InFlightAt {
+        let in_flight = active.in_flight().map(|location| InFlightAt {
             endpoint: self.endpoints.id(location.endpoint).clone(),
             since: location.since,
         });
         RequestSnapshot {
-            id: active.id.clone(),
-            method: active.method,
-            group: active.group,
-            received_at: active.received_at,
+            identity: active.identity.clone(),
+            received_at: active.response.received_at,
             attempts: active.attempt.as_ref().map_or(0, |attempt| attempt.number + 1),
             in_flight,
             closed: !self.requests.is_open(request),
--- a/server/src/endpoints/health_check.rs
+++ b/server/src/endpoints/health_check.rs
@@ -4,7 +4,7 @@
 use crate::endpoints::connection::IoLimits;
 use crate::endpoints::load_report;
 use crate::endpoints::pool::ConnectionPool;
-use crate::endpoints::query::{query, HEALTH_STATEMENT};
+use crate::endpoints::query::{query, QueryResult, HEALTH_STATEMENT};
 use crate::messages::control::{ConnectError, ControlMessage, HealthCheckEnd, QueryAnswer, QueryEnd};
 use crate::runtime::cancellation::CancellationToken;
 use may::sync::mpsc::Sender;
@@ -41,14 +41,23 @@
     guard.complete(HealthCheckEnd { endpoint, outcome, elapsed, report });
 }
 
+/// The column that the endpoint answers to a statement.
+fn query_column(
+    pool: &ConnectionPool,
+    addr: SocketAddr,
+    statement: &str,
+    deadline: Timestamp,
+) -> Result<QueryResult, ConnectError> {
+    let cancellation = CancellationToken::default();
+    query(pool, addr, statement, IoLimits { deadline, cancellation: &cancellation })
+}
+
 fn query_health(
     pool: &ConnectionPool,
     addr: SocketAddr,
     deadline: Timestamp,
 ) -> Result<QueryAnswer, ConnectError> {
-    let cancellation = CancellationToken::default();
-    let limits = IoLimits { deadline, cancellation: &cancellation };
-    let result = query(pool, addr, HEALTH_STATEMENT, limits)?;
+    let result = query_column(pool, addr, HEALTH_STATEMENT, deadline)?;
     let report = std::str::from_utf8(&result.column).map(load_report::parse).unwrap_or_default();
     Ok(QueryAnswer { outcome: result.outcome, report, identity: None })
 }
@@ -87,8 +96,6 @@
     addr: SocketAddr,
     deadline: Timestamp,
 ) -> Result<String, ConnectError> {
-    let cancellation = CancellationToken::default();
-    let limits = IoLimits { deadline, cancellation: &cancellation };
-    let result = query(pool, addr, IDENTITY_STATEMENT, limits)?;
+    let result = query_column(pool, addr, IDENTITY_STATEMENT, deadline)?;
     Ok(String::from_utf8(result.column).unwrap_or_default())
 }
--- a/server/src/messages/request.rs
+++ b/server/src/messages/request.rs
@@ -41,21 +41,35 @@
     }
 }
 
-/// A request as a client sent it, checked.
-#[derive(Debug)]
-pub struct ClientRequest {
+/// Which request it is, and what it is about.
+#[derive(Clone, Debug)]
+pub struct RequestIdentity {
     /// Names it among the open ones of all clients.
     pub id: Arc<str>,
     /// Its method.
     pub method: MethodIndex,
     /// Its group.
     pub group: GroupNumber,
-    /// Its session.
-    pub session: Option<u64>,
-    /// How long ago its session's last write was committed, if the client says so.
+}
+
+/// The session of a request, as far as the client tells it.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct RequestSession {
+    /// Its number.
+    pub number: Option<u64>,
+    /// How long ago its last write was committed, if the client says so.
     pub last_write: Option<TimeDelta>,
-    /// What its session has seen of the group, if the client carries a token.
+    /// What it has seen of the group, if the client carries a token. A read must show that much.
     pub seen: Option<LogPosition>,
+}
+
+/// A request as a client sent it, checked.
+#[derive(Debug)]
+pub struct ClientRequest {
+    /// Which it is.
+    pub identity: RequestIdentity,
+    /// Its session.
+    pub session: RequestSession,
     /// When its client gives it up.
     pub deadline: Timestamp,
     /// Its client says that it sent it before.
@@ -90,12 +104,12 @@
         let method = *methods.methods.get(header.method).ok_or(unknown_method)?;
         let timeout = TimeDelta::from_millis(header.timeout_ms.min(MAX_TIMEOUT_MS));
         Ok(ClientRequest {
-            id: header.id.into(),
-            method: method.index,
-            group: header.group,
-            session: header.key.filter(|_| method.has_session).map(session_number),
-            last_write: last_write(now, header.after_ms)?,
-            seen: None,
+            identity: RequestIdentity { id: header.id.into(), method: method.index, group: header.group },
+            session: RequestSession {
+                number: header.key.filter(|_| method.has_session).map(session_number),
+                last_write: last_write(now, header.after_ms)?,
+                seen: None,
+            },
             deadline: now + timeout,
             client_retry: header.is_retry,
             timeout_digits: header.timeout_digits.clone(),
--- a/server/src/messages/snapshot.rs
+++ b/server/src/messages/snapshot.rs
@@ -1,11 +1,10 @@
 //! What the control loop shows of itself to operators: open requests and endpoints, as they stand.
 
+use crate::messages::request::RequestIdentity;
 use admission::concurrency_limiter::{ConcurrencyLimits, RequestCounts, ShedReason};
 use routing::time::Timestamp;
-use routing::{EndpointSnapshot, MethodIndex};
-use sessions::positions::GroupNumber;
+use routing::EndpointSnapshot;
 use std::net::{IpAddr, SocketAddr};
-use std::sync::Arc;
 
 /// Requests that are shown at most, the oldest.
 pub const MAX_REQUESTS: usize = 200;
@@ -24,12 +23,8 @@
 /// An open request.
 #[derive(Debug)]
 pub struct RequestSnapshot {
-    /// Its id.
-    pub id: Arc<str>,
-    /// Its method.
-    pub method: MethodIndex,
-    /// Its group.
-    pub group: GroupNumber,
+    /// Which it is.
+    pub identity: RequestIdentity,
     /// When it came.
     pub received_at: Timestamp,
     /// Attempts started.
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -7,7 +7,7 @@
 use crate::clients::context::ClientContext;
 use crate::clients::graceful_shutdown::GracefulShutdown;
 use crate::clients::session_tokens::SessionTokens;
-use crate::control::control_loop::{ControlLoop, ControlSetup, RecoveryOptions};
+use crate::control::control_loop::{ControlLoop, ControlSetup, RecoveryOptions, RouterConfig};
 use crate::discovery::watch::{DiscoveryTarget, DiscoveryWatch};
 use crate::endpoints::dispatcher::AttemptDispatcher;
 use crate::endpoints::pool::ConnectionPool;
@@ -168,10 +168,12 @@
             metrics: metrics.clone(),
         };
         let control_loop = ControlLoop::new(ControlSetup {
-            settings: bootstrap.settings.clone(),
-            seed: bootstrap.seed,
-            zones: bootstrap.config.azs.clone(),
-            max_open_requests: allowed.most_held,
+            config: RouterConfig {
+                settings: bootstrap.settings.clone(),
+                seed: bootstrap.seed,
+                zones: bootstrap.config.azs.clone(),
+                max_open_requests: allowed.most_held,
+            },
             dispatcher,
             messages,
             recovery: self.recovery_options(&initial_list),
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -7,12 +7,12 @@
 use may::sync::mpsc::{channel, Sender};
 use routing::time::TimeDelta;
 use routing::{AttemptId, MethodIndex, RequestId};
-use server::control::control_loop::{ControlLoop, ControlSetup};
+use server::control::control_loop::{ControlLoop, ControlSetup, RouterConfig};
 use server::endpoints::dispatcher::AttemptDispatcher;
 use server::endpoints::pool::ConnectionPool;
 use server::messages::control::{ConfirmAttempt, ControlMessage, IncomingRequest};
 use server::messages::endpoint_list::{ListedEndpoint, ListedHealth};
-use server::messages::request::{ClientRequest, RequestText};
+use server::messages::request::{ClientRequest, RequestIdentity, RequestSession, RequestText};
 use server::messages::response::{Response, ResponseChannel, ResponseTicket};
 use server::protocol::sqlstate::SqlState;
 use server::runtime::clock::{Clock, Timers};
@@ -66,10 +66,7 @@
         metrics: Arc::new(Metrics::new(&[])),
     };
     let setup = ControlSetup {
-        settings,
-        seed: 1,
-        zones: Vec::new(),
-        max_open_requests,
+        config: RouterConfig { settings, seed: 1, zones: Vec::new(), max_open_requests },
         dispatcher,
         messages,
         recovery: None,
@@ -127,12 +124,8 @@
         timeout_ms: i64,
     ) {
         let header = ClientRequest {
-            id: id.into(),
-            method,
-            group,
-            session: None,
-            last_write: None,
-            seen: None,
+            identity: RequestIdentity { id: id.into(), method, group },
+            session: RequestSession::default(),
             deadline: self.timers.now() + TimeDelta::from_millis(timeout_ms),
             client_retry: false,
             timeout_digits: 0..0,
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -2,7 +2,7 @@
 //! collects the replies.
 
 use crate::instance::Instance;
-use crate::messages::{AttemptEnd, How, In, Inbound, Out, Record};
+use crate::messages::{AttemptEnd, How, In, Inbound, Out, Record, RequestRef};
 use routing::time::Timestamp;
 use routing::Event;
 use std::collections::{BTreeMap, HashMap};
@@ -102,13 +102,13 @@
             }
             In::Discovery { front, how, page } => self.take_list(front, how, page)?,
             In::Inbound(inbound) => self.take_request(inbound)?,
-            In::Flowing { front, request_id } => {
+            In::Flowing(RequestRef { front, request_id }) => {
                 if let Some(request) = self.instances.get(&front).and_then(|it| it.request(&request_id)) {
                     self.report(front, Event::ResponseStarted { request });
                 }
             }
             In::AttemptEnd(end) => self.end_attempt(&end),
-            In::Gone { front, request_id } => {
+            In::Gone(RequestRef { front, request_id }) => {
                 if let Some(request) = self.instances.get(&front).and_then(|it| it.request(&request_id)) {
                     self.report(front, Event::ClientGone { request });
                     if let Some(instance) = self.instances.get_mut(&front) {
--- a/simulator-adapter/src/messages.rs
+++ b/simulator-adapter/src/messages.rs
@@ -33,20 +33,12 @@
     },
     #[serde(borrow)]
     Inbound(Inbound<'a>),
-    #[serde(rename_all = "camelCase")]
-    Flowing {
-        front: u32,
-        #[serde(borrow)]
-        request_id: Cow<'a, str>,
-    },
+    #[serde(borrow)]
+    Flowing(RequestRef<'a>),
     #[serde(borrow)]
     AttemptEnd(AttemptEnd<'a>),
-    #[serde(rename_all = "camelCase")]
-    Gone {
-        front: u32,
-        #[serde(borrow)]
-        request_id: Cow<'a, str>,
-    },
+    #[serde(borrow)]
+    Gone(RequestRef<'a>),
     Fired {
         front: u32,
         nonce: u64,
@@ -70,6 +62,15 @@
     },
 }
 
+/// A request of an instance.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub struct RequestRef<'a> {
+    pub front: u32,
+    #[serde(borrow)]
+    pub request_id: Cow<'a, str>,
+}
+
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Inbound<'a> {
