--- a/server/src/clients/requests.rs
+++ b/server/src/clients/requests.rs
@@ -14,6 +14,7 @@
 use routing::time::TimeDelta;
 use routing::RequestId;
 use sessions::token::TokenError;
+use std::ops::Range;
 use std::sync::atomic::Ordering;
 use write_journal::record_state::Origin;
 
@@ -110,10 +111,13 @@
                 return self.query_fate(id.to_string(), origin);
             }
             Statement::Invalid(error) => Err(error),
-            Statement::Request(header) => self.request(now, &header),
+            Statement::Request(header) => {
+                let timeout_digits = header.timeout_digits.clone();
+                self.request(now, &header).map(|request| (request, timeout_digits))
+            }
         };
         match request {
-            Ok(request) => self.send_request(request, body),
+            Ok((request, timeout_digits)) => self.send_request(request, body, timeout_digits),
             Err(error) => self.push_error(error),
         }
     }
@@ -137,7 +141,7 @@
         let _ = self.context.control.send(ControlMessage::QueryFate(FateQuery { id, origin, ticket }));
     }
 
-    fn send_request(&mut self, mut header: ClientRequest, body: Vec<u8>) {
+    fn send_request(&mut self, mut header: ClientRequest, body: Vec<u8>, timeout_digits: Range<usize>) {
         if self.context.resources.is_memory_short() {
             let response = Response::Rejected { retry_after: self.context.max_retry_after };
             return self.responses.push_ready(encode_response(response, None));
@@ -150,7 +154,7 @@
         self.responses.push_pending(request, header.identity.group);
         let mut charge = self.context.resources.buffer_charge();
         charge.set(body.len());
-        let text = RequestText { body, timeout_digits: header.timeout_digits.clone(), charge };
+        let text = RequestText { body, timeout_digits, charge };
         let ticket = ResponseTicket::new(request, self.channel.clone());
         // If the control loop is gone, the ticket is dropped and aborts.
         let incoming = IncomingRequest { header, text, ticket };
--- a/server/src/control/actions.rs
+++ b/server/src/control/actions.rs
@@ -70,9 +70,8 @@
             attempt,
             addr,
             times: AttemptTimes { started_at: now, deadline: now + timeout },
-            text: active.text.clone(),
+            outgoing: active.outgoing_request(),
             cancellation,
-            preconditions: active.send_preconditions(),
         });
         None
     }
--- a/server/src/control/active_request.rs
+++ b/server/src/control/active_request.rs
@@ -1,6 +1,6 @@
 //! What the control loop keeps of an open request.
 
-use crate::messages::control::SendPreconditions;
+use crate::messages::control::OutgoingRequest;
 use crate::messages::journal_entry::JournalEntry;
 use crate::messages::request::{RequestIdentity, RequestSession, RequestText};
 use crate::messages::response::{Response, ResponseTicket};
@@ -108,9 +108,10 @@
         self.attempt.as_ref()?.in_flight.as_ref()
     }
 
-    /// What must be done before an attempt is sent.
-    pub fn send_preconditions(&self) -> SendPreconditions {
-        SendPreconditions {
+    /// What an attempt of it sends, and what must be done before.
+    pub fn outgoing_request(&self) -> OutgoingRequest {
+        OutgoingRequest {
+            text: self.text.clone(),
             journal_entry: self.execution.journal_entry(&self.identity.id),
             needs_epoch: self.needs_epoch(),
         }
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -75,6 +75,16 @@
     Complete,
 }
 
+/// How far the watch has come.
+pub struct WatchProgress {
+    /// Which lists are accepted.
+    pub incarnation: IncarnationTracker,
+    /// When the watch is opened again.
+    pub schedule: WatchSchedule,
+    /// No list of discovery is known since this start: the complete list is fetched before it is watched.
+    pub needs_complete_list: bool,
+}
+
 /// The watch on discovery.
 pub struct DiscoveryWatch {
     /// Where discovery is.
@@ -85,12 +95,8 @@
     pub resources: Arc<ResourceLimits>,
     /// Who is told of lists.
     pub control: Sender<ControlMessage>,
-    /// Which lists are accepted.
-    pub incarnation: IncarnationTracker,
-    /// When the watch is opened again.
-    pub schedule: WatchSchedule,
-    /// No list of discovery is known since this start: the complete list is fetched before it is watched.
-    pub needs_complete_list: bool,
+    /// How far it has come.
+    pub progress: WatchProgress,
     /// The cache, if there is one.
     pub cache: Option<Arc<EndpointCacheWriter>>,
     /// Jitter.
@@ -101,12 +107,12 @@
     /// Watches for the life of the process.
     pub fn run(mut self) {
         loop {
-            let version_before = self.incarnation.version();
+            let version_before = self.progress.incarnation.version();
             let target = self.target.lock().clone();
             let end = self.watch_once(&target);
             let target_changed = target.changed.is_cancelled();
-            if version_before != self.incarnation.version() || target_changed {
-                self.schedule.reset_backoff();
+            if version_before != self.progress.incarnation.version() || target_changed {
+                self.progress.schedule.reset_backoff();
             }
             if !target_changed {
                 log!(WARN, discovery = target.addr, reason = end; "discovery watch ended");
@@ -118,12 +124,12 @@
 
     fn pause(&mut self, target: &Target) {
         let now = self.timers.now();
-        let pause = match self.incarnation.poll_again_at() {
+        let pause = match self.progress.incarnation.poll_again_at() {
             Some(at) if at > now => at - now,
             _ => {
                 let jitter = self.rng.below(JITTER_RANGE);
-                let max_pause = self.needs_complete_list.then_some(MAX_PAUSE_WITHOUT_LIST);
-                self.schedule.ended(jitter, max_pause)
+                let max_pause = self.progress.needs_complete_list.then_some(MAX_PAUSE_WITHOUT_LIST);
+                self.progress.schedule.ended(jitter, max_pause)
             }
         };
         self.timers.sleep_unless_cancelled(pause, &target.changed);
@@ -142,7 +148,7 @@
         let deadline = self.timers.now() + OPEN_TIMEOUT;
         let connection = PeerConnection::connect(&self.timers, &target.addr, deadline, descriptor);
         let mut connection = connection.map_err(|_| WatchEnd::NoConnection)?;
-        let deadline = self.schedule.requested(self.timers.now());
+        let deadline = self.progress.schedule.requested(self.timers.now());
         let limits = IoLimits { deadline, cancellation: &target.changed };
         connection.arm(limits);
         let request = self.request(target.addr);
@@ -152,10 +158,10 @@
 
     /// A list from before this start may stem from another incarnation of discovery: changes since it prove nothing.
     fn request(&self, addr: SocketAddr) -> String {
-        let query = if self.needs_complete_list {
+        let query = if self.progress.needs_complete_list {
             String::new()
         } else {
-            format!("?watch=1&after={}", self.incarnation.version())
+            format!("?watch=1&after={}", self.progress.incarnation.version())
         };
         format!("GET /discovery/hosts{query} HTTP/1.1\r\nHost: {addr}\r\nAccept: application/json\r\n\r\n")
     }
@@ -163,7 +169,7 @@
     /// Follows the answer to its end.
     fn follow(&mut self, mut connection: PeerConnection, target: &Target) -> Result<(), WatchEnd> {
         let mut stream = WatchStream::default();
-        let mut deadline = self.schedule.answer_due();
+        let mut deadline = self.progress.schedule.answer_due();
         loop {
             let limits = IoLimits { deadline, cancellation: &target.changed };
             connection.arm(limits);
@@ -171,10 +177,10 @@
             stream.feed(&connection.buffer)?;
             connection.buffer.clear();
             if stream.has_begun() {
-                deadline = self.schedule.next_event_due();
+                deadline = self.progress.schedule.next_event_due();
             }
             while let Some(event) = stream.next_event()? {
-                deadline = self.schedule.event_received(self.timers.now());
+                deadline = self.progress.schedule.event_received(self.timers.now());
                 self.handle_event(&event)?;
             }
             if stream.has_ended() {
@@ -186,7 +192,7 @@
     fn handle_event(&mut self, event: &WatchEvent) -> Result<(), WatchEnd> {
         match event {
             WatchEvent::Unchanged => {
-                if let Some(cache) = self.cache.as_ref().filter(|_| !self.needs_complete_list) {
+                if let Some(cache) = self.cache.as_ref().filter(|_| !self.progress.needs_complete_list) {
                     cache.confirmed();
                 }
                 Ok(())
@@ -200,22 +206,22 @@
             log!(WARN, reason = error; "unreadable endpoint list");
             WatchEnd::UnreadableList
         })?;
-        let version_before = self.incarnation.version();
+        let version_before = self.progress.incarnation.version();
         let offered =
             OfferedList { version: list.version, complete: list.complete, empty: list.endpoints.is_empty() };
-        match self.incarnation.offer(self.timers.now(), offered) {
+        match self.progress.incarnation.offer(self.timers.now(), offered) {
             ListDecision::Accept => {}
             ListDecision::Ignore if offered.complete && offered.empty => return Err(WatchEnd::EmptyList),
             ListDecision::Ignore => return Ok(()),
             ListDecision::Suspect => return Err(WatchEnd::OlderList),
         }
-        if self.incarnation.version() < version_before {
+        if self.progress.incarnation.version() < version_before {
             log!(
                 INFO, version = list.version, previous = version_before;
                 "endpoint list of a new discovery incarnation accepted"
             );
         }
-        self.needs_complete_list &= !list.complete;
+        self.progress.needs_complete_list &= !list.complete;
         if let Some(cache) = &self.cache {
             cache.update(list.version, list.complete, &list.endpoints);
         }
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -101,7 +101,7 @@
 
     fn run_on(&mut self, mut connection: PeerConnection, is_reused: bool) -> Step {
         connection.arm(self.limits());
-        if self.job.preconditions.needs_epoch && !connection.epoch_confirmed {
+        if self.job.outgoing.needs_epoch && !connection.epoch_confirmed {
             connection = match self.query_epoch(connection) {
                 Ok(connection) => connection,
                 Err(stop) => return unsent(stop, is_reused),
@@ -126,7 +126,7 @@
 
     /// Sends the request with the time that is left of it.
     fn send(&self, connection: &mut PeerConnection) -> Result<(), IoStop> {
-        let text = &self.job.text;
+        let text = &self.job.outgoing.text;
         let remaining = self.job.times.deadline - self.pool.timers.now();
         let timeout_ms = (remaining.0 / NANOS_PER_MILLI).max(1).to_string();
         let head = &text.body[..text.timeout_digits.start];
@@ -138,7 +138,7 @@
 
     /// Whether the attempt is recorded, if it must be. It is recorded once, whatever connection it is sent on.
     fn is_recorded(&mut self) -> bool {
-        let (Some(entry), Some(journal)) = (&self.job.preconditions.journal_entry, self.journal) else {
+        let (Some(entry), Some(journal)) = (&self.job.outgoing.journal_entry, self.journal) else {
             return true;
         };
         if self.journal_verdict.is_none() {
--- a/server/src/endpoints/health_check.rs
+++ b/server/src/endpoints/health_check.rs
@@ -32,7 +32,7 @@
     };
     let guard = CompletionGuard::new(control, if_lost, ControlMessage::HealthCheckEnded);
     let started_at = pool.timers.now();
-    let result = query_health(pool, addr, started_at + timeout);
+    let result = EndpointQueries { pool, addr, deadline: started_at + timeout }.health();
     let elapsed = pool.timers.now() - started_at;
     let (outcome, report) = match result {
         Ok(answer) => (answer.outcome, answer.report),
@@ -41,27 +41,6 @@
     guard.complete(HealthCheckEnd { endpoint, outcome, elapsed, report });
 }
 
-/// The column that the endpoint answers to a statement.
-fn query_column(
-    pool: &ConnectionPool,
-    addr: SocketAddr,
-    statement: &str,
-    deadline: Timestamp,
-) -> Result<QueryResult, ConnectError> {
-    let cancellation = CancellationToken::default();
-    query(pool, addr, statement, IoLimits { deadline, cancellation: &cancellation })
-}
-
-fn query_health(
-    pool: &ConnectionPool,
-    addr: SocketAddr,
-    deadline: Timestamp,
-) -> Result<QueryAnswer, ConnectError> {
-    let result = query_column(pool, addr, HEALTH_STATEMENT, deadline)?;
-    let report = std::str::from_utf8(&result.column).map(load_report::parse).unwrap_or_default();
-    Ok(QueryAnswer { outcome: result.outcome, report, identity: None })
-}
-
 /// Asks an endpoint what primary discovery has to know of it.
 pub fn query_for_discovery(
     pool: &ConnectionPool,
@@ -75,27 +54,39 @@
     let answer = Err(AttemptOutcome::ConnectionLost.into());
     let if_lost = QueryEnd { endpoint, queried_at, answer };
     let guard = CompletionGuard::new(control, if_lost, ControlMessage::QueryEnded);
-    let answer = query_identity_and_health(pool, addr, queried_at + timeout, asks_identity);
+    let queries = EndpointQueries { pool, addr, deadline: queried_at + timeout };
+    let answer = if asks_identity { queries.identity_and_health() } else { queries.health() };
     guard.complete(QueryEnd { endpoint, queried_at, answer });
 }
 
-fn query_identity_and_health(
-    pool: &ConnectionPool,
+/// Queries to one endpoint that end by one deadline.
+struct EndpointQueries<'a> {
+    pool: &'a ConnectionPool,
     addr: SocketAddr,
     deadline: Timestamp,
-    asks_identity: bool,
-) -> Result<QueryAnswer, ConnectError> {
-    let identity = if asks_identity { Some(query_identity(pool, addr, deadline)?) } else { None };
-    let answer = query_health(pool, addr, deadline)?;
-    Ok(QueryAnswer { identity, ..answer })
 }
 
-/// What cannot be read is no name, and so nobody's.
-fn query_identity(
-    pool: &ConnectionPool,
-    addr: SocketAddr,
-    deadline: Timestamp,
-) -> Result<String, ConnectError> {
-    let result = query_column(pool, addr, IDENTITY_STATEMENT, deadline)?;
-    Ok(String::from_utf8(result.column).unwrap_or_default())
+impl EndpointQueries<'_> {
+    fn column(&self, statement: &str) -> Result<QueryResult, ConnectError> {
+        let cancellation = CancellationToken::default();
+        let limits = IoLimits { deadline: self.deadline, cancellation: &cancellation };
+        query(self.pool, self.addr, statement, limits)
+    }
+
+    fn health(&self) -> Result<QueryAnswer, ConnectError> {
+        let result = self.column(HEALTH_STATEMENT)?;
+        let report = std::str::from_utf8(&result.column).map(load_report::parse).unwrap_or_default();
+        Ok(QueryAnswer { outcome: result.outcome, report, identity: None })
+    }
+
+    /// What cannot be read is no name, and so nobody's.
+    fn identity(&self) -> Result<String, ConnectError> {
+        let result = self.column(IDENTITY_STATEMENT)?;
+        Ok(String::from_utf8(result.column).unwrap_or_default())
+    }
+
+    fn identity_and_health(&self) -> Result<QueryAnswer, ConnectError> {
+        let identity = self.identity()?;
+        Ok(QueryAnswer { identity: Some(identity), ..self.health()? })
+    }
 }
--- a/server/src/messages/control.rs
+++ b/server/src/messages/control.rs
@@ -162,9 +162,11 @@
     pub deadline: Timestamp,
 }
 
-/// What must be done before an attempt is sent.
-pub struct SendPreconditions {
-    /// What must be recorded.
+/// What an attempt sends, and what must be done before.
+pub struct OutgoingRequest {
+    /// What is sent.
+    pub text: Arc<RequestText>,
+    /// What must be recorded first.
     pub journal_entry: Option<JournalEntry>,
     /// It must go to a log that has what its session saw: the endpoint reports its epoch first.
     pub needs_epoch: bool,
@@ -178,12 +180,10 @@
     pub addr: SocketAddr,
     /// Its times.
     pub times: AttemptTimes,
-    /// What is sent.
-    pub text: Arc<RequestText>,
+    /// What it sends.
+    pub outgoing: OutgoingRequest,
     /// Cancels it.
     pub cancellation: Arc<CancellationToken>,
-    /// What must be done before it is sent.
-    pub preconditions: SendPreconditions,
 }
 
 /// What an answer says of its endpoint.
--- a/server/src/messages/request.rs
+++ b/server/src/messages/request.rs
@@ -74,8 +74,6 @@
     pub deadline: Timestamp,
     /// Its client says that it sent it before.
     pub client_retry: bool,
-    /// Where the digits of its timeout are in the statement.
-    pub timeout_digits: Range<usize>,
     /// Whom it is counted for, if requests are limited.
     pub client: Option<ClientKey>,
 }
@@ -112,7 +110,6 @@
             },
             deadline: now + timeout,
             client_retry: header.is_retry,
-            timeout_digits: header.timeout_digits.clone(),
             client: None,
         })
     }
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -8,7 +8,7 @@
 use crate::clients::graceful_shutdown::GracefulShutdown;
 use crate::clients::session_tokens::SessionTokens;
 use crate::control::control_loop::{ControlLoop, ControlSetup, RecoveryOptions, RouterConfig};
-use crate::discovery::watch::{DiscoveryTarget, DiscoveryWatch};
+use crate::discovery::watch::{DiscoveryTarget, DiscoveryWatch, WatchProgress};
 use crate::endpoints::dispatcher::AttemptDispatcher;
 use crate::endpoints::pool::ConnectionPool;
 use crate::exit_status::{ExitStatus, Failure};
@@ -209,9 +209,11 @@
             timers: self.foundation.timers.clone(),
             resources: self.foundation.resources.clone(),
             control: self.control.clone(),
-            incarnation,
-            schedule: WatchSchedule::new(pushed, config.rules.drain_grace()),
-            needs_complete_list: self.cache.is_some(),
+            progress: WatchProgress {
+                incarnation,
+                schedule: WatchSchedule::new(pushed, config.rules.drain_grace()),
+                needs_complete_list: self.cache.is_some(),
+            },
             cache: self.cache_writer(),
             rng: Mwc::new(bootstrap.seed),
         };
--- a/server/tests/attempts.rs
+++ b/server/tests/attempts.rs
@@ -9,7 +9,7 @@
 use routing::{AttemptId, AttemptOutcome};
 use server::endpoints::attempt::run_attempt;
 use server::endpoints::pool::ConnectionPool;
-use server::messages::control::{AttemptJob, AttemptReport, AttemptTimes, ControlMessage, SendPreconditions};
+use server::messages::control::{AttemptJob, AttemptReport, AttemptTimes, ControlMessage, OutgoingRequest};
 use server::messages::request::RequestText;
 use server::protocol::decode::only_row;
 use server::runtime::cancellation::CancellationToken;
@@ -153,9 +153,12 @@
             attempt: AttemptId { request: 1, number: 0, endpoint: 0 },
             addr: endpoint.addr,
             times: AttemptTimes { started_at, deadline: started_at + SECOND * 5 },
-            text: Arc::new(RequestText { body, timeout_digits: 9..10, charge }),
+            outgoing: OutgoingRequest {
+                text: Arc::new(RequestText { body, timeout_digits: 9..10, charge }),
+                journal_entry: None,
+                needs_epoch: false,
+            },
             cancellation,
-            preconditions: SendPreconditions { journal_entry: None, needs_epoch: false },
         }
     }
 }
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -128,7 +128,6 @@
             session: RequestSession::default(),
             deadline: self.timers.now() + TimeDelta::from_millis(timeout_ms),
             client_retry: false,
-            timeout_digits: 0..0,
             client: None,
         };
         let text =
--- a/server/tests/sessions.rs
+++ b/server/tests/sessions.rs
@@ -73,7 +73,7 @@
             let mut state = self.cluster.lock();
             let forked_ms = state.position(1, unix_ms());
             state.promote(1, OldPrimary::Follows, forked_ms);
-            state.endpoints[0].reachability = Reachability::Silent;
+            state.endpoints[0].process.reachability = Reachability::Silent;
         }
         self.list(3, 1);
     }
--- a/test-servers/src/bin/starts.rs
+++ b/test-servers/src/bin/starts.rs
@@ -133,8 +133,8 @@
             let (mut reads, mut writes) = (Vec::new(), Vec::new());
             for seed in arguments.first..arguments.first + arguments.seeds {
                 let outcome = run_without_faults(seed, age_s, &build);
-                reads.push(outcome.first_read_ms.unwrap_or(f64::INFINITY));
-                writes.push(outcome.first_write_ms.unwrap_or(f64::INFINITY));
+                reads.push(outcome.first_served.read_ms.unwrap_or(f64::INFINITY));
+                writes.push(outcome.first_served.write_ms.unwrap_or(f64::INFINITY));
             }
             println!("{name:<12} {age_s:>8} s {:>20} {:>20}", summary(reads), summary(writes));
         }
--- a/test-servers/src/cluster.rs
+++ b/test-servers/src/cluster.rs
@@ -36,18 +36,12 @@
     Refused,
 }
 
-/// An endpoint.
+/// The place of an endpoint on its group's log.
 #[derive(Clone, Debug)]
-pub struct EndpointModel {
-    /// Its name.
-    pub name: String,
-    /// Its group.
-    pub group: i64,
-    /// It takes writes.
-    pub primary: bool,
+pub struct ReplicationModel {
     /// Its timeline.
     pub timeline: u32,
-    /// The branch of its group's log that it is on.
+    /// The branch of the log that it is on.
     pub branch: usize,
     /// Whom it follows.
     pub upstream: Option<EndpointIndex>,
@@ -55,6 +49,11 @@
     pub lag_ms: i64,
     /// Where it has stopped, if nothing reaches it any more.
     pub stopped_at_ms: Option<i64>,
+}
+
+/// The process of an endpoint.
+#[derive(Clone, Debug)]
+pub struct ProcessModel {
     /// How it can be reached.
     pub reachability: Reachability,
     /// Since when it drains.
@@ -65,6 +64,21 @@
     pub reports_identity: bool,
 }
 
+/// An endpoint.
+#[derive(Clone, Debug)]
+pub struct EndpointModel {
+    /// Its name.
+    pub name: String,
+    /// Its group.
+    pub group: i64,
+    /// It takes writes.
+    pub primary: bool,
+    /// Its place on its group's log.
+    pub replication: ReplicationModel,
+    /// Its process.
+    pub process: ProcessModel,
+}
+
 impl EndpointModel {
     /// A sound endpoint that started long ago: a primary, or a replica of `upstream`.
     pub fn new(name: String, group: i64, upstream: Option<EndpointIndex>, lag_ms: i64) -> EndpointModel {
@@ -72,15 +86,13 @@
             name,
             group,
             primary: upstream.is_none(),
-            timeline: 1,
-            branch: 0,
-            upstream,
-            lag_ms,
-            stopped_at_ms: None,
-            reachability: Reachability::Up,
-            draining_since_ms: None,
-            started_ms: 0,
-            reports_identity: true,
+            replication: ReplicationModel { timeline: 1, branch: 0, upstream, lag_ms, stopped_at_ms: None },
+            process: ProcessModel {
+                reachability: Reachability::Up,
+                draining_since_ms: None,
+                started_ms: 0,
+                reports_identity: true,
+            },
         }
     }
 }
@@ -146,19 +158,19 @@
     /// How far an endpoint is on its branch.
     pub fn position(&self, index: EndpointIndex, now_ms: i64) -> i64 {
         let endpoint = &self.endpoints[index];
-        match (endpoint.primary, endpoint.stopped_at_ms, endpoint.upstream) {
+        match (endpoint.primary, endpoint.replication.stopped_at_ms, endpoint.replication.upstream) {
             (true, _, _) => now_ms,
             (false, Some(stopped_at_ms), _) => stopped_at_ms,
             (false, None, Some(upstream)) if upstream != index => {
-                self.position(upstream, now_ms) - endpoint.lag_ms
+                self.position(upstream, now_ms) - endpoint.replication.lag_ms
             }
-            _ => now_ms - endpoint.lag_ms,
+            _ => now_ms - endpoint.replication.lag_ms,
         }
     }
 
     /// Where an endpoint is on its group's log.
     pub fn log_point(&self, index: EndpointIndex, now_ms: i64) -> LogPoint {
-        LogPoint { branch: self.endpoints[index].branch, at_ms: self.position(index, now_ms) }
+        LogPoint { branch: self.endpoints[index].replication.branch, at_ms: self.position(index, now_ms) }
     }
 
     /// Where each branch of a group's log left the one before it.
@@ -180,7 +192,7 @@
         let endpoint = &self.endpoints[index];
         let position = self.position(index, now_ms);
         let Some(branches) = self.branches.get(&endpoint.group) else { return position };
-        if branches.get(endpoint.branch).is_none_or(|branch| branch.is_live) {
+        if branches.get(endpoint.replication.branch).is_none_or(|branch| branch.is_live) {
             return position;
         }
         let live = branches.iter().find(|branch| branch.is_live);
@@ -190,7 +202,9 @@
     /// Whether an endpoint is the primary of a group on its live branch.
     pub fn is_live_primary(&self, index: EndpointIndex, group: i64) -> bool {
         let endpoint = &self.endpoints[index];
-        endpoint.group == group && endpoint.primary && self.branches[&group][endpoint.branch].is_live
+        endpoint.group == group
+            && endpoint.primary
+            && self.branches[&group][endpoint.replication.branch].is_live
     }
 
     /// The primary of a group.
@@ -213,17 +227,17 @@
             if endpoint.group != group || Some(index) == isolated {
                 continue;
             }
-            endpoint.branch = branch;
-            endpoint.timeline = timeline;
-            endpoint.stopped_at_ms = None;
+            endpoint.replication.branch = branch;
+            endpoint.replication.timeline = timeline;
+            endpoint.replication.stopped_at_ms = None;
             endpoint.primary = index == successor;
-            endpoint.upstream = (index != successor).then_some(successor);
+            endpoint.replication.upstream = (index != successor).then_some(successor);
         }
     }
 
     /// The fraction of its capacity that an endpoint in slow start has.
     fn slow_start_fraction(&self, index: EndpointIndex, now_ms: i64, model: &SlowStartModel) -> Option<f64> {
-        let age_ms = now_ms - self.endpoints[index].started_ms;
+        let age_ms = now_ms - self.endpoints[index].process.started_ms;
         let progress = age_ms as f64 / model.duration_ms as f64;
         let fraction = model.initial_fraction + (1.0 - model.initial_fraction) * progress;
         (age_ms < model.duration_ms).then_some(fraction)
@@ -255,7 +269,7 @@
         let offered_ms = arrivals.len() as f64 * model.work_ms as f64;
         if offered_ms > fraction * model.overload_multiple * model.window_ms as f64 {
             arrivals.clear();
-            let age_ms = now_ms - self.endpoints[index].started_ms;
+            let age_ms = now_ms - self.endpoints[index].process.started_ms;
             self.report(index, Rule::SlowStart, format!("was overloaded {age_ms} ms after its start"));
         }
     }
--- a/test-servers/src/endpoint.rs
+++ b/test-servers/src/endpoint.rs
@@ -98,7 +98,7 @@
     /// Serves a connection until it ends.
     fn serve_connection(&self, mut stream: TcpStream) -> Option<()> {
         wire::read_startup(&mut stream)?;
-        if self.cluster.lock().endpoints[self.index].reachability == Reachability::Silent {
+        if self.cluster.lock().endpoints[self.index].process.reachability == Reachability::Silent {
             // Open for as long as the other side holds it, and nothing is sent.
             let _ = wire::read_message(&mut stream);
             return None;
@@ -142,16 +142,16 @@
     fn report_epoch(&self, state: &ClusterState, out: &mut Vec<u8>) {
         let endpoint = &state.endpoints[self.index];
         let forks = state.forks(endpoint.group);
-        let began = forks.get(endpoint.branch).filter(|began| **began > 0);
+        let began = forks.get(endpoint.replication.branch).filter(|began| **began > 0);
         let began = began.map_or(String::new(), |began| format!("@{began}"));
-        parameter_status(out, "epoch", &format!("{}{began}", endpoint.timeline));
+        parameter_status(out, "epoch", &format!("{}{began}", endpoint.replication.timeline));
     }
 
     fn report_identity(&self, out: &mut Vec<u8>) {
         let state = self.cluster.lock();
         let endpoint = &state.endpoints[self.index];
-        if endpoint.reports_identity {
-            row(out, format!("{},{}", endpoint.name, endpoint.timeline).as_bytes());
+        if endpoint.process.reports_identity {
+            row(out, format!("{},{}", endpoint.name, endpoint.replication.timeline).as_bytes());
         } else {
             error(out, INSUFFICIENT_PRIVILEGE);
         }
@@ -203,7 +203,7 @@
     }
 
     fn check_drain(&self, state: &mut ClusterState, statement: &Statement, now_ms: i64) {
-        let Some(since_ms) = state.endpoints[self.index].draining_since_ms else { return };
+        let Some(since_ms) = state.endpoints[self.index].process.draining_since_ms else { return };
         let late_ms = now_ms - since_ms;
         if late_ms > self.cluster.drain_grace_ms {
             let detail = format!("got {} {late_ms} ms after its drain", statement.id);
--- a/test-servers/src/restart/client_loop.rs
+++ b/test-servers/src/restart/client_loop.rs
@@ -24,10 +24,13 @@
     pub records: Mutex<Vec<RequestRecord>>,
 }
 
-/// When a client's first read and first write were served, in milliseconds since the run started.
+/// When the first read and the first write were served, in milliseconds since the run started: a client's own, or the
+/// earliest of all clients.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FirstServed {
+    /// The first read.
     pub read_ms: Option<f64>,
+    /// The first write.
     pub write_ms: Option<f64>,
 }
 
--- a/test-servers/src/restart/faults.rs
+++ b/test-servers/src/restart/faults.rs
@@ -45,33 +45,33 @@
         Fault::OldPrimaryIsolated => state.promote(members.successor, OldPrimary::Isolated, at_ms),
         Fault::OldPrimaryIsolatedNewSilent => {
             state.promote(members.successor, OldPrimary::Isolated, at_ms);
-            state.endpoints[members.successor].reachability = Reachability::Silent;
+            state.endpoints[members.successor].process.reachability = Reachability::Silent;
         }
         Fault::OldPrimaryIsolatedWithReplica => {
             state.promote(members.successor, OldPrimary::Isolated, at_ms);
             let stopped = &mut state.endpoints[members.replica];
-            stopped.branch = 0;
-            stopped.timeline = 1;
-            stopped.stopped_at_ms = Some(at_ms - STOPPED_BEFORE_MS);
+            stopped.replication.branch = 0;
+            stopped.replication.timeline = 1;
+            stopped.replication.stopped_at_ms = Some(at_ms - STOPPED_BEFORE_MS);
         }
         Fault::PrimarySwitched => state.promote(members.successor, OldPrimary::Follows, at_ms),
         Fault::NewPrimaryUnlisted => state.promote(members.unlisted, OldPrimary::Isolated, at_ms),
         Fault::AddressReused => {
             state.promote(members.successor, OldPrimary::Follows, at_ms);
-            state.endpoints[members.primary].reachability = Reachability::Refused;
+            state.endpoints[members.primary].process.reachability = Reachability::Refused;
             // The address went to the primary of the next group, or to this one's own successor if it is alone.
             let next_primary = (first + GROUP_SIZE) % listed_addresses.len();
             listed_addresses[members.primary] = listed_addresses[next_primary];
         }
         Fault::AddressUnused => {
             state.promote(members.successor, OldPrimary::Follows, at_ms);
-            state.endpoints[members.primary].reachability = Reachability::Refused;
+            state.endpoints[members.primary].process.reachability = Reachability::Refused;
             listed_addresses[members.primary] = free_address();
         }
-        Fault::ReplicaSilent => state.endpoints[members.replica].reachability = Reachability::Silent,
+        Fault::ReplicaSilent => state.endpoints[members.replica].process.reachability = Reachability::Silent,
         Fault::ReplicasLag => {
-            state.endpoints[members.successor].lag_ms = BOUND_MS * 2;
-            state.endpoints[members.replica].lag_ms = BOUND_MS * 2;
+            state.endpoints[members.successor].replication.lag_ms = BOUND_MS * 2;
+            state.endpoints[members.replica].replication.lag_ms = BOUND_MS * 2;
         }
         Fault::NoPrimary => {
             remove_primary(state, &members, at_ms);
@@ -82,9 +82,9 @@
 
 fn remove_primary(state: &mut ClusterState, members: &GroupMembers, at_ms: i64) {
     for index in [members.successor, members.replica, members.unlisted] {
-        state.endpoints[index].stopped_at_ms = Some(at_ms);
-        state.endpoints[index].upstream = None;
+        state.endpoints[index].replication.stopped_at_ms = Some(at_ms);
+        state.endpoints[index].replication.upstream = None;
     }
-    state.endpoints[members.primary].reachability = Reachability::Refused;
+    state.endpoints[members.primary].process.reachability = Reachability::Refused;
     state.endpoints[members.primary].primary = false;
 }
--- a/test-servers/src/restart/mod.rs
+++ b/test-servers/src/restart/mod.rs
@@ -8,6 +8,7 @@
 mod scenario;
 mod throughput;
 
+pub use client_loop::FirstServed;
 pub use plan::{DiscoveryReturn, Fault, Plan};
 pub use run::{run_plan, Outcome, Phases};
 pub use throughput::reads_per_second;
--- a/test-servers/src/restart/run.rs
+++ b/test-servers/src/restart/run.rs
@@ -41,10 +41,8 @@
 pub struct Outcome {
     /// The checker's verdict.
     pub verdict: Verdict,
-    /// When the first read was served, in milliseconds since the start of the processes.
-    pub first_read_ms: Option<f64>,
-    /// When the first write was served.
-    pub first_write_ms: Option<f64>,
+    /// When the first requests of all clients were served.
+    pub first_served: FirstServed,
     /// Groups with a primary that can be reached in which writes were served after discovery came back.
     pub groups_writing: usize,
     /// Groups with a primary that can be reached.
@@ -70,7 +68,7 @@
 pub fn run_plan(plan: &Plan, build: &Build, phases: Phases) -> std::io::Result<Outcome> {
     let folder = tempfile::tempdir()?;
     let scenario = Scenario::new(plan);
-    let discovery = Discovery::start(DiscoveryMode::Down, LIST_VERSION, scenario.present_list.clone());
+    let discovery = Discovery::start(DiscoveryMode::Down, LIST_VERSION, scenario.lists.present.clone());
     let started = Instant::now();
     let instances: Vec<Instance> = (0..plan.instances)
         .map(|index| start_instance(index, plan, build, &scenario, &discovery, folder.path()))
@@ -91,10 +89,12 @@
     let log = instances.into_iter().map(|instance| instance.daemon.kill()).collect();
     let records = std::mem::take(&mut *lock(&run.records));
     let mut outcome = judge(&scenario, &records, back_at_ms);
-    outcome.first_read_ms = earliest(first.iter().filter_map(|first| first.read_ms));
-    outcome.first_write_ms = earliest(first.iter().filter_map(|first| first.write_ms));
+    outcome.first_served = FirstServed {
+        read_ms: earliest(first.iter().filter_map(|first| first.read_ms)),
+        write_ms: earliest(first.iter().filter_map(|first| first.write_ms)),
+    };
     let down_ms = phases.discovery_down.as_secs_f64() * 1e3;
-    outcome.wrote_without_discovery = outcome.first_write_ms.is_some_and(|ms| ms < down_ms);
+    outcome.wrote_without_discovery = outcome.first_served.write_ms.is_some_and(|ms| ms < down_ms);
     outcome.log = log;
     drop(scenario.served);
     Ok(outcome)
@@ -108,7 +108,7 @@
     discovery: &Discovery,
     folder: &Path,
 ) -> std::io::Result<Instance> {
-    let list = serde_json::json!({ "seq": LIST_VERSION, "whole": true, "hosts": scenario.old_list });
+    let list = serde_json::json!({ "seq": LIST_VERSION, "whole": true, "hosts": scenario.lists.old });
     let bootstrap = format!(
         r#"{{"seed":"{:x}{index}","limits":{{"sockets":512,"memory_mb":64}},"known":{list},"settings":{}}}"#,
         plan.seed & 0xffff_ffff,
@@ -140,7 +140,7 @@
         version: LIST_VERSION,
         confirmed_ms: saved_ms,
         saved_ms,
-        endpoints: scenario.cached.clone(),
+        endpoints: scenario.lists.cached.clone(),
     };
     let (mut directory, _) = CacheDirectory::open(state_dir).map_err(std::io::Error::other)?;
     directory.save(&mut list).map_err(std::io::Error::other)?;
@@ -162,10 +162,10 @@
         discovery.set_mode(mode);
         thread::sleep(BROKEN_RETURN);
     };
-    discovery.set_list(LIST_VERSION + 5, scenario.present_list.clone());
+    discovery.set_list(LIST_VERSION + 5, scenario.lists.present.clone());
     match plan.discovery_return {
         DiscoveryReturn::AtOnce => {}
-        DiscoveryReturn::LowerVersion => discovery.set_list(RESTORED_VERSION, scenario.present_list.clone()),
+        DiscoveryReturn::LowerVersion => discovery.set_list(RESTORED_VERSION, scenario.lists.present.clone()),
         DiscoveryReturn::EmptyFirst => broken_first(DiscoveryMode::Empty),
         DiscoveryReturn::TruncatedLineFirst => broken_first(DiscoveryMode::TruncatedLine),
         DiscoveryReturn::Flapping => return discovery.set_mode(DiscoveryMode::Flapping(FLAPPING_PERIOD)),
--- a/test-servers/src/restart/scenario.rs
+++ b/test-servers/src/restart/scenario.rs
@@ -15,16 +15,21 @@
 const LONG_AGO_MS: i64 = 3_600_000;
 const SEED_FOR_CLUSTER: u64 = 0x5eed;
 
+/// The endpoint lists from before and after the faults.
+pub struct ScenarioLists {
+    /// From before, in discovery's format.
+    pub old: Vec<Value>,
+    /// The same, as an instance has cached it.
+    pub cached: Vec<CachedEndpoint>,
+    /// The list that is true now, in discovery's format.
+    pub present: Vec<Value>,
+}
+
 /// A cluster after its faults.
 pub struct Scenario {
     pub cluster: Arc<Cluster>,
     pub served: Vec<ServedEndpoint>,
-    /// The endpoint list from before the faults, in discovery's format.
-    pub old_list: Vec<Value>,
-    /// The same, as an instance has cached it.
-    pub cached: Vec<CachedEndpoint>,
-    /// The list that is true now.
-    pub present_list: Vec<Value>,
+    pub lists: ScenarioLists,
     pub groups: Vec<i64>,
 }
 
@@ -50,15 +55,14 @@
         }
         let state = cluster.lock();
         let listed = || (0..count).filter(|index| is_listed(*index));
-        let old_list = listed().map(|index| old_entry(&state, index, &listed_addresses[index])).collect();
+        let old = listed().map(|index| old_entry(&state, index, &listed_addresses[index])).collect();
         let cached =
             listed().map(|index| cached_entry(&state, index, &listed_addresses[index], now_ms, plan));
-        let cached = cached.collect();
-        let present = (0..count).filter(|index| is_member(&state, *index));
-        let present_list =
-            present.map(|index| present_entry(&state, index, &addresses[index], plan)).collect();
+        let members = (0..count).filter(|index| is_member(&state, *index));
+        let present = members.map(|index| present_entry(&state, index, &addresses[index], plan)).collect();
+        let lists = ScenarioLists { old, cached: cached.collect(), present };
         drop(state);
-        Scenario { cluster, served, old_list, cached, present_list, groups }
+        Scenario { cluster, served, lists, groups }
     }
 
     /// The groups whose primary can be reached.
@@ -66,7 +70,7 @@
         let state = self.cluster.lock();
         let has_primary = |group: &i64| {
             let primary = state.primary_of(*group);
-            primary.is_some_and(|index| state.endpoints[index].reachability == Reachability::Up)
+            primary.is_some_and(|index| state.endpoints[index].process.reachability == Reachability::Up)
         };
         self.groups.iter().copied().filter(has_primary).collect()
     }
@@ -78,8 +82,9 @@
     for member in 0..GROUP_SIZE {
         let upstream = (member > 0).then_some(first);
         let lag_ms = 10 + rng.below(60) as i64;
-        let endpoint = EndpointModel::new(format!("s-{group}-{member}"), group, upstream, lag_ms);
-        state.endpoints.push(EndpointModel { started_ms, ..endpoint });
+        let mut endpoint = EndpointModel::new(format!("s-{group}-{member}"), group, upstream, lag_ms);
+        endpoint.process.started_ms = started_ms;
+        state.endpoints.push(endpoint);
     }
 }
 
@@ -95,7 +100,8 @@
 /// Discovery knows of isolation: what was left behind is no member any more.
 fn is_member(state: &ClusterState, index: EndpointIndex) -> bool {
     let endpoint = &state.endpoints[index];
-    endpoint.reachability == Reachability::Up && state.branches[&endpoint.group][endpoint.branch].is_live
+    endpoint.process.reachability == Reachability::Up
+        && state.branches[&endpoint.group][endpoint.replication.branch].is_live
 }
 
 fn old_entry(state: &ClusterState, index: EndpointIndex, address: &SocketAddr) -> Value {
@@ -105,7 +111,7 @@
 
 fn present_entry(state: &ClusterState, index: EndpointIndex, address: &SocketAddr, plan: &Plan) -> Value {
     let endpoint = &state.endpoints[index];
-    let born_ms = if plan.just_started { endpoint.started_ms } else { 0 };
+    let born_ms = if plan.just_started { endpoint.process.started_ms } else { 0 };
     list_entry(&endpoint.name, address, endpoint.group, endpoint.primary, "SERVING", born_ms)
 }
 
--- a/test-servers/src/restart/throughput.rs
+++ b/test-servers/src/restart/throughput.rs
@@ -33,7 +33,7 @@
 ) -> std::io::Result<f64> {
     let folder = tempfile::tempdir()?;
     let scenario = Scenario::new(&Plan::without_faults(1, 5));
-    let discovery = Discovery::start(DiscoveryMode::Up, LIST_VERSION, scenario.present_list.clone());
+    let discovery = Discovery::start(DiscoveryMode::Up, LIST_VERSION, scenario.lists.present.clone());
     let listen = free_address();
     let daemon = start_daemon(program, caches_list, folder.path(), listen, &discovery)?;
     let count_from = Instant::now() + WARM_UP;
@@ -47,7 +47,7 @@
     while Instant::now() < count_from + duration {
         thread::sleep(LIST_INTERVAL);
         version += 1;
-        discovery.set_list(version, scenario.present_list.clone());
+        discovery.set_list(version, scenario.lists.present.clone());
     }
     is_over.store(true, Ordering::Release);
     let reads: usize = counting.into_iter().filter_map(|client| client.join().ok()).sum();
