--- a/server/src/control/active_request.rs
+++ b/server/src/control/active_request.rs
@@ -103,6 +103,13 @@
         self.session.number.filter(|_| !self.is_read)
     }
 
+    /// No attempt of it is in flight any more.
+    pub fn leave_endpoint(&mut self) {
+        if let Some(attempt) = &mut self.attempt {
+            attempt.in_flight = None;
+        }
+    }
+
     /// Where its attempt is, if one is in flight.
     pub fn in_flight(&self) -> Option<&Location> {
         self.attempt.as_ref()?.in_flight.as_ref()
--- a/server/src/control/request_handling.rs
+++ b/server/src/control/request_handling.rs
@@ -217,9 +217,7 @@
         retry_after: Option<TimeDelta>,
     ) {
         let Some(active) = self.requests.get_mut(report.attempt.request) else { return };
-        if let Some(attempt) = &mut active.attempt {
-            attempt.in_flight = None;
-        }
+        active.leave_endpoint();
         let (outcome, elapsed) = (report.outcome, now - report.started_at);
         record_outcome(active, &report, self.journal.as_deref());
         if report.journal_verdict == Some(JournalVerdict::IdInUse) {
