--- a/operator-config/src/parser.rs
+++ b/operator-config/src/parser.rs
@@ -52,7 +52,7 @@
     }
 
     fn add_class(&mut self, values: &[String]) -> Result<(), Problem> {
-        self.settings.client_classes.push(parse_class(values)?);
+        self.settings.admission.clients.classes.push(parse_class(values)?);
         Ok(())
     }
 
@@ -73,8 +73,8 @@
 
     fn finish(mut self) -> Result<OperatorSettings, Vec<ConfigError>> {
         // The capacity is only known at the start of the server, which validates the classes against it.
-        let class_errors = admission::client_class::validate(&self.settings.client_classes, usize::MAX);
-        for error in class_errors {
+        let classes = &self.settings.admission.clients.classes;
+        for error in admission::client_class::validate(classes, usize::MAX) {
             self.fail(self.last_class_line, CLASS_KEYWORD, error.into());
         }
         if self.errors.is_empty() {
--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -10,7 +10,7 @@
 use crate::protocol::sqlstate::{ClientError, SqlState};
 use crate::storage::journal::WriteJournal;
 use routing::time::{TimeDelta, Timestamp};
-use routing::{AttemptEnd, AttemptOutcome, Event, RequestId};
+use routing::{AttemptEnd, AttemptId, AttemptOutcome, Event, RequestId};
 use sessions::epochs::Epoch;
 use write_journal::record_state::RecordEvent;
 
@@ -20,22 +20,22 @@
 
 impl ControlLoop {
     pub(super) fn on_confirm(&mut self, now: Timestamp, question: &ConfirmAttempt) {
-        let ConfirmAttempt { request, attempt, endpoint, .. } = *question;
+        let AttemptId { request, number, endpoint } = question.attempt;
         let holds = self.state.requests.is_open(request)
-            && self.state.policy.confirm_attempt(now, request, attempt, endpoint);
+            && self.state.policy.confirm_attempt(now, request, number, endpoint);
         let _ = question.reply.send(holds && self.state.session_is_consistent(now, request));
     }
 
     pub(super) fn on_epoch_reported(&mut self, request: RequestId, epoch: Epoch) {
         if let Some(active) = self.state.requests.get(request) {
-            self.state.epochs.record(active.group, epoch);
+            self.state.epochs.record(active.identity.group, epoch);
         }
     }
 
     pub(super) fn on_attempt_ended(&mut self, now: Timestamp, report: AttemptReport) {
-        let (endpoint, queried_at) = (report.endpoint, report.started_at);
-        let answer_report = report.answer_report;
-        self.state.end_attempt(now, report, self.settings.max_retry_after);
+        let (endpoint, queried_at) = (report.attempt.endpoint, report.started_at);
+        let answer_report = report.reports.answer;
+        self.state.end_attempt(now, report, self.config.settings.max_retry_after);
         self.observe_report(now, endpoint, queried_at, answer_report);
     }
 
@@ -60,8 +60,8 @@
         report: AttemptReport,
         retry_after: Option<TimeDelta>,
     ) {
-        let Some(active) = self.requests.get_mut(report.request) else { return };
-        active.in_flight = None;
+        let Some(active) = self.requests.get_mut(report.attempt.request) else { return };
+        active.leave_endpoint();
         record_outcome(active, &report, self.journal.as_deref());
         if report.journal_verdict == Some(JournalVerdict::IdInUse) {
             active.answer(&self.metrics, now, Response::Error(ID_RECORDED));
@@ -71,8 +71,10 @@
             self.take_response(now, report, retry_after);
         }
         self.metrics.attempt_ended(end.outcome, end.elapsed);
-        end.request_closed = self.requests.get(end.request).is_none_or(|active| active.ticket.is_none());
-        let (request, request_closed) = (end.request, end.request_closed);
+        let request = end.attempt.request;
+        let is_closed = |active: &ActiveRequest| active.response.ticket.is_none();
+        end.request_closed = self.requests.get(request).is_none_or(is_closed);
+        let request_closed = end.request_closed;
         self.trace_attempt_end(&end);
         self.report(now, Event::AttemptEnded(end));
         let removed = self.requests.end_attempt(request, request_closed);
@@ -81,11 +83,11 @@
 
     /// Takes the response of an attempt that succeeded: its epoch counts, and its request is answered unless it was before.
     fn take_response(&mut self, now: Timestamp, report: AttemptReport, retry_after: Option<TimeDelta>) {
-        let Some(active) = self.requests.get_mut(report.request) else { return };
-        if let Some(epoch) = report.epoch {
-            self.epochs.record(active.group, epoch);
+        let Some(active) = self.requests.get_mut(report.attempt.request) else { return };
+        if let Some(epoch) = report.reports.epoch {
+            self.epochs.record(active.identity.group, epoch);
         }
-        if active.ticket.is_some() {
+        if active.response.ticket.is_some() {
             let response = checked_response(&self.epochs, active, report, now, retry_after);
             active.answer(&self.metrics, now, response);
         }
@@ -95,12 +97,13 @@
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
-        let Some(active) = self.requests.get(end.request) else { return };
-        let (request, attempt, group) = (end.request, end.attempt, active.group);
-        let (endpoint, outcome) = (self.endpoints.id(end.endpoint), end.outcome);
+        let AttemptId { request, number: attempt, endpoint } = end.attempt;
+        let Some(active) = self.requests.get(request) else { return };
+        let group = active.identity.group;
+        let (endpoint, outcome) = (self.endpoints.id(endpoint), end.outcome);
         let took_us = end.elapsed.0 / 1_000;
         tracing::debug!(
-            request, request_id = %active.id, attempt, %endpoint, group, ?outcome, took_us, "attempt ended"
+            request, request_id = %active.identity.id, attempt, %endpoint, group, ?outcome, took_us, "attempt ended"
         );
     }
 
@@ -110,7 +113,7 @@
         let Some(active) = self.requests.get_mut(request) else { return false };
         let is_lost = is_session_lost(&self.epochs, active);
         if is_lost {
-            let restart_position = self.epochs.restart_position(active.group);
+            let restart_position = self.epochs.restart_position(active.identity.group);
             active.answer(&self.metrics, now, Response::SessionLost { restart_position });
         }
         !is_lost
@@ -120,29 +123,28 @@
 /// The end of an attempt as the routing policy has it, for a request that is still open.
 fn attempt_end(active: &ActiveRequest, report: &AttemptReport, now: Timestamp) -> AttemptEnd {
     AttemptEnd {
-        request: report.request,
-        attempt: report.number,
-        endpoint: report.endpoint,
+        attempt: report.attempt,
         outcome: report.outcome,
         elapsed: now - report.started_at,
         request_closed: false,
-        write_session: active.write_session,
-        answer_report: report.answer_report,
-        load_report: report.load_report,
+        write_session: active.write_session(),
+        answer_report: report.reports.answer,
+        load_report: report.reports.load,
     }
 }
 
 /// Keeps what an attempt shows of its request, in the journal too. If an attempt before may have run, the answer may be that to
 /// a retry, and its position no commit's.
 fn record_outcome(active: &mut ActiveRequest, report: &AttemptReport, journal: Option<&WriteJournal>) {
-    active.is_duplicate |= report.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
-    let is_first = !active.is_duplicate && !active.may_have_run;
-    active.recorded |= report.journal_verdict.is_some_and(JournalVerdict::allows_sending);
-    active.may_have_run |= active.is_duplicate || !report.outcome.proves_not_executed();
-    let Some(journal) = journal.filter(|_| active.recorded) else { return };
+    let execution = &mut active.execution;
+    execution.is_duplicate |= report.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
+    let is_first = !execution.is_duplicate && !execution.may_have_run;
+    execution.recorded |= report.journal_verdict.is_some_and(JournalVerdict::allows_sending);
+    execution.may_have_run |= execution.is_duplicate || !report.outcome.proves_not_executed();
+    let Some(journal) = journal.filter(|_| execution.recorded) else { return };
     if report.outcome == AttemptOutcome::Succeeded {
-        let commit = report.answer_report.position.filter(|_| is_first);
+        let commit = report.reports.answer.position.filter(|_| is_first);
         let commit_ms = commit.map(|position| position.0 / NANOS_PER_MILLI);
-        journal.record_end(&active.id, RecordEvent::Executed(commit_ms));
+        journal.record_end(&active.identity.id, RecordEvent::Executed(commit_ms));
     }
 }
--- a/server/src/endpoints/answer.rs
+++ b/server/src/endpoints/answer.rs
@@ -1,7 +1,8 @@
 //! The answer to what was sent to an endpoint, read to its end.
 
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
-use crate::endpoints::response_parser::{AnswerReports, ResponseParser};
+use crate::endpoints::response_parser::ResponseParser;
+use crate::messages::control::AnswerReports;
 use routing::{AttemptOutcome, Role};
 
 /// What came of an attempt, and the connection if it can be used again.
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -6,13 +6,13 @@
 use may::net::TcpStream;
 use may::sync::mpsc::{channel, Sender};
 use routing::time::TimeDelta;
-use routing::{MethodIndex, RequestId};
-use server::control::control_loop::{ControlLoop, ControlSetup};
+use routing::{AttemptId, MethodIndex, RequestId};
+use server::control::control_loop::{ControlLoop, ControlSetup, RouterConfig};
 use server::endpoints::dispatcher::AttemptDispatcher;
 use server::endpoints::pool::ConnectionPool;
 use server::messages::control::{ConfirmAttempt, ControlMessage, IncomingRequest};
 use server::messages::endpoint_list::{ListedEndpoint, ListedHealth};
-use server::messages::request::{ClientRequest, RequestText};
+use server::messages::request::{ClientRequest, RequestIdentity, RequestSession, RequestText};
 use server::messages::response::{Response, ResponseChannel, ResponseTicket};
 use server::protocol::sqlstate::SqlState;
 use server::runtime::clock::{Clock, Timers};
@@ -66,10 +66,7 @@
         metrics: Arc::new(Metrics::new(&[])),
     };
     let setup = ControlSetup {
-        settings,
-        seed: 1,
-        zones: Vec::new(),
-        max_open_requests,
+        config: RouterConfig { settings, seed: 1, zones: Vec::new(), max_open_requests },
         dispatcher,
         messages,
         recovery: None,
@@ -127,15 +124,10 @@
         timeout_ms: i64,
     ) {
         let header = ClientRequest {
-            id: id.into(),
-            method,
-            group,
-            session: None,
-            last_write: None,
-            seen: None,
+            identity: RequestIdentity { id: id.into(), method, group },
+            session: RequestSession::default(),
             deadline: self.timers.now() + TimeDelta::from_millis(timeout_ms),
             client_retry: false,
-            timeout_digits: 0..0,
             client: None,
         };
         let text =
@@ -178,8 +170,9 @@
     rig.write(1, 60_000);
     rig.write(2, 60_000);
     // An endpoint that the policy was never notified of: its table has no such row.
+    let attempt = AttemptId { request: 1, number: 0, endpoint: 99 };
     let (reply, _confirmed) = channel();
-    rig.send(ControlMessage::Confirm(ConfirmAttempt { request: 1, attempt: 0, endpoint: 99, reply }));
+    rig.send(ControlMessage::Confirm(ConfirmAttempt { attempt, reply }));
     assert_eq!(rig.responses(2), [(1, Response::Aborted), (2, Response::Aborted)]);
     rig.write(3, 200);
     let response = rig.response_to(3);
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -3,7 +3,7 @@
 
 use crate::error::HostError;
 use crate::instance::Instance;
-use crate::messages::{append, AttemptEnd, How, In, Inbound, Out, Record};
+use crate::messages::{append, AttemptEnd, How, In, Inbound, Out, Record, RequestRef};
 use routing::time::Timestamp;
 use routing::Event;
 use std::collections::{BTreeMap, HashMap};
@@ -73,13 +73,13 @@
             }
             In::Discovery { front, how, page } => self.take_list(front, how, page)?,
             In::Inbound(inbound) => self.take_request(inbound)?,
-            In::Flowing { front, request_id } => {
+            In::Flowing(RequestRef { front, request_id }) => {
                 if let Some(request) = self.instances.get(&front).and_then(|it| it.request(&request_id)) {
                     self.report(front, Event::ResponseStarted { request });
                 }
             }
             In::AttemptEnd(end) => self.end_attempt(&end),
-            In::Gone { front, request_id } => {
+            In::Gone(RequestRef { front, request_id }) => {
                 if let Some(request) = self.instances.get(&front).and_then(|it| it.request(&request_id)) {
                     self.report(front, Event::ClientGone { request });
                     if let Some(instance) = self.instances.get_mut(&front) {
@@ -127,7 +127,7 @@
     fn end_attempt(&mut self, end: &AttemptEnd) {
         let instance = self.instances.get(&end.front);
         let Some(ended) = instance.and_then(|instance| instance.attempt_ended(end)) else { return };
-        let request = ended.request;
+        let request = ended.attempt.request;
         self.report(end.front, Event::AttemptEnded(ended));
         if let Some(instance) = self.instances.get_mut(&end.front) {
             instance.end_attempt(request, end.done_flag);
