--- a/history-checker/tests/histories.rs
+++ b/history-checker/tests/histories.rs
@@ -5,7 +5,7 @@
     FATE_UNKNOWN, SESSION_LOST,
 };
 use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
+use proptest_support::seeded_cases;
 use std::collections::BTreeMap;
 
 fn value(id: &str, point: LogPoint) -> Answer {
@@ -157,12 +157,7 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig {
-        cases: 256,
-        rng_seed: RngSeed::Fixed(20_26),
-        failure_persistence: None,
-        ..ProptestConfig::default()
-    })]
+    #![proptest_config(seeded_cases(256, 20_26))]
 
     /// Sessions over any failovers, served by endpoints that keep every guarantee, are reported for nothing; the
     /// same with one answer from an endpoint that is before what was seen are reported.
--- a/operator-config/tests/lines.rs
+++ b/operator-config/tests/lines.rs
@@ -2,7 +2,7 @@
 
 use operator_config::{parse, split, EndpointIdentity, LogFormat};
 use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
+use proptest_support::seeded_cases;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -113,12 +113,7 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig {
-        cases: 512,
-        rng_seed: RngSeed::Fixed(20_26),
-        failure_persistence: None,
-        ..ProptestConfig::default()
-    })]
+    #![proptest_config(seeded_cases(512, 20_26))]
 
     #[test]
     fn any_text_is_settings_or_faults_on_lines_that_it_has(text in "(\\PC|[\"#\\\\ \n]|state-dir |save-gap ){0,200}") {
--- a/recovery/tests/primary_discovery.rs
+++ b/recovery/tests/primary_discovery.rs
@@ -2,7 +2,7 @@
 //! is for.
 
 use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
+use proptest_support::seeded_cases;
 use recovery::discovery_incarnation::{IncarnationTracker, ListDecision, OfferedList, CONFIRMATION_INTERVAL};
 use recovery::endpoint_state::{EndpointState, RoleReport};
 use recovery::group_state::GroupState;
@@ -457,12 +457,7 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig {
-        cases: 256,
-        rng_seed: RngSeed::Fixed(20_26),
-        failure_persistence: None,
-        ..ProptestConfig::default()
-    })]
+    #![proptest_config(seeded_cases(256, 20_26))]
 
     /// A world in which each group has one true primary on the latest timeline, which may be another at any
     /// time, and former ones that go on claiming on theirs. Whatever is asked, answered and lost in whatever
--- a/routing/tests/rules.rs
+++ b/routing/tests/rules.rs
@@ -4,18 +4,13 @@
 mod support;
 
 use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
+use proptest_support::seeded_cases;
 use routing::time::TimeDelta;
 use routing::*;
 use support::*;
 
 proptest! {
-    #![proptest_config(ProptestConfig {
-        cases: 192,
-        rng_seed: RngSeed::Fixed(20_26),
-        failure_persistence: None,
-        ..ProptestConfig::default()
-    })]
+    #![proptest_config(seeded_cases(192, 20_26))]
 
     #[test]
     fn rules_hold_after_every_step(
--- a/sessions/tests/guarantees.rs
+++ b/sessions/tests/guarantees.rs
@@ -2,7 +2,7 @@
 //! of its own.
 
 use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
+use proptest_support::seeded_cases;
 use routing::time::{TimeDelta, Timestamp};
 use sessions::epochs::{Epoch, EpochHistory, PositionStatus};
 use sessions::positions::{LogPosition, SessionPositions, MAX_POSITIONS};
@@ -205,12 +205,7 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig {
-        cases: 256,
-        rng_seed: RngSeed::Fixed(20_26),
-        failure_persistence: None,
-        ..ProptestConfig::default()
-    })]
+    #![proptest_config(seeded_cases(256, 20_26))]
 
     #[test]
     fn any_marks_survive_the_way_and_any_changed_byte_is_seen(
--- a/write-journal/tests/fates.rs
+++ b/write-journal/tests/fates.rs
@@ -2,7 +2,7 @@
 //! it.
 
 use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
+use proptest_support::seeded_cases;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
@@ -313,12 +313,7 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig {
-        cases: 512,
-        rng_seed: RngSeed::Fixed(20_26),
-        failure_persistence: None,
-        ..ProptestConfig::default()
-    })]
+    #![proptest_config(seeded_cases(512, 20_26))]
 
     /// One id, any inputs in any order: what was told once stays true, and nothing leaves against what was
     /// told.
