--- a/admission/tests/handshakes.rs
+++ b/admission/tests/handshakes.rs
@@ -1,4 +1,4 @@
-//! The lobby, the door, and classes by who clients say that they are.
+//! The handshake queue, the backoff after failed accepts, and classification by network and user.
 
 use admission::accept_backoff::{AcceptBackoff, AcceptError, AcceptStep};
 use admission::client_address::ClientAddress;
@@ -6,59 +6,65 @@
 use admission::handshake_queue::{Enqueued, HandshakeId, HandshakeQueue};
 use admission::{AddressPrefixes, ClassError, ClientClass};
 use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
+use proptest::test_runner::TestCaseResult;
+use proptest_support::seeded_cases;
 use routing::time::TimeDelta;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
 
+/// The loopback address 127.0.0.nth.
 fn address(nth: u8) -> ClientAddress {
     ClientAddress::new(IpAddr::from(Ipv4Addr::new(127, 0, 0, nth)), AddressPrefixes::default())
 }
 
+/// Enqueues a handshake into a full queue; returns it and the one it displaces.
+fn enqueue_displacing(queue: &mut HandshakeQueue, nth: u8) -> (HandshakeId, HandshakeId) {
+    match queue.enqueue(address(nth)) {
+        Enqueued::Displacing { entered, displaced } => (entered, displaced),
+        other => panic!("a full queue displaces a handshake: {other:?}"),
+    }
+}
+
 #[test]
-fn a_flood_that_never_says_its_name_pushes_out_itself() {
+fn handshakes_that_never_end_displace_those_of_their_own_address() {
     let mut queue = HandshakeQueue::new(8);
     for _ in 0..1_000 {
         match queue.enqueue(address(1)) {
             Enqueued::Free(_) => {}
-            Enqueued::Displacing { displaced: other, .. } => {
-                assert!(!queue.leave(other), "it was asked to make way");
+            Enqueued::Displacing { displaced, .. } => {
+                assert!(!queue.leave(displaced), "it is displaced already");
             }
-            Enqueued::Full => panic!("those asked have left"),
+            Enqueued::Full => panic!("all displaced handshakes have left"),
         }
     }
-    let Enqueued::Displacing { entered: desk, .. } = queue.enqueue(address(2)) else {
-        panic!("it always comes in")
-    };
-    // Of many sources too: who came first goes first, and a client needs one round trip to say its name.
+    let (desk, _) = enqueue_displacing(&mut queue, 2);
+    // With one handshake per address the oldest is displaced, so that a client has time for one round trip.
     for nth in 3..10 {
-        let Enqueued::Displacing { displaced: other, .. } = queue.enqueue(address(nth)) else {
-            panic!("it always comes in")
-        };
-        assert_ne!(other, desk);
-        queue.leave(other);
+        let (_, displaced) = enqueue_displacing(&mut queue, nth);
+        assert_ne!(displaced, desk);
+        queue.leave(displaced);
     }
-    assert!(queue.leave(desk), "it says its name and is through");
+    assert!(queue.leave(desk), "its handshake ends in the queue");
 }
 
 #[test]
-fn while_nobody_goes_no_more_come_in_than_there_are_descriptors() {
+fn while_displaced_handshakes_stay_open_no_more_enter_than_there_are_descriptors() {
     let mut queue = HandshakeQueue::new(4);
-    let (mut asked, mut full) = (Vec::new(), 0);
+    let (mut displaced, mut full) = (Vec::new(), 0);
     for nth in 0..100 {
         match queue.enqueue(address(nth)) {
             Enqueued::Free(_) => {}
-            Enqueued::Displacing { displaced: other, .. } => asked.push(other),
+            Enqueued::Displacing { displaced: other, .. } => displaced.push(other),
             Enqueued::Full => full += 1,
         }
     }
-    assert_eq!((asked.len(), full, queue.len()), (4, 92, 4));
-    queue.leave(asked[0]);
+    assert_eq!((displaced.len(), full, queue.len()), (4, 92, 4));
+    queue.leave(displaced[0]);
     assert!(matches!(queue.enqueue(address(200)), Enqueued::Displacing { .. }));
 }
 
 #[test]
-fn the_door_neither_spins_nor_stands_still() {
+fn failing_accepts_neither_spin_nor_stall() {
     for error in [
         AcceptError::Aborted,
         AcceptError::NoDescriptor,
@@ -66,41 +72,39 @@
         AcceptError::Interrupted,
         AcceptError::Other,
     ] {
-        let (mut acceptor, mut waited, mut longest) =
-            (AcceptBackoff::default(), TimeDelta::ZERO, TimeDelta::ZERO);
+        let mut backoff = AcceptBackoff::default();
+        let (mut total, mut longest) = (TimeDelta::ZERO, TimeDelta::ZERO);
         for _ in 0..1_000 {
-            let wait = match acceptor.failed(error) {
+            let wait = match backoff.failed(error) {
                 AcceptStep::RetryNow => TimeDelta::ZERO,
                 AcceptStep::Wait(wait) => wait,
-                AcceptStep::RejectOne { wait: decisions, wait_on_failure: not } => {
-                    assert!(error == AcceptError::NoDescriptor && not > decisions);
-                    decisions
+                AcceptStep::RejectOne { wait, wait_on_failure } => {
+                    assert!(error == AcceptError::NoDescriptor && wait_on_failure > wait);
+                    wait
                 }
             };
-            (waited, longest) = (waited + wait, longest.max(wait));
+            (total, longest) = (total + wait, longest.max(wait));
         }
-        assert!(waited >= TimeDelta::from_millis(100), "{error:?}: a thousand tries in {waited:?}");
-        assert!(longest <= TimeDelta::from_millis(100), "{error:?}: it stands still for {longest:?}");
+        assert!(total >= TimeDelta::from_millis(100), "{error:?}: a thousand accepts within {total:?}");
+        assert!(longest <= TimeDelta::from_millis(100), "{error:?}: no accept for {longest:?}");
     }
-    let mut acceptor = AcceptBackoff::default();
-    assert_eq!(
-        acceptor.failed(AcceptError::Aborted),
-        AcceptStep::RetryNow,
-        "one that is over costs the next nothing"
-    );
-    (0..10).for_each(|_| _ = acceptor.failed(AcceptError::NoMemory));
-    acceptor.accepted();
-    assert_eq!(
-        acceptor.failed(AcceptError::NoMemory),
-        AcceptStep::Wait(TimeDelta::from_millis(1)),
-        "what is past is past"
-    );
 }
 
 #[test]
-fn a_client_is_of_the_class_that_describes_it_most_closely() {
+fn the_accept_backoff_starts_again_after_a_success() {
+    let mut backoff = AcceptBackoff::default();
+    let aborted = backoff.failed(AcceptError::Aborted);
+    assert_eq!(aborted, AcceptStep::RetryNow, "an aborted connection does not delay the next");
+    (0..10).for_each(|_| _ = backoff.failed(AcceptError::NoMemory));
+    backoff.accepted();
+    let first_wait = AcceptStep::Wait(TimeDelta::from_millis(1));
+    assert_eq!(backoff.failed(AcceptError::NoMemory), first_wait);
+}
+
+#[test]
+fn a_client_is_in_the_class_that_describes_it_most_closely() {
     let class = |name: &str, networks: &[&str], users: &[&str]| ClientClass {
-        networks: networks.iter().map(|range| range.parse().expect("a range")).collect(),
+        networks: networks.iter().map(|range| range.parse().expect("a valid network")).collect(),
         users: users.iter().map(|user| (*user).into()).collect(),
         ..ClientClass::named(name)
     };
@@ -112,67 +116,113 @@
         ClientClass::named(DEFAULT_CLASS),
     ];
     assert_eq!(validate(&classes, 10), []);
-    let ten = IpAddr::from([10, 1, 2, 3]);
-    let name = |networks, user| &*classes[classify(&classes, networks, user)].name;
-    assert_eq!(name(ten, Some("till")), "desk", "a user goes before a narrower range");
-    assert_eq!(name(ten, Some("clerk")), "north");
-    assert_eq!(name(ten, None), "north");
+    let northern = IpAddr::from([10, 1, 2, 3]);
+    let name = |address, user| &*classes[classify(&classes, address, user)].name;
+    assert_eq!(name(northern, Some("till")), "desk", "a user goes before a narrower network");
+    assert_eq!(name(northern, Some("clerk")), "north");
+    assert_eq!(name(northern, None), "north");
     assert_eq!(name(IpAddr::from([10, 9, 2, 3]), None), "house");
     assert_eq!(name(IpAddr::from([11, 1, 2, 3]), Some("till")), DEFAULT_CLASS);
     assert_eq!(name(IpAddr::from([11, 1, 2, 3]), Some("report")), "report");
-    let range = "10.0.0.0/8".parse().expect("a range");
+    let network = "10.0.0.0/8".parse().expect("a valid network");
     let twice = [class("a", &["10.0.0.0/8"], &["x", "y"]), class("b", &["10.0.0.0/8"], &["y"])];
-    assert_eq!(validate(&twice, 10), [ClassError::DuplicateNetwork(range)]);
+    assert_eq!(validate(&twice, 10), [ClassError::DuplicateNetwork(network)]);
     let twice = [class("a", &[], &["x", "y"]), class("b", &[], &["z", "y"])];
     assert_eq!(validate(&twice, 10), [ClassError::DuplicateUser("y".into())]);
 }
 
+/// What one step of a random sequence does; the addresses are 127.0.0.0 to 127.0.0.4.
+#[derive(Clone, Copy, Debug)]
+enum Step {
+    Enqueue {
+        address: u8,
+    },
+    /// One of the handshakes in the queue ends.
+    End {
+        nth: u8,
+    },
+    /// One of the displaced handshakes closes its connection.
+    CloseDisplaced {
+        nth: u8,
+    },
+}
+
+fn any_step() -> impl Strategy<Value = Step> {
+    (0..8u8, any::<u8>()).prop_map(|(kind, nth)| match kind {
+        0..=4 => Step::Enqueue { address: kind },
+        5 | 6 => Step::End { nth },
+        _ => Step::CloseDisplaced { nth },
+    })
+}
+
+/// A queue, and the handshakes that must be in it and that it has displaced.
+struct CheckedQueue {
+    queue: HandshakeQueue,
+    max_handshakes: usize,
+    /// The handshakes in the queue, by the address each is from.
+    queued: BTreeMap<HandshakeId, u8>,
+    displaced: Vec<HandshakeId>,
+}
+
+impl CheckedQueue {
+    fn apply(&mut self, step: Step) -> TestCaseResult {
+        match step {
+            Step::Enqueue { address } => self.enqueue(address)?,
+            Step::End { nth } => {
+                let nth = usize::from(nth) % self.queued.len().max(1);
+                if let Some(handshake) = self.queued.keys().nth(nth).copied() {
+                    self.queued.remove(&handshake);
+                    prop_assert!(self.queue.leave(handshake));
+                }
+            }
+            Step::CloseDisplaced { nth } if !self.displaced.is_empty() => {
+                let handshake = self.displaced.swap_remove(usize::from(nth) % self.displaced.len());
+                prop_assert!(!self.queue.leave(handshake));
+            }
+            Step::CloseDisplaced { .. } => {}
+        }
+        prop_assert_eq!(self.queue.len(), self.queued.len());
+        prop_assert!(self.queue.len() + self.displaced.len() <= self.queue.max_descriptors());
+        Ok(())
+    }
+
+    fn enqueue(&mut self, from: u8) -> TestCaseResult {
+        match self.queue.enqueue(address(from)) {
+            Enqueued::Free(entered) => {
+                prop_assert!(self.queued.len() < self.max_handshakes);
+                self.queued.insert(entered, from);
+            }
+            Enqueued::Displacing { entered, displaced } => {
+                let most = self.queued.remove(&displaced).expect("a displaced handshake was in the queue");
+                let count = |address| self.queued.values().filter(|other| **other == address).count();
+                prop_assert!((0..5).all(|address| address == most || count(address) <= count(most) + 1));
+                self.displaced.push(displaced);
+                self.queued.insert(entered, from);
+            }
+            Enqueued::Full => {
+                prop_assert!(self.queued.len() >= self.max_handshakes);
+                prop_assert!(self.displaced.len() >= self.max_handshakes);
+            }
+        }
+        Ok(())
+    }
+}
+
 proptest! {
-    #![proptest_config(ProptestConfig {
-        cases: 256,
-        rng_seed: RngSeed::Fixed(20_28),
-        failure_persistence: None,
-        ..ProptestConfig::default()
-    })]
+    #![proptest_config(seeded_cases(256, 20_28))]
 
-    /// Any story of who comes and goes: the lobby holds no more than it may, whoever makes way is of a source
-    /// that has most, and each goes once.
+    /// Over any sequence of steps the queue holds no more than its limit, a displaced handshake is one of an
+    /// address with the most, and each leaves once.
     #[test]
-    fn the_lobby_holds_what_it_may_and_who_crowds_it_makes_way(
-        max_connections in 1..6usize,
-        steps in prop::collection::vec((0..8u8, any::<u8>()), 1..200),
+    fn the_queue_is_bounded_and_displaces_handshakes_of_the_address_with_most(
+        max_handshakes in 1..6usize,
+        steps in prop::collection::vec(any_step(), 1..200),
     ) {
-        let mut queue = HandshakeQueue::new(max_connections);
-        let (mut inside, mut leaving) = (BTreeMap::<HandshakeId, u8>::new(), Vec::new());
-        for (what, nth) in steps {
-            if what == 7 {
-                if !leaving.is_empty() {
-                    let place = leaving.swap_remove(usize::from(nth) % leaving.len());
-                    prop_assert!(!queue.leave(place));
-                }
-            } else if what >= 5 {
-                if let Some(place) = inside.keys().nth(usize::from(nth) % inside.len().max(1)).copied() {
-                    inside.remove(&place);
-                    prop_assert!(queue.leave(place));
-                }
-            } else {
-                match queue.enqueue(address(what)) {
-                    Enqueued::Free(place) => {
-                        prop_assert!(inside.len() < max_connections);
-                        inside.insert(place, what);
-                    }
-                    Enqueued::Displacing { entered: place, displaced: other } => {
-                        let classify = inside.remove(&other).expect("it was inside");
-                        let count = |whose| inside.values().filter(|other| **other == whose).count();
-                        prop_assert!((0..5).all(|whose| whose == classify || count(whose) <= count(classify) + 1));
-                        leaving.push(other);
-                        inside.insert(place, what);
-                    }
-                    Enqueued::Full => prop_assert!(inside.len() >= max_connections && leaving.len() >= max_connections),
-                }
-            }
-            prop_assert_eq!(queue.len(), inside.len());
-            prop_assert!(queue.len() + leaving.len() <= queue.max_descriptors());
+        let queue = HandshakeQueue::new(max_handshakes);
+        let mut queue =
+            CheckedQueue { queue, max_handshakes, queued: BTreeMap::new(), displaced: Vec::new() };
+        for step in steps {
+            queue.apply(step)?;
         }
     }
 }
