--- a/write-journal/tests/earlier_build.rs
+++ b/write-journal/tests/earlier_build.rs
@@ -5,12 +5,13 @@
 use write_journal::journal::{ClockReading, Durability, Journal, Operation, Reply, Retention};
 use write_journal::record_state::{Deduplication, Fate, Origin, RecordEvent, SendPermission, Uptime};
 
-/// What the log file is set aside as.
+/// The size to which the log file is preallocated.
 const LOG_BYTES: u64 = 64 << 20;
 
+/// Copies a directory.
 fn copy(from: &Path, to: &Path) {
-    std::fs::create_dir_all(to).expect("made");
-    for entry in std::fs::read_dir(from).expect("a folder") {
+    std::fs::create_dir_all(to).expect("created");
+    for entry in std::fs::read_dir(from).expect("a directory") {
         let entry = entry.expect("an entry");
         let target = to.join(entry.file_name());
         if entry.file_type().expect("a type").is_dir() {
@@ -23,30 +24,32 @@
 
 #[test]
 fn a_journal_of_an_earlier_build_is_read() {
-    let place = tempfile::tempdir().expect("a folder");
-    let path = place.path().join("writes");
+    let folder = tempfile::tempdir().expect("a directory");
+    let path = folder.path().join("writes");
     copy(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/journal"), &path);
     let log = std::fs::OpenOptions::new().write(true).open(path.join("0.jnl")).expect("the log");
-    log.set_len(LOG_BYTES).expect("made as long as it was");
+    log.set_len(LOG_BYTES).expect("extended to its full length");
     drop(log);
-    let bounds = Retention { max_records: 1000, max_age_ms: i64::MAX };
-    let mut journal = Journal::open(&path, Durability::System, bounds, 1).expect("opened");
+    let retention = Retention { max_records: 1000, max_age_ms: i64::MAX };
+    let mut journal = Journal::open(&path, Durability::System, retention, 1).expect("the journal opens");
     let origin = journal.origin();
-    assert_eq!(origin.journal, "9f3c01aa52e87d14", "its name stays");
-    assert!(origin.serial >= 5, "no serial is handed out again: {origin}");
+    assert_eq!(origin.journal, "9f3c01aa52e87d14", "the journal has the same name");
+    assert!(origin.serial >= 5, "no serial is assigned again: {origin}");
     for id in ["open", "ran", "ran-unsaid", "free", "barred"] {
-        assert_eq!(journal.first_sent_ms(id).expect("read"), Some(1_790_000_000_000), "{id}");
+        assert_eq!(journal.first_sent_ms(id).expect("the record is read"), Some(1_790_000_000_000), "{id}");
     }
-    // 40 s after they were first sent, within the memory of 60 s, on the same start of the machine.
+    // 40 s after they were first sent, within the window of 60 s, on the same start of the machine.
     let now = ClockReading { wall_ms: 1_790_000_040_000, uptime: Some(Uptime { boot: 7, ms: 45_000 }) };
     let deduplication = Some(Deduplication { group: Some(3), window_ms: 60_000 });
     let again = Operation::Record { id: "open".into(), event: RecordEvent::Starting, deduplication };
-    let joined = Reply::Permission(SendPermission::GrantedAsDuplicate { remaining_ms: 60_000 - 40_000 - 10 });
-    assert_eq!(journal.apply(now, &[again]).expect("applied"), [joined]);
+    let duplicate =
+        Reply::Permission(SendPermission::GrantedAsDuplicate { remaining_ms: 60_000 - 40_000 - 10 });
+    assert_eq!(journal.apply(now, &[again]).expect("the batch is applied"), [duplicate]);
 
     let origin = Origin::parse("9f3c01aa52e87d14.0");
-    let ask = |id: &str| Operation::QueryFate { id: id.into(), origin: origin.clone(), request_open: false };
-    let asked = ["open", "ran", "ran-unsaid", "free", "barred", "never-seen"].map(ask);
+    let query =
+        |id: &str| Operation::QueryFate { id: id.into(), origin: origin.clone(), request_open: false };
+    let queries = ["open", "ran", "ran-unsaid", "free", "barred", "never-seen"].map(query);
     let fates = [
         Fate::Unknown,
         Fate::Executed(Some(1_790_000_000_005)),
@@ -55,5 +58,5 @@
         Fate::NeverExecuted,
         Fate::NeverExecuted,
     ];
-    assert_eq!(journal.apply(now, &asked).expect("applied"), fates.map(Reply::Fate));
+    assert_eq!(journal.apply(now, &queries).expect("the batch is applied"), fates.map(Reply::Fate));
 }
