--- a/recovery/tests/primary_verification.rs
+++ b/recovery/tests/primary_verification.rs
@@ -36,16 +36,30 @@
     assert_eq!(fixture.eligibility(0), Only(0), "one of two replicas passed the position it reported");
 }
 
+/// Endpoint 0 claims to be primary, endpoint 1 is a replica on another timeline, endpoint 2 does not answer.
+struct ContradictedClaim {
+    claimed_timeline: u32,
+    replica_timeline: u32,
+    replica_ahead_ms: i64,
+}
+
+impl ContradictedClaim {
+    fn assert_is_not_accepted(&self, fixture: &mut Fixture, rounds: u32) {
+        for _ in 0..rounds {
+            fixture.answer(0, primary(fixture.now, self.claimed_timeline));
+            fixture.answer(1, replica(fixture.now + self.replica_ahead_ms, self.replica_timeline));
+            fixture.fail(2, QueryFailure::NoAnswer);
+            assert_eq!(fixture.eligibility(0), Nobody);
+        }
+    }
+}
+
 #[test]
 fn a_replica_on_another_timeline_is_no_evidence() {
     let mut fixture = Fixture::new(1, 2 * DAY);
-    for _ in 0..6 {
-        fixture.answer(0, primary(fixture.now, 2));
-        // It replicates from a former primary that continues, and so its position is ahead.
-        fixture.answer(1, replica(fixture.now + 5, 1));
-        fixture.fail(2, QueryFailure::NoAnswer);
-        assert_eq!(fixture.eligibility(0), Nobody);
-    }
+    // The replica follows a former primary that continues, and so its position is ahead.
+    ContradictedClaim { claimed_timeline: 2, replica_timeline: 1, replica_ahead_ms: 5 }
+        .assert_is_not_accepted(&mut fixture, 6);
     fixture.answer(1, replica(fixture.now, 2));
     fixture.answer(0, primary(fixture.now, 2));
     assert_eq!(fixture.eligibility(0), Only(0));
@@ -69,13 +83,9 @@
 fn a_former_primary_that_continues_is_ruled_out_by_a_later_timeline() {
     for age in [5_000, DAY * 2] {
         let mut fixture = Fixture::new(1, age);
-        for _ in 0..5 {
-            fixture.answer(0, primary(fixture.now, 1));
-            fixture.answer(1, replica(fixture.now - 20, 2));
-            // Its successor does not answer.
-            fixture.fail(2, QueryFailure::NoAnswer);
-            assert_eq!(fixture.eligibility(0), Nobody);
-        }
+        // The replica follows the successor, which does not answer.
+        ContradictedClaim { claimed_timeline: 1, replica_timeline: 2, replica_ahead_ms: -20 }
+            .assert_is_not_accepted(&mut fixture, 5);
         fixture.answer(2, primary(fixture.now, 2));
         for _ in 0..4 {
             fixture.answer(1, replica(fixture.now, 2));
--- a/write-journal/tests/fates.rs
+++ b/write-journal/tests/fates.rs
@@ -25,6 +25,14 @@
     assert_eq!(journal.fate(3, "never", None), Fate::NeverExecuted);
 }
 
+/// A journal that was restarted after each of those ends, and its origin before that.
+fn restarted_after_each_end() -> (TestJournal, Origin) {
+    let mut journal = TestJournal::new(RETENTION);
+    let origin = journal.journal.origin();
+    record_each_end(&mut journal);
+    (journal.reopen(), origin)
+}
+
 #[test]
 fn an_id_on_record_is_not_sent_again_once_its_fate_was_reported() {
     let mut journal = TestJournal::new(RETENTION);
@@ -36,10 +44,7 @@
 
 #[test]
 fn each_fate_survives_a_restart() {
-    let mut journal = TestJournal::new(RETENTION);
-    let origin = journal.journal.origin();
-    record_each_end(&mut journal);
-    let mut journal = journal.reopen();
+    let (mut journal, origin) = restarted_after_each_end();
     assert_eq!(journal.journal.origin().journal, origin.journal);
     assert!(journal.journal.origin().serial > origin.serial, "no serial is assigned twice");
     assert_eq!(journal.first_sent_ms("executed"), Some(1));
@@ -51,10 +56,7 @@
 
 #[test]
 fn a_write_without_a_record_never_ran_if_its_client_was_connected_to_this_journal() {
-    let mut journal = TestJournal::new(RETENTION);
-    let origin = journal.journal.origin();
-    record_each_end(&mut journal);
-    let mut journal = journal.reopen();
+    let (mut journal, origin) = restarted_after_each_end();
     assert_eq!(journal.fate(4, "lost", None), Fate::Unknown, "it may have gone to another instance");
     let other = Origin { journal: "0000000000000000".into(), ..origin.clone() };
     assert_eq!(journal.fate(4, "lost", Some(&other)), Fate::Unknown);
