--- a/admission/src/client_class.rs
+++ b/admission/src/client_class.rs
@@ -1,6 +1,5 @@
 //! Client classes as configured by operators: their limits, validation, and the classification of a client.
 
-use crate::client_address::AddressPrefixes;
 use ipnet::IpNet;
 use routing::time::TimeDelta;
 use std::cmp::Reverse;
@@ -59,15 +58,6 @@
     pub max_requests: Option<usize>,
 }
 
-/// Client classes, and how connections are assigned to clients.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ClassSettings {
-    /// The client classes. If empty, every connection is admitted while there is capacity.
-    pub classes: Vec<ClientClass>,
-    /// Prefix lengths by which addresses identify a client.
-    pub prefixes: AddressPrefixes,
-}
-
 /// How closely a class matches a client. The order of the fields is the order of comparison.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Specificity {
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -118,6 +118,15 @@
     }),
 ];
 
+/// Client classes, and how connections are assigned to clients.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ClassSettings {
+    /// The client classes. If empty, every connection is admitted while there is capacity.
+    pub classes: Vec<ClientClass>,
+    /// Prefix lengths by which addresses identify a client.
+    pub prefixes: AddressPrefixes,
+}
+
 /// Configuration of the connection limiter.
 #[derive(Clone, Debug)]
 pub struct ConnectionLimits {
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -21,5 +21,7 @@
 pub mod retry_budget;
 
 pub use client_address::{AddressPrefixes, ClientAddress};
-pub use client_class::{ClassError, ClassSettings, ClientClass, ConnectionRate};
-pub use connection_limiter::{AdmittedConnection, ConnectionLimiter, Rejection, RejectionReason};
+pub use client_class::{ClassError, ClientClass, ConnectionRate};
+pub use connection_limiter::{
+    AdmittedConnection, ClassSettings, ConnectionLimiter, Rejection, RejectionReason,
+};
