--- /dev/null
+++ b/server/tests/operator_pages/cached_list.rs
@@ -0,0 +1,79 @@
+//! What `query-router` prints of an endpoint list that is cached on disk.
+
+use crate::common::ROUTER;
+use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport};
+use std::path::Path;
+use std::process::Command;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// What stands for the path of the list in the texts that are compared.
+const PATH: &str = "PATH";
+/// What stands for the age of the list there.
+const AGE: &str = "AGE";
+/// The age of the list that [`run_on_list`] saves.
+const LIST_AGE_MS: i64 = 30_000;
+
+/// What a command ends with: its exit code, and its standard output and standard error together.
+#[derive(Debug, PartialEq, Eq)]
+pub struct CommandResult {
+    pub code: Option<i32>,
+    pub text: String,
+}
+
+fn run(command: &[&str], folder: &Path) -> CommandResult {
+    let output = Command::new(ROUTER).env_clear().args(command).arg(folder).output().expect("it runs");
+    let text = [output.stdout, output.stderr].concat();
+    let text = String::from_utf8(text).expect("text").replace(folder.to_str().expect("text"), PATH);
+    CommandResult { code: output.status.code(), text: without_age(&text) }
+}
+
+/// The age changes from one run to the next.
+fn without_age(text: &str) -> String {
+    let replace = |line: &str| match line.strip_prefix("age         ").and_then(|rest| rest.split_once(' ')) {
+        Some((_, rest)) => format!("age         {AGE} {rest}\n"),
+        None => format!("{line}\n"),
+    };
+    text.lines().map(replace).collect()
+}
+
+/// Runs a command on a state directory with a list of a primary, a replica and an endpoint that never reported.
+pub fn run_on_list(command: &[&str]) -> CommandResult {
+    let folder = tempfile::tempdir().expect("a folder");
+    let (mut directory, _) = CacheDirectory::open(folder.path()).expect("it opens");
+    directory.save(&mut list()).expect("saved");
+    run(command, folder.path())
+}
+
+/// Runs a command on an empty state directory.
+pub fn run_on_nothing(command: &[&str]) -> CommandResult {
+    run(command, tempfile::tempdir().expect("a folder").path())
+}
+
+fn list() -> CachedEndpointList {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
+    let now_ms = since_epoch.as_millis() as i64;
+    let report = |primary, timeline| CachedReport { primary, position_ms: Some(77), timeline, at_ms: now_ms };
+    CachedEndpointList {
+        version: 41,
+        confirmed_ms: now_ms - LIST_AGE_MS,
+        saved_ms: now_ms,
+        endpoints: vec![
+            endpoint("s-1", "off", Some(report(true, Some(2)))),
+            endpoint("s-2", "on", Some(report(false, None))),
+            endpoint("s-3", "", None),
+        ],
+        ..CachedEndpointList::default()
+    }
+}
+
+fn endpoint(name: &str, recovery: &str, report: Option<CachedReport>) -> CachedEndpoint {
+    CachedEndpoint {
+        host: name.into(),
+        dial: "10.0.0.1:5432".into(),
+        block: 4,
+        health: "SERVING".into(),
+        recovery: recovery.into(),
+        report,
+        ..CachedEndpoint::default()
+    }
+}
--- /dev/null
+++ b/server/tests/operator_pages/fixture.rs
@@ -0,0 +1,180 @@
+//! An admin socket over a control loop that always gives the same snapshot.
+
+use crate::events::count_events;
+use admission::concurrency_limiter::{ConcurrencyLimits, RequestCounts, ShedReason};
+use admission::{AddressPrefixes, ClientClass};
+use may::sync::mpsc::{channel, Sender};
+use routing::time::{TimeDelta, Timestamp};
+use routing::EndpointSnapshot;
+use server::admin::socket::{request_page, serve};
+use server::admin::view::AdminView;
+use server::clients::admission_control::{AdmissionControl, ClassSettings, ConnectionPermit};
+use server::clients::graceful_shutdown::GracefulShutdown;
+use server::messages::control::ControlMessage;
+use server::messages::snapshot::{
+    ClientRequests, EndpointRow, InFlightAt, QueueSnapshot, RequestSnapshot, ServerSnapshot,
+};
+use server::runtime::clock::{Clock, Timers};
+use server::runtime::metrics::install_recorder;
+use server::runtime::resource_limits::ResourceLimits;
+use std::net::IpAddr;
+use std::path::PathBuf;
+use std::sync::{Arc, OnceLock};
+use std::thread;
+
+/// Descriptors of the instance.
+const DESCRIPTORS: usize = 64;
+/// Memory of the instance, in bytes.
+const MEMORY: usize = 1 << 20;
+/// The time of every snapshot.
+const NOW: Timestamp = Timestamp(10_000_000_000);
+/// The address of the only client that is connected.
+const CLIENT: [u8; 4] = [10, 20, 0, 1];
+
+/// An instance's admin socket.
+pub struct Fixture {
+    folder: tempfile::TempDir,
+    _permit: ConnectionPermit,
+}
+
+impl Fixture {
+    /// The one of this process, which has one recorder.
+    pub fn shared() -> &'static Fixture {
+        static FIXTURE: OnceLock<Fixture> = OnceLock::new();
+        FIXTURE.get_or_init(Fixture::start)
+    }
+
+    /// Serves the pages. One of the two connections that have come was rejected.
+    fn start() -> Fixture {
+        let recorder = install_recorder().expect("the only one");
+        let resources = ResourceLimits::new(DESCRIPTORS, MEMORY, true);
+        let admission = admission_control(&resources);
+        let permit = admission.arrive(IpAddr::from(CLIENT)).expect("admitted");
+        assert!(admission.arrive(IpAddr::from(CLIENT)).is_err(), "its class is full");
+        count_events(&permit.client().expect("it is known by its address"), &resources);
+        let view = AdminView {
+            name: "front-7".into(),
+            control: control_loop(),
+            resources,
+            admission: Some(admission),
+            shutdown: GracefulShutdown::new(|| ()),
+            methods: vec!["view".into()],
+        };
+        let fixture = Fixture { folder: tempfile::tempdir().expect("a folder"), _permit: permit };
+        serve(&fixture.socket(), recorder, view).expect("it serves");
+        fixture
+    }
+
+    fn socket(&self) -> PathBuf {
+        self.folder.path().join("admin.socket")
+    }
+
+    /// A page by its name.
+    pub fn page(&self, name: &str) -> String {
+        request_page(&self.socket(), name).expect("a page")
+    }
+}
+
+fn admission_control(resources: &Arc<ResourceLimits>) -> Arc<AdmissionControl> {
+    let desk = ClientClass {
+        networks: vec!["10.20.0.0/16".parse().expect("a network")],
+        reserved: 1,
+        max_connections: Some(1),
+        ..ClientClass::named("desk")
+    };
+    let settings = ClassSettings { classes: vec![desk], prefixes: AddressPrefixes::default() };
+    let timers = Arc::new(Timers::start(Clock::start()));
+    AdmissionControl::new(settings, TimeDelta::ZERO, 1, timers, resources.clone()).expect("sound classes")
+}
+
+/// Answers every question with the same snapshot.
+fn control_loop() -> Sender<ControlMessage> {
+    let (control, messages) = channel();
+    thread::spawn(move || {
+        while let Ok(message) = messages.recv() {
+            if let ControlMessage::Snapshot { reply } = message {
+                reply.send(server_snapshot()).expect("somebody waits for it");
+            }
+        }
+    });
+    control
+}
+
+fn server_snapshot() -> ServerSnapshot {
+    ServerSnapshot {
+        now: NOW,
+        open_requests: 3,
+        requests: request_snapshots(),
+        endpoints: endpoint_rows(),
+        groups: 1,
+        queue: Some(queue_snapshot()),
+    }
+}
+
+fn request_snapshots() -> Vec<RequestSnapshot> {
+    let attempt = || InFlightAt { endpoint: "s-0".into(), since: Timestamp(NOW.0 - 3_000_000) };
+    let request = |id: &str, in_flight, closed| RequestSnapshot {
+        id: id.into(),
+        method: 0,
+        group: 4,
+        received_at: Timestamp(NOW.0 - 5_000_000),
+        attempts: 2,
+        in_flight,
+        closed,
+    };
+    vec![
+        request("a1", Some(attempt()), false),
+        request("a2", None, false),
+        request("a3", Some(attempt()), true),
+    ]
+}
+
+fn endpoint_rows() -> Vec<EndpointRow> {
+    let endpoint = EndpointSnapshot {
+        serving: true,
+        primary: true,
+        in_flight: 2,
+        concurrency_limit: 3.5,
+        ejected_for: None,
+        lag: None,
+        report_age: Some(TimeDelta::from_millis(40)),
+        answer_age: None,
+        load: Some(0.25),
+        slow_start_fraction: None,
+    };
+    let cold = EndpointSnapshot {
+        primary: false,
+        ejected_for: Some(TimeDelta::from_millis(500)),
+        lag: Some(TimeDelta::from_millis(20)),
+        slow_start_fraction: Some(0.4),
+        ..endpoint
+    };
+    let closed = EndpointSnapshot { serving: false, ..cold };
+    let rows = [("s-0", Some(endpoint)), ("s-1", Some(cold)), ("s-2", Some(closed)), ("s-3", None)];
+    let row = |(name, state): (&str, _)| EndpointRow {
+        name: name.into(),
+        addr: Some(([127, 0, 0, 1], 5432).into()),
+        state,
+    };
+    rows.map(row).into()
+}
+
+fn queue_snapshot() -> QueueSnapshot {
+    let requests = RequestCounts { in_flight: 2, waiting: 1 };
+    QueueSnapshot {
+        limits: ConcurrencyLimits {
+            max_in_flight: 8,
+            max_waiting: 16,
+            target_wait: TimeDelta::from_millis(30),
+            retry_percent: Some(10),
+        },
+        classes: vec![("desk".into(), requests)],
+        shed: ShedReason::ALL
+            .iter()
+            .zip(1..)
+            .map(|(reason, count)| ("desk".into(), *reason, count))
+            .collect(),
+        top_clients: vec![ClientRequests { class: "desk".into(), address: IpAddr::from(CLIENT), requests }],
+        waiting: vec![("b1".into(), Timestamp(NOW.0 - 7_000_000))],
+    }
+}
