--- a/admission/src/concurrency_limiter/types.rs
+++ b/admission/src/concurrency_limiter/types.rs
@@ -63,7 +63,7 @@
         ShedReason::WaitedTooLong,
     ];
 
-    /// Its label in metrics.
+    /// Its label in metrics under their earlier names.
     pub fn label(self) -> &'static str {
         match self {
             ShedReason::RetryBudget => "repeats",
@@ -73,6 +73,17 @@
             ShedReason::WaitedTooLong => "waited",
         }
     }
+
+    /// Its label in metrics under their standard names.
+    pub fn standard_label(self) -> &'static str {
+        match self {
+            ShedReason::RetryBudget => "retry_budget",
+            ShedReason::ClassLimit => "class_limit",
+            ShedReason::QueueFull => "queue_full",
+            ShedReason::Displaced => "displaced",
+            ShedReason::WaitedTooLong => "queue_timeout",
+        }
+    }
 }
 
 /// A request that was shed.
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -25,6 +25,15 @@
 }
 
 impl RejectionReason {
+    /// All reasons.
+    pub const ALL: [RejectionReason; 5] = [
+        RejectionReason::Rate,
+        RejectionReason::AddressLimit,
+        RejectionReason::ClassLimit,
+        RejectionReason::Reserved,
+        RejectionReason::Handshakes,
+    ];
+
     /// What the client is told. Part of the wire.
     pub fn message(self) -> &'static str {
         match self {
@@ -36,7 +45,7 @@
         }
     }
 
-    /// Its label in metrics.
+    /// Its label in metrics under their earlier names.
     pub fn label(self) -> &'static str {
         match self {
             RejectionReason::Rate => "rate",
@@ -47,6 +56,17 @@
         }
     }
 
+    /// Its label in metrics under their standard names.
+    pub fn standard_label(self) -> &'static str {
+        match self {
+            RejectionReason::Rate => "rate_limit",
+            RejectionReason::AddressLimit => "address_limit",
+            RejectionReason::ClassLimit => "class_limit",
+            RejectionReason::Reserved => "reserved",
+            RejectionReason::Handshakes => "handshake_queue_full",
+        }
+    }
+
     /// Whether an idle connection of the class should be closed for the next client.
     pub fn reclaims_idle(self) -> bool {
         matches!(self, RejectionReason::ClassLimit | RejectionReason::Reserved)
--- a/server/src/admin/client_page.rs
+++ b/server/src/admin/client_page.rs
@@ -1,12 +1,34 @@
-//! The page `clients`: connections and requests by class and address, and what was rejected.
+//! The page `clients`, or `connections`: connections and requests by class and address, and what was rejected.
 
+use crate::admin::reasons::{rejection_term, shed_term};
 use crate::admin::table::{cell_or_empty, Table};
 use crate::admin::view::{AdminView, PageError};
 use crate::clients::admission_control::AdmissionSnapshot;
 use crate::messages::snapshot::{QueueSnapshot, MAX_CLIENTS};
+use crate::runtime::terms::{Term, Vocabulary};
 use admission::concurrency_limiter::RequestCounts;
 
-const CLASS_COLUMNS: [&str; 6] = ["class", "connections", "kept", "most", "rpcs under way", "waiting"];
+const CLASS: Term = Term::same("class");
+const ADDRESS: Term = Term::same("address");
+const CONNECTIONS: Term = Term::same("connections");
+const IN_FLIGHT: Term = Term::new("rpcs under way", "requests in flight");
+const QUEUED: Term = Term::new("waiting", "requests queued");
+const REASON: Term = Term::new("why", "reason");
+const CLASS_COLUMNS: [Term; 6] = [
+    CLASS,
+    CONNECTIONS,
+    Term::new("kept", "reserved"),
+    Term::new("most", "max connections"),
+    IN_FLIGHT,
+    QUEUED,
+];
+const ADDRESS_COLUMNS: [Term; 2] = [ADDRESS, CONNECTIONS];
+const REJECTION_COLUMNS: [Term; 3] =
+    [CLASS, Term::new("connections turned away", "connections rejected"), REASON];
+const CLIENT_COLUMNS: [Term; 4] = [CLASS, ADDRESS, IN_FLIGHT, QUEUED];
+const SHED_COLUMNS: [Term; 3] = [CLASS, Term::new("rpcs turned away", "requests shed"), REASON];
+const OPEN_CONNECTIONS: Term = Term::new("sessions", "connections");
+const IN_HANDSHAKE_QUEUE: Term = Term::new("in the lobby", "in the handshake queue");
 
 /// One line of the table of classes.
 struct ClassRow<'a> {
@@ -20,23 +42,28 @@
     ///
     /// # Errors
     /// The control loop gives no snapshot.
-    pub fn client_page(&self) -> Result<String, PageError> {
+    pub fn client_page(&self, vocabulary: Vocabulary) -> Result<String, PageError> {
         let queue = self.snapshot()?.queue;
         let admission = self.admission.as_ref().map(|admission| admission.snapshot(MAX_CLIENTS));
-        let classes = class_table(admission.as_ref(), queue.as_ref());
-        let mut page = format!("{} sessions\n\n{classes}", self.shutdown.connections());
+        let classes = class_table(admission.as_ref(), queue.as_ref(), vocabulary);
+        let (connections, noun) = (self.shutdown.connections(), OPEN_CONNECTIONS.word(vocabulary));
+        let mut page = format!("{connections} {noun}\n\n{classes}");
         if let Some(admission) = &admission {
-            page += &connection_tables(admission);
+            page += &connection_tables(admission, vocabulary);
         }
         if let Some(queue) = &queue {
-            page += &request_tables(queue);
+            page += &request_tables(queue, vocabulary);
         }
         Ok(page)
     }
 }
 
-fn class_table(admission: Option<&AdmissionSnapshot>, queue: Option<&QueueSnapshot>) -> Table {
-    let mut table = Table::new(&CLASS_COLUMNS);
+fn class_table(
+    admission: Option<&AdmissionSnapshot>,
+    queue: Option<&QueueSnapshot>,
+    vocabulary: Vocabulary,
+) -> Table {
+    let mut table = Table::new(&CLASS_COLUMNS, vocabulary);
     for row in class_rows(admission, queue) {
         let requests = requests_of(queue, row.name);
         table.push([
@@ -87,29 +114,32 @@
     of_class.next().map(|(_, counts)| *counts).unwrap_or_default()
 }
 
-fn connection_tables(admission: &AdmissionSnapshot) -> String {
-    let mut top = Table::new(&["address", "connections"]);
+fn connection_tables(admission: &AdmissionSnapshot, vocabulary: Vocabulary) -> String {
+    let mut top = Table::new(&ADDRESS_COLUMNS, vocabulary);
     for (address, connections) in &admission.top_addresses {
         top.push([address.to_string(), connections.to_string()]);
     }
-    let mut rejected = Table::new(&["class", "connections turned away", "why"]);
+    let mut rejected = Table::new(&REJECTION_COLUMNS, vocabulary);
     for (class, reason, count) in &admission.rejections {
-        rejected.push([class.clone(), count.to_string(), reason.to_string()]);
+        let reason = rejection_term(*reason).word(vocabulary);
+        rejected.push([class.clone(), count.to_string(), reason.into()]);
     }
     let (handshakes, remembered) = (admission.handshakes, admission.remembered_addresses);
-    format!("\n{handshakes} in the lobby, {remembered} addresses remembered\n\n{top}\n{rejected}")
+    let queue = IN_HANDSHAKE_QUEUE.word(vocabulary);
+    format!("\n{handshakes} {queue}, {remembered} addresses remembered\n\n{top}\n{rejected}")
 }
 
-fn request_tables(queue: &QueueSnapshot) -> String {
-    let mut top = Table::new(&["class", "address", "rpcs under way", "waiting"]);
+fn request_tables(queue: &QueueSnapshot, vocabulary: Vocabulary) -> String {
+    let mut top = Table::new(&CLIENT_COLUMNS, vocabulary);
     for client in &queue.top_clients {
         let (in_flight, waiting) = (client.requests.in_flight, client.requests.waiting);
         let address = client.address.to_string();
         top.push([client.class.clone(), address, in_flight.to_string(), waiting.to_string()]);
     }
-    let mut shed = Table::new(&["class", "rpcs turned away", "why"]);
+    let mut shed = Table::new(&SHED_COLUMNS, vocabulary);
     for (class, reason, count) in &queue.shed {
-        shed.push([class.clone(), count.to_string(), reason.label().into()]);
+        let reason = shed_term(*reason).word(vocabulary);
+        shed.push([class.clone(), count.to_string(), reason.into()]);
     }
     format!("\n{top}\n{shed}")
 }
--- a/server/src/admin/endpoint_page.rs
+++ b/server/src/admin/endpoint_page.rs
@@ -1,30 +1,46 @@
-//! The page `stores`: the endpoints as the routing policy sees them.
+//! The page `stores`, or `endpoints`: the endpoints as the routing policy sees them.
 
 use crate::admin::table::{cell_or_empty, format_delta, Table, EMPTY_CELL};
 use crate::admin::view::{AdminView, PageError};
 use crate::messages::snapshot::EndpointRow;
+use crate::runtime::terms::{Term, Vocabulary};
 use routing::EndpointSnapshot;
 
-const COLUMNS: [&str; 10] =
-    ["store", "address", "state", "role", "in flight", "room", "rests", "behind", "told", "load"];
+const COLUMNS: [Term; 10] = [
+    Term::new("store", "endpoint"),
+    Term::same("address"),
+    Term::same("state"),
+    Term::same("role"),
+    Term::same("in flight"),
+    Term::new("room", "concurrency limit"),
+    Term::new("rests", "ejected for"),
+    Term::new("behind", "lag"),
+    Term::new("told", "report age"),
+    Term::same("load"),
+];
+const ENDPOINTS: Term = Term::new("stores", "endpoints");
+const SERVING: Term = Term::new("open", "serving");
+const NOT_SERVING: Term = Term::new("closed", "not serving");
+const SLOW_START: Term = Term::new("cold", "slow start");
 
 impl AdminView {
     /// The page.
     ///
     /// # Errors
     /// The control loop gives no snapshot.
-    pub fn endpoint_page(&self) -> Result<String, PageError> {
+    pub fn endpoint_page(&self, vocabulary: Vocabulary) -> Result<String, PageError> {
         let snapshot = self.snapshot()?;
-        let mut table = Table::new(&COLUMNS);
+        let mut table = Table::new(&COLUMNS, vocabulary);
         for row in &snapshot.endpoints {
-            table.push(cells(row));
+            table.push(cells(row, vocabulary));
         }
         let (endpoints, groups) = (snapshot.endpoints.len(), snapshot.groups);
-        Ok(format!("{}: {endpoints} stores, {groups} groups\n\n{table}", self.name))
+        let noun = ENDPOINTS.word(vocabulary);
+        Ok(format!("{}: {endpoints} {noun}, {groups} groups\n\n{table}", self.name))
     }
 }
 
-fn cells(row: &EndpointRow) -> [String; COLUMNS.len()] {
+fn cells(row: &EndpointRow, vocabulary: Vocabulary) -> [String; COLUMNS.len()] {
     let mut cells = [EMPTY_CELL; COLUMNS.len()].map(String::from);
     cells[0] = row.name.clone();
     cells[1] = cell_or_empty(row.addr);
@@ -32,7 +48,7 @@
         cells[2] = "unknown".into();
         return cells;
     };
-    cells[2] = state_label(endpoint);
+    cells[2] = state_label(endpoint, vocabulary);
     cells[3] = if endpoint.primary { "primary" } else { "replica" }.into();
     cells[4] = endpoint.in_flight.to_string();
     cells[5] = format!("{:.2}", endpoint.concurrency_limit);
@@ -43,10 +59,10 @@
     cells
 }
 
-fn state_label(endpoint: &EndpointSnapshot) -> String {
+fn state_label(endpoint: &EndpointSnapshot, vocabulary: Vocabulary) -> String {
     match (endpoint.serving, endpoint.slow_start_fraction) {
-        (false, _) => "closed".to_string(),
-        (true, Some(fraction)) => format!("cold, {:.0}%", fraction * 100.0),
-        (true, None) => "open".to_string(),
+        (false, _) => NOT_SERVING.word(vocabulary).to_string(),
+        (true, Some(fraction)) => format!("{}, {:.0}%", SLOW_START.word(vocabulary), fraction * 100.0),
+        (true, None) => SERVING.word(vocabulary).to_string(),
     }
 }
--- a/server/src/admin/metrics_page.rs
+++ b/server/src/admin/metrics_page.rs
@@ -1,24 +1,26 @@
 //! The page `metrics`: everything that is counted, in the text format of Prometheus.
 
+use crate::admin::metric_names::{metric_names, with_standard_names};
 use crate::admin::view::{AdminView, DESCRIPTOR_CLASSES};
 use crate::messages::snapshot::ServerSnapshot;
 use metrics::gauge;
 use metrics_exporter_prometheus::PrometheusHandle;
 
 impl AdminView {
-    /// The page, with gauges as they stand now.
+    /// The page, with gauges as they stand now, under the earlier and the standard names.
     pub fn metrics_page(&self, recorder: &PrometheusHandle) -> String {
         self.set_resource_gauges();
         self.set_connection_gauges();
         if let Ok(snapshot) = self.snapshot() {
             set_request_gauges(snapshot);
         }
-        recorder.render()
+        with_standard_names(&recorder.render(), &metric_names())
     }
 
     fn set_resource_gauges(&self) {
         for (name, class) in DESCRIPTOR_CLASSES {
-            gauge!("gingerwick_descriptors", "share" => name).set(self.resources.in_use(class) as f64);
+            gauge!("gingerwick_descriptors", "share" => name.earlier)
+                .set(self.resources.in_use(class) as f64);
         }
         gauge!("gingerwick_buffer_bytes").set(self.resources.buffer_bytes() as f64);
     }
--- a/server/src/admin/request_page.rs
+++ b/server/src/admin/request_page.rs
@@ -1,56 +1,81 @@
-//! The page `rpcs`: open requests, the oldest first, those that wait for admission before the others.
+//! The page `rpcs`, or `requests`: open requests, the oldest first, those that wait for admission before the others.
 
 use crate::admin::table::{format_delta, Table, EMPTY_CELL};
 use crate::admin::view::{AdminView, PageError};
 use crate::messages::snapshot::{RequestSnapshot, MAX_REQUESTS};
+use crate::runtime::terms::{Term, Vocabulary};
 use routing::time::Timestamp;
 
-const COLUMNS: [&str; 6] = ["id", "method", "group", "age", "call-outs", "where"];
+const COLUMNS: [Term; 6] = [
+    Term::same("id"),
+    Term::same("method"),
+    Term::same("group"),
+    Term::same("age"),
+    Term::new("call-outs", "attempts"),
+    Term::new("where", "state"),
+];
+const QUEUED_COUNT: Term = Term::new("wait their turn", "queued");
+const QUEUED: Term = Term::new("waits its turn", "queued");
+const IN_FLIGHT: Term = Term::new("at", "in flight at");
+const NO_ATTEMPT: Term = Term::new("held", "waiting for an endpoint");
 
 impl AdminView {
     /// The page.
     ///
     /// # Errors
     /// The control loop gives no snapshot.
-    pub fn request_page(&self) -> Result<String, PageError> {
+    pub fn request_page(&self, vocabulary: Vocabulary) -> Result<String, PageError> {
         let snapshot = self.snapshot()?;
-        let mut table = Table::new(&COLUMNS);
+        let mut table = Table::new(&COLUMNS, vocabulary);
         let waiting = snapshot.queue.iter().flat_map(|queue| &queue.waiting);
         for (id, received_at) in waiting.clone().take(MAX_REQUESTS) {
-            table.push(waiting_cells(id, *received_at, snapshot.now));
+            table.push(waiting_cells(id, *received_at, snapshot.now, vocabulary));
         }
         for request in &snapshot.requests {
-            table.push(self.request_cells(request, snapshot.now));
+            table.push(self.request_cells(request, snapshot.now, vocabulary));
         }
         let (open, waiting) = (snapshot.open_requests, waiting.count());
-        Ok(format!("{open} open, {waiting} wait their turn\n\n{table}"))
+        Ok(format!("{open} open, {waiting} {}\n\n{table}", QUEUED_COUNT.word(vocabulary)))
     }
 
-    fn request_cells(&self, request: &RequestSnapshot, now: Timestamp) -> [String; COLUMNS.len()] {
+    fn request_cells(
+        &self,
+        request: &RequestSnapshot,
+        now: Timestamp,
+        vocabulary: Vocabulary,
+    ) -> [String; COLUMNS.len()] {
         [
             request.id.to_string(),
             self.methods.get(request.method).cloned().unwrap_or_default(),
             request.group.to_string(),
             format_delta(now - request.received_at),
             request.attempts.to_string(),
-            whereabouts(request, now),
+            request_state(request, now, vocabulary),
         ]
     }
 }
 
-fn waiting_cells(id: &str, received_at: Timestamp, now: Timestamp) -> [String; COLUMNS.len()] {
+fn waiting_cells(
+    id: &str,
+    received_at: Timestamp,
+    now: Timestamp,
+    vocabulary: Vocabulary,
+) -> [String; COLUMNS.len()] {
     let age = format_delta(now - received_at);
-    [id, EMPTY_CELL, EMPTY_CELL, &age, "0", "waits its turn"].map(String::from)
+    [id, EMPTY_CELL, EMPTY_CELL, &age, "0", QUEUED.word(vocabulary)].map(String::from)
 }
 
-fn whereabouts(request: &RequestSnapshot, now: Timestamp) -> String {
-    let place = match &request.in_flight {
-        Some(attempt) => format!("at {} for {}", attempt.endpoint, format_delta(now - attempt.since)),
-        None => "held".to_string(),
+fn request_state(request: &RequestSnapshot, now: Timestamp, vocabulary: Vocabulary) -> String {
+    let state = match &request.in_flight {
+        Some(attempt) => {
+            let time = format_delta(now - attempt.since);
+            format!("{} {} for {time}", IN_FLIGHT.word(vocabulary), attempt.endpoint)
+        }
+        None => NO_ATTEMPT.word(vocabulary).to_string(),
     };
     if request.closed {
-        format!("answered, still {place}")
+        format!("answered, still {state}")
     } else {
-        place
+        state
     }
 }
--- a/server/src/admin/socket.rs
+++ b/server/src/admin/socket.rs
@@ -3,6 +3,7 @@
 
 use crate::admin::view::{AdminView, PageError, PAGE_TIMEOUT};
 use crate::log;
+use crate::runtime::terms::{Term, Vocabulary};
 use metrics_exporter_prometheus::PrometheusHandle;
 use std::fs;
 use std::io::{self, ErrorKind, Read, Write};
@@ -31,31 +32,35 @@
 
 /// One page.
 pub struct Page {
-    /// The name by which it is asked for.
-    pub name: &'static str,
+    /// The names by which it is asked for, and which say in which terms it is written.
+    pub name: Term,
     /// What it shows, for the help of the command line.
     pub description: &'static str,
-    render: fn(&AdminView) -> Result<String, PageError>,
+    render: fn(&AdminView, Vocabulary) -> Result<String, PageError>,
 }
 
 /// The pages beside `metrics`.
-pub const PAGES: [Page; 4] = [
+pub static PAGES: [Page; 4] = [
     Page {
-        name: "clients",
+        name: Term::new("clients", "connections"),
         description: "connections and requests by class and address, and what was rejected",
         render: AdminView::client_page,
     },
     Page {
-        name: "limits",
+        name: Term::new("limits", "resources"),
         description: "what there is of each resource, and what of it is in use",
         render: AdminView::limits_page,
     },
     Page {
-        name: "stores",
+        name: Term::new("stores", "endpoints"),
         description: "the endpoints as the routing policy sees them",
         render: AdminView::endpoint_page,
     },
-    Page { name: "rpcs", description: "open requests, the oldest first", render: AdminView::request_page },
+    Page {
+        name: Term::new("rpcs", "requests"),
+        description: "open requests, the oldest first",
+        render: AdminView::request_page,
+    },
 ];
 
 /// Why there is no admin socket, or no answer from one.
@@ -159,14 +164,26 @@
 }
 
 fn page(name: &str, view: &AdminView) -> String {
-    match PAGES.iter().find(|page| page.name == name) {
-        Some(page) => (page.render)(view).unwrap_or_else(|error| format!("{ERROR_PREFIX}{error}\n")),
+    match find_page(name) {
+        Some((page, vocabulary)) => {
+            let text = (page.render)(view, vocabulary);
+            text.unwrap_or_else(|error| format!("{ERROR_PREFIX}{error}\n"))
+        }
         None => unknown_page(name),
     }
 }
 
+/// The page of a name, and the terms that the name asks for.
+fn find_page(name: &str) -> Option<(&'static Page, Vocabulary)> {
+    let named = |vocabulary| move |page: &&Page| page.name.word(vocabulary) == name;
+    let found = |vocabulary| PAGES.iter().find(named(vocabulary)).map(|page| (page, vocabulary));
+    found(Vocabulary::Earlier).or_else(|| found(Vocabulary::Standard))
+}
+
 fn unknown_page(name: &str) -> String {
-    let known = PAGES.map(|page| page.name).join(", ");
+    let earlier = PAGES.iter().map(|page| page.name.earlier);
+    let standard = PAGES.iter().map(|page| page.name.standard);
+    let known = earlier.chain(standard).collect::<Vec<&str>>().join(", ");
     let name: String = name.chars().take(MAX_NAME_SHOWN).collect();
     format!("{ERROR_PREFIX}{name:?} is none of {known}, {METRICS_PAGE}\n")
 }
--- a/server/src/admin/table.rs
+++ b/server/src/admin/table.rs
@@ -1,5 +1,6 @@
 //! Tables and times as plain text.
 
+use crate::runtime::terms::{Term, Vocabulary};
 use routing::time::TimeDelta;
 use std::fmt;
 
@@ -13,9 +14,9 @@
 }
 
 impl Table {
-    /// A table of titles alone.
-    pub fn new(titles: &[&str]) -> Table {
-        Table { rows: vec![titles.iter().map(|title| title.to_string()).collect()] }
+    /// A table of titles alone, in the terms of `vocabulary`.
+    pub fn new(titles: &[Term], vocabulary: Vocabulary) -> Table {
+        Table { rows: vec![titles.iter().map(|title| title.word(vocabulary).to_string()).collect()] }
     }
 
     /// Appends a row. A control character that a client put into a name must not pass for a line of the table.
--- a/server/src/admin/view.rs
+++ b/server/src/admin/view.rs
@@ -5,6 +5,7 @@
 use crate::messages::control::ControlMessage;
 use crate::messages::snapshot::ServerSnapshot;
 use crate::runtime::resource_limits::{DescriptorClass, ResourceLimits};
+use crate::runtime::terms::Term;
 use may::sync::mpsc::Sender;
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
@@ -14,11 +15,11 @@
 pub const PAGE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Descriptors by what they are for, under the names that operators see.
-pub(super) const DESCRIPTOR_CLASSES: [(&str, DescriptorClass); 4] = [
-    ("clients", DescriptorClass::Clients),
-    ("stores", DescriptorClass::Endpoints),
-    ("discovery", DescriptorClass::Discovery),
-    ("turned away", DescriptorClass::RejectedClients),
+pub(super) const DESCRIPTOR_CLASSES: [(Term, DescriptorClass); 4] = [
+    (Term::same("clients"), DescriptorClass::Clients),
+    (Term::new("stores", "endpoints"), DescriptorClass::Endpoints),
+    (Term::same("discovery"), DescriptorClass::Discovery),
+    (Term::new("turned away", "rejected_clients"), DescriptorClass::RejectedClients),
 ];
 
 /// What pages are made from.
--- a/server/src/cli/arguments.rs
+++ b/server/src/cli/arguments.rs
@@ -31,6 +31,12 @@
         #[command(subcommand)]
         command: ListCommand,
     },
+    /// Looks at an endpoint list that is cached on disk, in standard terms
+    Cache {
+        /// What is done with it
+        #[command(subcommand)]
+        command: ListCommand,
+    },
     /// Asks a running server for a page, by its operators-socket
     Show {
         /// The page
@@ -66,8 +72,11 @@
 }
 
 fn page_names() -> PossibleValuesParser {
-    let pages = PAGES.into_iter().map(|page| (page.name, page.description));
-    let metrics = ("metrics", "counters in the text format of Prometheus");
-    let values = pages.chain([metrics]).map(|(name, help)| PossibleValue::new(name).help(help));
-    values.collect::<Vec<_>>().into()
+    let metrics = PossibleValue::new("metrics").help("counters in the text format of Prometheus");
+    let standard = PAGES.iter().map(|page| PossibleValue::new(page.name.standard).help(page.description));
+    let earlier = PAGES.iter().map(|page| {
+        let help = format!("`{}` in earlier terms", page.name.standard);
+        PossibleValue::new(page.name.earlier).help(help)
+    });
+    standard.chain([metrics]).chain(earlier).collect::<Vec<_>>().into()
 }
--- a/server/src/cli/cached_list.rs
+++ b/server/src/cli/cached_list.rs
@@ -1,44 +1,64 @@
-//! `query-router list`: the endpoint list that is cached on disk.
+//! `query-router list` and `query-router cache`: the endpoint list that is cached on disk, in the earlier and the standard terms.
 
 use crate::cli::run::{print, print_error};
 use crate::exit_status::{ExitStatus, Failure};
 use crate::messages::endpoint_list::cache_times;
+use crate::runtime::terms::{Term, Vocabulary};
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport, LoadedCache};
 use recovery::staleness::{verification_level, VerificationLevel, LEVELS};
 use routing::time::Timestamp;
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-const NO_LIST: &str = "no list that is whole";
+const NO_LIST: Term = Term::new("no list that is whole", "no complete list");
+const COMPLETE: Term = Term::new("whole", "complete");
+const ENDPOINT: Term = Term::new("store", "endpoint");
+const ENDPOINTS: Term = Term::new("stores", "endpoints");
+const REPORTED: Term = Term::new("said", "reported");
+const NO_REPORT: Term = Term::new("nothing", "-");
+const VERSION_OF: Term = Term::new(" of discovery", "");
+const CONFIRMED: Term = Term::new("stood by it", "confirmed it");
+const VERIFICATION: Term = Term::new("believed", "verified");
+const AT_A_TIME: Term = Term::new("stores at a time", "endpoints queried at a time");
+const CLAIMS: Term = Term::new("answers of its own", "claim(s) of its own");
+const ACCOUNTED_FOR: Term =
+    Term::new("all members heard or refusing", "all members answered or refusing connections");
+const FOLLOWED: Term = Term::new("a majority seen to follow it", "a majority following it");
+const WITHOUT_IDENTITY: Term =
+    Term::new("stores that can't say who they are", "endpoints without an identity accepted");
+const LEVELS_TITLE: Term = Term::new("steps", "levels");
+/// The width of the titles above the endpoints.
+const TITLE_WIDTH: usize = 12;
 
 /// Prints a list.
-pub fn show(path: &Path, json: bool) -> Result<(), Failure> {
+pub fn show(path: &Path, json: bool, vocabulary: Vocabulary) -> Result<(), Failure> {
     let loaded = load(path)?;
     for error in &loaded.errors {
         print_error(&error.to_string());
     }
     let Some((list, file)) = &loaded.list else {
-        return Err(Failure::new(ExitStatus::DataError, format!("{}: {NO_LIST}", path.display())));
+        return Err(Failure::new(ExitStatus::DataError, no_list(path, vocabulary)));
     };
     if json {
         let text = serde_json::to_string_pretty(list);
         print(&text.map_err(|error| Failure::new(ExitStatus::IoError, error))?);
     } else {
-        print(&format_list(list, file, wall_clock()));
+        print(&format_list(list, file, wall_clock(), vocabulary));
     }
     Ok(())
 }
 
 /// Checks all files of a list.
-pub fn verify(path: &Path) -> Result<(), Failure> {
+pub fn verify(path: &Path, vocabulary: Vocabulary) -> Result<(), Failure> {
     let loaded = load(path)?;
     let mut problems: Vec<String> = loaded.errors.iter().map(|error| error.to_string()).collect();
     match &loaded.list {
         Some((list, file)) => {
             let (generation, endpoints) = (list.generation, list.endpoints.len());
-            print(&format!("{}: whole, generation {generation}, {endpoints} stores", file.display()));
+            let (complete, noun) = (COMPLETE.word(vocabulary), ENDPOINTS.word(vocabulary));
+            print(&format!("{}: {complete}, generation {generation}, {endpoints} {noun}", file.display()));
         }
-        None => problems.push(format!("{}: {NO_LIST}", path.display())),
+        None => problems.push(no_list(path, vocabulary)),
     }
     if problems.is_empty() {
         Ok(())
@@ -47,6 +67,10 @@
     }
 }
 
+fn no_list(path: &Path, vocabulary: Vocabulary) -> String {
+    format!("{}: {}", path.display(), NO_LIST.word(vocabulary))
+}
+
 /// Loads a state directory, or one file.
 fn load(path: &Path) -> Result<LoadedCache, Failure> {
     let metadata = std::fs::metadata(path);
@@ -68,43 +92,45 @@
     Timestamp(unix.as_nanos() as i64)
 }
 
-fn format_list(list: &CachedEndpointList, file: &Path, now: Timestamp) -> String {
-    let mut lines = heading(list, file, now);
+fn format_list(list: &CachedEndpointList, file: &Path, now: Timestamp, vocabulary: Vocabulary) -> String {
+    let mut lines = heading(list, file, now, vocabulary);
     lines.push(String::new());
-    lines.push(endpoint_line("store", "group", "address", "health", "listed", "said"));
+    let (endpoint, reported) = (ENDPOINT.word(vocabulary), REPORTED.word(vocabulary));
+    lines.push(endpoint_line(endpoint, "group", "address", "health", "listed", reported));
     for endpoint in &list.endpoints {
         let group = endpoint.block.to_string();
-        let (role, report) = (listed_role(endpoint), format_report(endpoint.report));
+        let (role, report) = (listed_role(endpoint), format_report(endpoint.report, vocabulary));
         lines.push(endpoint_line(&endpoint.host, &group, &endpoint.dial, &endpoint.health, role, &report));
     }
     lines.join("\n")
 }
 
-fn heading(list: &CachedEndpointList, file: &Path, now: Timestamp) -> Vec<String> {
+fn heading(list: &CachedEndpointList, file: &Path, now: Timestamp, vocabulary: Vocabulary) -> Vec<String> {
     let times = cache_times(list);
     let level = verification_level(Some(times), now, None);
     let age_s = (now - times.confirmed).as_secs_f64();
     let identified_by_address = if level.identifies_by_address { "yes" } else { "no" };
     let levels: Vec<&str> = LEVELS.iter().map(|level| level.staleness.name()).collect();
+    let word = |term: Term| term.word(vocabulary);
+    let line = |title: &str, text: &str| format!("{title:<TITLE_WIDTH$}{text}");
+    let age = format!("{age_s:.1} s since discovery {}: {}", word(CONFIRMED), level.staleness.name());
     vec![
-        format!("file        {}", file.display()),
-        format!("generation  {}", list.generation),
-        format!("version     {} of discovery", list.version),
-        format!("age         {age_s:.1} s since discovery stood by it: {}", level.staleness.name()),
-        format!("believed    {}", verification(level)),
-        format!("            stores that can't say who they are: {identified_by_address}"),
-        format!("steps       {}", levels.join(", ")),
+        line("file", &file.display().to_string()),
+        line("generation", &list.generation.to_string()),
+        line("version", &format!("{}{}", list.version, word(VERSION_OF))),
+        line("age", &age),
+        line(word(VERIFICATION), &verification(level, vocabulary)),
+        line("", &format!("{}: {identified_by_address}", word(WITHOUT_IDENTITY))),
+        line(word(LEVELS_TITLE), &levels.join(", ")),
     ]
 }
 
-fn verification(level: &VerificationLevel) -> String {
+fn verification(level: &VerificationLevel, vocabulary: Vocabulary) -> String {
     let (queries, claims) = (level.max_queries, level.claims_required);
-    let members = if level.accounting_suffices {
-        "all members heard or refusing"
-    } else {
-        "a majority seen to follow it"
-    };
-    format!("{queries} stores at a time; a primary after {claims} answers of its own and {members}")
+    let members = if level.accounting_suffices { ACCOUNTED_FOR } else { FOLLOWED };
+    let (endpoints, of_its_own) = (AT_A_TIME.word(vocabulary), CLAIMS.word(vocabulary));
+    let members = members.word(vocabulary);
+    format!("{queries} {endpoints}; a primary after {claims} {of_its_own} and {members}")
 }
 
 fn endpoint_line(name: &str, group: &str, address: &str, health: &str, role: &str, report: &str) -> String {
@@ -119,8 +145,8 @@
     }
 }
 
-fn format_report(report: Option<CachedReport>) -> String {
-    let Some(report) = report else { return "nothing".into() };
+fn format_report(report: Option<CachedReport>, vocabulary: Vocabulary) -> String {
+    let Some(report) = report else { return NO_REPORT.word(vocabulary).into() };
     let role = if report.primary { "primary" } else { "replica" };
     let position = report.position_ms.map(|ms| format!(" at {ms}"));
     let timeline = report.timeline.map(|timeline| format!(", timeline {timeline}"));
--- a/server/src/cli/run.rs
+++ b/server/src/cli/run.rs
@@ -3,6 +3,7 @@
 use crate::cli::arguments::{Arguments, Command, ListCommand};
 use crate::cli::{cached_list, check, show};
 use crate::exit_status::{ExitStatus, Failure};
+use crate::runtime::terms::Vocabulary;
 use crate::startup;
 use clap::{CommandFactory, Parser};
 use clap_complete::Shell;
@@ -32,8 +33,8 @@
     match command.unwrap_or(Command::Serve) {
         Command::Serve => startup::run(conf),
         Command::Check => check::run(conf.as_deref()),
-        Command::List { command: ListCommand::Show { path, json } } => cached_list::show(&path, json),
-        Command::List { command: ListCommand::Verify { path } } => cached_list::verify(&path),
+        Command::List { command } => run_list_command(command, Vocabulary::Earlier),
+        Command::Cache { command } => run_list_command(command, Vocabulary::Standard),
         Command::Show { page, socket } => show::run(conf.as_deref(), socket, &page),
         Command::Completions { shell } => {
             print_completions(shell);
@@ -42,6 +43,13 @@
     }
 }
 
+fn run_list_command(command: ListCommand, vocabulary: Vocabulary) -> Result<(), Failure> {
+    match command {
+        ListCommand::Show { path, json } => cached_list::show(&path, json, vocabulary),
+        ListCommand::Verify { path } => cached_list::verify(&path, vocabulary),
+    }
+}
+
 fn print_completions(shell: Shell) {
     clap_complete::generate(shell, &mut Arguments::command(), "query-router", &mut std::io::stdout());
 }
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -8,7 +8,10 @@
 use admission::concurrency_limiter::ClientKey;
 use admission::connection_limiter::ConnectionLimits;
 use admission::handshake_queue::{Enqueued, HandshakeId, HandshakeQueue};
-use admission::{AddressPrefixes, AdmittedConnection, ClassError, ClientClass, ConnectionLimiter, Rejection};
+use admission::{
+    AddressPrefixes, AdmittedConnection, ClassError, ClientClass, ConnectionLimiter, Rejection,
+    RejectionReason,
+};
 use routing::time::TimeDelta;
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -120,7 +123,7 @@
     /// Connections held, by class.
     pub connections: Vec<(String, usize)>,
     /// Connections rejected since the start: class, reason, how many.
-    pub rejections: Vec<(String, &'static str, u64)>,
+    pub rejections: Vec<(String, RejectionReason, u64)>,
     /// The addresses with most connections.
     pub top_addresses: Vec<(IpAddr, usize)>,
     /// Connections in the handshake queue.
@@ -222,7 +225,7 @@
         let limiter = &state.limiter;
         let connections = limiter.connections_by_class().map(|(class, count)| (class.to_string(), count));
         let rejections =
-            limiter.rejections().map(|(class, reason, count)| (class.to_string(), reason.message(), count));
+            limiter.rejections().map(|(class, reason, count)| (class.to_string(), reason, count));
         let top = limiter.top_addresses(top_addresses).into_iter();
         AdmissionSnapshot {
             classes: limiter.classes().to_vec(),
@@ -239,7 +242,8 @@
         let snapshot = self.snapshot(0);
         let connections = snapshot.connections.iter().map(|(class, count)| format!("{class} {count}"));
         let rejections = snapshot.rejections.iter();
-        let rejections = rejections.map(|(class, reason, count)| format!("{class} {count} ({reason})"));
+        let rejections =
+            rejections.map(|(class, reason, count)| format!("{class} {count} ({})", reason.message()));
         let connections: Vec<String> = connections.collect();
         let rejections: Vec<String> = rejections.collect();
         format!(
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Modules from the bottom up; each uses only those before it:
 //!
-//! - [`runtime`]: clock, coroutines, cancellation, resource limits, log, counters
+//! - [`runtime`]: clock, coroutines, cancellation, resource limits, log, counters, vocabularies
 //! - [`protocol`]: the wire protocol, without I/O
 //! - [`messages`]: what the parts tell each other
 //! - [`storage`]: the threads that write to disk
--- a/server/src/runtime/metrics.rs
+++ b/server/src/runtime/metrics.rs
@@ -1,5 +1,6 @@
 //! What is counted for operators. If nobody asks for it, no recorder is installed, and each call returns at once.
 
+use crate::runtime::terms::Term;
 use metrics::{counter, histogram, Counter, Histogram};
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
 use routing::time::TimeDelta;
@@ -20,24 +21,26 @@
     ClientGone,
 }
 
-const RESPONSE_KINDS: [(ResponseKind, &str); 5] = [
-    (ResponseKind::Value, "ok"),
-    (ResponseKind::Rejected, "pushed back"),
-    (ResponseKind::Aborted, "aborted"),
-    (ResponseKind::Error, "refused"),
-    (ResponseKind::ClientGone, "gone"),
+/// The ways to answer a request, and their labels.
+pub const RESPONSE_KINDS: [(ResponseKind, Term); 5] = [
+    (ResponseKind::Value, Term::same("ok")),
+    (ResponseKind::Rejected, Term::new("pushed back", "rejected")),
+    (ResponseKind::Aborted, Term::same("aborted")),
+    (ResponseKind::Error, Term::new("refused", "error")),
+    (ResponseKind::ClientGone, Term::new("gone", "client_gone")),
 ];
 
-const OUTCOMES: [(AttemptOutcome, &str); 9] = [
-    (AttemptOutcome::Succeeded, "ok"),
-    (AttemptOutcome::Failed, "errored"),
-    (AttemptOutcome::Rejected, "full"),
-    (AttemptOutcome::TimedOut, "timed out"),
-    (AttemptOutcome::Unreachable, "unreachable"),
-    (AttemptOutcome::ConnectionLost, "broken"),
-    (AttemptOutcome::Cancelled, "withdrawn"),
-    (AttemptOutcome::NotSent, "moot"),
-    (AttemptOutcome::NotEligible, "lagged"),
+/// The ends of attempts and health checks, and their labels.
+pub const ATTEMPT_OUTCOMES: [(AttemptOutcome, Term); 9] = [
+    (AttemptOutcome::Succeeded, Term::same("ok")),
+    (AttemptOutcome::Failed, Term::new("errored", "failed")),
+    (AttemptOutcome::Rejected, Term::new("full", "rejected")),
+    (AttemptOutcome::TimedOut, Term::new("timed out", "timed_out")),
+    (AttemptOutcome::Unreachable, Term::same("unreachable")),
+    (AttemptOutcome::ConnectionLost, Term::new("broken", "connection_lost")),
+    (AttemptOutcome::Cancelled, Term::new("withdrawn", "cancelled")),
+    (AttemptOutcome::NotSent, Term::new("moot", "not_sent")),
+    (AttemptOutcome::NotEligible, Term::new("lagged", "not_eligible")),
 ];
 
 /// Seconds: from a tenth of a millisecond to the longest that clients wait.
@@ -51,16 +54,16 @@
 /// The counters of requests, attempts and health checks.
 pub struct Metrics {
     methods: Vec<MethodMetrics>,
-    attempts: [Counter; OUTCOMES.len()],
+    attempts: [Counter; ATTEMPT_OUTCOMES.len()],
     attempt_latency: Histogram,
-    health_checks: [Counter; OUTCOMES.len()],
+    health_checks: [Counter; ATTEMPT_OUTCOMES.len()],
 }
 
 impl MethodMetrics {
     fn new(name: &str) -> MethodMetrics {
         let response = |label: &'static str| counter!("gingerwick_rpcs_total", "method" => name.to_string(), "answer" => label);
         MethodMetrics {
-            responses: RESPONSE_KINDS.map(|(_, label)| response(label)),
+            responses: RESPONSE_KINDS.map(|(_, label)| response(label.earlier)),
             latency: histogram!("gingerwick_rpc_seconds", "method" => name.to_string()),
         }
     }
@@ -71,9 +74,11 @@
     pub fn new(methods: &[String]) -> Metrics {
         Metrics {
             methods: methods.iter().map(|name| MethodMetrics::new(name)).collect(),
-            attempts: OUTCOMES.map(|(_, label)| counter!("gingerwick_call_outs_total", "outcome" => label)),
+            attempts: ATTEMPT_OUTCOMES
+                .map(|(_, label)| counter!("gingerwick_call_outs_total", "outcome" => label.earlier)),
             attempt_latency: histogram!("gingerwick_call_out_seconds"),
-            health_checks: OUTCOMES.map(|(_, label)| counter!("gingerwick_probes_total", "outcome" => label)),
+            health_checks: ATTEMPT_OUTCOMES
+                .map(|(_, label)| counter!("gingerwick_probes_total", "outcome" => label.earlier)),
         }
     }
 
@@ -98,8 +103,8 @@
     }
 }
 
-fn count(counters: &[Counter; OUTCOMES.len()], outcome: AttemptOutcome) {
-    if let Some(index) = OUTCOMES.iter().position(|(known, _)| *known == outcome) {
+fn count(counters: &[Counter; ATTEMPT_OUTCOMES.len()], outcome: AttemptOutcome) {
+    if let Some(index) = ATTEMPT_OUTCOMES.iter().position(|(known, _)| *known == outcome) {
         counters[index].increment(1);
     }
 }
--- a/server/src/runtime/mod.rs
+++ b/server/src/runtime/mod.rs
@@ -7,3 +7,4 @@
 pub mod metrics;
 pub mod resource_limits;
 pub mod tasks;
+pub mod terms;
--- a/server/tests/operator_pages/fixture.rs
+++ b/server/tests/operator_pages/fixture.rs
@@ -46,6 +46,7 @@
 
     /// Serves the pages. One of the two connections that have come was rejected.
     fn start() -> Fixture {
+        may::config().set_workers(1);
         let recorder = install_recorder().expect("the only one");
         let resources = ResourceLimits::new(DESCRIPTORS, MEMORY, true);
         let admission = admission_control(&resources);
@@ -73,6 +74,11 @@
     pub fn page(&self, name: &str) -> String {
         request_page(&self.socket(), name).expect("a page")
     }
+
+    /// What is said to whoever asks for a page that there is not.
+    pub fn page_error(&self, name: &str) -> String {
+        request_page(&self.socket(), name).expect_err("no page").to_string()
+    }
 }
 
 fn admission_control(resources: &Arc<ResourceLimits>) -> Arc<AdmissionControl> {
--- a/server/tests/operator_pages/main.rs
+++ b/server/tests/operator_pages/main.rs
@@ -1,5 +1,5 @@
 //! The pages of the admin socket and the texts of the command line, as operators' programs read them: byte for byte those of
-//! the files in `earlier/`.
+//! the files in `earlier/` under the earlier names, and those in `standard/` under the standard names.
 
 mod cached_list;
 #[path = "../common/mod.rs"]
@@ -10,6 +10,31 @@
 use cached_list::{run_on_list, run_on_nothing, CommandResult};
 use fixture::Fixture;
 
+/// Samples of one metric under its two names.
+const SAMPLES: [(&str, &str); 9] = [
+    (
+        r#"gingerwick_rpcs_total{method="view",answer="pushed back"}"#,
+        r#"gingerwick_requests_total{method="view",outcome="rejected"}"#,
+    ),
+    (
+        r#"gingerwick_call_outs_total{outcome="broken"}"#,
+        r#"gingerwick_attempts_total{outcome="connection_lost"}"#,
+    ),
+    ("gingerwick_call_out_seconds_sum", "gingerwick_attempt_seconds_sum"),
+    (r#"gingerwick_probes_total{outcome="full"}"#, r#"gingerwick_health_checks_total{outcome="rejected"}"#),
+    ("gingerwick_turn_seconds_count", "gingerwick_queue_wait_seconds_count"),
+    (
+        r#"gingerwick_rpcs_shed_total{class="desk",why="rpcs"}"#,
+        r#"gingerwick_requests_shed_total{class="desk",reason="class_limit"}"#,
+    ),
+    (
+        r#"gingerwick_connections_refused_total{class="desk",why="most"}"#,
+        r#"gingerwick_connections_rejected_total{class="desk",reason="class_limit"}"#,
+    ),
+    (r#"gingerwick_rpcs_under_way{class="desk"}"#, r#"gingerwick_requests_in_flight{class="desk"}"#),
+    ("gingerwick_rpcs_open", "gingerwick_requests_open"),
+];
+
 /// The lines of a page of metrics in an order that does not change: the recorder has none.
 fn sorted_lines(page: &str) -> Vec<&str> {
     let mut lines: Vec<&str> = page.lines().filter(|line| !line.is_empty()).collect();
@@ -17,6 +42,11 @@
     lines
 }
 
+/// The value of a sample on a page of metrics.
+fn value<'a>(page: &'a str, sample: &str) -> Option<&'a str> {
+    page.lines().find_map(|line| line.strip_prefix(sample)?.strip_prefix(' '))
+}
+
 /// The result of a command that ends with `code` and prints `text`.
 fn result(code: i32, text: &str) -> CommandResult {
     CommandResult { code: Some(code), text: text.into() }
@@ -32,9 +62,31 @@
 }
 
 #[test]
-fn the_earlier_metrics_are_unchanged() {
+fn the_second_names_give_the_same_rows_in_standard_terms() {
+    let fixture = Fixture::shared();
+    assert_eq!(fixture.page("connections"), include_str!("standard/connections.txt"));
+    assert_eq!(fixture.page("resources"), include_str!("standard/resources.txt"));
+    assert_eq!(fixture.page("endpoints"), include_str!("standard/endpoints.txt"));
+    assert_eq!(fixture.page("requests"), include_str!("standard/requests.txt"));
+    let unknown = "\"x\" is none of clients, limits, stores, rpcs, connections, resources, endpoints, requests, metrics";
+    assert_eq!(fixture.page_error("x"), unknown);
+}
+
+#[test]
+fn the_earlier_metrics_are_unchanged_and_the_standard_ones_are_all_that_is_added() {
     let page = Fixture::shared().page("metrics");
-    assert_eq!(sorted_lines(&page), sorted_lines(include_str!("earlier/metrics.txt")));
+    let expected = [include_str!("earlier/metrics.txt"), include_str!("standard/metrics.txt")].concat();
+    assert_eq!(sorted_lines(&page), sorted_lines(&expected));
+}
+
+#[test]
+fn both_names_of_a_metric_have_the_same_value() {
+    let page = Fixture::shared().page("metrics");
+    for (earlier, standard) in SAMPLES {
+        let counted = value(&page, earlier);
+        assert!(counted.is_some_and(|counted| counted != "0"), "{earlier}: {counted:?}");
+        assert_eq!(value(&page, standard), counted, "{standard}");
+    }
 }
 
 #[test]
@@ -45,3 +97,21 @@
     assert_eq!(run_on_nothing(&["list", "show"]), nothing);
     assert_eq!(run_on_nothing(&["list", "verify"]), nothing);
 }
+
+#[test]
+fn the_second_name_of_a_cached_list_gives_the_same_in_standard_terms() {
+    assert_eq!(run_on_list(&["cache", "show"]), result(0, include_str!("standard/cache-show.txt")));
+    assert_eq!(run_on_list(&["cache", "verify"]), result(0, include_str!("standard/cache-verify.txt")));
+    let nothing = result(65, "query-router: PATH: no complete list\n");
+    assert_eq!(run_on_nothing(&["cache", "show"]), nothing);
+    assert_eq!(run_on_nothing(&["cache", "verify"]), nothing);
+}
+
+#[test]
+fn the_json_of_a_cached_list_is_the_same_under_both_names() {
+    let fields = |command| {
+        let json: serde_json::Value = serde_json::from_str(&run_on_list(command).text).expect("JSON");
+        (json["seq"].clone(), json["stores"][0]["host"].clone())
+    };
+    assert_eq!(fields(&["list", "show", "--json"]), fields(&["cache", "show", "--json"]));
+}
