--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -26,6 +26,15 @@
 }
 
 impl RejectionReason {
+    /// All reasons.
+    pub const ALL: [RejectionReason; 5] = [
+        RejectionReason::Rate,
+        RejectionReason::AddressLimit,
+        RejectionReason::ClassLimit,
+        RejectionReason::Reserved,
+        RejectionReason::Handshakes,
+    ];
+
     /// Error text sent to the client. Part of the wire format.
     pub fn message(self) -> &'static str {
         match self {
@@ -37,7 +46,7 @@
         }
     }
 
-    /// Label of the reason in metrics.
+    /// Label of the reason in metrics under their earlier names.
     pub fn label(self) -> &'static str {
         match self {
             RejectionReason::Rate => "rate",
@@ -48,6 +57,17 @@
         }
     }
 
+    /// Label of the reason in metrics under their standard names.
+    pub fn standard_label(self) -> &'static str {
+        match self {
+            RejectionReason::Rate => "rate_limit",
+            RejectionReason::AddressLimit => "address_limit",
+            RejectionReason::ClassLimit => "class_limit",
+            RejectionReason::Reserved => "reserved",
+            RejectionReason::Handshakes => "handshake_queue_full",
+        }
+    }
+
     /// Whether closing an idle connection of the class would make room for the next client.
     pub fn reclaims_idle(self) -> bool {
         matches!(self, RejectionReason::ClassLimit | RejectionReason::Reserved)
