--- a/endpoint-cache/src/lib.rs
+++ b/endpoint-cache/src/lib.rs
@@ -1,8 +1,9 @@
-//! The endpoint list, cached on disk over a restart. Storage only: how far it is trusted is decided elsewhere.
+//! Cache of the endpoint list on disk, for use after a restart. Storage only: the `recovery` package decides how far a
+//! cached list is trusted.
 //!
-//! A generation is one file, written whole beside the others, synced, and renamed into place; the one before stays until the
-//! next has done so. A file counts only if its head line, its length and its checksum fit. `docs/recovery.md` weighs this
-//! against embedded stores.
+//! A generation is one file. It is written completely under a temporary name, synced, and renamed into place; the
+//! previous generation is kept until the next one is in place. A file is valid only if its header line, length and
+//! checksum match. `docs/recovery.md` compares this with embedded key-value stores.
 
 #![warn(clippy::too_many_lines)]
 
--- a/operator-config/src/settings.rs
+++ b/operator-config/src/settings.rs
@@ -1,12 +1,12 @@
-//! What operators can set, and the defaults.
+//! Settings of the operators' file and their defaults.
 
 use admission::concurrency_limiter::ConcurrencyLimits;
-use admission::{AddressPrefixes, ClientClass};
+use admission::ClassSettings;
 use routing::time::TimeDelta;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The form of the log.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
     /// Lines of text.
@@ -16,129 +16,203 @@
     Json,
 }
 
-/// How an endpoint says who it is.
+/// How endpoints report their identity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointIdentity {
-    /// It cannot.
+    /// Endpoints do not report their identity.
     #[default]
     None,
-    /// By PostgreSQL's own functions, see `docs/recovery.md`.
+    /// By PostgreSQL's built-in functions, see `docs/recovery.md`.
     Postgres,
 }
 
-/// Whether writes are recorded, and how far a record must have come before a write is sent.
+/// Whether writes are recorded in the write journal, and how durable a record must be before its write is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum JournalMode {
-    /// They are not.
+    /// Writes are not recorded.
     #[default]
     Off,
-    /// With the operating system: it survives the process.
+    /// Written to the operating system: survives a crash of the process.
     System,
-    /// On the disk: it survives the machine.
+    /// Synced to disk: survives a crash of the machine.
     Disk,
 }
 
-/// All settings. Each is off or at its default if no line names it.
+/// Limit of requests in flight if only other limits on requests are configured: the largest allowed value.
+const DEFAULT_MAX_REQUESTS_IN_FLIGHT: usize = 100_000;
+/// Default ratio of the maximum of waiting requests to the maximum in flight.
+const WAITING_PER_IN_FLIGHT: usize = 4;
+
+/// Write journal in the state directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OperatorSettings {
-    /// `state-dir`: where the endpoint list is cached over a restart; none: it is not.
+pub struct JournalSettings {
+    /// `write-journal`: mode of the journal.
+    pub mode: JournalMode,
+    /// `write-journal-keeps`: maximum age of records. A minute to 30 days.
+    pub max_age: Duration,
+    /// `write-journal-most`: maximum number of records. 1,000 to 100 million.
+    pub max_records: u64,
+}
+
+impl Default for JournalSettings {
+    fn default() -> JournalSettings {
+        JournalSettings {
+            mode: JournalMode::default(),
+            max_age: Duration::from_secs(3600),
+            max_records: 1_000_000,
+        }
+    }
+}
+
+/// Data on disk.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StorageSettings {
+    /// `state-dir`: directory of the endpoint cache and the write journal. Without it the endpoint list is not cached.
     pub state_dir: Option<PathBuf>,
-    /// `save-gap`: between two saves of the list, at least. 100 ms to an hour.
+    /// `save-gap`: minimum interval between two saves of the endpoint list. 100 ms to an hour.
     pub save_interval: Duration,
-    /// `store-identity`.
-    pub endpoint_identity: EndpointIdentity,
-    /// `session-keys`: the keys that authenticate session tokens; none: there are no tokens.
-    pub session_keys: Option<PathBuf>,
-    /// `session-lasts`: how long a token is valid. 1 s to 30 days.
-    pub session_lifetime: Duration,
-    /// `write-journal`: it is in the state directory.
-    pub journal_mode: JournalMode,
-    /// `write-journal-keeps`: how long a record is kept. A minute to 30 days.
-    pub journal_max_age: Duration,
-    /// `write-journal-most`: records that are kept. 1,000 to 100 million.
-    pub journal_max_records: u64,
-    /// `admit`: classes of clients, by which connections are admitted; none: whoever comes is, while there is capacity.
-    pub client_classes: Vec<ClientClass>,
-    /// `admit-prefix-4`, `admit-prefix-6`: how many bits of an address identify a client. 8 to 32, and 16 to 64.
-    pub address_prefixes: AddressPrefixes,
-    /// `rpcs-at-once`: requests in flight. 1 to 100,000; none: there is no limit.
-    pub max_requests_in_flight: Option<usize>,
-    /// `rpcs-waiting`: requests that wait at most. 0 to 100,000; none: four times those in flight.
-    pub max_requests_waiting: Option<usize>,
-    /// `rpcs-target`: how long a request may wait whose client's requests have waited without a break. 1 ms to 1 s.
-    pub target_wait: Duration,
-    /// `repeats`: clients' retries per hundred first attempts. 0 to 100; none: they have no budget.
-    pub retry_percent: Option<u32>,
-    /// `operators-socket`: where operators ask what the server does; none: they cannot.
-    pub admin_socket: Option<PathBuf>,
-    /// `log-format`.
-    pub log_format: LogFormat,
-    /// `log-level`: `error`, `warn`, `info` or `debug`.
-    pub log_level: String,
-    /// `log-buffer`: bytes of the log that wait for the writer at most. 4 kB to 16 MB.
-    pub log_buffer: usize,
+    /// The write journal.
+    pub journal: JournalSettings,
 }
 
-const DEFAULT_MAX_REQUESTS_IN_FLIGHT: usize = 100_000;
-const WAITING_PER_IN_FLIGHT: usize = 4;
-
-impl Default for OperatorSettings {
-    fn default() -> OperatorSettings {
-        OperatorSettings {
+impl Default for StorageSettings {
+    fn default() -> StorageSettings {
+        StorageSettings {
             state_dir: None,
             save_interval: Duration::from_secs(1),
-            endpoint_identity: EndpointIdentity::default(),
-            session_keys: None,
-            session_lifetime: Duration::from_secs(3600),
-            journal_mode: JournalMode::default(),
-            journal_max_age: Duration::from_secs(3600),
-            journal_max_records: 1_000_000,
-            client_classes: Vec::new(),
-            address_prefixes: AddressPrefixes::default(),
-            max_requests_in_flight: None,
-            max_requests_waiting: None,
+            journal: JournalSettings::default(),
+        }
+    }
+}
+
+/// Session tokens, in which clients carry the positions of their sessions.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SessionSettings {
+    /// `session-keys`: file of the keys that authenticate session tokens; `None` disables tokens.
+    pub keys: Option<PathBuf>,
+    /// `session-lasts`: lifetime of session tokens. 1 s to 30 days.
+    pub lifetime: Duration,
+}
+
+impl Default for SessionSettings {
+    fn default() -> SessionSettings {
+        SessionSettings { keys: None, lifetime: Duration::from_secs(3600) }
+    }
+}
+
+/// Limits on requests in flight and waiting.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RequestSettings {
+    /// `rpcs-at-once`: maximum requests in flight. 1 to 100,000; `None` means no limit.
+    pub max_in_flight: Option<usize>,
+    /// `rpcs-waiting`: maximum waiting requests. 0 to 100,000; `None` means four times the maximum in flight.
+    pub max_waiting: Option<usize>,
+    /// `rpcs-target`: maximum wait of a request whose client has a standing queue. 1 ms to 1 s.
+    pub target_wait: Duration,
+    /// `repeats`: allowed client retries as a percentage of first attempts. 0 to 100; `None` disables the retry
+    /// budget.
+    pub retry_percent: Option<u32>,
+}
+
+impl Default for RequestSettings {
+    fn default() -> RequestSettings {
+        RequestSettings {
+            max_in_flight: None,
+            max_waiting: None,
             target_wait: Duration::from_millis(10),
             retry_percent: None,
-            admin_socket: None,
-            log_format: LogFormat::default(),
-            log_level: "info".to_string(),
-            log_buffer: 64 << 10,
         }
     }
 }
 
-impl OperatorSettings {
-    /// The limits on requests, if there are any.
-    pub fn concurrency_limits(&self) -> Option<ConcurrencyLimits> {
-        let class_limited = self.client_classes.iter().any(|class| class.max_requests.is_some());
-        if self.max_requests_in_flight.is_none() && self.retry_percent.is_none() && !class_limited {
+/// Admission of connections and requests.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct AdmissionSettings {
+    /// `admit`: client classes. `admit-prefix-4`, `admit-prefix-6`: prefix lengths in bits by which addresses identify a
+    /// client, 8 to 32 for IPv4 and 16 to 64 for IPv6.
+    pub clients: ClassSettings,
+    /// The limits on requests.
+    pub requests: RequestSettings,
+}
+
+impl AdmissionSettings {
+    /// The limits on requests, if any is configured.
+    fn concurrency_limits(&self) -> Option<ConcurrencyLimits> {
+        let requests = &self.requests;
+        let class_limited = self.clients.classes.iter().any(|class| class.max_requests.is_some());
+        if requests.max_in_flight.is_none() && requests.retry_percent.is_none() && !class_limited {
             return None;
         }
-        let max_in_flight = self.max_requests_in_flight.unwrap_or(DEFAULT_MAX_REQUESTS_IN_FLIGHT);
+        let max_in_flight = requests.max_in_flight.unwrap_or(DEFAULT_MAX_REQUESTS_IN_FLIGHT);
         Some(ConcurrencyLimits {
             max_in_flight,
-            max_waiting: self.max_requests_waiting.unwrap_or(max_in_flight * WAITING_PER_IN_FLIGHT),
-            target_wait: TimeDelta(self.target_wait.as_nanos() as i64),
-            retry_percent: self.retry_percent,
+            max_waiting: requests.max_waiting.unwrap_or(max_in_flight * WAITING_PER_IN_FLIGHT),
+            target_wait: TimeDelta(requests.target_wait.as_nanos() as i64),
+            retry_percent: requests.retry_percent,
         })
     }
+}
+
+/// Log of the process.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LogSettings {
+    /// `log-format`: format of the log.
+    pub format: LogFormat,
+    /// `log-level`: `error`, `warn`, `info` or `debug`.
+    pub level: String,
+    /// `log-buffer`: maximum size in bytes of the buffer between the log and its writer. 4 kB to 16 MB.
+    pub max_queued_bytes: usize,
+}
+
+impl Default for LogSettings {
+    fn default() -> LogSettings {
+        LogSettings { format: LogFormat::default(), level: "info".to_string(), max_queued_bytes: 64 << 10 }
+    }
+}
+
+/// All settings. A setting without a line in the file is off or has its default value.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct OperatorSettings {
+    /// Data on disk.
+    pub storage: StorageSettings,
+    /// `store-identity`: how endpoints report their identity.
+    pub endpoint_identity: EndpointIdentity,
+    /// Session tokens.
+    pub sessions: SessionSettings,
+    /// Admission of connections and requests.
+    pub admission: AdmissionSettings,
+    /// `operators-socket`: path of the admin socket; `None` disables it.
+    pub admin_socket: Option<PathBuf>,
+    /// Log of the process.
+    pub log: LogSettings,
+}
+
+impl OperatorSettings {
+    /// The limits on requests, if any is configured.
+    pub fn concurrency_limits(&self) -> Option<ConcurrencyLimits> {
+        self.admission.concurrency_limits()
+    }
 
-    /// The keywords in which newer settings differ and which only a start can apply.
+    /// Keywords whose values differ in `newer` and that take effect only after a restart.
     pub fn changed_keywords(&self, newer: &OperatorSettings) -> Vec<&'static str> {
+        let (storage, newer_storage) = (&self.storage, &newer.storage);
+        let (journal, newer_journal) = (&storage.journal, &newer_storage.journal);
+        let (clients, newer_clients) = (&self.admission.clients, &newer.admission.clients);
         let changes = [
-            ("state-dir", self.state_dir != newer.state_dir),
+            ("state-dir", storage.state_dir != newer_storage.state_dir),
             ("store-identity", self.endpoint_identity != newer.endpoint_identity),
-            ("session-keys", self.session_keys != newer.session_keys),
-            ("session-lasts", self.session_lifetime != newer.session_lifetime),
-            ("write-journal", self.journal_mode != newer.journal_mode),
-            ("write-journal-keeps", self.journal_max_age != newer.journal_max_age),
-            ("write-journal-most", self.journal_max_records != newer.journal_max_records),
-            // Classes apply from a SIGHUP on; whether there are any decides how descriptors are divided.
-            ("admit", self.client_classes.is_empty() != newer.client_classes.is_empty()),
+            ("session-keys", self.sessions.keys != newer.sessions.keys),
+            ("session-lasts", self.sessions.lifetime != newer.sessions.lifetime),
+            ("write-journal", journal.mode != newer_journal.mode),
+            ("write-journal-keeps", journal.max_age != newer_journal.max_age),
+            ("write-journal-most", journal.max_records != newer_journal.max_records),
+            // Classes can be reloaded by SIGHUP, but whether there are any determines the division of file
+            // descriptors.
+            ("admit", clients.classes.is_empty() != newer_clients.classes.is_empty()),
             ("operators-socket", self.admin_socket != newer.admin_socket),
-            ("log-format", self.log_format != newer.log_format),
-            ("log-level", self.log_level != newer.log_level),
-            ("log-buffer", self.log_buffer != newer.log_buffer),
+            ("log-format", self.log.format != newer.log.format),
+            ("log-level", self.log.level != newer.log.level),
+            ("log-buffer", self.log.max_queued_bytes != newer.log.max_queued_bytes),
         ];
         changes.into_iter().filter(|(_, changed)| *changed).map(|(keyword, _)| keyword).collect()
     }
--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -14,21 +14,21 @@
         let timeout = (until - self.now).max(TimeDelta(1));
         // The queue that any method leaves must suit the tightest objective, or patient methods crowd it out.
         let quick = self.quick_latency[request.method];
-        let suits_all = TimeDelta::from_secs_f64(quick) + self.settings.tightest_objective / 2;
+        let suits_all = TimeDelta::from_secs_f64(quick) + self.settings.times.tightest_objective / 2;
         let queue = if method.delays_replication { timeout } else { suits_all };
-        let endpoint = &mut self.endpoints[index];
+        let capacity = &mut self.endpoints[index].capacity;
         request.in_flight = Some(InFlightAttempt {
-            number: request.attempts,
+            number: request.attempts.started,
             started_at: self.now,
             work: quick,
             queue_threshold: queue.min(timeout * 3 / 4),
-            under_pressure: !endpoint.accepts(endpoint.concurrency_limit * 0.5, 0.0, self.now),
+            under_pressure: !capacity.accepts(capacity.concurrency_limit * 0.5, 0.0, self.now),
         });
-        request.attempts += 1;
-        if let Some(session) = request.recorded_session {
+        request.attempts.started += 1;
+        if let Some(session) = request.session.recorded_session {
             self.session_writes.started(session);
         }
-        endpoint.start_work(quick, self.now);
+        capacity.start_work(quick, self.now);
         self.actions.push(Action::StartAttempt { request: id, endpoint: index, timeout });
     }
 
@@ -45,8 +45,8 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let (endpoint, group) = (&self.endpoints[index], &self.groups[request.group]);
         let is_current = request.in_flight.as_ref().is_some_and(|attempt| attempt.number == number);
-        let may_run = request.retry_until.is_none_or(|until| now < until);
-        if !is_current || !may_run || !endpoint.serving {
+        let may_run = request.attempts.retry_until.is_none_or(|until| now < until);
+        if !is_current || !may_run || !endpoint.listing.serving {
             return false;
         }
         if group.primary == Some(index) {
@@ -57,30 +57,28 @@
             return discovers && group.is_eligible(index);
         }
         let checked_there = self.settings.settings.lag_handling != LagHandling::ServeStale;
-        (checked_there && !request.carries_position) || endpoint.position >= self.required_position(request)
+        let position = endpoint.reported.position;
+        (checked_there && !request.session.carries_position) || position >= self.required_position(request)
     }
 
     pub(crate) fn finish_attempt(&mut self, end: &AttemptEnd) {
         self.record_session_write(end);
-        let Some(request) = self.requests.get_mut(&end.request) else { return };
-        let Some(attempt) = request.in_flight.take_if(|attempt| attempt.number == end.attempt) else {
+        let Some(request) = self.requests.get_mut(&end.attempt.request) else { return };
+        let Some(attempt) = request.in_flight.take_if(|attempt| attempt.number == end.attempt.number) else {
             return;
         };
         if end.outcome == AttemptOutcome::Succeeded {
             let quick = &mut self.quick_latency[request.method];
             *quick *= if end.elapsed.as_secs_f64() > *quick { 1.02 } else { 0.95 };
         } else {
-            let not_sent = matches!(end.outcome, AttemptOutcome::NotSent | AttemptOutcome::Unreachable);
-            request.eligibility_rejections += u32::from(end.outcome == AttemptOutcome::NotEligible);
-            request.avoid_endpoint = Some(end.endpoint);
-            request.reached_endpoint |= !not_sent;
+            request.attempts.record_failure(end);
             if !end.outcome.proves_not_executed() {
                 let until = attempt.started_at + self.settings.methods[request.method].retry_window;
-                request.retry_until = request.retry_until.or(Some(until));
+                request.attempts.retry_until = request.attempts.retry_until.or(Some(until));
             }
         }
         let event = if end.request_closed { RequestEvent::Closed } else { RequestEvent::AttemptFailed };
-        self.transition(end.request, event);
+        self.transition(end.attempt.request, event);
     }
 
     /// A write that may have run binds its session's reads, even if nobody waits for its answer any more.
--- a/routing/src/state/request.rs
+++ b/routing/src/state/request.rs
@@ -1,6 +1,6 @@
 //! A request that is open, and its attempt in flight.
 
-use crate::events::{EndpointIndex, GroupIndex, MethodIndex};
+use crate::events::{AttemptEnd, AttemptOutcome, EndpointIndex, GroupIndex, MethodIndex};
 use crate::time::{TimeDelta, Timestamp};
 
 /// How far a request has come.
@@ -49,35 +49,57 @@
     }
 }
 
-/// An open request.
-#[derive(Default)]
-pub struct Request {
-    pub phase: RequestPhase,
-    pub method: MethodIndex,
-    pub group: GroupIndex,
-    pub deadlines: RequestDeadlines,
+/// What a request's session needs: the positions that a read must see, and the writes that later reads must.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct SessionRequirement {
     /// The position that a read must see however stale it may be: that of its arrival, or of what its session wrote or
     /// saw.
     pub required_position: Option<Timestamp>,
-    /// The session that a write is recorded for, if sessions are remembered here.
-    pub recorded_session: Option<u64>,
     /// Its session has seen a position that no endpoint checks by itself.
     pub carries_position: bool,
+    /// The session that a write is recorded for, if sessions are remembered here.
+    pub recorded_session: Option<u64>,
+}
+
+/// What the attempts of a request have come to.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct AttemptHistory {
     /// Attempts started.
-    pub attempts: u32,
+    pub started: u32,
     /// One of them has reached an endpoint, whether or not it ran.
     pub reached_endpoint: bool,
-    pub in_flight: Option<InFlightAttempt>,
-    /// Set once it may have run: until then it may be retried.
+    /// Set once the request may have run: until then it may be retried.
     pub retry_until: Option<Timestamp>,
     /// Attempts rejected because the endpoint was not the primary or too stale.
     pub eligibility_rejections: u32,
-    /// Its client sent it before, most likely until an answer had no value any more.
-    pub client_retry: bool,
     /// The endpoint of the last failed attempt, used again only if it is the only one.
     pub avoid_endpoint: Option<EndpointIndex>,
 }
 
+impl AttemptHistory {
+    /// An attempt has ended without a value.
+    pub fn record_failure(&mut self, end: &AttemptEnd) {
+        let not_sent = matches!(end.outcome, AttemptOutcome::NotSent | AttemptOutcome::Unreachable);
+        self.reached_endpoint |= !not_sent;
+        self.eligibility_rejections += u32::from(end.outcome == AttemptOutcome::NotEligible);
+        self.avoid_endpoint = Some(end.attempt.endpoint);
+    }
+}
+
+/// An open request.
+#[derive(Default)]
+pub struct Request {
+    pub phase: RequestPhase,
+    pub method: MethodIndex,
+    pub group: GroupIndex,
+    pub deadlines: RequestDeadlines,
+    pub session: SessionRequirement,
+    /// Its client sent it before, most likely until an answer had no value any more.
+    pub client_retry: bool,
+    pub attempts: AttemptHistory,
+    pub in_flight: Option<InFlightAttempt>,
+}
+
 /// An attempt that is in flight.
 pub struct InFlightAttempt {
     /// Among the attempts of its request, from 0.
--- a/server/src/clients/connection_limits.rs
+++ b/server/src/clients/connection_limits.rs
@@ -46,11 +46,9 @@
             self.message_due_since = None;
             return false;
         }
-        if self.message_due_since.is_none() {
-            self.wake_at(now + CLIENT_TIMEOUT);
-        }
-        let since = *self.message_due_since.get_or_insert(now);
-        now >= since + CLIENT_TIMEOUT
+        let is_overdue = self.is_overdue(self.message_due_since, now);
+        self.message_due_since.get_or_insert(now);
+        is_overdue
     }
 
     /// Whether the client has not read its responses for [`CLIENT_TIMEOUT`].
@@ -59,11 +57,18 @@
             self.stalled_since = None;
             return false;
         }
-        if self.stalled_since.is_none() {
+        let is_overdue = self.is_overdue(self.stalled_since, now);
+        self.stalled_since.get_or_insert(now);
+        is_overdue
+    }
+
+    /// Whether [`CLIENT_TIMEOUT`] has passed since the client became due, at `since`. If it becomes due only now,
+    /// schedules a wake-up for when the timeout will have passed.
+    fn is_overdue(&self, since: Option<Timestamp>, now: Timestamp) -> bool {
+        if since.is_none() {
             self.wake_at(now + CLIENT_TIMEOUT);
         }
-        let since = *self.stalled_since.get_or_insert(now);
-        now >= since + CLIENT_TIMEOUT
+        since.is_some_and(|since| now >= since + CLIENT_TIMEOUT)
     }
 
     /// Updates the charge for the connection's buffers. Returns true if all buffers together exceed the memory
--- a/server/src/clients/requests.rs
+++ b/server/src/clients/requests.rs
@@ -15,6 +15,7 @@
 use routing::RequestId;
 use sessions::positions::GroupNumber;
 use sessions::token::TokenError;
+use std::ops::Range;
 use std::sync::atomic::Ordering;
 use write_journal::record_state::Origin;
 
@@ -121,10 +122,14 @@
                 return self.query_fate(id.to_string(), origin);
             }
             Statement::Invalid(error) => Err(error),
-            Statement::Request(header) => ClientRequest::new(&self.context.methods, now, &header),
+            Statement::Request(header) => {
+                let timeout_digits = header.timeout_digits.clone();
+                let request = ClientRequest::new(&self.context.methods, now, &header);
+                request.map(|request| (request, timeout_digits))
+            }
         };
         match request {
-            Ok(request) => self.send_request(request, body),
+            Ok((request, timeout_digits)) => self.send_request(request, body, timeout_digits),
             Err(error) => self.push_error(error),
         }
     }
@@ -142,21 +147,22 @@
         let _ = self.context.control.send(ControlMessage::QueryFate(FateQuery { id, origin, ticket }));
     }
 
-    /// Sends a request to the control loop, or rejects it if buffer memory is short.
-    fn send_request(&mut self, mut header: ClientRequest, body: Vec<u8>) {
+    /// Sends a request to the control loop, or rejects it if buffer memory is short. `timeout_digits` is the range
+    /// of the digits of its timeout in the body.
+    fn send_request(&mut self, mut header: ClientRequest, body: Vec<u8>, timeout_digits: Range<usize>) {
         if self.context.resources.is_memory_short() {
             let response = Response::Rejected { retry_after: self.context.max_retry_after };
             return self.responses.push_ready(encode_response(response, None));
         }
         if let (Some(tokens), Some(session)) = (&self.context.session_tokens, &mut self.session) {
-            header.seen = tokens.seen(self.context.timers.now(), session, header.group);
+            header.session.seen = tokens.seen(self.context.timers.now(), session, header.identity.group);
         }
         header.client.clone_from(&self.client);
         let request = self.next_request_id();
-        self.responses.push_pending(request, header.group);
+        self.responses.push_pending(request, header.identity.group);
         let mut charge = self.context.resources.buffer_charge();
         charge.set(body.len());
-        let text = RequestText { body, timeout_digits: header.timeout_digits.clone(), charge };
+        let text = RequestText { body, timeout_digits, charge };
         let ticket = ResponseTicket::new(request, self.channel.clone());
         // If the control loop has ended, the dropped ticket answers the request as aborted.
         let incoming = IncomingRequest { header, text, ticket };
--- a/server/src/control/actions.rs
+++ b/server/src/control/actions.rs
@@ -3,11 +3,11 @@
 use crate::control::active_request::{Location, StartedAttempt};
 use crate::control::control_loop::ControlLoop;
 use crate::log;
-use crate::messages::control::{AttemptJob, AttemptReport};
+use crate::messages::control::{AttemptJob, AttemptReport, AttemptTimes};
 use crate::messages::response::Response;
 use crate::runtime::cancellation::CancellationToken;
 use routing::time::{TimeDelta, Timestamp};
-use routing::{Action, AttemptOutcome, EndpointIndex, EndpointReport, Event, RequestId};
+use routing::{Action, AttemptId, AttemptOutcome, EndpointIndex, EndpointReport, Event, RequestId};
 use std::sync::Arc;
 
 impl ControlLoop {
@@ -57,33 +57,33 @@
         let addr = state.addr(endpoint);
         let active = state.requests.get_mut(request)?;
         let cancellation = Arc::new(CancellationToken::default());
-        active.attempt = Some(StartedAttempt { number, cancellation: cancellation.clone() });
-        active.in_flight = Some(Location { endpoint, since: now });
+        active.attempt = Some(StartedAttempt {
+            number,
+            cancellation: cancellation.clone(),
+            in_flight: Some(Location { endpoint, since: now }),
+        });
+        let attempt = AttemptId { request, number, endpoint };
         let Some(addr) = addr else {
-            return Some(AttemptReport::not_sent(request, number, endpoint, now));
+            return Some(AttemptReport::not_sent(attempt, now));
         };
         self.dispatcher.start_attempt(AttemptJob {
-            request,
-            number,
-            endpoint,
+            attempt,
             addr,
-            started_at: now,
-            deadline: now + timeout,
-            text: active.text.clone(),
+            times: AttemptTimes { started_at: now, deadline: now + timeout },
+            outgoing: active.outgoing_request(),
             cancellation,
-            journal_entry: active.journal_entry(),
-            needs_epoch: active.needs_epoch(),
         });
         None
     }
 
     fn on_attempt_not_sent(&mut self, now: Timestamp, report: AttemptReport) {
-        self.state.end_attempt(now, report, self.settings.max_retry_after);
+        self.state.end_attempt(now, report, self.config.settings.max_retry_after);
     }
 
     /// A duplicate of what may have run in an earlier request is aborted: that it did not run is not known any more.
     fn reject(&mut self, now: Timestamp, request: RequestId, retry_after: Option<TimeDelta>) {
-        let is_duplicate = self.state.requests.get(request).is_some_and(|active| active.is_duplicate);
+        let is_duplicate =
+            self.state.requests.get(request).is_some_and(|active| active.execution.is_duplicate);
         if is_duplicate {
             self.state.trace(request, "abort", now);
             self.state.answer(now, request, Response::Aborted);
--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -11,7 +11,7 @@
 use crate::runtime::clock::{NANOS_PER_MICRO, NANOS_PER_MILLI};
 use crate::storage::journal::WriteJournal;
 use routing::time::{TimeDelta, Timestamp};
-use routing::{AttemptEnd, AttemptOutcome, Event, RequestId};
+use routing::{AttemptEnd, AttemptId, AttemptOutcome, Event, RequestId};
 use sessions::epochs::Epoch;
 use write_journal::record_state::RecordEvent;
 
@@ -22,24 +22,24 @@
 impl ControlLoop {
     /// Replies whether an attempt may still be sent.
     pub(super) fn on_confirm(&mut self, now: Timestamp, confirm: &ConfirmAttempt) {
-        let ConfirmAttempt { request, attempt, endpoint, .. } = *confirm;
+        let AttemptId { request, number, endpoint } = confirm.attempt;
         let is_confirmed = self.state.requests.is_open(request)
-            && self.state.policy.confirm_attempt(now, request, attempt, endpoint);
+            && self.state.policy.confirm_attempt(now, request, number, endpoint);
         let _ = confirm.reply.send(is_confirmed && self.state.check_session(now, request));
     }
 
     /// Records the epoch that an endpoint has reported before an attempt.
     pub(super) fn on_epoch_reported(&mut self, request: RequestId, epoch: Epoch) {
         if let Some(active) = self.state.requests.get(request) {
-            self.state.epochs.record(active.group, epoch);
+            self.state.epochs.record(active.identity.group, epoch);
         }
     }
 
     /// Handles the end of an attempt, and reports the endpoint's role to primary discovery.
     pub(super) fn on_attempt_ended(&mut self, now: Timestamp, report: AttemptReport) {
-        let (endpoint, queried_at) = (report.endpoint, report.started_at);
-        let answer_report = report.answer_report;
-        self.state.end_attempt(now, report, self.settings.max_retry_after);
+        let (endpoint, queried_at) = (report.attempt.endpoint, report.started_at);
+        let answer_report = report.reports.answer;
+        self.state.end_attempt(now, report, self.config.settings.max_retry_after);
         self.observe_report(now, endpoint, queried_at, answer_report);
     }
 
@@ -68,8 +68,8 @@
         report: AttemptReport,
         retry_after: Option<TimeDelta>,
     ) {
-        let Some(active) = self.requests.get_mut(report.request) else { return };
-        active.in_flight = None;
+        let Some(active) = self.requests.get_mut(report.attempt.request) else { return };
+        active.leave_endpoint();
         record_outcome(active, &report, self.journal.as_deref());
         if report.journal_verdict == Some(JournalVerdict::IdInUse) {
             active.answer(&self.metrics, now, Response::Error(ID_RECORDED));
@@ -79,8 +79,10 @@
             self.handle_answer(now, report, retry_after);
         }
         self.metrics.attempt_ended(end.outcome, end.elapsed);
-        end.request_closed = self.requests.get(end.request).is_none_or(|active| active.ticket.is_none());
-        let (request, request_closed) = (end.request, end.request_closed);
+        let request = end.attempt.request;
+        let is_closed = |active: &ActiveRequest| active.response.ticket.is_none();
+        end.request_closed = self.requests.get(request).is_none_or(is_closed);
+        let request_closed = end.request_closed;
         self.trace_attempt_end(&end);
         self.report(now, Event::AttemptEnded(end));
         let removed = self.requests.end_attempt(request, request_closed);
@@ -90,11 +92,11 @@
     /// Handles the answer of an attempt that succeeded: records its epoch, and answers the request if that is still
     /// open.
     fn handle_answer(&mut self, now: Timestamp, report: AttemptReport, retry_after: Option<TimeDelta>) {
-        let Some(active) = self.requests.get_mut(report.request) else { return };
-        if let Some(epoch) = report.epoch {
-            self.epochs.record(active.group, epoch);
+        let Some(active) = self.requests.get_mut(report.attempt.request) else { return };
+        if let Some(epoch) = report.reports.epoch {
+            self.epochs.record(active.identity.group, epoch);
         }
-        if active.ticket.is_some() {
+        if active.response.ticket.is_some() {
             let response = checked_response(&self.epochs, active, report, now, retry_after);
             active.answer(&self.metrics, now, response);
         }
@@ -105,12 +107,13 @@
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
-        let Some(active) = self.requests.get(end.request) else { return };
-        let (request, attempt, group) = (end.request, end.attempt, active.group);
-        let (endpoint, outcome) = (self.endpoints.id(end.endpoint), end.outcome);
+        let AttemptId { request, number: attempt, endpoint } = end.attempt;
+        let Some(active) = self.requests.get(request) else { return };
+        let group = active.identity.group;
+        let (endpoint, outcome) = (self.endpoints.id(endpoint), end.outcome);
         let took_us = end.elapsed.0 / NANOS_PER_MICRO;
         tracing::debug!(
-            request, request_id = %active.id, attempt, %endpoint, group, ?outcome, took_us, "attempt ended"
+            request, request_id = %active.identity.id, attempt, %endpoint, group, ?outcome, took_us, "attempt ended"
         );
     }
 
@@ -120,7 +123,7 @@
         let Some(active) = self.requests.get_mut(request) else { return false };
         let is_lost = is_session_lost(&self.epochs, active);
         if is_lost {
-            let restart_position = self.epochs.restart_position(active.group);
+            let restart_position = self.epochs.restart_position(active.identity.group);
             active.answer(&self.metrics, now, Response::SessionLost { restart_position });
         }
         !is_lost
@@ -130,15 +133,13 @@
 /// The routing policy's view of the end of an attempt, for a request that is still open.
 fn attempt_end(active: &ActiveRequest, report: &AttemptReport, now: Timestamp) -> AttemptEnd {
     AttemptEnd {
-        request: report.request,
-        attempt: report.number,
-        endpoint: report.endpoint,
+        attempt: report.attempt,
         outcome: report.outcome,
         elapsed: now - report.started_at,
         request_closed: false,
-        write_session: active.write_session,
-        answer_report: report.answer_report,
-        load_report: report.load_report,
+        write_session: active.write_session(),
+        answer_report: report.reports.answer,
+        load_report: report.reports.load,
     }
 }
 
@@ -147,14 +148,15 @@
 /// The commit position is recorded only if no earlier attempt may have been executed: otherwise the answer may be to a
 /// duplicate, and its position is not that of the commit.
 fn record_outcome(active: &mut ActiveRequest, report: &AttemptReport, journal: Option<&WriteJournal>) {
-    active.is_duplicate |= report.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
-    let is_first = !active.is_duplicate && !active.may_have_run;
-    active.recorded |= report.journal_verdict.is_some_and(JournalVerdict::allows_sending);
-    active.may_have_run |= active.is_duplicate || !report.outcome.proves_not_executed();
-    let Some(journal) = journal.filter(|_| active.recorded) else { return };
+    let execution = &mut active.execution;
+    execution.is_duplicate |= report.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
+    let is_first = !execution.is_duplicate && !execution.may_have_run;
+    execution.recorded |= report.journal_verdict.is_some_and(JournalVerdict::allows_sending);
+    execution.may_have_run |= execution.is_duplicate || !report.outcome.proves_not_executed();
+    let Some(journal) = journal.filter(|_| execution.recorded) else { return };
     if report.outcome == AttemptOutcome::Succeeded {
-        let commit = report.answer_report.position.filter(|_| is_first);
+        let commit = report.reports.answer.position.filter(|_| is_first);
         let commit_ms = commit.map(|position| position.0 / NANOS_PER_MILLI);
-        journal.record_end(&active.id, RecordEvent::Executed(commit_ms));
+        journal.record_end(&active.identity.id, RecordEvent::Executed(commit_ms));
     }
 }
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -15,16 +15,23 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The parameters of a control loop.
-pub struct ControlSetup {
+/// The configuration of a router, from which its state is created at the start and again after a panic.
+pub struct RouterConfig {
     /// The settings of the routing policy.
     pub settings: RoutingSettings,
-    /// The seed of the routing policy's random numbers.
+    /// The seed of the routing policy's random numbers. It is incremented for each router state that is created
+    /// after a panic.
     pub seed: u64,
     /// The names of the zones; a zone's index is its position here.
     pub zones: Vec<String>,
     /// The limit on open requests.
     pub max_open_requests: usize,
+}
+
+/// The parameters of a control loop.
+pub struct ControlSetup {
+    /// The configuration of the router.
+    pub config: RouterConfig,
     /// Starts attempts, health checks and discovery queries.
     pub dispatcher: AttemptDispatcher,
     /// The messages to handle.
@@ -35,10 +42,7 @@
 
 /// The state of the control loop.
 pub struct ControlLoop {
-    pub(super) settings: RoutingSettings,
-    seed: u64,
-    pub(super) zones: Vec<String>,
-    pub(super) max_open_requests: usize,
+    pub(super) config: RouterConfig,
     pub(super) dispatcher: AttemptDispatcher,
     messages: Receiver<ControlMessage>,
     /// The latest endpoint list by name, from which a new router state is restored.
@@ -57,19 +61,16 @@
 impl ControlLoop {
     /// Creates a control loop without endpoints and requests.
     pub fn new(setup: ControlSetup) -> ControlLoop {
-        let ControlSetup { settings, seed, zones, max_open_requests, dispatcher, messages, recovery } = setup;
+        let ControlSetup { config, dispatcher, messages, recovery } = setup;
         let state = RouterState::new(RouterSetup {
-            seed,
-            settings: &settings,
+            seed: config.seed,
+            settings: &config.settings,
             dispatcher: &dispatcher,
             recovery: recovery.as_ref(),
             queue_limits: None,
         });
         ControlLoop {
-            settings,
-            seed,
-            zones,
-            max_open_requests,
+            config,
             dispatcher,
             messages,
             listed: BTreeMap::new(),
@@ -97,12 +98,12 @@
 
     /// Replaces the router state after a panic.
     fn reset(&mut self) {
-        self.seed = self.seed.wrapping_add(1);
+        self.config.seed = self.config.seed.wrapping_add(1);
         self.list_was_confirmed =
             self.state.discovery.as_ref().is_some_and(PrimaryDiscovery::is_list_confirmed);
         self.state = RouterState::new(RouterSetup {
-            seed: self.seed,
-            settings: &self.settings,
+            seed: self.config.seed,
+            settings: &self.config.settings,
             dispatcher: &self.dispatcher,
             recovery: self.recovery.as_ref(),
             queue_limits: self.queue_limits.clone(),
@@ -147,7 +148,7 @@
         if self.recovery.is_some() && !self.list_was_confirmed {
             self.state.apply_cached_list(endpoints, Vec::new(), now);
         } else {
-            self.state.apply_list(true, &endpoints, &self.zones, now);
+            self.state.apply_list(true, &endpoints, &self.config.zones, now);
         }
     }
 
@@ -189,7 +190,7 @@
                 self.state.queue = Some(queue);
             }
             (None, Some(limits)) => {
-                let queue = RequestQueue::new(limits, self.settings.max_retry_after, self.seed);
+                let queue = RequestQueue::new(limits, self.config.settings.max_retry_after, self.config.seed);
                 self.state.queue = Some(queue);
             }
             (Some(queue), None) => admitted = queue.into_waiting(),
--- a/server/src/control/request_handling.rs
+++ b/server/src/control/request_handling.rs
@@ -1,10 +1,11 @@
 //! Handling of requests: admission, disconnected clients, and queries for the fate of a write.
 
-use crate::control::active_request::ActiveRequest;
+use crate::control::active_request::{ActiveRequest, ExecutionState, PendingResponse};
 use crate::control::control_loop::ControlLoop;
 use crate::control::request_queue::QueuedRequest;
 use crate::control::router_state::RouterState;
 use crate::messages::control::{FateQuery, IncomingRequest};
+use crate::messages::request::ClientRequest;
 use crate::messages::response::Response;
 use crate::protocol::sqlstate::{ClientError, SqlState};
 use crate::runtime::clock::NANOS_PER_MILLI;
@@ -38,11 +39,11 @@
         loop {
             for queued in admitted.drain(..) {
                 let request = queued.request();
-                if self.state.requests.len() >= self.max_open_requests {
-                    let retry_after = self.settings.max_retry_after;
+                if self.state.requests.len() >= self.config.max_open_requests {
+                    let retry_after = self.config.settings.max_retry_after;
                     queued.incoming.ticket.answer(Response::Rejected { retry_after });
                     self.state.finished.push(request);
-                } else if !self.state.open_request(now, queued, &self.settings) {
+                } else if !self.state.open_request(now, queued, &self.config.settings) {
                     // An open request is added to `finished` when it is closed; this one was never opened.
                     self.state.finished.push(request);
                 }
@@ -97,7 +98,7 @@
         let request = arrival.request;
         let abort_at = arrival.deadline - settings.clock_resolution;
         let active = self.active_request(*incoming, received_at, abort_at, settings);
-        self.ids.insert(active.id.clone());
+        self.ids.insert(active.identity.id.clone());
         self.requests.insert(request, active);
         self.deadlines.set_abort_time(abort_at, request);
         let waiting = primary_discovery::Event::RequestWaiting { group: arrival.group };
@@ -117,34 +118,34 @@
         received_at: Timestamp,
         settings: &RoutingSettings,
     ) -> Result<RequestArrival, Response> {
-        let header = &incoming.header;
+        let ClientRequest { identity, session, .. } = &incoming.header;
         if self.groups.is_empty() {
             // Without an endpoint list no group is known.
             return Err(Response::Rejected { retry_after: settings.max_retry_after });
         }
-        let group = self.groups.get(&header.group).ok_or(Response::Error(UNKNOWN_GROUP))?;
-        let seen_position = match header.seen.map(|seen| self.epochs.status(header.group, seen)) {
+        let group = self.groups.get(&identity.group).ok_or(Response::Error(UNKNOWN_GROUP))?;
+        let seen_position = match session.seen.map(|seen| self.epochs.status(identity.group, seen)) {
             Some(PositionStatus::Lost) => {
-                let restart_position = self.epochs.restart_position(header.group);
+                let restart_position = self.epochs.restart_position(identity.group);
                 return Err(Response::SessionLost { restart_position });
             }
             Some(PositionStatus::OnLog(position) | PositionStatus::UnknownEpoch(position)) => Some(position),
             None => None,
         };
         // An endpoint would treat the second request as a duplicate of the first.
-        if self.ids.contains(&header.id) {
+        if self.ids.contains(&identity.id) {
             return Err(Response::Error(ID_IN_USE));
         }
         Ok(RequestArrival {
             request: incoming.ticket.request,
-            method: header.method,
+            method: identity.method,
             group,
-            session: header.session,
-            last_write: header.last_write,
+            session: session.number,
+            last_write: session.last_write,
             seen_position,
             received_at,
-            deadline: header.deadline,
-            client_retry: header.client_retry,
+            deadline: incoming.header.deadline,
+            client_retry: incoming.header.client_retry,
         })
     }
 
@@ -157,27 +158,21 @@
         settings: &RoutingSettings,
     ) -> ActiveRequest {
         let IncomingRequest { header, text, ticket } = incoming;
-        let method = settings.methods.get(header.method);
+        let method = settings.methods.get(header.identity.method);
         let idempotency = method.map(|method| method.idempotency);
         let is_read = method.is_some_and(|method| method.access != Access::Write);
         ActiveRequest {
-            write_session: header.session.filter(|_| !is_read),
-            is_journaled: self.journal.is_some() && idempotency != Some(Idempotency::Idempotent),
-            deduplication: deduplication(idempotency, header.group, settings.clock_resolution),
-            id: header.id,
-            method: header.method,
-            group: header.group,
-            seen: header.seen,
+            execution: ExecutionState {
+                is_journaled: self.journal.is_some() && idempotency != Some(Idempotency::Idempotent),
+                deduplication: deduplication(idempotency, header.identity.group, settings.clock_resolution),
+                ..ExecutionState::default()
+            },
+            identity: header.identity,
             is_read,
-            recorded: false,
-            is_duplicate: false,
-            may_have_run: false,
-            received_at,
-            abort_at,
-            ticket: Some(ticket),
+            session: header.session,
+            response: PendingResponse { ticket: Some(ticket), received_at, abort_at },
             text: Arc::new(text),
             attempt: None,
-            in_flight: None,
         }
     }
 }
--- a/server/src/control/request_queue.rs
+++ b/server/src/control/request_queue.rs
@@ -152,7 +152,7 @@
             shed: shed.collect(),
             top_clients: clients.collect(),
             waiting: waiting
-                .map(|queued| (queued.incoming.header.id.to_string(), queued.received_at))
+                .map(|queued| (queued.incoming.header.identity.id.to_string(), queued.received_at))
                 .collect(),
         }
     }
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -76,6 +76,16 @@
     Complete,
 }
 
+/// The state of the watch that is kept from one connection to the next.
+pub struct WatchProgress {
+    /// Decides which lists are accepted.
+    pub incarnation: IncarnationTracker,
+    /// Decides when the watch is reopened.
+    pub schedule: WatchSchedule,
+    /// No complete list was received since the start, so one is fetched before changes are watched.
+    pub needs_complete_list: bool,
+}
+
 /// The watch on discovery, with everything that it needs.
 pub struct DiscoveryWatch {
     /// The address of discovery.
@@ -86,12 +96,8 @@
     pub resources: Arc<ResourceLimits>,
     /// The channel to the control loop, for lists.
     pub control: Sender<ControlMessage>,
-    /// Decides which lists are accepted.
-    pub incarnation: IncarnationTracker,
-    /// Decides when the watch is reopened.
-    pub schedule: WatchSchedule,
-    /// No complete list was received since the start, so one is fetched before changes are watched.
-    pub needs_complete_list: bool,
+    /// The state that is kept from one connection to the next.
+    pub progress: WatchProgress,
     /// The cached endpoint list, if one is kept.
     pub cache: Option<Arc<EndpointCacheWriter>>,
     /// The source of jitter.
@@ -102,12 +108,12 @@
     /// Runs for the life of the process.
     pub fn run(mut self) {
         loop {
-            let version_before = self.incarnation.version();
+            let version_before = self.progress.incarnation.version();
             let target = self.target.lock().clone();
             let end = self.watch_once(&target);
             let target_changed = target.changed.is_cancelled();
-            if version_before != self.incarnation.version() || target_changed {
-                self.schedule.reset_backoff();
+            if version_before != self.progress.incarnation.version() || target_changed {
+                self.progress.schedule.reset_backoff();
             }
             if !target_changed {
                 log!(WARN, discovery = target.addr, reason = end; "discovery watch ended");
@@ -120,12 +126,12 @@
     /// Waits before the watch is reopened, unless the address is changed.
     fn pause(&mut self, target: &Target) {
         let now = self.timers.now();
-        let pause = match self.incarnation.poll_again_at() {
+        let pause = match self.progress.incarnation.poll_again_at() {
             Some(at) if at > now => at - now,
             _ => {
                 let jitter = self.rng.below(JITTER_RANGE);
-                let max_pause = self.needs_complete_list.then_some(MAX_PAUSE_WITHOUT_LIST);
-                self.schedule.ended(jitter, max_pause)
+                let max_pause = self.progress.needs_complete_list.then_some(MAX_PAUSE_WITHOUT_LIST);
+                self.progress.schedule.ended(jitter, max_pause)
             }
         };
         self.timers.sleep_unless_cancelled(pause, &target.changed);
@@ -148,7 +154,7 @@
         let deadline = self.timers.now() + OPEN_TIMEOUT;
         let connection = PeerConnection::connect(&self.timers, &target.addr, deadline, descriptor);
         let mut connection = connection.map_err(|_| WatchEnd::NoConnection)?;
-        let deadline = self.schedule.requested(self.timers.now());
+        let deadline = self.progress.schedule.requested(self.timers.now());
         let limits = IoLimits { deadline, cancellation: &target.changed };
         connection.arm(limits);
         let request = self.request(target.addr);
@@ -159,10 +165,10 @@
     /// The HTTP request. Without a complete list since the start, it asks for one: a list from before may be of another
     /// incarnation of discovery, so changes since its version would not apply.
     fn request(&self, addr: SocketAddr) -> String {
-        let query = if self.needs_complete_list {
+        let query = if self.progress.needs_complete_list {
             String::new()
         } else {
-            format!("?watch=1&after={}", self.incarnation.version())
+            format!("?watch=1&after={}", self.progress.incarnation.version())
         };
         format!("GET /discovery/hosts{query} HTTP/1.1\r\nHost: {addr}\r\nAccept: application/json\r\n\r\n")
     }
@@ -173,7 +179,7 @@
     /// The connection or the response failed, or a list was not accepted.
     fn follow(&mut self, mut connection: PeerConnection, target: &Target) -> Result<(), WatchEnd> {
         let mut stream = WatchStream::default();
-        let mut deadline = self.schedule.answer_due();
+        let mut deadline = self.progress.schedule.answer_due();
         loop {
             let limits = IoLimits { deadline, cancellation: &target.changed };
             connection.arm(limits);
@@ -181,10 +187,10 @@
             stream.feed(&connection.buffer)?;
             connection.buffer.clear();
             if stream.has_begun() {
-                deadline = self.schedule.next_event_due();
+                deadline = self.progress.schedule.next_event_due();
             }
             while let Some(event) = stream.next_event()? {
-                deadline = self.schedule.event_received(self.timers.now());
+                deadline = self.progress.schedule.event_received(self.timers.now());
                 self.handle_event(&event)?;
             }
             if stream.has_ended() {
@@ -200,7 +206,7 @@
     fn handle_event(&mut self, event: &WatchEvent) -> Result<(), WatchEnd> {
         match event {
             WatchEvent::Unchanged => {
-                if let Some(cache) = self.cache.as_ref().filter(|_| !self.needs_complete_list) {
+                if let Some(cache) = self.cache.as_ref().filter(|_| !self.progress.needs_complete_list) {
                     cache.confirmed();
                 }
                 Ok(())
@@ -218,22 +224,22 @@
             log!(WARN, reason = error; "unreadable endpoint list");
             WatchEnd::UnreadableList
         })?;
-        let version_before = self.incarnation.version();
+        let version_before = self.progress.incarnation.version();
         let offered =
             OfferedList { version: list.version, complete: list.complete, empty: list.endpoints.is_empty() };
-        match self.incarnation.offer(self.timers.now(), offered) {
+        match self.progress.incarnation.offer(self.timers.now(), offered) {
             ListDecision::Accept => {}
             ListDecision::Ignore if offered.complete && offered.empty => return Err(WatchEnd::EmptyList),
             ListDecision::Ignore => return Ok(()),
             ListDecision::Suspect => return Err(WatchEnd::OlderList),
         }
-        if self.incarnation.version() < version_before {
+        if self.progress.incarnation.version() < version_before {
             log!(
                 INFO, version = list.version, previous = version_before;
                 "endpoint list of a new discovery incarnation accepted"
             );
         }
-        self.needs_complete_list &= !list.complete;
+        self.progress.needs_complete_list &= !list.complete;
         if let Some(cache) = &self.cache {
             cache.update(list.version, list.complete, &list.endpoints);
         }
--- a/server/src/endpoints/answer.rs
+++ b/server/src/endpoints/answer.rs
@@ -1,7 +1,8 @@
 //! Reading of an endpoint's answer to its end.
 
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
-use crate::endpoints::response_parser::{AnswerReports, ResponseParser};
+use crate::endpoints::response_parser::ResponseParser;
+use crate::messages::control::AnswerReports;
 use routing::{AttemptOutcome, Role};
 
 /// The answer to one query, and the connection if it can be reused.
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -1,6 +1,7 @@
 //! Attempts. Each runs in its own coroutine: it acquires a connection, sends the request, and reports the outcome.
 
 use crate::endpoints::answer::{read_answer, Answer};
+use crate::endpoints::completion_guard::CompletionGuard;
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
 use crate::endpoints::query::{send, HEALTH_STATEMENT};
@@ -15,21 +16,6 @@
 /// The shortest timeout that is sent to an endpoint, in milliseconds: zero would not be valid.
 const MIN_TIMEOUT_MS: i64 = 1;
 
-/// Reports the end of an attempt exactly once. If the coroutine panics, the report says that the request may have been
-/// executed.
-struct AttemptGuard {
-    control: Sender<ControlMessage>,
-    report: Option<AttemptReport>,
-}
-
-impl Drop for AttemptGuard {
-    fn drop(&mut self) {
-        if let Some(report) = self.report.take() {
-            let _ = self.control.send(ControlMessage::AttemptEnded(Box::new(report)));
-        }
-    }
-}
-
 /// Runs an attempt and reports its end to the control loop.
 pub fn run_attempt(
     pool: &ConnectionPool,
@@ -37,22 +23,18 @@
     control: Sender<ControlMessage>,
     job: &AttemptJob,
 ) {
-    let not_sent = AttemptReport::not_sent(job.request, job.number, job.endpoint, job.started_at);
-    let report = AttemptReport { outcome: AttemptOutcome::ConnectionLost, ..not_sent };
-    let mut guard = AttemptGuard { control, report: Some(report) };
-    let mut attempt = Attempt { pool, journal, control: &guard.control, job, journal_verdict: None };
-    let answer = attempt.run();
+    let started_at = job.times.started_at;
+    // An attempt that ends in a panic may have run.
+    let not_sent = AttemptReport::not_sent(job.attempt, started_at);
+    let if_lost = AttemptReport { outcome: AttemptOutcome::ConnectionLost, ..not_sent };
+    let guard =
+        CompletionGuard::new(control, if_lost, |report| ControlMessage::AttemptEnded(Box::new(report)));
+    let mut attempt = Attempt { pool, journal, control: guard.control(), job, journal_verdict: None };
+    let Answer { outcome, value, reports, connection } = attempt.run();
     let journal_verdict = attempt.journal_verdict;
-    if let Some(report) = &mut guard.report {
-        report.outcome = answer.outcome;
-        report.value = answer.value;
-        report.answer_report = answer.reports.answer;
-        report.load_report = answer.reports.load;
-        report.epoch = answer.reports.epoch;
-        report.journal_verdict = journal_verdict;
-    }
-    drop(guard);
-    if let Some(connection) = answer.connection {
+    let attempt = job.attempt;
+    guard.complete(AttemptReport { attempt, started_at, outcome, value, reports, journal_verdict });
+    if let Some(connection) = connection {
         pool.return_used(job.addr, connection);
     }
 }
@@ -83,7 +65,7 @@
 
 impl Attempt<'_> {
     fn limits(&self) -> IoLimits<'_> {
-        IoLimits { deadline: self.job.deadline, cancellation: &self.job.cancellation }
+        IoLimits { deadline: self.job.times.deadline, cancellation: &self.job.cancellation }
     }
 
     /// Runs the attempt on one connection after another until it has ended.
@@ -109,7 +91,7 @@
     /// Runs the attempt on one connection.
     fn run_on(&mut self, mut connection: PeerConnection, is_reused: bool) -> Step {
         connection.arm(self.limits());
-        if self.job.needs_epoch && !connection.epoch_confirmed {
+        if self.job.outgoing.needs_epoch && !connection.epoch_confirmed {
             connection = match self.query_epoch(connection) {
                 Ok(connection) => connection,
                 Err(stop) => return unsent(stop, is_reused),
@@ -133,8 +115,8 @@
 
     /// Sends the request, with its timeout replaced by the time that remains until the deadline.
     fn send(&self, connection: &mut PeerConnection) -> Result<(), IoStop> {
-        let text = &self.job.text;
-        let remaining = self.job.deadline - self.pool.timers.now();
+        let text = &self.job.outgoing.text;
+        let remaining = self.job.times.deadline - self.pool.timers.now();
         let timeout_ms = (remaining.0 / NANOS_PER_MILLI).max(MIN_TIMEOUT_MS).to_string();
         let head = &text.body[..text.timeout_digits.start];
         let tail = &text.body[text.timeout_digits.end..];
@@ -146,7 +128,9 @@
     /// Records the attempt in the write journal if it must be, once for all connections that it uses; returns
     /// whether it may be sent.
     fn record(&mut self) -> bool {
-        let (Some(entry), Some(journal)) = (&self.job.journal_entry, self.journal) else { return true };
+        let (Some(entry), Some(journal)) = (&self.job.outgoing.journal_entry, self.journal) else {
+            return true;
+        };
         if self.journal_verdict.is_none() {
             self.journal_verdict = Some(journal.record_send(entry));
         }
@@ -156,12 +140,7 @@
     /// Asks the control loop whether the attempt may still be sent.
     fn confirm(&self) -> bool {
         let (reply, confirmed) = channel();
-        let question = ConfirmAttempt {
-            request: self.job.request,
-            attempt: self.job.number,
-            endpoint: self.job.endpoint,
-            reply,
-        };
+        let question = ConfirmAttempt { attempt: self.job.attempt, reply };
         let asked = self.control.send(ControlMessage::Confirm(question));
         asked.is_ok() && confirmed.recv().unwrap_or(false)
     }
@@ -176,7 +155,7 @@
         send(&mut connection, HEALTH_STATEMENT, self.limits())?;
         let answer = read_answer(connection, self.limits());
         if let Some(epoch) = answer.reports.epoch {
-            let message = ControlMessage::EpochReported { request: self.job.request, epoch };
+            let message = ControlMessage::EpochReported { request: self.job.attempt.request, epoch };
             let _ = self.control.send(message);
         }
         answer.connection.ok_or(match answer.outcome {
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -2,11 +2,12 @@
 //! a message that the grammar does not allow at its position makes the whole answer invalid.
 
 use crate::endpoints::load_report::{self, plain_number};
+use crate::messages::control::AnswerReports;
 use crate::protocol::decode;
 use crate::protocol::framing::{frame, HEADER_BYTES, LENGTH_BYTES, MAX_VALUE_BYTES};
 use crate::protocol::sqlstate::endpoint as sqlstate;
 use crate::runtime::clock;
-use routing::{AttemptOutcome, EndpointReport, Role};
+use routing::{AttemptOutcome, Role};
 use sessions::epochs::Epoch;
 use std::ops::Range;
 
@@ -115,17 +116,6 @@
 /// The tags of a value's messages, in order: RowDescription, DataRow and CommandComplete.
 const VALUE_TAGS: &[u8; 3] = b"TDC";
 
-/// What an answer reports about its endpoint, apart from the value.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct AnswerReports {
-    /// The role and position of the endpoint when it answered.
-    pub answer: EndpointReport,
-    /// The load report that the answer carried, which may be older.
-    pub load: EndpointReport,
-    /// The epoch of the log that the endpoint answered from.
-    pub epoch: Option<Epoch>,
-}
-
 /// An incremental parser of one answer.
 #[derive(Debug, Default)]
 pub struct ResponseParser {
--- a/test-servers/src/restart/scenario.rs
+++ b/test-servers/src/restart/scenario.rs
@@ -1,4 +1,4 @@
-//! A cluster after its faults, and the lists of before and after them.
+//! A cluster after its faults, with the endpoint lists from before and after them.
 
 use super::faults::{apply_fault, GROUP_SIZE};
 use super::plan::Plan;
@@ -12,24 +12,31 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// Time since the start of endpoints whose slow start is over.
 const LONG_AGO_MS: i64 = 3_600_000;
+/// Makes the random numbers of the cluster independent of those of the plan.
 const SEED_FOR_CLUSTER: u64 = 0x5eed;
 
+/// The endpoint lists from before and after the faults.
+pub struct ScenarioLists {
+    /// The list from before the faults, in discovery's format.
+    pub old: Vec<Value>,
+    /// The same list as cached by an instance.
+    pub cached: Vec<CachedEndpoint>,
+    /// The current list, in discovery's format.
+    pub present: Vec<Value>,
+}
+
 /// A cluster after its faults.
 pub struct Scenario {
     pub cluster: Arc<Cluster>,
     pub served: Vec<ServedEndpoint>,
-    /// The endpoint list from before the faults, in discovery's format.
-    pub old_list: Vec<Value>,
-    /// The same, as an instance has cached it.
-    pub cached: Vec<CachedEndpoint>,
-    /// The list that is true now.
-    pub present_list: Vec<Value>,
+    pub lists: ScenarioLists,
     pub groups: Vec<i64>,
 }
 
 impl Scenario {
-    /// Sets up a plan's cluster, and lets its faults happen.
+    /// Creates the cluster of a plan and applies the plan's faults.
     pub fn new(plan: &Plan) -> Scenario {
         let cluster = Arc::new(Cluster::new(SLOW_START, DRAIN_GRACE_MS));
         let mut rng = Mwc::new(plan.seed ^ SEED_FOR_CLUSTER);
@@ -50,23 +57,22 @@
         }
         let state = cluster.lock();
         let listed = || (0..count).filter(|index| is_listed(*index));
-        let old_list = listed().map(|index| old_entry(&state, index, &listed_addresses[index])).collect();
+        let old = listed().map(|index| old_entry(&state, index, &listed_addresses[index])).collect();
         let cached =
             listed().map(|index| cached_entry(&state, index, &listed_addresses[index], now_ms, plan));
-        let cached = cached.collect();
-        let present = (0..count).filter(|index| is_member(&state, *index));
-        let present_list =
-            present.map(|index| present_entry(&state, index, &addresses[index], plan)).collect();
+        let members = (0..count).filter(|index| is_member(&state, *index));
+        let present = members.map(|index| present_entry(&state, index, &addresses[index], plan)).collect();
+        let lists = ScenarioLists { old, cached: cached.collect(), present };
         drop(state);
-        Scenario { cluster, served, old_list, cached, present_list, groups }
+        Scenario { cluster, served, lists, groups }
     }
 
-    /// The groups whose primary can be reached.
+    /// Groups with a reachable primary.
     pub fn groups_with_primary(&self) -> Vec<i64> {
         let state = self.cluster.lock();
         let has_primary = |group: &i64| {
             let primary = state.primary_of(*group);
-            primary.is_some_and(|index| state.endpoints[index].reachability == Reachability::Up)
+            primary.is_some_and(|index| state.endpoints[index].process.reachability == Reachability::Up)
         };
         self.groups.iter().copied().filter(has_primary).collect()
     }
@@ -78,12 +84,13 @@
     for member in 0..GROUP_SIZE {
         let upstream = (member > 0).then_some(first);
         let lag_ms = 10 + rng.below(60) as i64;
-        let endpoint = EndpointModel::new(format!("s-{group}-{member}"), group, upstream, lag_ms);
-        state.endpoints.push(EndpointModel { started_ms, ..endpoint });
+        let mut endpoint = EndpointModel::new(format!("s-{group}-{member}"), group, upstream, lag_ms);
+        endpoint.process.started_ms = started_ms;
+        state.endpoints.push(endpoint);
     }
 }
 
-/// The last of each group joined after the list was made.
+/// Whether an endpoint is in the old list: the last one of each group was added later.
 fn is_listed(index: EndpointIndex) -> bool {
     index % GROUP_SIZE != GROUP_SIZE - 1
 }
@@ -92,10 +99,11 @@
     index.is_multiple_of(GROUP_SIZE)
 }
 
-/// Discovery knows of isolation: what was left behind is no member any more.
+/// Whether discovery lists an endpoint now: unreachable endpoints and those on abandoned branches were removed.
 fn is_member(state: &ClusterState, index: EndpointIndex) -> bool {
     let endpoint = &state.endpoints[index];
-    endpoint.reachability == Reachability::Up && state.branches[&endpoint.group][endpoint.branch].is_live
+    endpoint.process.reachability == Reachability::Up
+        && state.branches[&endpoint.group][endpoint.replication.branch].is_live
 }
 
 fn old_entry(state: &ClusterState, index: EndpointIndex, address: &SocketAddr) -> Value {
@@ -105,7 +113,7 @@
 
 fn present_entry(state: &ClusterState, index: EndpointIndex, address: &SocketAddr, plan: &Plan) -> Value {
     let endpoint = &state.endpoints[index];
-    let born_ms = if plan.just_started { endpoint.started_ms } else { 0 };
+    let born_ms = if plan.just_started { endpoint.process.started_ms } else { 0 };
     list_entry(&endpoint.name, address, endpoint.group, endpoint.primary, "SERVING", born_ms)
 }
 
