--- a/server/src/control/actions.rs
+++ b/server/src/control/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the routing policy asks for, in order.
+//! Performs the actions of the routing policy, in order.
 
 use crate::control::active_request::{Location, StartedAttempt};
 use crate::control::control_loop::ControlLoop;
@@ -11,6 +11,7 @@
 use std::sync::Arc;
 
 impl ControlLoop {
+    /// Performs all pending actions, and those that follow from attempts that could not be started.
     pub(super) fn perform_actions(&mut self, now: Timestamp) {
         while !self.state.actions.is_empty() {
             let mut not_sent = Vec::new();
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Attempts that cannot be started are appended to `not_sent`.
+    /// Performs one action. The report of an attempt that cannot be started is appended to `not_sent`.
     fn perform(&mut self, now: Timestamp, action: Action, not_sent: &mut Vec<AttemptReport>) {
         match action {
             Action::StartAttempt { request, endpoint, timeout } => {
@@ -37,13 +38,13 @@
             Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
             Action::SetTimer { tag, at } => self.state.deadlines.set_timer(at, tag),
             Action::CheckHealth { endpoint } => self.check_health(now, endpoint),
-            // The watch is kept up by itself.
+            // The discovery watch reopens by itself.
             Action::WatchEndpointList | Action::FetchEndpointList => {}
             Action::Log(message) => log!(INFO; "routing policy: {message}"),
         }
     }
 
-    /// Starts an attempt; its report if the endpoint has no address.
+    /// Starts an attempt; returns its report if it cannot be started because the endpoint has no address.
     fn start_attempt(
         &mut self,
         now: Timestamp,
@@ -76,11 +77,13 @@
         None
     }
 
+    /// Ends an attempt that could not be started.
     fn on_attempt_not_sent(&mut self, now: Timestamp, report: AttemptReport) {
         self.state.end_attempt(now, report, self.config.settings.max_retry_after);
     }
 
-    /// A duplicate of what may have run in an earlier request is aborted: that it did not run is not known any more.
+    /// Rejects a request. A duplicate of a request that may have been executed is aborted instead, because a
+    /// rejection would claim that it was not executed.
     fn reject(&mut self, now: Timestamp, request: RequestId, retry_after: Option<TimeDelta>) {
         let is_duplicate =
             self.state.requests.get(request).is_some_and(|active| active.execution.is_duplicate);
@@ -93,6 +96,7 @@
         }
     }
 
+    /// Cancels an attempt, if it is the latest one of its request.
     fn cancel_attempt(&mut self, request: RequestId, number: u32) {
         let started = self.state.requests.get(request).and_then(|active| active.attempt.as_ref());
         if let Some(attempt) = started.filter(|attempt| attempt.number == number) {
@@ -100,6 +104,7 @@
         }
     }
 
+    /// Starts a health check; it fails at once if the endpoint has no address.
     fn check_health(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         match self.state.addr(endpoint) {
             Some(addr) => self.dispatcher.check_health(endpoint, addr),
--- a/server/src/control/active_request.rs
+++ b/server/src/control/active_request.rs
@@ -1,4 +1,4 @@
-//! What the control loop keeps of an open request.
+//! The control loop's state of one open request.
 
 use crate::messages::control::OutgoingRequest;
 use crate::messages::journal_entry::JournalEntry;
@@ -11,74 +11,83 @@
 use std::sync::Arc;
 use write_journal::record_state::{Deduplication, RecordEvent};
 
-/// Where an attempt is in flight.
+/// The endpoint at which an attempt is in flight.
 pub struct Location {
     /// The endpoint.
     pub endpoint: EndpointIndex,
-    /// Since when.
+    /// When the attempt was started.
     pub since: Timestamp,
 }
 
-/// The attempt that was started last.
+/// A request's latest attempt.
 pub struct StartedAttempt {
-    /// Its number, from 0.
+    /// The number of the attempt within its request, from 0.
     pub number: u32,
-    /// Cancels it.
+    /// Cancels the attempt.
     pub cancellation: Arc<CancellationToken>,
-    /// Where it is; none once it has ended.
+    /// Where the attempt is in flight; `None` once it has ended.
     pub in_flight: Option<Location>,
 }
 
-/// Whether a request may have run, and what the journal knows of that.
+/// Whether a request may have been executed, and whether the write journal has recorded it.
 #[derive(Default)]
 pub struct ExecutionState {
-    /// It must not run twice, so it is recorded.
+    /// The request is not idempotent, so its attempts are recorded in the write journal.
     pub is_journaled: bool,
-    /// Its idempotency key, if it has one.
+    /// The scope and window of its deduplication, if the request has an idempotency key.
     pub deduplication: Option<Deduplication>,
-    /// It was recorded.
+    /// The journal has recorded the request.
     pub recorded: bool,
-    /// It is the duplicate of a recorded one, which may have run: it is sent for as long as duplicates are dropped.
+    /// The request is a duplicate of a recorded one that may have been executed. It is sent only within the
+    /// deduplication window, in which endpoints drop duplicates.
     pub is_duplicate: bool,
-    /// An attempt of it may have run, or has.
+    /// An attempt has been executed, or may have been.
     pub may_have_run: bool,
 }
 
 impl ExecutionState {
-    /// What must be recorded before an attempt of the request with this id is sent.
+    /// The entry to record before an attempt of the request `id` is sent; `None` if the request is not journaled.
     fn journal_entry(&self, id: &Arc<str>) -> Option<JournalEntry> {
         if !self.is_journaled {
             return None;
         }
-        // A duplicate of another request asks each time whether it may still be sent.
+        // The journal checks before each attempt of a duplicate whether it may still be sent.
         let event =
             if self.recorded && !self.is_duplicate { RecordEvent::Retrying } else { RecordEvent::Starting };
         Some(JournalEntry { id: id.clone(), event, deduplication: self.deduplication })
     }
 }
 
-/// The response that a request is owed.
+/// The response to a request, until it is sent.
 pub struct PendingResponse {
-    /// None once it was answered, or its client is gone.
+    /// `None` once the request was answered or its client has disconnected.
     pub ticket: Option<ResponseTicket>,
+    /// When the control loop received the request.
     pub received_at: Timestamp,
-    /// The control loop answers it then, if nobody else has.
+    /// When the control loop aborts the request, if it was not answered before.
     pub abort_at: Timestamp,
 }
 
-/// An open request.
+/// A request that was not answered yet, or that has an attempt in flight.
 pub struct ActiveRequest {
+    /// The id, method and group.
     pub identity: RequestIdentity,
+    /// The request's method does not write.
     pub is_read: bool,
+    /// The client's session.
     pub session: RequestSession,
+    /// Whether the request may have been executed.
     pub execution: ExecutionState,
+    /// The response that the client waits for.
     pub response: PendingResponse,
+    /// The statement that is sent to endpoints.
     pub text: Arc<RequestText>,
+    /// The latest attempt, if one was started.
     pub attempt: Option<StartedAttempt>,
 }
 
 impl ActiveRequest {
-    /// Its client is gone; false if it was answered already.
+    /// Discards the response, because the client has disconnected; returns false if the request was answered before.
     pub fn discard(&mut self, metrics: &Metrics, now: Timestamp) -> bool {
         let Some(ticket) = self.response.ticket.take() else { return false };
         self.count_response(metrics, now, ResponseKind::ClientGone);
@@ -86,7 +95,7 @@
         true
     }
 
-    /// Answers it, unless that was done already.
+    /// Answers the request. Has no effect if it was answered or discarded before.
     pub fn answer(&mut self, metrics: &Metrics, now: Timestamp, response: Response) {
         if let Some(ticket) = self.response.ticket.take() {
             self.count_response(metrics, now, response_kind(&response));
@@ -94,28 +103,29 @@
         }
     }
 
+    /// Counts the response, with the time since the request was received.
     fn count_response(&self, metrics: &Metrics, now: Timestamp, kind: ResponseKind) {
         metrics.request_answered(self.identity.method, kind, now - self.response.received_at);
     }
 
-    /// If it is a write, the session that it is made for.
+    /// The number of the session, if the request is a write and has one.
     pub fn write_session(&self) -> Option<u64> {
         self.session.number.filter(|_| !self.is_read)
     }
 
-    /// No attempt of it is in flight any more.
+    /// Records that the latest attempt has ended.
     pub fn leave_endpoint(&mut self) {
         if let Some(attempt) = &mut self.attempt {
             attempt.in_flight = None;
         }
     }
 
-    /// Where its attempt is, if one is in flight.
+    /// Where the latest attempt is, if it is in flight.
     pub fn in_flight(&self) -> Option<&Location> {
         self.attempt.as_ref()?.in_flight.as_ref()
     }
 
-    /// What an attempt of it sends, and what must be done before.
+    /// The text that an attempt sends, and the steps before it is sent.
     pub fn outgoing_request(&self) -> OutgoingRequest {
         OutgoingRequest {
             text: self.text.clone(),
@@ -124,12 +134,14 @@
         }
     }
 
-    /// A write of a session that has seen an epoch: it must go to a log that has what the session saw.
+    /// Whether the endpoint's epoch must be known before an attempt is sent: for a write of a session that has seen
+    /// an epoch, because the write must be appended to a log that contains the session's position.
     fn needs_epoch(&self) -> bool {
         !self.is_read && self.session.seen.is_some_and(|seen| seen.epoch > 0)
     }
 }
 
+/// The kind under which a response is counted.
 fn response_kind(response: &Response) -> ResponseKind {
     match response {
         Response::Value { .. } | Response::Fate(_) => ResponseKind::Value,
--- a/server/src/control/response_check.rs
+++ b/server/src/control/response_check.rs
@@ -1,5 +1,5 @@
-//! Whether an answer shows what its session has seen: what the endpoint that really answered says of itself goes before all
-//! that was known of it.
+//! The check of an endpoint's answer against the position that the request's session has seen. The epoch and position
+//! in the answer take precedence over earlier reports of the endpoint.
 
 use crate::control::active_request::ActiveRequest;
 use crate::messages::control::AttemptReport;
@@ -8,14 +8,14 @@
 use sessions::epochs::{EpochHistory, PositionStatus};
 use sessions::positions::LogPosition;
 
-/// Whether what a request's session has seen is lost, by all that was reported until now.
+/// Whether the position that a request's session has seen is lost, by the epochs reported until now.
 pub fn is_session_lost(epochs: &EpochHistory, request: &ActiveRequest) -> bool {
     let status = |seen| epochs.status(request.identity.group, seen);
     request.session.seen.is_some_and(|seen| status(seen) == PositionStatus::Lost)
 }
 
-/// The response for a value that an endpoint has answered. A read whose session has seen more than this endpoint's log shows
-/// does not get it.
+/// The response for a value that an endpoint has answered. A read is rejected if its session has seen a position that
+/// this endpoint's log does not contain.
 pub fn checked_response(
     epochs: &EpochHistory,
     request: &ActiveRequest,
@@ -32,7 +32,7 @@
     if request.is_read && !request.session.seen.is_none_or(shows) {
         return Response::Rejected { retry_after };
     }
-    // What an endpoint does not report it may have seen up to now.
+    // Without a reported position, the value may reflect everything up to now.
     let position = LogPosition {
         epoch: report.reports.epoch.map_or(0, |epoch| epoch.number),
         position: position.unwrap_or(now),
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -1,4 +1,4 @@
-//! The state of the control loop that is lost with a routing policy that panicked.
+//! The part of the control loop's state that is replaced after a panic of the routing policy.
 
 use crate::control::active_request::ActiveRequest;
 use crate::control::deadlines::Deadlines;
@@ -12,6 +12,7 @@
 use crate::messages::snapshot::{
     EndpointRow, InFlightAt, RequestSnapshot, ServerSnapshot, MAX_CLIENTS, MAX_REQUESTS,
 };
+use crate::runtime::clock::NANOS_PER_MICRO;
 use crate::runtime::metrics::Metrics;
 use crate::storage::journal::WriteJournal;
 use host_support::id_interner::IdInterner;
@@ -25,52 +26,67 @@
 use std::sync::Arc;
 use write_journal::record_state::RecordEvent;
 
-/// What the list says of an endpoint.
+/// An endpoint's address and start time by the endpoint list.
 #[derive(Clone, Copy, Default)]
 pub struct ListedState {
+    /// The address, if the listed one is valid.
     pub addr: Option<SocketAddr>,
+    /// When the endpoint's process was started, if it is known.
     pub started_at: Option<Timestamp>,
 }
 
-/// The routing policy and everything that goes with it.
+/// The routing policy, primary discovery and the state of open requests.
 pub struct RouterState {
+    /// The routing policy.
     pub policy: RoutingPolicy,
-    /// What the policy asks for and was not done yet.
+    /// Actions of the routing policy that were not performed yet.
     pub actions: Vec<Action>,
+    /// The timers of the routing policy and the abort times of requests.
     pub deadlines: Deadlines,
+    /// Requests that are open, or have an attempt in flight.
     pub requests: RequestRegistry<ActiveRequest>,
-    /// The ids of those requests.
+    /// The ids of `requests`.
     pub ids: HashSet<Arc<str>>,
+    /// The names of endpoints, and their indices.
     pub endpoints: IdInterner<String>,
-    /// By endpoint.
+    /// The listed state of each endpoint, by index.
     pub listed: Vec<ListedState>,
+    /// The numbers of groups, and their indices.
     pub groups: IdInterner<i64>,
     /// Requests that wait for admission, if requests are limited.
     pub queue: Option<RequestQueue>,
-    /// Admitted requests of which nothing more can come.
+    /// Admitted requests that have finished, to be removed from the request queue.
     pub finished: Vec<RequestId>,
-    /// What is known of the groups' logs.
+    /// The epochs of the groups' logs, as reported by endpoints.
     pub epochs: EpochHistory,
+    /// The write journal, if writes are recorded.
     pub journal: Option<Arc<WriteJournal>>,
+    /// The counters of the process.
     pub metrics: Arc<Metrics>,
+    /// Primary discovery, if the endpoint list is cached.
     pub discovery: Option<PrimaryDiscovery>,
-    /// What primary discovery asks for and was not done yet.
+    /// Actions of primary discovery that were not performed yet.
     pub discovery_actions: Vec<primary_discovery::Action>,
-    /// The list's entries of endpoints that primary discovery has not admitted yet.
+    /// List entries of endpoints that primary discovery has not admitted, or has withdrawn.
     pub not_admitted: BTreeMap<EndpointIndex, ListedEndpoint>,
 }
 
-/// What a router state is made from.
+/// The parameters of a router state.
 pub struct RouterSetup<'a> {
+    /// The seed of random numbers.
     pub seed: u64,
+    /// The settings of the routing policy.
     pub settings: &'a RoutingSettings,
+    /// Provides the clock, the write journal and the counters.
     pub dispatcher: &'a AttemptDispatcher,
+    /// The options of primary discovery, if the endpoint list is cached.
     pub recovery: Option<&'a RecoveryOptions>,
+    /// The limits on requests, if there are any.
     pub queue_limits: Option<QueueLimits>,
 }
 
 impl RouterState {
-    /// A state that knows no endpoints.
+    /// Creates a state without endpoints and requests.
     pub fn new(setup: RouterSetup) -> RouterState {
         let RouterSetup { seed, settings, dispatcher, recovery, queue_limits } = setup;
         let mut actions = Vec::new();
@@ -128,7 +144,7 @@
         }
     }
 
-    /// Whether the actions that were not done yet answer a request.
+    /// Whether a pending action answers the request.
     fn is_answer_pending(&self, request: RequestId) -> bool {
         self.actions.iter().any(|action| match action {
             Action::Reject { request: answered, .. } | Action::Abort { request: answered } => {
@@ -138,7 +154,7 @@
         })
     }
 
-    /// An endpoint's index, once its address is known.
+    /// Stores an endpoint's address, and returns the endpoint's index and group for primary discovery.
     pub fn member(&mut self, listed: &ListedEndpoint) -> Member {
         let endpoint = self.endpoints.intern(listed.name.clone());
         if self.listed.len() <= endpoint {
@@ -148,7 +164,7 @@
         Member { endpoint, group: self.groups.intern(listed.group) }
     }
 
-    /// The list's entry as the routing policy has it.
+    /// The routing policy's view of a list entry.
     pub fn record(&mut self, listed: &ListedEndpoint, zones: &[String]) -> EndpointRecord {
         EndpointRecord {
             endpoint: self.endpoints.intern(listed.name.clone()),
@@ -174,13 +190,14 @@
         self.close(request);
     }
 
-    /// A request was answered, or its client is gone.
+    /// Closes a request that was answered, or whose client has disconnected.
     pub fn close(&mut self, request: RequestId) {
         let removed = self.requests.close(request);
         self.finish(request, removed);
     }
 
-    /// Nothing more can come of a request that was removed: what was kept of it is given back.
+    /// Releases what a request held, once it was removed: its id, its abort time and its slot of the queue's limits.
+    /// A recorded request that was certainly not executed is marked so in the journal.
     pub fn finish(&mut self, request: RequestId, removed: Option<ActiveRequest>) {
         let Some(active) = removed else { return };
         self.ids.remove(&active.identity.id);
@@ -195,18 +212,18 @@
         }
     }
 
-    /// One debug line per decision on a request, by which it can be followed.
+    /// Writes a debug line for a decision on a request.
     pub fn trace(&self, request: RequestId, decision: &str, now: Timestamp) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
         let Some(active) = self.requests.get(request) else { return };
         let (group, is_read) = (active.identity.group, active.is_read);
-        let held_us = (now - active.response.received_at).0 / 1_000;
+        let held_us = (now - active.response.received_at).0 / NANOS_PER_MICRO;
         tracing::debug!(request, request_id = %active.identity.id, group, is_read, held_us, decision, "decided");
     }
 
-    /// What there is, the oldest requests first.
+    /// A snapshot for the admin socket, with the oldest requests first.
     pub fn snapshot(&self, now: Timestamp) -> ServerSnapshot {
         let requests = self.requests.iter().map(|(request, active)| self.request_snapshot(request, active));
         let mut requests: Vec<RequestSnapshot> = requests.collect();
@@ -227,6 +244,7 @@
         }
     }
 
+    /// A snapshot of one request.
     fn request_snapshot(&self, request: RequestId, active: &ActiveRequest) -> RequestSnapshot {
         let in_flight = active.in_flight().map(|location| InFlightAt {
             endpoint: self.endpoints.id(location.endpoint).clone(),
--- a/server/src/endpoints/completion_guard.rs
+++ b/server/src/endpoints/completion_guard.rs
@@ -1,18 +1,21 @@
-//! Reports how a coroutine's work ended, however the coroutine itself ends.
+//! A guard that reports the end of a coroutine's work to the control loop, even if the coroutine panics.
 
 use crate::messages::control::ControlMessage;
 use may::sync::mpsc::Sender;
 
-/// Reports an end to the control loop exactly once: that which the work came to, or if it panics the one that the guard was
-/// made with. Work whose end never came would be waited for for ever.
+/// Reports the end of one piece of work to the control loop exactly once, when the guard is dropped. The control loop
+/// waits for the end of everything that it has started, so an end must be reported even after a panic.
 pub struct CompletionGuard<T> {
     control: Sender<ControlMessage>,
+    /// The end to report; `None` once it was reported.
     end: Option<T>,
+    /// Wraps the end in a message.
     message: fn(T) -> ControlMessage,
 }
 
 impl<T> CompletionGuard<T> {
-    /// `if_lost` is reported if the work does not come to its end; `message` tells the control loop.
+    /// Creates a guard that reports `if_lost`, unless the work is completed first. `message` wraps the end in a
+    /// message to the control loop.
     pub fn new(
         control: Sender<ControlMessage>,
         if_lost: T,
@@ -21,12 +24,12 @@
         CompletionGuard { control, end: Some(if_lost), message }
     }
 
-    /// Where the end is reported.
+    /// The channel to the control loop.
     pub fn control(&self) -> &Sender<ControlMessage> {
         &self.control
     }
 
-    /// The work has come to this end.
+    /// Reports the end of the work.
     pub fn complete(mut self, end: T) {
         self.end = Some(end);
     }
--- a/server/src/messages/control.rs
+++ b/server/src/messages/control.rs
@@ -1,4 +1,4 @@
-//! What the control loop is told, and the attempts that it starts.
+//! The messages to the control loop, and the attempts that it starts.
 
 use crate::messages::endpoint_list::ListedEndpoint;
 use crate::messages::journal_entry::{JournalEntry, JournalVerdict};
@@ -17,133 +17,133 @@
 use std::sync::{mpsc, Arc};
 use write_journal::record_state::Origin;
 
-/// A request that has come from a client.
+/// A request received from a client.
 pub struct IncomingRequest {
-    /// Its header.
+    /// The checked header of the statement.
     pub header: ClientRequest,
-    /// Its text.
+    /// The text of the statement.
     pub text: RequestText,
-    /// The obligation to answer it.
+    /// Answers the request.
     pub ticket: ResponseTicket,
 }
 
-/// Asked right before an attempt's bytes are sent.
+/// A question whether an attempt may still be sent, asked right before the send.
 pub struct ConfirmAttempt {
-    /// Which attempt.
+    /// The attempt.
     pub attempt: AttemptId,
-    /// Whether it may be sent.
+    /// Receives true if the attempt may be sent.
     pub reply: Sender<bool>,
 }
 
-/// A health check has ended.
+/// The end of a health check.
 pub struct HealthCheckEnd {
     /// The endpoint.
     pub endpoint: EndpointIndex,
-    /// How it ended.
+    /// The outcome.
     pub outcome: AttemptOutcome,
-    /// Time since it started.
+    /// The duration of the health check.
     pub elapsed: TimeDelta,
-    /// What the endpoint reported.
+    /// The endpoint's load report; empty if it sent none.
     pub report: EndpointReport,
 }
 
-/// A client asks what became of a write.
+/// A client's query for the fate of a write.
 pub struct FateQuery {
     /// The id of the write.
     pub id: String,
-    /// Where it was sent.
+    /// The origin of the write: the journal in which it was recorded, if the client named it.
     pub origin: Option<Origin>,
-    /// The obligation to answer.
+    /// Answers the query.
     pub ticket: ResponseTicket,
 }
 
-/// A query of primary discovery has ended.
+/// The end of a query of primary discovery.
 pub struct QueryEnd {
     /// The endpoint.
     pub endpoint: EndpointIndex,
     /// When the query was sent.
     pub queried_at: Timestamp,
-    /// Its answer.
+    /// The endpoint's answer, or why there is none.
     pub answer: Result<QueryAnswer, ConnectError>,
 }
 
-/// The limits on requests, and the classes of clients.
+/// The limits on requests, and the client classes that share them.
 #[derive(Clone)]
 pub struct QueueLimits {
-    /// The limits.
+    /// The limits on requests in flight and waiting.
     pub limits: ConcurrencyLimits,
-    /// The classes.
+    /// The client classes.
     pub classes: Vec<ClientClass>,
 }
 
-/// What the control loop is told.
+/// A message to the control loop.
 pub enum ControlMessage {
-    /// A client sent a request.
+    /// A client has sent a request.
     Request(Box<IncomingRequest>),
-    /// A client closed its connection.
+    /// A client has disconnected.
     ClientGone {
-        /// Its request.
+        /// The client's pending request.
         request: RequestId,
     },
     /// An attempt is about to be sent.
     Confirm(ConfirmAttempt),
-    /// An endpoint has reported its epoch, before an attempt is sent.
+    /// An endpoint has reported its epoch before an attempt is sent.
     EpochReported {
         /// The request of the attempt.
         request: RequestId,
-        /// The epoch.
+        /// The reported epoch.
         epoch: Epoch,
     },
     /// An attempt has ended.
     AttemptEnded(Box<AttemptReport>),
     /// A health check has ended.
     HealthCheckEnded(HealthCheckEnd),
-    /// Discovery gave a list, or changes to it.
+    /// Discovery has sent an endpoint list, or changes to it.
     EndpointList {
-        /// It is the whole list.
+        /// The list is complete; otherwise it holds only the changed endpoints.
         complete: bool,
-        /// Its entries.
+        /// The listed endpoints.
         endpoints: Vec<ListedEndpoint>,
     },
-    /// The watch on discovery ended.
+    /// The watch on discovery has ended.
     EndpointListFailed,
-    /// A client asks what became of a write.
+    /// A client queries the fate of a write.
     QueryFate(FateQuery),
-    /// A list was cached before this start.
+    /// The list that was cached before the start.
     CachedList(CachedEndpointList),
     /// A query of primary discovery has ended.
     QueryEnded(QueryEnd),
-    /// The limits on requests have changed; none: there are none.
+    /// The limits on requests have changed; `None` removes them.
     SetQueueLimits(Option<QueueLimits>),
-    /// Operators want to see what there is.
+    /// The admin socket requests a snapshot.
     Snapshot {
-        /// Where it goes.
+        /// Receives the snapshot.
         reply: mpsc::Sender<ServerSnapshot>,
     },
-    /// The wake-up that was set for this time.
+    /// A scheduled wake-up.
     WakeUp {
-        /// The time.
+        /// The time for which it was scheduled.
         at: Timestamp,
     },
 }
 
-/// What an endpoint answered to a query.
+/// An endpoint's answer to a health check or a query of primary discovery.
 #[derive(Clone, Debug)]
 pub struct QueryAnswer {
-    /// How it ended.
+    /// The outcome.
     pub outcome: AttemptOutcome,
-    /// What it reported.
+    /// The endpoint's load report.
     pub report: EndpointReport,
-    /// Its name and timeline in its own words, if it was asked for them.
+    /// The endpoint's own `name,timeline`, if the query asked for it.
     pub identity: Option<String>,
 }
 
 /// Why no connection to an endpoint was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectError {
-    /// What that is to an attempt.
+    /// The outcome for an attempt that needed the connection.
     pub outcome: AttemptOutcome,
-    /// The endpoint's machine itself says that nothing listens there.
+    /// The endpoint's host refused the connection, so nothing listens at the address.
     pub refused: bool,
 }
 
@@ -153,68 +153,68 @@
     }
 }
 
-/// When an attempt was started, and when it times out.
+/// The start time and the deadline of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimes {
-    /// When it was started.
+    /// When the control loop started the attempt.
     pub started_at: Timestamp,
-    /// When it times out.
+    /// When the attempt times out.
     pub deadline: Timestamp,
 }
 
-/// What an attempt sends, and what must be done before.
+/// The request as an attempt sends it, and the steps before the send.
 pub struct OutgoingRequest {
-    /// What is sent.
+    /// The text of the statement.
     pub text: Arc<RequestText>,
-    /// What must be recorded first.
+    /// The entry to record in the write journal first, if any.
     pub journal_entry: Option<JournalEntry>,
-    /// It must go to a log that has what its session saw: the endpoint reports its epoch first.
+    /// The endpoint's epoch must be known first, to check that its log contains the session's position.
     pub needs_epoch: bool,
 }
 
-/// An attempt to be made.
+/// The parameters of an attempt.
 pub struct AttemptJob {
-    /// Which attempt.
+    /// The attempt.
     pub attempt: AttemptId,
-    /// The address of its endpoint.
+    /// The address of the endpoint.
     pub addr: SocketAddr,
-    /// Its times.
+    /// The start time and the deadline.
     pub times: AttemptTimes,
-    /// What it sends.
+    /// The request to send.
     pub outgoing: OutgoingRequest,
-    /// Cancels it.
+    /// Cancels the attempt.
     pub cancellation: Arc<CancellationToken>,
 }
 
-/// What an answer says of its endpoint.
+/// What an answer reports about its endpoint, apart from the value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AnswerReports {
-    /// What the answer itself says, as of now.
+    /// The role and position of the endpoint when it answered.
     pub answer: EndpointReport,
-    /// A load report that came with it.
+    /// The load report that the answer carried, which may be older.
     pub load: EndpointReport,
-    /// The epoch of the log that it was answered from.
+    /// The epoch of the log that the endpoint answered from.
     pub epoch: Option<Epoch>,
 }
 
-/// What became of an attempt.
+/// The end of an attempt.
 pub struct AttemptReport {
-    /// Which attempt.
+    /// The attempt.
     pub attempt: AttemptId,
-    /// When it was started.
+    /// When the attempt was started.
     pub started_at: Timestamp,
-    /// How it ended.
+    /// The outcome.
     pub outcome: AttemptOutcome,
-    /// The messages of the value.
+    /// The messages of the value; empty unless the attempt succeeded.
     pub value: Vec<u8>,
-    /// What the answer says of its endpoint.
+    /// What the answer reports about its endpoint.
     pub reports: AnswerReports,
-    /// What the journal said, if it was asked, whether or not the attempt was sent then.
+    /// The verdict of the write journal, if it was asked. An attempt that it allows is not necessarily sent.
     pub journal_verdict: Option<JournalVerdict>,
 }
 
 impl AttemptReport {
-    /// Of an attempt that was not sent.
+    /// The report of an attempt that was not sent.
     pub fn not_sent(attempt: AttemptId, started_at: Timestamp) -> AttemptReport {
         AttemptReport {
             attempt,
--- a/server/src/messages/endpoint_list.rs
+++ b/server/src/messages/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery words it.
+//! The endpoint list in the format of discovery.
 
 use crate::runtime::clock;
 use endpoint_cache::{CachedEndpoint, CachedEndpointList};
@@ -8,56 +8,56 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A list, or changes to it.
+/// An endpoint list, or changes to it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointListUpdate {
-    /// Its version.
+    /// The version of the list.
     #[serde(default, rename = "seq")]
     pub version: i64,
-    /// It is the whole list.
+    /// The list is complete; otherwise it holds only the changed endpoints.
     #[serde(default, rename = "whole")]
     pub complete: bool,
-    /// Its entries.
+    /// The listed endpoints.
     #[serde(default, rename = "hosts")]
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// An entry of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedEndpoint {
     /// The name of the endpoint.
     #[serde(rename = "host")]
     pub name: String,
-    /// Its address.
+    /// The address, as text.
     #[serde(default, rename = "dial")]
     pub address: String,
-    /// Its zone.
+    /// The name of the zone.
     #[serde(default, rename = "site")]
     pub zone: String,
-    /// Its group.
+    /// The number of the group.
     #[serde(default, rename = "block")]
     pub group: i64,
-    /// Whether it may be used.
+    /// Whether attempts may start at the endpoint.
     pub health: ListedHealth,
-    /// When its process last started, in Unix milliseconds; 0 if that is not known.
+    /// When the endpoint's process was last started, in Unix milliseconds; 0 if it is unknown.
     #[serde(default)]
     pub born_ms: f64,
-    /// Its role: `off` for the primary, `on` for a replica.
+    /// The role: `off` for the primary, `on` for a replica.
     #[serde(default)]
     pub recovery: String,
 }
 
-/// Whether an endpoint may be used.
+/// The listed state of an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum ListedHealth {
-    /// It may.
+    /// Attempts may start at the endpoint.
     Serving,
-    /// It is about to stop.
+    /// The endpoint is about to stop.
     Draining,
-    /// It is removed from the list.
+    /// The endpoint is removed from the list.
     Deleted,
-    /// A word that is not known: no attempts start there.
+    /// An unknown state, treated as draining: no attempts start at the endpoint.
     #[serde(other)]
     Unknown,
 }
@@ -108,7 +108,7 @@
 }
 
 impl ListedEndpoint {
-    /// Whether it may be used, as the routing policy has it.
+    /// The routing policy's view of the listed state.
     pub fn status(&self) -> EndpointStatus {
         match self.health {
             ListedHealth::Serving => EndpointStatus::Serving,
@@ -117,24 +117,24 @@
         }
     }
 
-    /// Its address, if it is one.
+    /// The address, if it is valid.
     pub fn socket_addr(&self) -> Option<SocketAddr> {
         self.address.parse().ok()
     }
 
-    /// Whether it is listed as the primary.
+    /// Whether the endpoint is listed as the primary.
     pub fn is_primary(&self) -> bool {
         self.recovery == "off"
     }
 
-    /// When its process last started, if that is known.
+    /// When the endpoint's process was last started, if it is known.
     pub fn started_at(&self) -> Option<Timestamp> {
         clock::from_unix_ms(self.born_ms)
     }
 }
 
-/// The times of a cached list.
+/// When a cached list was last confirmed by discovery, and when it was saved.
 pub fn cache_times(list: &CachedEndpointList) -> CacheTimes {
-    let from_ms = |millis: i64| Timestamp(millis.saturating_mul(1_000_000));
+    let from_ms = |millis: i64| Timestamp(millis.saturating_mul(clock::NANOS_PER_MILLI));
     CacheTimes { confirmed: from_ms(list.confirmed_ms), saved: from_ms(list.saved_ms) }
 }
--- a/server/src/messages/journal_entry.rs
+++ b/server/src/messages/journal_entry.rs
@@ -1,29 +1,29 @@
-//! What must be recorded before a write is sent, and what the journal says to that.
+//! The entry that the write journal records before a write is sent, and its verdict on the attempt.
 
 use std::sync::Arc;
 use write_journal::record_state::{Deduplication, RecordEvent};
 
-/// What must be recorded before an attempt is sent.
+/// An entry to record before an attempt is sent.
 #[derive(Clone)]
 pub struct JournalEntry {
     /// The id of the write.
     pub id: Arc<str>,
-    /// What happens to it.
+    /// The event to record.
     pub event: RecordEvent,
-    /// If it has an idempotency key: where and for how long its duplicates are dropped.
+    /// The scope and window of the write's deduplication, if it has an idempotency key.
     pub deduplication: Option<Deduplication>,
 }
 
-/// Whether an attempt may be sent.
+/// The write journal's verdict on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JournalVerdict {
-    /// It may.
+    /// The attempt was recorded and may be sent.
     Granted,
-    /// It may, as a duplicate of one that may have run.
+    /// The attempt may be sent as a duplicate of a write that may have been executed.
     GrantedAsDuplicate,
-    /// Its id is recorded already.
+    /// The id is recorded for another write, so the attempt must not be sent.
     IdInUse,
-    /// It could not be recorded: it must not be sent.
+    /// The attempt could not be recorded, so it must not be sent.
     NotRecorded,
 }
 
--- a/server/src/messages/mod.rs
+++ b/server/src/messages/mod.rs
@@ -1,4 +1,4 @@
-//! What the coroutines say to each other.
+//! The messages between coroutines, and the types that they carry.
 
 pub mod control;
 pub mod endpoint_list;
--- a/server/src/messages/request.rs
+++ b/server/src/messages/request.rs
@@ -1,7 +1,8 @@
-//! A client's request: the header of its statement, checked against the settings.
+//! A client's request: the header of its statement, checked against the configuration.
 
 use crate::protocol::sqlstate::{ClientError, SqlState};
 use crate::protocol::statement::RequestHeader;
+use crate::runtime::clock::NANOS_PER_MILLI;
 use crate::runtime::resource_limits::BufferCharge;
 use admission::concurrency_limiter::ClientKey;
 use routing::time::{TimeDelta, Timestamp};
@@ -11,26 +12,26 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Positions beyond this are no times.
+/// Positions from this on are not valid times, in Unix milliseconds (the year 2255).
 const MAX_POSITION_MS: i64 = 9_000_000_000_000;
-const NANOS_PER_MILLI: i64 = 1_000_000;
-/// A day: no client waits for longer, and no time beyond it is reckoned with.
+/// The longest timeout of a client, in milliseconds: a day. Longer ones are reduced to it.
 const MAX_TIMEOUT_MS: i64 = 86_400_000;
 
+/// A method of the configuration.
 #[derive(Clone, Copy)]
 struct Method {
     index: MethodIndex,
-    /// Its statements name their session by their key.
+    /// The key in the method's statements names the session.
     has_session: bool,
 }
 
-/// The methods by their names.
+/// The methods by name.
 pub struct MethodTable {
     methods: HashMap<String, Method>,
 }
 
 impl MethodTable {
-    /// From names, in the order of the settings.
+    /// Creates a table from the names of the methods, in the order of the settings.
     pub fn new(names: Vec<String>, settings: &RoutingSettings) -> MethodTable {
         let method = |index: MethodIndex| Method {
             index,
@@ -41,40 +42,41 @@
     }
 }
 
-/// Which request it is, and what it is about.
+/// The id, method and group of a request.
 #[derive(Clone, Debug)]
 pub struct RequestIdentity {
-    /// Names it among the open ones of all clients.
+    /// The id, unique among the open requests of all clients.
     pub id: Arc<str>,
-    /// Its method.
+    /// The method.
     pub method: MethodIndex,
-    /// Its group.
+    /// The number of the group.
     pub group: GroupNumber,
 }
 
-/// The session of a request, as far as the client tells it.
+/// The session of a request, as far as the client has specified it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestSession {
-    /// Its number.
+    /// The number of the session, if the request has one.
     pub number: Option<u64>,
-    /// How long ago its last write was committed, if the client says so.
+    /// The time since the session's last write was committed, if the client has specified it.
     pub last_write: Option<TimeDelta>,
-    /// What it has seen of the group, if the client carries a token. A read must show that much.
+    /// The position in the group's log that the session has seen, if the client carries a token. A read must be
+    /// served from a log that contains it.
     pub seen: Option<LogPosition>,
 }
 
-/// A request as a client sent it, checked.
+/// A client's request whose header was checked.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Which it is.
+    /// The id, method and group.
     pub identity: RequestIdentity,
-    /// Its session.
+    /// The client's session.
     pub session: RequestSession,
-    /// When its client gives it up.
+    /// When the client's timeout expires.
     pub deadline: Timestamp,
-    /// Its client says that it sent it before.
+    /// The client has marked the request as a retry.
     pub client_retry: bool,
-    /// Whom it is counted for, if requests are limited.
+    /// The client that the request is attributed to, if requests are limited.
     pub client: Option<ClientKey>,
 }
 
@@ -82,17 +84,17 @@
 pub struct RequestText {
     /// The body of the Query message.
     pub body: Vec<u8>,
-    /// Where the digits of its timeout are.
+    /// The range of the timeout's digits in the body.
     pub timeout_digits: Range<usize>,
-    /// The charge of its buffer.
+    /// The charge for the body's memory.
     pub charge: BufferCharge,
 }
 
 impl ClientRequest {
-    /// From the header of a statement that was read at `now`.
+    /// Checks the header of a statement that was read at `now`.
     ///
     /// # Errors
-    /// It names an unknown method, or a position out of range.
+    /// The method is unknown, or the position of the last write is out of range.
     pub fn new(
         methods: &MethodTable,
         now: Timestamp,
@@ -115,8 +117,13 @@
     }
 }
 
-/// Ignored, a position out of range would make a session's read one without a bound. It is given in whole milliseconds, as
-/// endpoints' are: only one beyond it is sure to show what was written in it.
+/// The time since the session's last write, whose position is `after_ms` in Unix milliseconds.
+///
+/// Positions are whole milliseconds, so only a position in the next millisecond is sure to include the write.
+///
+/// # Errors
+/// The position is out of range. It is not ignored, because reads of the session would then have no bound on
+/// staleness.
 fn last_write(now: Timestamp, after_ms: Option<i64>) -> Result<Option<TimeDelta>, ClientError> {
     match after_ms.unwrap_or(0) {
         0 => Ok(None),
@@ -127,10 +134,11 @@
     }
 }
 
-/// A session's number: its sixteen hex digits, or if it is named otherwise a hash of its name (FNV-1a).
+/// The number of a session: its key as a hexadecimal number, or the FNV-1a hash of a key that is not one.
 fn session_number(key: &str) -> u64 {
+    const HEXADECIMAL: u32 = 16;
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     let hash = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(PRIME);
-    u64::from_str_radix(key, 16).unwrap_or_else(|_| key.bytes().fold(OFFSET_BASIS, hash))
+    u64::from_str_radix(key, HEXADECIMAL).unwrap_or_else(|_| key.bytes().fold(OFFSET_BASIS, hash))
 }
--- a/server/src/messages/response.rs
+++ b/server/src/messages/response.rs
@@ -1,5 +1,5 @@
-//! The responses to a connection's requests: the channel by which they reach it, and the ticket by which each request gets
-//! exactly one.
+//! The responses to a connection's requests: the channel to the connection, and the ticket that gives each request
+//! exactly one response.
 
 use crate::log;
 use crate::protocol::sqlstate::ClientError;
@@ -12,44 +12,45 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use write_journal::record_state::Fate;
 
-/// What a value shows its session.
+/// What a value proves to its session about the group's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionEvidence {
-    /// The position that it shows.
+    /// The position that the value reflects.
     pub position: Option<LogPosition>,
-    /// It also shows that what the session saw before is lost, which its next request is told.
+    /// The position that the session had seen before is lost. The session's next request is answered with that.
     pub session_lost: bool,
 }
 
-/// What a client gets for a request.
+/// The response to a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Response {
-    /// RowDescription, DataRow and CommandComplete as the endpoint sent them.
+    /// A value: RowDescription, DataRow and CommandComplete as the endpoint sent them.
     Value {
         /// The messages.
         messages: Vec<u8>,
-        /// What they show the session.
+        /// What the value proves to the session.
         evidence: SessionEvidence,
     },
-    /// What its session saw of the group is lost, and it did not run.
+    /// The position that the session has seen is lost; the request was not executed.
     SessionLost {
-        /// Where the session goes on.
+        /// The position from which the session can continue.
         restart_position: LogPosition,
     },
-    /// What became of a write.
+    /// The fate of a write.
     Fate(Fate),
-    /// It did not run, or may be sent again.
+    /// The request was not executed, or it can safely be retried.
     Rejected {
-        /// When to come back, if that may be told.
+        /// The Retry-After, if one may be sent.
         retry_after: Option<TimeDelta>,
     },
-    /// It may have run.
+    /// The request may have been executed.
     Aborted,
-    /// It cannot be taken.
+    /// The request is invalid.
     Error(ClientError),
 }
 
-/// The only part of a client's connection that others hold: responses are left here.
+/// The channel to a client's connection, for responses and requests to close. It is the only part of the connection
+/// that other parts of the server hold.
 pub struct ResponseChannel {
     responses: Mutex<Vec<(RequestId, Response)>>,
     close_requested: AtomicBool,
@@ -57,7 +58,7 @@
 }
 
 impl ResponseChannel {
-    /// For a connection that is woken by `waker`.
+    /// Creates the channel of a connection that `waker` wakes.
     pub fn new(waker: WaitIoWaker) -> Arc<ResponseChannel> {
         Arc::new(ResponseChannel {
             responses: Mutex::default(),
@@ -70,27 +71,28 @@
         self.responses.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// The responses that have come since the last call.
+    /// Takes the responses that were sent since the last call.
     pub fn take(&self) -> Vec<(RequestId, Response)> {
         std::mem::take(&mut *self.lock())
     }
 
+    /// Sends a response and wakes the connection.
     fn send(&self, request: RequestId, response: Response) {
         self.lock().push((request, response));
         self.wake();
     }
 
-    /// Whether the connection was asked to close.
+    /// Whether a close was requested.
     pub fn is_close_requested(&self) -> bool {
         self.close_requested.load(Ordering::Acquire)
     }
 
-    /// Whether the connection was asked to close since this was last called.
+    /// Whether a close was requested since the last call; clears the request.
     pub fn take_close_request(&self) -> bool {
         self.close_requested.swap(false, Ordering::AcqRel)
     }
 
-    /// Wakes the connection.
+    /// Wakes the connection's coroutine.
     pub fn wake(&self) {
         self.waker.wakeup();
     }
@@ -103,7 +105,7 @@
     }
 }
 
-/// The obligation to answer a request. Dropped unanswered, by a panic or a lost message, it aborts.
+/// Answers one request. If it is dropped without an answer, by a panic or a lost message, the request is aborted.
 pub struct ResponseTicket {
     /// The request.
     pub request: RequestId,
@@ -111,7 +113,7 @@
 }
 
 impl ResponseTicket {
-    /// For a request of the connection with this channel.
+    /// Creates the ticket of a request that arrived on the connection with this channel.
     pub fn new(request: RequestId, channel: Arc<ResponseChannel>) -> ResponseTicket {
         ResponseTicket { request, channel: Some(channel) }
     }
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Its client is gone: it needs no answer.
+    /// Drops the ticket without an answer, because the client has disconnected.
     pub fn discard(mut self) {
         self.channel = None;
     }
--- a/server/src/messages/snapshot.rs
+++ b/server/src/messages/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the control loop shows of itself to operators: open requests and endpoints, as they stand.
+//! Snapshots of the control loop for the admin socket.
 
 use crate::messages::request::RequestIdentity;
 use admission::concurrency_limiter::{ConcurrencyLimits, RequestCounts, ShedReason};
@@ -6,85 +6,85 @@
 use routing::EndpointSnapshot;
 use std::net::{IpAddr, SocketAddr};
 
-/// Requests that are shown at most, the oldest.
+/// The maximum number of requests in a snapshot; the oldest are kept.
 pub const MAX_REQUESTS: usize = 200;
-/// Clients that are shown at most, those with most.
+/// The maximum number of clients in a snapshot; those with the most requests are kept.
 pub const MAX_CLIENTS: usize = 20;
 
-/// Where a request is.
+/// The endpoint at which a request's attempt is in flight.
 #[derive(Debug)]
 pub struct InFlightAt {
     /// The name of the endpoint.
     pub endpoint: String,
-    /// Since when.
+    /// When the attempt was started.
     pub since: Timestamp,
 }
 
-/// An open request.
+/// The state of one request.
 #[derive(Debug)]
 pub struct RequestSnapshot {
-    /// Which it is.
+    /// The id, method and group.
     pub identity: RequestIdentity,
-    /// When it came.
+    /// When the control loop received the request.
     pub received_at: Timestamp,
-    /// Attempts started.
+    /// The number of attempts started.
     pub attempts: u32,
-    /// Where it is; none: it waits.
+    /// Where the latest attempt is in flight; `None` if the request waits.
     pub in_flight: Option<InFlightAt>,
-    /// Its client has its answer, or is gone, and its last attempt has not ended.
+    /// The request was answered or its client has disconnected, but its latest attempt has not ended.
     pub closed: bool,
 }
 
-/// An endpoint.
+/// The state of one endpoint.
 #[derive(Debug)]
 pub struct EndpointRow {
-    /// Its name.
+    /// The name of the endpoint.
     pub name: String,
-    /// Its address.
+    /// The address, if it is known.
     pub addr: Option<SocketAddr>,
-    /// What the routing policy knows of it.
+    /// The routing policy's state of the endpoint, if it knows the endpoint.
     pub state: Option<EndpointSnapshot>,
 }
 
-/// Requests that wait for admission, and those that were shed.
+/// The state of the request queue.
 #[derive(Debug)]
 pub struct QueueSnapshot {
-    /// The limits.
+    /// The limits on requests.
     pub limits: ConcurrencyLimits,
-    /// Requests by class.
+    /// The requests of each client class.
     pub classes: Vec<(String, RequestCounts)>,
     /// Requests shed since the start, by class and reason.
     pub shed: Vec<(String, ShedReason, u64)>,
-    /// The clients with most requests.
+    /// The clients with the most requests.
     pub top_clients: Vec<ClientRequests>,
-    /// Requests that wait: their ids, and when they came.
+    /// The waiting requests: their ids, and when they were received.
     pub waiting: Vec<(String, Timestamp)>,
 }
 
 /// The requests of one client.
 #[derive(Debug)]
 pub struct ClientRequests {
-    /// Its class.
+    /// The client's class.
     pub class: String,
-    /// Its address.
+    /// The client's address.
     pub address: IpAddr,
-    /// How many.
+    /// The numbers of the client's requests.
     pub requests: RequestCounts,
 }
 
-/// All of it.
+/// The state of the control loop.
 #[derive(Debug)]
 pub struct ServerSnapshot {
-    /// When it was made.
+    /// When the snapshot was taken.
     pub now: Timestamp,
-    /// Open requests.
+    /// The number of open requests.
     pub open_requests: usize,
-    /// The oldest of them.
+    /// The oldest requests, at most [`MAX_REQUESTS`].
     pub requests: Vec<RequestSnapshot>,
     /// The endpoints.
     pub endpoints: Vec<EndpointRow>,
-    /// Groups.
+    /// The number of groups.
     pub groups: usize,
-    /// The queue, if requests are limited.
+    /// The request queue, if requests are limited.
     pub queue: Option<QueueSnapshot>,
 }
--- a/server/src/runtime/idle_clients.rs
+++ b/server/src/runtime/idle_clients.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How long a client is not close_requested to close after it has connected, because it is about to send its first
+/// How long a client is not asked to close after it has connected, because it is about to send its first
 /// query.
 const NEW_CLIENT_GRACE: TimeDelta = TimeDelta::from_millis(100);
-/// How long a client is not close_requested to close after its last response, because it may send another query soon.
+/// How long a client is not asked to close after its last response, because it may send another query soon.
 const IDLE_CLIENT_GRACE: TimeDelta = TimeDelta::from_millis(2_000);
 
 /// A connection that can be close_requested to close.
@@ -28,7 +28,7 @@
 }
 
 impl IdleRank {
-    /// The time for which a client is not close_requested to close after it has become idle.
+    /// The time for which a client is not asked to close after it has become idle.
     fn grace(self) -> TimeDelta {
         match self {
             IdleRank::Closing => TimeDelta::ZERO,
@@ -58,7 +58,7 @@
 pub struct IdleClients {
     /// The idle clients, in the order in which they are closed.
     clients: BTreeMap<IdleRegistration, IdleClient>,
-    /// The serial numbers of clients that were close_requested to close, and have neither closed nor become busy since.
+    /// The serial numbers of clients that were asked to close, and have neither closed nor become busy since.
     close_requested: BTreeSet<u64>,
     /// The serial number that was assigned last.
     last_serial: u64,
--- a/server/src/runtime/metrics.rs
+++ b/server/src/runtime/metrics.rs
@@ -1,4 +1,5 @@
-//! What is counted for operators. If nobody asks for it, no recorder is installed, and each call returns at once.
+//! The counters and histograms for operators. Without an admin socket no recorder is installed, and each call returns
+//! at once.
 
 use crate::runtime::terms::Term;
 use metrics::{counter, histogram, Counter, Histogram};
@@ -11,17 +12,17 @@
 pub enum ResponseKind {
     /// By a value.
     Value,
-    /// It did not run, or may be sent again.
+    /// The request was not executed, or it can safely be retried.
     Rejected,
-    /// It may have run.
+    /// The request may have been executed.
     Aborted,
-    /// It cannot be taken.
+    /// The request is invalid.
     Error,
-    /// Its client closed before it was.
+    /// The client disconnected before the response.
     ClientGone,
 }
 
-/// The ways to answer a request, and their labels.
+/// All kinds of responses, and their labels.
 pub const RESPONSE_KINDS: [(ResponseKind, Term); 5] = [
     (ResponseKind::Value, Term::same("ok")),
     (ResponseKind::Rejected, Term::new("pushed back", "rejected")),
@@ -30,7 +31,7 @@
     (ResponseKind::ClientGone, Term::new("gone", "client_gone")),
 ];
 
-/// The ends of attempts and health checks, and their labels.
+/// All outcomes of attempts and health checks, and their labels.
 pub const ATTEMPT_OUTCOMES: [(AttemptOutcome, Term); 9] = [
     (AttemptOutcome::Succeeded, Term::same("ok")),
     (AttemptOutcome::Failed, Term::new("errored", "failed")),
@@ -43,9 +44,11 @@
     (AttemptOutcome::NotEligible, Term::new("lagged", "not_eligible")),
 ];
 
-/// Seconds: from a tenth of a millisecond to the longest that clients wait.
+/// The upper bounds of the histograms' buckets in seconds, from a tenth of a millisecond to the longest waits of
+/// clients.
 const LATENCY_BUCKETS: [f64; 13] = [1e-4, 3e-4, 1e-3, 3e-3, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
+/// The counters of one method.
 struct MethodMetrics {
     responses: [Counter; RESPONSE_KINDS.len()],
     latency: Histogram,
@@ -70,7 +73,7 @@
 }
 
 impl Metrics {
-    /// For methods of these names. A recorder must be installed before.
+    /// Creates the counters for methods of these names. They are recorded only if the recorder was installed before.
     pub fn new(methods: &[String]) -> Metrics {
         Metrics {
             methods: methods.iter().map(|name| MethodMetrics::new(name)).collect(),
@@ -82,7 +85,7 @@
         }
     }
 
-    /// A request was answered.
+    /// Counts the response to a request, and its latency.
     pub fn request_answered(&self, method: MethodIndex, kind: ResponseKind, latency: TimeDelta) {
         let Some(method) = self.methods.get(method) else { return };
         if let Some(index) = RESPONSE_KINDS.iter().position(|(known, _)| *known == kind) {
@@ -91,28 +94,29 @@
         method.latency.record(latency.as_secs_f64());
     }
 
-    /// An attempt has ended.
+    /// Counts the end of an attempt, and its latency.
     pub fn attempt_ended(&self, outcome: AttemptOutcome, latency: TimeDelta) {
         count(&self.attempts, outcome);
         self.attempt_latency.record(latency.as_secs_f64());
     }
 
-    /// A health check has ended.
+    /// Counts the end of a health check.
     pub fn health_check_ended(&self, outcome: AttemptOutcome) {
         count(&self.health_checks, outcome);
     }
 }
 
+/// Increments the counter of an outcome.
 fn count(counters: &[Counter; ATTEMPT_OUTCOMES.len()], outcome: AttemptOutcome) {
     if let Some(index) = ATTEMPT_OUTCOMES.iter().position(|(known, _)| *known == outcome) {
         counters[index].increment(1);
     }
 }
 
-/// Installs the recorder of everything that is counted from now on.
+/// Installs the recorder of all counters that are created from now on.
 ///
 /// # Errors
-/// Another one is installed.
+/// A recorder is installed already.
 pub fn install_recorder() -> Result<PrometheusHandle, BuildError> {
     PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS)?.install_recorder()
 }
--- a/server/src/runtime/terms.rs
+++ b/server/src/runtime/terms.rs
@@ -1,10 +1,10 @@
-//! The two vocabularies of the texts that operators' programs read. Those texts keep the terms that they had at first under
-//! their first names, and have the standard terms of the field under second names.
+//! The two vocabularies of the texts that operators' programs read. Each text keeps its earlier terms under its
+//! earlier name, and is also available in the standard terms of the field under a second name.
 
-/// Which terms a text is written in.
+/// The vocabulary of a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Vocabulary {
-    /// Those of the first releases, for programs that know no others.
+    /// The terms of the first releases, for existing programs.
     Earlier,
     /// The standard terms of the field.
     Standard,
@@ -20,17 +20,17 @@
 }
 
 impl Term {
-    /// With different terms.
+    /// A term that differs between the vocabularies.
     pub const fn new(earlier: &'static str, standard: &'static str) -> Term {
         Term { earlier, standard }
     }
 
-    /// With one term in both vocabularies.
+    /// A term that is the same in both vocabularies.
     pub const fn same(term: &'static str) -> Term {
         Term { earlier: term, standard: term }
     }
 
-    /// The term of a vocabulary.
+    /// The term in a vocabulary.
     pub fn word(self, vocabulary: Vocabulary) -> &'static str {
         match vocabulary {
             Vocabulary::Earlier => self.earlier,
