--- a/server/src/admin/client_page.rs
+++ b/server/src/admin/client_page.rs
@@ -1,4 +1,4 @@
-//! The page `clients`, or `connections`: connections and requests by class and address, and what was rejected.
+//! The page `clients`, or `connections`: connections and requests by class and address, and rejections by reason.
 
 use crate::admin::reasons::{rejection_term, shed_term};
 use crate::admin::table::{cell_or_empty, Table};
@@ -30,7 +30,7 @@
 const OPEN_CONNECTIONS: Term = Term::new("sessions", "connections");
 const IN_HANDSHAKE_QUEUE: Term = Term::new("in the lobby", "in the handshake queue");
 
-/// One line of the table of classes.
+/// One row of the table of client classes.
 struct ClassRow<'a> {
     name: &'a str,
     reserved: usize,
@@ -38,10 +38,10 @@
 }
 
 impl AdminView {
-    /// The page.
+    /// Renders the page.
     ///
     /// # Errors
-    /// The control loop gives no snapshot.
+    /// The control loop has sent no snapshot.
     pub fn client_page(&self, vocabulary: Vocabulary) -> Result<String, PageError> {
         let queue = self.snapshot()?.queue;
         let admission = self.admission.as_ref().map(|admission| admission.snapshot(MAX_CLIENTS));
@@ -78,7 +78,7 @@
     table
 }
 
-/// The classes that are set, then others of which there are connections or requests still.
+/// The configured classes, then former ones that still have connections or requests.
 fn class_rows<'a>(
     admission: Option<&'a AdmissionSnapshot>,
     queue: Option<&'a QueueSnapshot>,
--- a/server/src/admin/endpoint_page.rs
+++ b/server/src/admin/endpoint_page.rs
@@ -24,10 +24,10 @@
 const SLOW_START: Term = Term::new("cold", "slow start");
 
 impl AdminView {
-    /// The page.
+    /// Renders the page.
     ///
     /// # Errors
-    /// The control loop gives no snapshot.
+    /// The control loop has sent no snapshot.
     pub fn endpoint_page(&self, vocabulary: Vocabulary) -> Result<String, PageError> {
         let snapshot = self.snapshot()?;
         let mut table = Table::new(&COLUMNS, vocabulary);
--- a/server/src/admin/metric_names.rs
+++ b/server/src/admin/metric_names.rs
@@ -1,5 +1,5 @@
-//! The standard names of metrics, and of their labels. What is counted is counted once, under the earlier names; the same samples
-//! are written again under the standard ones when the page is made, so that both are always equal and no request pays for it.
+//! The standard names of metrics and labels. Metrics are recorded once, under their earlier names. When the page is
+//! rendered, the same samples are repeated under the standard names, so both always agree without cost for requests.
 
 use crate::admin::reasons::shed_term;
 use crate::admin::view::DESCRIPTOR_CLASSES;
@@ -8,19 +8,21 @@
 use admission::concurrency_limiter::ShedReason;
 use admission::RejectionReason;
 
+/// The label for the reason of a rejection.
 const REASON: Term = Term::new("why", "reason");
+/// The start of the line that declares a metric's type.
 const TYPE_PREFIX: &str = "# TYPE ";
-/// What stands between families of metrics.
+/// The separator of metric families: an empty line.
 const FAMILY_SEPARATOR: &str = "\n\n";
 
-/// A label that has another name, or other values, under the standard names.
+/// A label whose key or values differ between the vocabularies.
 struct LabelNames {
     key: Term,
-    /// Its values; others are as they are.
+    /// The known values; other values are the same in both vocabularies.
     values: Vec<Term>,
 }
 
-/// A metric that has another name under the standard names.
+/// A metric whose name differs between the vocabularies.
 pub(super) struct MetricNames {
     name: Term,
     label: Option<LabelNames>,
@@ -28,14 +30,14 @@
 
 /// One line of a metric: `name suffix {labels} value`.
 struct Sample<'a> {
-    /// What histograms append to the name.
+    /// The suffix of the metric's name, as histograms have it, such as `_bucket`.
     suffix: &'a str,
-    /// Keys and values; these are escaped as the text format has it.
+    /// Keys and values; the values are escaped as in the text format.
     labels: Vec<(&'a str, &'a str)>,
     value: &'a str,
 }
 
-/// All metrics that have other names.
+/// All metrics whose names differ between the vocabularies.
 pub(super) fn metric_names() -> Vec<MetricNames> {
     vec![
         MetricNames::new("gingerwick_rpcs_total", "gingerwick_requests_total").label(response_names()),
@@ -80,7 +82,7 @@
     LabelNames { key: Term::new("share", "use"), values: values.collect() }
 }
 
-/// The page, in the text format of Prometheus, with each metric of `names` under its standard name too.
+/// Appends each metric of `names` under its standard name to a page in the text format of Prometheus.
 pub(super) fn with_standard_names(page: &str, names: &[MetricNames]) -> String {
     let mut text = page.to_string();
     for family in page.split_terminator(FAMILY_SEPARATOR) {
@@ -107,12 +109,13 @@
         MetricNames { label: Some(names), ..self }
     }
 
+    /// A metric family under the standard names.
     fn standard_family(&self, family: &str) -> String {
         let lines = family.lines().filter_map(|line| self.standard_line(line));
         lines.map(|line| line + "\n").chain(["\n".to_string()]).collect()
     }
 
-    /// A line under the standard names; none if it is no line of this metric.
+    /// A line under the standard names; `None` if it does not belong to this metric.
     fn standard_line(&self, line: &str) -> Option<String> {
         let Term { earlier, standard } = self.name;
         if let Some(rest) = line.strip_prefix(TYPE_PREFIX) {
@@ -126,6 +129,7 @@
         Some(format!("{standard}{}{labels} {}", sample.suffix, sample.value))
     }
 
+    /// A label under the standard names.
     fn standard_label(&self, key: &str, value: &str) -> String {
         let names = self.label.as_ref().filter(|label| label.key.earlier == key);
         let Some(names) = names else { return format!("{key}=\"{value}\"") };
@@ -136,9 +140,9 @@
 }
 
 impl<'a> Sample<'a> {
-    /// From the line without the name of its metric.
+    /// Parses a line from which the metric's name was removed.
     fn parse(text: &'a str) -> Option<Sample<'a>> {
-        // A value has no space; labels may have some.
+        // The sample's value contains no space, but label values may.
         let (start, value) = text.rsplit_once(' ')?;
         let Some((suffix, mut rest)) = start.split_once('{') else {
             return Some(Sample { suffix: start, labels: Vec::new(), value });
@@ -153,7 +157,7 @@
     }
 }
 
-/// The length of a label's value that ends with the first quote that is not escaped.
+/// The length of a label's value, which ends before the first quote that is not escaped.
 fn value_length(quoted: &str) -> Option<usize> {
     let mut escaped = false;
     quoted.bytes().position(|byte| {
--- a/server/src/admin/metrics_page.rs
+++ b/server/src/admin/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The page `metrics`: everything that is counted, in the text format of Prometheus.
+//! The page `metrics`: all metrics, in the text format of Prometheus.
 
 use crate::admin::metric_names::{metric_names, with_standard_names};
 use crate::admin::view::{AdminView, DESCRIPTOR_CLASSES};
@@ -7,7 +7,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 
 impl AdminView {
-    /// The page, with gauges as they stand now, under the earlier and the standard names.
+    /// Updates the gauges and renders the page, with each metric under its earlier and its standard name.
     pub fn metrics_page(&self, recorder: &PrometheusHandle) -> String {
         self.set_resource_gauges();
         self.set_connection_gauges();
--- a/server/src/admin/mod.rs
+++ b/server/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! What operators may ask of a running instance, on a Unix socket of its own.
+//! The admin socket: a Unix socket on which operators request pages about the running server.
 
 pub mod client_page;
 pub mod endpoint_page;
--- a/server/src/admin/request_page.rs
+++ b/server/src/admin/request_page.rs
@@ -1,4 +1,4 @@
-//! The page `rpcs`, or `requests`: open requests, the oldest first, those that wait for admission before the others.
+//! The page `rpcs`, or `requests`: requests that wait for admission, then the other open ones, oldest first.
 
 use crate::admin::table::{format_delta, Table, EMPTY_CELL};
 use crate::admin::view::{AdminView, PageError};
@@ -20,10 +20,10 @@
 const NO_ATTEMPT: Term = Term::new("held", "waiting for an endpoint");
 
 impl AdminView {
-    /// The page.
+    /// Renders the page.
     ///
     /// # Errors
-    /// The control loop gives no snapshot.
+    /// The control loop has sent no snapshot.
     pub fn request_page(&self, vocabulary: Vocabulary) -> Result<String, PageError> {
         let snapshot = self.snapshot()?;
         let mut table = Table::new(&COLUMNS, vocabulary);
--- a/server/src/admin/socket.rs
+++ b/server/src/admin/socket.rs
@@ -1,5 +1,5 @@
-//! The admin socket: a client sends the name of a page on one line and gets the page. One thread serves one client after the
-//! other, each with a limit in time and bytes, so that whoever looks at the server holds up no request.
+//! The admin socket: a client sends the name of a page on one line and receives the page. A thread of its own serves
+//! one client at a time, each with a timeout and a limit in bytes, so that the admin socket delays no request.
 
 use crate::admin::view::{AdminView, PageError, PAGE_TIMEOUT};
 use crate::log;
@@ -14,32 +14,33 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
+/// The maximum size of a client's request, which is one line.
 const MAX_REQUEST_BYTES: usize = 1 << 10;
-/// Characters of an unknown page's name that are repeated to whoever asked for it.
+/// The maximum number of characters of an unknown page's name that the error repeats.
 const MAX_NAME_SHOWN: usize = 40;
-/// How often samples of histograms are folded together, whether or not anybody asks.
+/// The interval at which the recorder drains the samples of histograms, even if the page is never requested.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
-/// How long the thread waits after a failed accept(2).
+/// The pause after a failed accept(2).
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Only the user that runs the server may connect.
+/// The permissions of the socket: only the user of the server can connect.
 const SOCKET_MODE: u32 = 0o600;
 const ERROR_PREFIX: &str = "error: ";
 const HTTP_NOT_FOUND: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-/// The page of counters, which HTTP clients can get too.
+/// The page of metrics, which is also served over HTTP.
 const METRICS_PAGE: &str = "metrics";
-/// Descriptors at most: the listener, the client that is served, and the next one.
+/// The maximum number of descriptors: for the listener, the client that is served, and the next one.
 pub const DESCRIPTORS: usize = 4;
 
-/// One page.
+/// A page of the admin socket.
 pub struct Page {
-    /// The names by which it is asked for, and which say in which terms it is written.
+    /// The page's names. The name by which the page is requested selects its vocabulary.
     pub name: Term,
-    /// What it shows, for the help of the command line.
+    /// The description of the page in the command line's help.
     pub description: &'static str,
     render: fn(&AdminView, Vocabulary) -> Result<String, PageError>,
 }
 
-/// The pages beside `metrics`.
+/// All pages except `metrics`.
 pub static PAGES: [Page; 4] = [
     Page {
         name: Term::new("clients", "connections"),
@@ -63,24 +64,24 @@
     },
 ];
 
-/// Why there is no admin socket, or no answer from one.
+/// Why the admin socket could not be created, or did not answer.
 #[derive(Debug, Error)]
 pub enum AdminSocketError {
-    /// The path is taken by something else.
+    /// The path exists and is not a socket.
     #[error("{}: not a socket", .0.display())]
     NotASocket(PathBuf),
-    /// Another server listens there.
+    /// Another server listens at the path.
     #[error("{}: another server listens there", .0.display())]
     InUse(PathBuf),
-    /// The system says why.
+    /// An operation on the socket failed.
     #[error("{}: {error}", path.display())]
     Io {
-        /// The path.
+        /// The path of the socket.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The server that was asked has no such page, or cannot make it now.
+    /// The error message of the server: it has no such page, or cannot render it now.
     #[error("{0}")]
     Page(String),
 }
@@ -89,10 +90,10 @@
     |error| AdminSocketError::Io { path: path.to_path_buf(), error }
 }
 
-/// Listens at a path and serves pages from a thread of its own.
+/// Creates the socket at a path and serves pages on a thread of its own.
 ///
 /// # Errors
-/// The path cannot be used.
+/// The path is not a socket, another server listens there, or the operating system reports an error.
 pub fn serve(path: &Path, recorder: PrometheusHandle, view: AdminView) -> Result<(), AdminSocketError> {
     remove_stale_socket(path)?;
     let listener = UnixListener::bind(path).map_err(io_error(path))?;
@@ -103,7 +104,7 @@
     spawn_thread("admin-socket", move || serve_clients(&listener, &recorder, &view)).map_err(io_error(path))
 }
 
-/// A socket that nobody listens on was left by a process that was killed.
+/// Removes a socket without a listener, which a killed process has left.
 fn remove_stale_socket(path: &Path) -> Result<(), AdminSocketError> {
     match fs::symlink_metadata(path) {
         Ok(found) if !found.file_type().is_socket() => Err(AdminSocketError::NotASocket(path.to_path_buf())),
@@ -128,7 +129,7 @@
 fn serve_clients(listener: &UnixListener, recorder: &PrometheusHandle, view: &AdminView) {
     for stream in listener.incoming() {
         match stream {
-            // A client that does not read its page has no use for an error either.
+            // The error is ignored: a client that does not read its page would not read an error message either.
             Ok(stream) => _ = serve_client(stream, recorder, view),
             Err(error) => {
                 log!(WARN, reason = error; "client of the admin socket not accepted");
@@ -173,7 +174,7 @@
     }
 }
 
-/// The page of a name, and the terms that the name asks for.
+/// Finds a page by its name, and the vocabulary that the name selects.
 fn find_page(name: &str) -> Option<(&'static Page, Vocabulary)> {
     let named = |vocabulary| move |page: &&Page| page.name.word(vocabulary) == name;
     let found = |vocabulary| PAGES.iter().find(named(vocabulary)).map(|page| (page, vocabulary));
@@ -188,7 +189,10 @@
     format!("{ERROR_PREFIX}{name:?} is none of {known}, {METRICS_PAGE}\n")
 }
 
-/// The line that a client sends, or what there is of it when it ends its side.
+/// Reads the line that a client sends; it may end without a line feed if the client shuts down its side.
+///
+/// # Errors
+/// The line is not complete in time or is too long, or reading failed.
 fn read_line(stream: &mut UnixStream) -> io::Result<String> {
     let deadline = Instant::now() + PAGE_TIMEOUT;
     let mut bytes = Vec::new();
@@ -212,10 +216,10 @@
     Ok(String::from_utf8_lossy(&bytes[..end]).trim().to_string())
 }
 
-/// Asks a running server for a page.
+/// Requests a page from a running server.
 ///
 /// # Errors
-/// Nobody listens at the path, what listens there does not answer in time, or there is no such page.
+/// No server listens at the path, it does not answer in time, or it answers with an error.
 pub fn request_page(path: &Path, name: &str) -> Result<String, AdminSocketError> {
     let mut stream = UnixStream::connect(path).map_err(io_error(path))?;
     stream.set_read_timeout(Some(PAGE_TIMEOUT * 3)).map_err(io_error(path))?;
--- a/server/src/admin/table.rs
+++ b/server/src/admin/table.rs
@@ -4,22 +4,22 @@
 use routing::time::TimeDelta;
 use std::fmt;
 
-/// What a cell shows if there is nothing to show.
+/// The text of an empty cell.
 pub const EMPTY_CELL: &str = "-";
 const NANOS_PER_MILLI: f64 = 1e6;
 
-/// Rows under their titles, each column as wide as its widest cell.
+/// A table with column titles; each column is as wide as its widest cell.
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table of titles alone, in the terms of `vocabulary`.
+    /// Creates a table without rows, whose titles are in `vocabulary`.
     pub fn new(titles: &[Term], vocabulary: Vocabulary) -> Table {
         Table { rows: vec![titles.iter().map(|title| title.word(vocabulary).to_string()).collect()] }
     }
 
-    /// Appends a row. A control character that a client put into a name must not pass for a line of the table.
+    /// Appends a row. Control characters are replaced, because a client could forge a row by a line feed in a name.
     pub fn push<const N: usize>(&mut self, cells: [String; N]) {
         self.rows.push(cells.map(|cell| cell.replace(char::is_control, "?")).into());
     }
@@ -42,12 +42,12 @@
     }
 }
 
-/// A value, or the empty cell.
+/// Formats a value, or the empty cell if there is none.
 pub fn cell_or_empty<T: ToString>(value: Option<T>) -> String {
     value.map_or(EMPTY_CELL.into(), |value| value.to_string())
 }
 
-/// A time difference, in milliseconds or seconds.
+/// Formats a time difference in milliseconds or seconds.
 pub fn format_delta(delta: TimeDelta) -> String {
     let ms = delta.0 as f64 / NANOS_PER_MILLI;
     match ms.abs() {
--- a/server/src/admin/view.rs
+++ b/server/src/admin/view.rs
@@ -1,4 +1,4 @@
-//! The parts of an instance that operators may look at.
+//! The parts of the server that the pages of the admin socket show.
 
 use crate::clients::admission_control::AdmissionControl;
 use crate::clients::graceful_shutdown::GracefulShutdown;
@@ -11,10 +11,10 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a page may take.
+/// The timeout of each step of a page: reading the request, the control loop's snapshot, and writing the page.
 pub const PAGE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Descriptors by what they are for, under the names that operators see.
+/// The classes of descriptors, and their names on the pages and in metrics.
 pub(super) const DESCRIPTOR_CLASSES: [(Term, DescriptorClass); 4] = [
     (Term::same("clients"), DescriptorClass::Clients),
     (Term::new("stores", "endpoints"), DescriptorClass::Endpoints),
@@ -22,23 +22,23 @@
     (Term::new("turned away", "rejected_clients"), DescriptorClass::RejectedClients),
 ];
 
-/// What pages are made from.
+/// The sources of the pages.
 pub struct AdminView {
     /// The name of the instance.
     pub name: String,
-    /// The control loop.
+    /// The channel to the control loop, for snapshots.
     pub control: Sender<ControlMessage>,
-    /// Descriptors and memory.
+    /// The limits on descriptors and buffer memory.
     pub resources: Arc<ResourceLimits>,
-    /// Admission control, if clients have classes.
+    /// Admission control, if client classes are configured.
     pub admission: Option<Arc<AdmissionControl>>,
-    /// The shutdown, which knows all connections.
+    /// The graceful shutdown, which counts the open connections.
     pub shutdown: Arc<GracefulShutdown>,
-    /// The names of the methods.
+    /// The names of the methods, by index.
     pub methods: Vec<String>,
 }
 
-/// Why there is no page.
+/// Why a page cannot be rendered.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum PageError {
     /// The control loop has ended.
@@ -50,10 +50,10 @@
 }
 
 impl AdminView {
-    /// The control loop's own account of itself.
+    /// Requests a snapshot from the control loop.
     ///
     /// # Errors
-    /// It gives none.
+    /// The control loop has ended, or did not reply in time.
     pub fn snapshot(&self) -> Result<ServerSnapshot, PageError> {
         let (reply, snapshot) = mpsc::channel();
         let sent = self.control.send(ControlMessage::Snapshot { reply });
--- a/server/src/cli/cached_list.rs
+++ b/server/src/cli/cached_list.rs
@@ -1,4 +1,5 @@
-//! `query-router list` and `query-router cache`: the endpoint list that is cached on disk, in the earlier and the standard terms.
+//! `query-router list` and `query-router cache`: the endpoint list that is cached on disk, in the earlier and the
+//! standard terms.
 
 use crate::cli::output::{print, print_error};
 use crate::exit_status::{ExitStatus, Failure};
@@ -27,10 +28,13 @@
 const WITHOUT_IDENTITY: Term =
     Term::new("stores that can't say who they are", "endpoints without an identity accepted");
 const LEVELS_TITLE: Term = Term::new("steps", "levels");
-/// The width of the titles above the endpoints.
+/// The width of the column of titles above the endpoints.
 const TITLE_WIDTH: usize = 12;
 
-/// Prints a list.
+/// Prints a cached list.
+///
+/// # Errors
+/// The path cannot be read, or holds no valid list.
 pub fn show(path: &Path, json: bool, vocabulary: Vocabulary) -> Result<(), Failure> {
     let loaded = load(path)?;
     for error in &loaded.errors {
@@ -48,7 +52,10 @@
     Ok(())
 }
 
-/// Checks all files of a list.
+/// Checks all files of a cached list.
+///
+/// # Errors
+/// The path cannot be read, a file is invalid, or there is no valid list.
 pub fn verify(path: &Path, vocabulary: Vocabulary) -> Result<(), Failure> {
     let loaded = load(path)?;
     let mut problems: Vec<String> = loaded.errors.iter().map(|error| error.to_string()).collect();
--- a/server/src/cli/check.rs
+++ b/server/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `query-router check`: everything that is wrong with the configuration, at once.
+//! `query-router check`: reports all errors of the configuration at once.
 
 use crate::cli::output::print;
 use crate::config::bootstrap::ReadAt;
@@ -8,7 +8,7 @@
 use operator_config::OperatorSettings;
 use std::path::Path;
 
-/// Checks both files, and what they name.
+/// Checks both configuration files, and the files that they name.
 pub fn run(operator_file: Option<&Path>) -> Result<(), Failure> {
     let bootstrap = read_bootstrap(ReadAt::Start);
     let mut problems: Vec<String> = Vec::new();
--- a/server/src/cli/output.rs
+++ b/server/src/cli/output.rs
@@ -1,8 +1,8 @@
-//! What the commands print.
+//! Output of the commands.
 
 use std::io::Write;
 
-/// Prints to standard output. A reader that has closed it has seen what it wanted.
+/// Prints to standard output. A failure is ignored, because a reader that has closed the pipe needs no more output.
 pub fn print(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
--- a/server/src/cli/run.rs
+++ b/server/src/cli/run.rs
@@ -1,4 +1,4 @@
-//! The entry point: arguments are parsed, the command runs, and its result becomes an exit status.
+//! The entry point: parses the arguments, runs the command, and turns its result into an exit status.
 
 use crate::cli::arguments::{Arguments, Command, ListCommand};
 use crate::cli::cached_list;
@@ -16,7 +16,7 @@
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
         Err(error) => {
-            // If not even this can be written, the status still tells.
+            // If the message cannot be written, the exit status still shows the failure.
             let _ = error.print();
             return if error.use_stderr() { ExitStatus::Usage } else { ExitStatus::Success };
         }
--- a/server/src/cli/show.rs
+++ b/server/src/cli/show.rs
@@ -6,7 +6,7 @@
 use crate::exit_status::{ExitStatus, Failure};
 use std::path::{Path, PathBuf};
 
-/// Prints the page that is asked for.
+/// Requests a page and prints it.
 pub fn run(operator_file: Option<&Path>, socket: Option<PathBuf>, page: &str) -> Result<(), Failure> {
     let path = match socket {
         Some(path) => path,
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -1,19 +1,19 @@
-//! The daemon: client connections, endpoint connections and discovery round the routing policy.
+//! The daemon: client connections, endpoint connections and discovery around the routing policy.
 //!
 //! Modules from the bottom up; each uses only those before it:
 //!
 //! - [`runtime`]: clock, coroutines, cancellation, resource limits, log, counters, vocabularies
 //! - [`protocol`]: the wire protocol, without I/O
-//! - [`messages`]: what the parts tell each other
+//! - [`messages`]: the messages between the parts
 //! - [`storage`]: the threads that write to disk
 //! - [`endpoints`]: connections to endpoints, attempts, health checks
 //! - [`discovery`]: the watch on the endpoint list
-//! - [`control`]: the control loop round the routing policy
+//! - [`control`]: the control loop around the routing policy
 //! - [`clients`]: client connections
 //! - [`admin`]: the admin socket
 //! - [`config`]: the two configuration files
 //! - [`exit_status`]: exit statuses of the process
-//! - [`startup`]: from the start to the end of the process
+//! - [`startup`]: start, reload and shutdown of the process
 //! - [`cli`]: the command line
 
 #![warn(clippy::too_many_lines)]
