--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -1,28 +1,45 @@
-//! Attempts: their start, the check right before their bytes leave, and what follows from how they ended.
+//! Attempts: their start, the confirmation right before their bytes are sent, and the consequences of how
+//! they ended.
 
 use crate::state::request::{InFlightAttempt, RequestEvent};
 use crate::time::{TimeDelta, Timestamp};
 use crate::{Action, AttemptEnd, AttemptOutcome, EndpointIndex, LagHandling, RequestId, RoutingPolicy};
 
+/// Divisor of the tightest latency objective: the queueing that any attempt may meet before its answer counts
+/// as late.
+const QUEUE_ALLOWANCE_DIVISOR: i64 = 2;
+/// The fraction of an attempt's timeout, in quarters, from which its answer counts as late in any case.
+const LATE_TIMEOUT_QUARTERS: i64 = 3;
+/// The fraction of its concurrency limit from which an endpoint is under pressure, so that a prompt answer
+/// shows that the limit may be raised.
+const PRESSURE_SHARE: f64 = 0.5;
+/// Factors by which an answer that took longer or less long moves the estimate of a method's quick latency.
+/// Longer answers move it by less, so it settles where about three in ten answers are quicker.
+const SLOWER_ANSWER_FACTOR: f64 = 1.02;
+const QUICKER_ANSWER_FACTOR: f64 = 0.95;
+
 impl RoutingPolicy {
+    /// Starts an attempt of a waiting request at an endpoint.
     pub(super) fn start_attempt(&mut self, id: RequestId, index: EndpointIndex) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let method = &self.settings.methods[request.method];
-        // An endpoint does not begin what is past its timeout, so work without value is not done.
+        // An endpoint does not begin work past its timeout, so work whose answer is worthless is not done.
         let until =
             if method.is_write() { request.deadlines.answer_by } else { request.deadlines.useful_until };
         let timeout = (until - self.now).max(TimeDelta(1));
-        // The queue that any method leaves must suit the tightest objective, or patient methods crowd it out.
+        // The queue that any method tolerates must suit the tightest objective, or the method with that
+        // objective would be starved by the others.
         let quick = self.quick_latency[request.method];
-        let suits_all = TimeDelta::from_secs_f64(quick) + self.settings.times.tightest_objective / 2;
+        let suits_all = TimeDelta::from_secs_f64(quick)
+            + self.settings.times.tightest_objective / QUEUE_ALLOWANCE_DIVISOR;
         let queue = if method.delays_replication { timeout } else { suits_all };
         let capacity = &mut self.endpoints[index].capacity;
         request.in_flight = Some(InFlightAttempt {
             number: request.attempts.started,
             started_at: self.now,
             work: quick,
-            queue_threshold: queue.min(timeout * 3 / 4),
-            under_pressure: !capacity.accepts(capacity.concurrency_limit * 0.5, 0.0, self.now),
+            queue_threshold: queue.min(timeout * LATE_TIMEOUT_QUARTERS / 4),
+            under_pressure: !capacity.accepts(capacity.concurrency_limit * PRESSURE_SHARE, 0.0, self.now),
         });
         request.attempts.started += 1;
         if let Some(session) = request.session.recorded_session {
@@ -32,8 +49,8 @@
         self.actions.push(Action::StartAttempt { request: id, endpoint: index, timeout });
     }
 
-    /// Whether what an attempt was started for still holds right before its bytes leave. A bound on staleness
-    /// that endpoints check is theirs to keep.
+    /// Whether the reasons for an attempt still hold right before its bytes are sent. A bound on staleness
+    /// that endpoints check themselves is not checked again.
     pub fn confirm_attempt(
         &mut self,
         now: Timestamp,
@@ -69,7 +86,8 @@
         };
         if end.outcome == AttemptOutcome::Succeeded {
             let quick = &mut self.quick_latency[request.method];
-            *quick *= if end.elapsed.as_secs_f64() > *quick { 1.02 } else { 0.95 };
+            let is_slower = end.elapsed.as_secs_f64() > *quick;
+            *quick *= if is_slower { SLOWER_ANSWER_FACTOR } else { QUICKER_ANSWER_FACTOR };
         } else {
             request.attempts.record_failure(end);
             if !end.outcome.proves_not_executed() {
@@ -81,8 +99,9 @@
         self.transition(end.attempt.request, event);
     }
 
-    /// A write that may have run binds its session's reads, even if nobody waits for its answer any more.
-    /// Positions are reported in whole milliseconds: only the next one is sure to show the write.
+    /// Records the position that later reads of a write's session must see, if the write may have run, even
+    /// if its client has left. Positions are reported in whole milliseconds, so only the next one surely
+    /// includes the write.
     fn record_session_write(&mut self, end: &AttemptEnd) {
         if let (false, Some(session)) = (self.settings.settings.clients_hold_positions, end.write_session) {
             let succeeded = end.outcome == AttemptOutcome::Succeeded;
--- a/routing/src/policy/compiled_settings.rs
+++ b/routing/src/policy/compiled_settings.rs
@@ -1,11 +1,30 @@
-//! What the settings come to: a policy for each method, and the intervals and limits derived from them.
+//! Values derived from the settings: the policy of each method, intervals, and bounds of concurrency limits.
 
 use crate::state::compiled_settings::{CompiledSettings, ConcurrencyBounds, DerivedTimes, MethodPolicy};
 use crate::time::TimeDelta;
 use crate::{Access, Idempotency, MethodIndex, MethodSettings, RoutingSettings};
 
-/// Attempts of all instances together that an endpoint may have in flight before it has shown what suits it.
+/// Attempts of all instances together that an endpoint may have in flight before its answers have adapted the
+/// limit.
 const INITIAL_CONCURRENCY: f64 = 16.0;
+/// Divisor of [`INITIAL_CONCURRENCY`]: the largest initial limit of one instance, and the smallest limit of
+/// all instances together.
+const CONCURRENCY_DIVISOR: f64 = 4.0;
+/// The tightest latency objective if there are no methods.
+const DEFAULT_OBJECTIVE: TimeDelta = TimeDelta::from_millis(100);
+/// Divisor of a method's latency objective: its quick latency before any answer has shown it.
+const INITIAL_LATENCY_DIVISOR: f64 = 4.0;
+/// Final answers are given this many clock steps before their deadline.
+const ANSWER_MARGIN_STEPS: i64 = 2;
+/// Divisor of the time within which the endpoint list must be polled, so that one failed poll leaves time for
+/// another.
+const LIST_POLL_DIVISOR: i64 = 2;
+/// Divisor of the tightest latency objective: the tick interval.
+const TICK_DIVISOR: i64 = 8;
+/// Divisor of the tightest bound on staleness: the age from which a reported position is queried again.
+const REPORT_AGE_DIVISOR: i64 = 4;
+/// Factor of the tightest latency objective: what takes the place of the bound if no method has one.
+const UNBOUNDED_STALENESS_FACTOR: i64 = 4;
 
 impl MethodPolicy {
     fn new(method: &MethodSettings, margin: TimeDelta, tightest_bound: Option<TimeDelta>) -> MethodPolicy {
@@ -25,42 +44,46 @@
         }
     }
 
-    /// In seconds, before any answer has shown what the method takes.
+    /// The quick latency of the method in seconds before any answer has shown it.
     pub fn initial_quick_latency(&self) -> f64 {
-        self.latency_objective.as_secs_f64() / 4.0
+        self.latency_objective.as_secs_f64() / INITIAL_LATENCY_DIVISOR
     }
 }
 
 impl CompiledSettings {
     /// Derives the policy of each method, the tick interval, the report age and the concurrency limits from
-    /// `settings`. Without methods, the tightest latency objective is taken to be 100 ms.
+    /// `settings`.
     pub fn new(settings: &RoutingSettings) -> CompiledSettings {
         let methods = &settings.methods;
         let tightest_objective = methods.iter().map(|method| method.latency_objective).min();
-        let tightest_objective = tightest_objective.unwrap_or(TimeDelta::from_millis(100));
+        let tightest_objective = tightest_objective.unwrap_or(DEFAULT_OBJECTIVE);
         let tightest_bound = methods.iter().filter_map(MethodSettings::staleness_bound).min();
-        let answer_margin = settings.clock_resolution * 2;
+        let staleness = tightest_bound.unwrap_or(tightest_objective * UNBOUNDED_STALENESS_FACTOR);
+        let answer_margin = settings.clock_resolution * ANSWER_MARGIN_STEPS;
         let instance_share = 1.0 / f64::from(settings.instances.max(1));
         CompiledSettings {
             methods: methods.iter().map(|m| MethodPolicy::new(m, answer_margin, tightest_bound)).collect(),
             retry_order: retry_order(methods),
             times: DerivedTimes {
-                list_poll_interval: settings.list_poll_within.map(|within| within / 2),
+                list_poll_interval: settings.list_poll_within.map(|within| within / LIST_POLL_DIVISOR),
                 answer_margin,
-                tick_interval: (tightest_objective / 8).max(settings.clock_resolution),
-                max_report_age: tightest_bound.unwrap_or(tightest_objective * 4) / 4,
+                tick_interval: (tightest_objective / TICK_DIVISOR).max(settings.clock_resolution),
+                max_report_age: staleness / REPORT_AGE_DIVISOR,
                 tightest_objective,
             },
             instance_share,
             concurrency: ConcurrencyBounds {
-                initial_limit: (INITIAL_CONCURRENCY * instance_share).min(INITIAL_CONCURRENCY / 4.0),
-                min_limit: INITIAL_CONCURRENCY / 4.0 * instance_share,
+                initial_limit: (INITIAL_CONCURRENCY * instance_share)
+                    .min(INITIAL_CONCURRENCY / CONCURRENCY_DIVISOR),
+                min_limit: INITIAL_CONCURRENCY / CONCURRENCY_DIVISOR * instance_share,
             },
             settings: settings.clone(),
         }
     }
 }
 
+/// Methods in the order in which waiting requests are retried: writes, strong reads, the others, each by
+/// objective.
 fn retry_order(methods: &[MethodSettings]) -> Vec<MethodIndex> {
     let mut order: Vec<MethodIndex> = (0..methods.len()).collect();
     let rank =
--- a/routing/src/policy/endpoint_state.rs
+++ b/routing/src/policy/endpoint_state.rs
@@ -1,11 +1,21 @@
-//! What is taken from the endpoint list and from endpoints' own reports, and who is taken for the primary of
-//! a group.
+//! Endpoint state from the endpoint list and from endpoints' own reports, and the primary of each group.
 
 use crate::state::endpoint::{Endpoint, LoadReport, RoleEvidence};
 use crate::time::Timestamp;
 use crate::{Action, EndpointIndex, EndpointRecord, EndpointReport, EndpointStatus};
 use crate::{GroupIndex, Role, RoutingPolicy};
 
+/// A failed poll of the endpoint list is repeated after 16 to 31 of so many parts of the poll interval.
+const RETRY_PARTS: i64 = 64;
+const MIN_RETRY_PARTS: i64 = 16;
+const RETRY_JITTER_PARTS: usize = 16;
+/// Factor of the poll interval: an open watch is renewed after this time, in case it was lost unnoticed.
+const WATCH_RENEWAL_FACTOR: i64 = 4;
+/// The work that an instance reckons to be outstanding at an endpoint that has just started is random: fewer
+/// than so many parts of the tightest latency objective, of as many parts as the divisor says.
+const START_JITTER_PARTS: usize = 64;
+const START_JITTER_DIVISOR: f64 = 256.0;
+
 impl RoutingPolicy {
     /// Polls the endpoint list if that is due.
     pub(crate) fn poll_endpoint_list(&mut self) {
@@ -15,10 +25,14 @@
         }
     }
 
-    /// After a failure, with jitter: many instances that polled again in step would fail together again.
+    /// Schedules the next poll after a failed one. The jitter keeps many instances from polling in step.
     pub(crate) fn postpone_list_poll(&mut self) {
-        let jitter = self.rng.below(16) as i64;
-        let delay = self.settings.times.list_poll_interval.map(|interval| interval / 64 * (16 + jitter));
+        let jitter = self.rng.below(RETRY_JITTER_PARTS) as i64;
+        let delay = self
+            .settings
+            .times
+            .list_poll_interval
+            .map(|interval| interval / RETRY_PARTS * (MIN_RETRY_PARTS + jitter));
         self.next_list_poll = delay.map(|delay| self.now + delay);
     }
 
@@ -26,8 +40,9 @@
         let unlisted_stay_usable = self.settings.settings.unlisted_stay_usable;
         let unlisted = self.endpoints.iter_mut().filter(|_| complete);
         unlisted.for_each(|endpoint| endpoint.listing.serving &= unlisted_stay_usable);
-        // A watch that stands needs no renewal; one that was lost unnoticed does.
-        self.next_list_poll = self.settings.times.list_poll_interval.map(|interval| self.now + interval * 4);
+        // An open watch needs no poll, unless it was lost unnoticed.
+        self.next_list_poll =
+            self.settings.times.list_poll_interval.map(|interval| self.now + interval * WATCH_RENEWAL_FACTOR);
         for record in records {
             self.ensure_endpoint(record.endpoint, record.group, record.zone);
             self.apply_record(record);
@@ -43,28 +58,29 @@
             EndpointStatus::Draining => false,
             EndpointStatus::Removed => stays_usable,
         };
-        // A start that was only presumed gives way to the list's record of it.
+        // The start in the list replaces one that was only presumed.
         listing.started_at = listing.started_at.filter(|_| !listing.start_presumed);
         listing.start_presumed = record.start_presumed;
         if record.started_at > listing.started_at {
             listing.started_at = record.started_at;
             capacity.work.last_attempt_at = self.now;
-            // Jitter: each instance makes its first attempt at a starting endpoint at a time of its own.
-            let jitter = self.rng.below(64) as f64 / 256.0;
+            // The jitter spreads the first attempts of all instances at a starting endpoint.
+            let jitter = self.rng.below(START_JITTER_PARTS) as f64 / START_JITTER_DIVISOR;
             capacity.work.at_last_attempt = jitter * self.settings.times.tightest_objective.as_secs_f64();
         }
-        // The list's role is the weakest evidence: it counts only until the endpoint itself has answered.
+        // The role in the list is the weakest evidence: it is used only until the endpoint itself has
+        // answered.
         if health.answered_at.max(role.latest_evidence_at()) == Timestamp::DISTANT_PAST {
             role.primary_claim = record.primary.then_some(Timestamp::DISTANT_PAST);
         }
     }
 
-    /// Takes a report for what it is worth. A position proves freshness however late it comes; a role counts
-    /// from the time that it speaks of, which for a primary is its position.
+    /// Applies a report of an endpoint. A position proves freshness however late the report arrives; a role
+    /// is valid as of the time that it was reported for, which for a primary is its position.
     pub(crate) fn apply_report(&mut self, index: EndpointIndex, report: EndpointReport, is_answer: bool) {
         let now = self.now;
         let Some(endpoint) = self.endpoints.get_mut(index) else { return };
-        // A report of a time to come proves nothing, least of all freshness.
+        // A report dated in the future is no evidence, in particular not of freshness.
         let from_future = report.position > Some(now + self.settings.times.answer_margin);
         let report = if from_future { EndpointReport::default() } else { report };
         if let Some(position) = report.position {
@@ -97,7 +113,7 @@
                     self.primary_claim = self.primary_claim.max(Some(as_of));
                 }
             }
-            // An answer that says "replica" holds at once; a report only as of its own time.
+            // The role "replica" in an answer is valid at once; in another report only as of its own time.
             Some(Role::Replica) if is_answer => (self.primary_claim, self.primary_denied_at) = (None, now),
             Some(Role::Replica) if report.position.unwrap_or(now) >= self.primary_claim.unwrap_or(now) => {
                 self.primary_claim = None;
--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -29,7 +29,14 @@
     (InFlight, |event| event == Closed, Done, Step::Nothing),
 ];
 
+/// Factor of a method's quick latency: the time that another attempt needs to be of use.
+const NEEDED_LATENCY_FACTOR: f64 = 2.0;
+/// Divisor of a method's latency objective: the most that this time comes to. Otherwise a method that is no
+/// longer attempted would be taken for slow for ever.
+const MAX_NEEDED_DIVISOR: i64 = 3;
+
 impl RoutingPolicy {
+    /// Takes a new request: opens it, or rejects it if its method is unknown.
     pub(crate) fn on_arrival(&mut self, arrival: &RequestArrival) {
         let (id, group) = (arrival.request, arrival.group);
         self.ensure_group(group);
@@ -111,17 +118,19 @@
 
     /// Whether no attempt that could still start would be of use.
     pub(super) fn has_no_prospect(&self, request: &Request) -> bool {
-        let twice_quick = TimeDelta::from_secs_f64(self.quick_latency[request.method] * 2.0);
-        // Never more than a third: a method that is no longer attempted would be taken for slow for ever.
-        let needed = twice_quick.min(self.settings.methods[request.method].latency_objective / 3);
+        let quick_latency = self.quick_latency[request.method];
+        let expected = TimeDelta::from_secs_f64(quick_latency * NEEDED_LATENCY_FACTOR);
+        let objective = self.settings.methods[request.method].latency_objective;
+        let needed = expected.min(objective / MAX_NEEDED_DIVISOR);
         let too_late = self.now + needed >= request.deadlines.useful_until;
         let retry_over = request.attempts.retry_until.is_some_and(|until| self.now >= until);
-        // A client that has waited half of its time for nothing had better ask elsewhere.
+        // After half of its time without reaching any endpoint, the client does better to retry at another
+        // instance.
         let unsent = !request.attempts.reached_endpoint && self.now >= request.deadlines.half_time();
         retry_over || too_late || unsent || request.attempts.started >= self.settings.settings.max_attempts
     }
 
-    /// Gives the final answer, at once. It invites a retry only if that does no harm.
+    /// Gives the final answer at once. It is a rejection, which invites a retry, only if a retry is safe.
     fn give_up(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let may_have_run = request.attempts.retry_until.is_some() || request.in_flight.is_some();
@@ -137,13 +146,13 @@
         }
     }
 
-    /// Tries a group's waiting requests again, the most urgent methods first; behind one that still has to
-    /// wait, the others of its method wait too.
+    /// Tries a group's waiting requests again, the most urgent methods first. Once one has to wait on, the
+    /// other requests of its method wait on too.
     pub(crate) fn retry_waiting(&mut self, group: GroupIndex) {
         for nth in 0..self.settings.retry_order.len() {
             let method = self.settings.retry_order[nth];
             // Newest first, so that under overload some are answered in time rather than all late; then
-            // oldest first, for what only waiting makes possible.
+            // oldest first, for requests that had to wait for a replica to catch up.
             for end in [BTreeSet::last, BTreeSet::first] {
                 while let Some(&next) = end(&self.groups[group].waiting[method]) {
                     self.transition(next, Progress);
--- a/routing/src/state/request.rs
+++ b/routing/src/state/request.rs
@@ -73,7 +73,7 @@
     /// Attempts rejected because the endpoint was not the primary or too stale.
     pub eligibility_rejections: u32,
     /// The endpoint of the last failed attempt, used again only if it is the only one.
-    pub avoid_endpoint: Option<EndpointIndex>,
+    pub last_failed_endpoint: Option<EndpointIndex>,
 }
 
 impl AttemptHistory {
@@ -82,7 +82,7 @@
         let not_sent = matches!(end.outcome, AttemptOutcome::NotSent | AttemptOutcome::Unreachable);
         self.reached_endpoint |= !not_sent;
         self.eligibility_rejections += u32::from(end.outcome == AttemptOutcome::NotEligible);
-        self.avoid_endpoint = Some(end.attempt.endpoint);
+        self.last_failed_endpoint = Some(end.attempt.endpoint);
     }
 }
 
