--- a/routing/src/state/compiled_settings.rs
+++ b/routing/src/state/compiled_settings.rs
@@ -1,20 +1,20 @@
-//! What the settings come to. The values are computed in `policy::compiled_settings`.
+//! Values derived from the settings. They are computed in `policy::compiled_settings`.
 
 use crate::events::MethodIndex;
 use crate::settings::{Access, RoutingSettings};
 use crate::time::TimeDelta;
 
-/// The policy for a method.
+/// Policy of a method.
 pub struct MethodPolicy {
     pub access: Access,
-    /// How long after it may have run a request may be retried.
+    /// How long a request may be retried, from the first attempt that may have executed it.
     pub retry_window: TimeDelta,
-    /// Its client may send it again, whatever became of it.
+    /// Its client may retry it even if it has been executed.
     pub client_may_retry: bool,
     pub latency_objective: TimeDelta,
     /// An answer after the latency objective still has some value.
     pub useful_when_late: bool,
-    /// Reads of it may hold up a replica's log for longer than some bound on staleness allows.
+    /// Its reads may delay a replica's log for longer than some other method's bound on staleness.
     pub delays_replication: bool,
 }
 
@@ -25,23 +25,23 @@
     }
 }
 
-/// Times that follow from the settings.
+/// Time spans derived from the settings.
 pub struct DerivedTimes {
     pub list_poll_interval: Option<TimeDelta>,
     /// A final answer is given this long before its deadline.
     pub answer_margin: TimeDelta,
     pub tick_interval: TimeDelta,
-    /// A reported position older than this is asked for again.
+    /// Age from which a reported position is queried again.
     pub max_report_age: TimeDelta,
     /// The shortest latency objective.
     pub tightest_objective: TimeDelta,
 }
 
-/// Where the concurrency limits of endpoints begin and end.
+/// Bounds of the concurrency limits of endpoints.
 pub struct ConcurrencyBounds {
-    /// The first limit of an endpoint.
+    /// Limit of a new endpoint.
     pub initial_limit: f64,
-    /// Below this no limit is reduced.
+    /// The smallest value that a limit is reduced to.
     pub min_limit: f64,
 }
 
@@ -52,7 +52,7 @@
     /// Methods in the order in which waiting requests are retried.
     pub retry_order: Vec<MethodIndex>,
     pub times: DerivedTimes,
-    /// The fraction of all instances' traffic that is taken to be this instance's.
+    /// This instance's assumed fraction of all instances' traffic.
     pub instance_share: f64,
     pub concurrency: ConcurrencyBounds,
 }
--- a/routing/src/state/endpoint.rs
+++ b/routing/src/state/endpoint.rs
@@ -1,46 +1,47 @@
-//! What is known of one endpoint.
+//! State of an endpoint.
 
 use crate::events::GroupIndex;
 use crate::time::{TimeDelta, Timestamp};
 
-/// The load that an endpoint reported, and when.
+/// Load reported by an endpoint, and when.
 #[derive(Clone, Copy)]
 pub struct LoadReport {
-    /// The fraction of its cores that is busy.
+    /// Fraction of its cores that is busy.
     pub busy: f64,
     pub at: Timestamp,
 }
 
-/// What the endpoint list says of an endpoint.
+/// Entry of the endpoint list for an endpoint.
 #[derive(Default)]
 pub struct EndpointListing {
     pub group: GroupIndex,
     pub zone: usize,
-    /// It may get new attempts, by the endpoint list.
+    /// The endpoint list allows new attempts.
     pub serving: bool,
     /// When its process last started, if that was recent.
     pub started_at: Option<Timestamp>,
+    /// `started_at` is only the latest possible start.
     pub start_presumed: bool,
 }
 
-/// What an endpoint has reported of its data and its load.
+/// Position and load reported by an endpoint.
 #[derive(Default)]
 pub struct ReportedState {
-    /// The highest position ever reported. It never goes back.
+    /// The highest position ever reported; it never decreases.
     pub position: Option<Timestamp>,
-    /// When a position was last reported, whatever it was.
+    /// When a position was last reported, even if it was not the highest.
     pub position_reported_at: Timestamp,
     pub load: Option<LoadReport>,
 }
 
 impl ReportedState {
-    /// A position was reported.
+    /// Records a reported position.
     pub fn record_position(&mut self, position: Timestamp, now: Timestamp) {
         self.position = self.position.max(Some(position));
         self.position_reported_at = now;
     }
 
-    /// How far the data was behind when a position was last reported.
+    /// Replication lag at the last reported position.
     pub fn lag(&self) -> Option<TimeDelta> {
         self.position.map(|position| self.position_reported_at - position)
     }
@@ -49,26 +50,26 @@
 /// Evidence for and against an endpoint being the primary of its group.
 #[derive(Default)]
 pub struct RoleEvidence {
-    /// The time as of which it claims to be the primary.
+    /// Time as of which it claims to be the primary.
     pub primary_claim: Option<Timestamp>,
-    /// When an answer last said that it is not the primary.
+    /// When an answer last denied that it is the primary.
     pub primary_denied_at: Timestamp,
 }
 
 impl RoleEvidence {
-    /// The time of the latest evidence; [`Timestamp::DISTANT_PAST`] if there is none.
+    /// Time of the latest evidence; [`Timestamp::DISTANT_PAST`] if there is none.
     pub fn latest_evidence_at(&self) -> Timestamp {
         self.primary_denied_at.max(self.primary_claim.unwrap_or_default())
     }
 }
 
-/// How attempts at an endpoint and its health checks have ended lately.
+/// Health of an endpoint by its recent attempts and health checks.
 #[derive(Default)]
 pub struct EndpointHealth {
     pub answered_at: Timestamp,
     pub consecutive_failures: u32,
     pub failed_at: Timestamp,
-    /// It gets no attempts until then.
+    /// It gets no attempts until this time.
     pub ejected_until: Timestamp,
     pub check_in_flight: bool,
     pub checked_at: Timestamp,
@@ -77,26 +78,26 @@
 /// Work of this instance at an endpoint, in seconds.
 #[derive(Default)]
 pub struct WorkEstimate {
-    /// Outstanding when the last attempt started.
+    /// Outstanding work when the last attempt started.
     pub at_last_attempt: f64,
     pub last_attempt_at: Timestamp,
-    /// Done, decayed.
+    /// Completed work, with exponential decay.
     pub completed: f64,
     pub completed_at: Timestamp,
 }
 
-/// What this instance has in flight at an endpoint, and how much it may have.
+/// Attempts of this instance in flight at an endpoint, and their limit.
 #[derive(Default)]
 pub struct EndpointCapacity {
     /// Attempts of this instance in flight.
     pub in_flight: u32,
-    /// Attempts of this instance that it may have in flight; below 1 a rate: seconds of work per second.
+    /// Maximum attempts of this instance in flight; below 1 it is a rate, in seconds of work per second.
     pub concurrency_limit: f64,
     pub limit_reduced_at: Timestamp,
     pub work: WorkEstimate,
 }
 
-/// One endpoint. Times are those of this instance's clock.
+/// An endpoint. Times are by this instance's clock.
 #[derive(Default)]
 pub struct Endpoint {
     pub listing: EndpointListing,
@@ -107,12 +108,12 @@
 }
 
 impl WorkEstimate {
-    /// Work that is left if `rate` seconds of it are done per second, in seconds.
+    /// Outstanding work in seconds, if `rate` seconds of it are completed per second.
     pub fn outstanding(&self, rate: f64, now: Timestamp) -> f64 {
         (self.at_last_attempt - rate * (now - self.last_attempt_at).as_secs_f64()).max(0.0)
     }
 
-    /// Work done for this instance lately, with exponential decay over `window`, in seconds.
+    /// Work recently completed for this instance in seconds, with exponential decay over `window`.
     pub fn recent(&self, window: TimeDelta, now: Timestamp) -> f64 {
         let elapsed = (now - self.completed_at).as_secs_f64();
         self.completed * (-elapsed / window.as_secs_f64().max(1e-9)).exp()
@@ -120,14 +121,14 @@
 }
 
 impl EndpointCapacity {
-    /// An attempt starts that is expected to take this much work, in seconds.
+    /// Records the start of an attempt with an expected work in seconds.
     pub fn start_work(&mut self, work: f64, now: Timestamp) {
         self.work.at_last_attempt = self.work.outstanding(self.concurrency_limit, now) + work;
         self.work.last_attempt_at = now;
         self.in_flight += 1;
     }
 
-    /// An attempt has ended with this much work done, in seconds.
+    /// Records the end of an attempt that completed `work` seconds of work.
     pub fn finish_work(&mut self, work: f64, window: TimeDelta, now: Timestamp) {
         self.work.completed = self.work.recent(window, now) + work;
         self.work.completed_at = now;
@@ -136,24 +137,24 @@
 }
 
 impl Endpoint {
-    /// Whether it has reported since then that more than this fraction of its cores is busy.
+    /// Whether it has reported, since a time, a load above this fraction of its cores.
     pub fn reported_busier_than(&self, busy: f64, since: Timestamp) -> bool {
         self.reported.load.is_some_and(|load| load.at > since && load.busy > busy)
     }
 
-    /// Whether it has failed and answered nothing since.
+    /// Whether it has failed and has not answered since.
     pub fn is_silent(&self) -> bool {
         self.health.consecutive_failures > 0 && self.health.answered_at <= self.health.failed_at
     }
 
-    /// Whether it serves, has not failed lately, and its data is complete up to a later time.
+    /// Whether it serves, has not failed recently, and its data is complete beyond a position.
     pub fn is_fresh_since(&self, position: Timestamp) -> bool {
         self.listing.serving
             && self.reported.position > Some(position)
             && self.health.consecutive_failures == 0
     }
 
-    /// Whether no attempt of this instance is in flight at it.
+    /// Whether this instance has no attempt in flight at it.
     pub fn is_idle(&self) -> bool {
         self.capacity.in_flight == 0
     }
--- a/routing/src/state/group.rs
+++ b/routing/src/state/group.rs
@@ -1,28 +1,28 @@
-//! What is known of one replication group.
+//! State of a replication group.
 
 use crate::events::{EndpointIndex, PrimaryEligibility, RequestId};
 use std::collections::BTreeSet;
 
-/// One group.
+/// A replication group.
 #[derive(Clone, Default)]
 pub struct Group {
     pub members: Vec<EndpointIndex>,
-    /// Requests that wait, by method.
+    /// Waiting requests by method.
     pub waiting: Vec<BTreeSet<RequestId>>,
-    /// The member that is taken for the primary.
+    /// The member that is assumed to be the primary.
     pub primary: Option<EndpointIndex>,
     pub eligibility: PrimaryEligibility,
-    /// Health checks that its own requests have earned.
+    /// Health checks that its requests have earned.
     pub health_check_credit: f64,
 }
 
 impl Group {
-    /// A group without members, for this many methods.
+    /// Creates a group without members for this many methods.
     pub fn new(methods: usize) -> Group {
         Group { waiting: vec![BTreeSet::new(); methods], ..Group::default() }
     }
 
-    /// Whether a member may be taken for the primary.
+    /// Whether a member may be assumed to be the primary.
     pub fn is_eligible(&self, endpoint: EndpointIndex) -> bool {
         match self.eligibility {
             PrimaryEligibility::Any => true,
--- a/routing/src/state/mod.rs
+++ b/routing/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What is known of requests, attempts, endpoints, groups and sessions. No decision is made here.
+//! State of requests, attempts, endpoints, groups and sessions. No decision is made here.
 
 pub mod compiled_settings;
 pub mod endpoint;
--- a/routing/src/state/session_writes.rs
+++ b/routing/src/state/session_writes.rs
@@ -1,26 +1,25 @@
-//! The commit positions of sessions' last writes, if clients do not carry them. Bounded, however many sessions never
-//! come back; writes in flight are bounded by the open requests.
+//! Commit positions of sessions' last writes, for deployments whose clients do not send them. Memory is bounded by a
+//! maximum of sessions; writes in flight are bounded by the open requests.
 
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sessions whose positions are kept at most.
+/// Maximum number of sessions whose positions are kept.
 const MAX_SESSIONS: usize = 1 << 16;
 
-/// Positions that sessions' reads must see because of their writes.
+/// Positions that sessions' reads must see because of the sessions' own writes.
 #[derive(Default)]
 pub struct SessionWrites {
     positions: BTreeMap<u64, Timestamp>,
     by_position: BTreeSet<(Timestamp, u64)>,
-    /// Writes in flight, by session. Each may have run and been answered, though the answer is still on its way, or
-    /// lost.
+    /// Number of writes in flight by session. Each may already be committed, with its answer still in flight or lost.
     in_flight: BTreeMap<u64, u32>,
-    /// The latest of the positions that were dropped: it counts for every session that has none.
+    /// The latest dropped position: it applies to every session without a position.
     dropped: Option<Timestamp>,
 }
 
 impl SessionWrites {
-    /// The position that a read of the session must see which arrives now.
+    /// Position that a read of the session must see if it arrives now.
     pub fn required_position(&self, session: Option<u64>, now: Timestamp) -> Option<Timestamp> {
         let key = session.unwrap_or_default();
         let written = self.positions.get(&key).copied();
@@ -28,12 +27,13 @@
         written.max(pending).filter(|_| session.is_some()).max(self.dropped)
     }
 
-    /// An attempt of a write has started.
+    /// Records the start of an attempt of a write.
     pub fn started(&mut self, session: u64) {
         *self.in_flight.entry(session).or_default() += 1;
     }
 
-    /// An attempt of a write has ended. `committed` is a position that surely shows the write, none if it did not run.
+    /// Records the end of an attempt of a write. `committed` is a position that surely includes the write, `None` if it
+    /// was not executed.
     pub fn ended(&mut self, session: u64, committed: Option<Timestamp>) {
         if let Some(in_flight) = self.in_flight.get_mut(&session) {
             *in_flight -= 1;
@@ -53,8 +53,8 @@
         self.by_position.insert((*known, session));
     }
 
-    /// Drops positions that every usable endpoint has reached, since they bind nobody, and those beyond the limit, which
-    /// then bind every session alike.
+    /// Drops positions that every usable endpoint has reached, since they are always satisfied, and those beyond the
+    /// maximum, which then apply to all sessions without a position.
     pub fn expire(&mut self, reached: Option<Timestamp>) {
         while let Some(&(position, session)) = self.by_position.first() {
             if reached < Some(position) && self.positions.len() <= MAX_SESSIONS {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Sessions whose positions are kept.
+    /// Number of sessions whose positions are kept.
     pub fn len(&self) -> usize {
         self.positions.len()
     }
--- a/routing/src/state/timer_tag.rs
+++ b/routing/src/state/timer_tag.rs
@@ -1,4 +1,4 @@
-//! What a timer of the routing policy is for, as the number that the host keeps.
+//! Purposes of the routing policy's timers, encoded as the numbers that the host stores.
 
 use crate::events::RequestId;
 
@@ -7,14 +7,14 @@
 pub enum TimerTag {
     /// The regular tick.
     Tick,
-    /// Half of the time that a request has is over.
+    /// Half of a request's time has passed.
     HalfTime(RequestId),
-    /// The last moment for the final answer of a request.
+    /// The final answer of a request is due.
     AnswerDue(RequestId),
 }
 
 impl TimerTag {
-    /// The tag as a number.
+    /// Encodes the tag.
     pub fn encode(self) -> u64 {
         match self {
             TimerTag::Tick => 0,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The tag of a number.
+    /// Decodes a tag.
     pub fn decode(tag: u64) -> TimerTag {
         match tag {
             0 => TimerTag::Tick,
