--- a/recovery/src/group_state.rs
+++ b/recovery/src/group_state.rs
@@ -126,7 +126,7 @@
 /// Which member the routing policy may treat as the primary.
 pub fn eligibility(state: GroupState) -> PrimaryEligibility {
     match state {
-        GroupState::Unknown | GroupState::Claimed | GroupState::Contested => PrimaryEligibility::Nobody,
+        GroupState::Unknown | GroupState::Claimed | GroupState::Contested => PrimaryEligibility::NoMember,
         GroupState::Verified(member) => PrimaryEligibility::Only(member),
         GroupState::Settled => PrimaryEligibility::Any,
     }
--- a/recovery/src/primary_discovery/mod.rs
+++ b/recovery/src/primary_discovery/mod.rs
@@ -157,7 +157,7 @@
         while self.groups.len() <= index {
             let group = self.groups.len();
             self.groups.push(Group::default());
-            let eligibility = PrimaryEligibility::Nobody;
+            let eligibility = PrimaryEligibility::NoMember;
             self.actions.push(Action::SetEligibility { group, eligibility });
         }
     }
--- a/recovery/tests/primary_discovery.rs
+++ b/recovery/tests/primary_discovery.rs
@@ -5,7 +5,7 @@
 
 use recovery::endpoint_state::EndpointState;
 use recovery::primary_discovery::{DiscoverySettings, Event, Identity, QueryFailure};
-use routing::PrimaryEligibility::{Any, Nobody, Only};
+use routing::PrimaryEligibility::{Any, NoMember, Only};
 use std::collections::BTreeSet;
 use support::{at, primary, replica, without_timeline, Fixture, DAY, FRESH, GROUP_SIZE, START};
 
@@ -17,7 +17,7 @@
     fixture.fail(1, QueryFailure::NoAnswer);
     assert_eq!(
         fixture.eligibility(0),
-        Nobody,
+        NoMember,
         "the third has not been queried, and may claim to be primary too"
     );
     fixture.fail(2, QueryFailure::NoAnswer);
@@ -31,7 +31,7 @@
     assert!(!fixture.admitted.contains(&0));
     fixture.answer(1, replica(START - 10, 1));
     fixture.answer(2, replica(START - 10, 1));
-    assert_eq!(fixture.eligibility(0), Nobody);
+    assert_eq!(fixture.eligibility(0), NoMember);
     fixture.answer_as(1, Identity::Mismatch, replica(START, 1));
     assert!(!fixture.admitted.contains(&1), "it was admitted, and another endpoint answers there now");
 }
@@ -74,7 +74,7 @@
 fn without_queries_only_a_list_makes_primaries_eligible() {
     let settings = DiscoverySettings { cache_times: None, may_query: false, descriptors: 8 };
     let mut fixture = Fixture::with_settings(1, settings);
-    assert!(fixture.queries.is_empty() && fixture.eligibility(0) == Nobody);
+    assert!(fixture.queries.is_empty() && fixture.eligibility(0) == NoMember);
     fixture.confirm_list(0..3);
     assert_eq!(fixture.eligibility(0), Any);
 }
--- a/recovery/tests/primary_verification.rs
+++ b/recovery/tests/primary_verification.rs
@@ -7,18 +7,18 @@
 use recovery::group_state::GroupState;
 use recovery::primary_discovery::{Event, QueryFailure};
 use recovery::primary_verification::MinimumPosition;
-use routing::PrimaryEligibility::{Nobody, Only};
+use routing::PrimaryEligibility::{NoMember, Only};
 use routing::{EndpointReport, Role};
 use support::{at, primary, replica, without_timeline, Fixture, DAY, FRESH, START};
 
 #[test]
 fn no_primary_is_eligible_before_it_is_verified() {
     let mut fixture = Fixture::new(1, FRESH);
-    assert_eq!(fixture.eligibility(0), Nobody);
+    assert_eq!(fixture.eligibility(0), NoMember);
     fixture.answer(0, primary(START, 1));
-    assert_eq!(fixture.eligibility(0), Nobody, "one claim, the others not queried");
+    assert_eq!(fixture.eligibility(0), NoMember, "one claim, the others not queried");
     fixture.answer(1, replica(START - 20, 1));
-    assert_eq!(fixture.eligibility(0), Nobody);
+    assert_eq!(fixture.eligibility(0), NoMember);
     fixture.answer(2, replica(START - 20, 1));
     assert_eq!(fixture.eligibility(0), Only(0), "all members answered, and the list is fresh");
 }
@@ -30,7 +30,7 @@
         let stalled = replica(START - 5_000, 1);
         fixture.answer_in_order([primary(fixture.now, 1), stalled, stalled]);
     }
-    assert_eq!(fixture.eligibility(0), Nobody, "its replicas do not advance: it may be partitioned");
+    assert_eq!(fixture.eligibility(0), NoMember, "its replicas do not advance: it may be partitioned");
     fixture.answer(1, replica(fixture.now, 1));
     fixture.answer(0, primary(fixture.now, 1));
     assert_eq!(fixture.eligibility(0), Only(0), "one of two replicas passed the position it reported");
@@ -49,7 +49,7 @@
             fixture.answer(0, primary(fixture.now, self.claimed_timeline));
             fixture.answer(1, replica(fixture.now + self.replica_ahead_ms, self.replica_timeline));
             fixture.fail(2, QueryFailure::NoAnswer);
-            assert_eq!(fixture.eligibility(0), Nobody);
+            assert_eq!(fixture.eligibility(0), NoMember);
         }
     }
 }
@@ -71,7 +71,7 @@
         let mut fixture = Fixture::new(1, age);
         fixture.fail(2, QueryFailure::NoAnswer);
         for round in 1..=claims_required {
-            assert_eq!(fixture.eligibility(0), Nobody, "{age} ms old, before claim {round}");
+            assert_eq!(fixture.eligibility(0), NoMember, "{age} ms old, before claim {round}");
             fixture.answer(0, primary(fixture.now, 1));
             fixture.answer(1, replica(fixture.now, 1));
         }
@@ -101,7 +101,7 @@
     fixture.answer(0, primary(START, 1));
     fixture.answer(1, without_timeline(replica(START - 10, 1)));
     fixture.fail(2, QueryFailure::NoAnswer);
-    assert_eq!(fixture.eligibility(0), Nobody, "the one without an answer may have been promoted");
+    assert_eq!(fixture.eligibility(0), NoMember, "the one without an answer may have been promoted");
     fixture.fail(2, QueryFailure::Refused);
     assert_eq!(fixture.eligibility(0), Only(0));
 }
@@ -113,7 +113,7 @@
     for _ in 0..3 {
         fixture.answer(0, without_timeline(primary(fixture.now, 1)));
         fixture.answer(1, without_timeline(primary(fixture.now, 1)));
-        assert_eq!(fixture.eligibility(0), Nobody);
+        assert_eq!(fixture.eligibility(0), NoMember);
     }
     assert_eq!(fixture.discovery.group_state(0), Some(GroupState::Contested));
     // The first does not advance: queried after the other, it reports an earlier position.
@@ -131,7 +131,7 @@
     for report in [primary(START, 2), primary(START - 6_000, 3)] {
         let behind = RoleReport { timeline: report.timeline, ..replica(START - 7_000, 1) };
         fixture.answer_in_order([report, behind, behind]);
-        assert_eq!(fixture.eligibility(0), Nobody);
+        assert_eq!(fixture.eligibility(0), NoMember);
     }
     fixture.answer(0, primary(START, 3));
     assert_eq!(fixture.eligibility(0), Only(0));
@@ -144,5 +144,5 @@
     let report = EndpointReport { role: Some(Role::Replica), position: Some(at(fixture.now)), load: None };
     let queried_at = at(fixture.now);
     fixture.handle(Event::Observed { endpoint: 0, queried_at, report });
-    assert_eq!(fixture.eligibility(0), Nobody);
+    assert_eq!(fixture.eligibility(0), NoMember);
 }
--- a/routing/src/events.rs
+++ b/routing/src/events.rs
@@ -1,79 +1,79 @@
-//! What a host reports to the routing policy and what the policy asks for. No decision is made here.
+//! Events that a host reports to the routing policy, and actions that the policy requests. No decision is made here.
 //!
 //! A host maps its own identifiers to [`RequestId`], [`EndpointIndex`] and [`GroupIndex`], and its own times to
 //! [`Timestamp`] and [`TimeDelta`].
 
 use crate::time::{TimeDelta, Timestamp};
 
-/// A number that the host gives each request, rising and never used twice.
+/// The host's number of a request: ascending and never reused.
 pub type RequestId = u64;
-/// The host's dense index of an endpoint; the same endpoint keeps it for the life of an instance.
+/// The host's dense index of an endpoint, constant while the instance runs.
 pub type EndpointIndex = usize;
 /// The host's dense index of a replication group.
 pub type GroupIndex = usize;
 /// Index into [`RoutingSettings::methods`](crate::RoutingSettings::methods).
 pub type MethodIndex = usize;
 
-/// Whether an endpoint may get new attempts, by the endpoint list.
+/// Status of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It may.
+    /// It may get new attempts.
     Serving,
-    /// It is about to stop and may get none.
+    /// It is about to stop and may get no new attempts.
     Draining,
-    /// It is no longer listed.
+    /// It is not listed any more.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointRecord {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointIndex,
     /// Its replication group.
     pub group: GroupIndex,
     /// Its zone.
     pub zone: usize,
-    /// Whether it may get attempts.
+    /// Whether it may get new attempts.
     pub status: EndpointStatus,
     /// The list names it as the primary of its group.
     pub primary: bool,
     /// When its process last started, if that was recent.
     pub started_at: Option<Timestamp>,
-    /// `started_at` is only the latest possible time; a later record goes before it.
+    /// `started_at` is only the latest possible start; a later record replaces it.
     pub start_presumed: bool,
 }
 
 /// The role of a member in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It takes writes.
+    /// It executes writes.
     Primary,
-    /// It applies the primary's log.
+    /// It replicates the primary's log.
     Replica,
 }
 
-/// What an endpoint reports of itself. Any part may be missing, outdated or wrong.
+/// An endpoint's report of its own state. Any part may be missing, outdated or wrong.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointReport {
-    /// The commit time up to which its data is complete.
+    /// Commit time up to which its data is complete.
     pub position: Option<Timestamp>,
     /// Its role.
     pub role: Option<Role>,
-    /// The fraction of its cores that is busy.
+    /// Fraction of its cores that is busy.
     pub load: Option<f64>,
 }
 
-/// Which member of a group may be taken for its primary. A host that starts from a cached endpoint list restricts this
-/// until a primary is verified; otherwise it is always [`PrimaryEligibility::Any`].
+/// Which member of a group may be assumed to be its primary. A host that starts from a cached endpoint list restricts
+/// this until a primary is verified; otherwise it is always [`PrimaryEligibility::Any`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PrimaryEligibility {
-    /// Whichever has the latest claim.
+    /// The member with the latest claim.
     #[default]
     Any,
-    /// None.
-    Nobody,
-    /// Only this one, as long as it claims to be primary.
+    /// No member.
+    NoMember,
+    /// Only this member, as long as it claims to be primary.
     Only(EndpointIndex),
 }
 
@@ -82,7 +82,7 @@
 pub enum AttemptOutcome {
     /// The endpoint answered with a value.
     Succeeded,
-    /// The endpoint answered with an error; the request may have run.
+    /// The endpoint answered with an error; the request may have been executed.
     Failed,
     /// The endpoint rejected it unread: overloaded or draining.
     Rejected,
@@ -96,12 +96,12 @@
     Cancelled,
     /// Its last byte was never sent.
     NotSent,
-    /// The endpoint rejected it untouched: not the primary, or its data is too stale.
+    /// The endpoint rejected it unexecuted: it is not the primary, or its data is too stale.
     NotEligible,
 }
 
 impl AttemptOutcome {
-    /// Whether it proves that the request did not run.
+    /// Whether it proves that the request was not executed.
     pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
@@ -113,10 +113,10 @@
     }
 }
 
-/// A request that a client has sent to this instance.
+/// A request that arrived at this instance.
 #[derive(Clone, Debug)]
 pub struct RequestArrival {
-    /// Its number.
+    /// Number of the request.
     pub request: RequestId,
     /// Its method.
     pub method: MethodIndex,
@@ -124,70 +124,70 @@
     pub group: GroupIndex,
     /// Its client's session.
     pub session: Option<u64>,
-    /// How long before the arrival its session's last write was committed, if clients carry that.
+    /// Time between the commit of its session's last write and its arrival, if clients send that.
     pub last_write: Option<TimeDelta>,
-    /// The position that its session has seen: a read must show at least that, whatever its method.
+    /// Position that its session has seen: a read of any method must see at least this position.
     pub seen_position: Option<Timestamp>,
-    /// When it came to the host; the latency objective counts from then.
+    /// When the host received it; the latency objective counts from this time.
     pub received_at: Timestamp,
-    /// When its client gives it up.
+    /// When its client stops waiting for the answer.
     pub deadline: Timestamp,
-    /// Its client says that it sent the request before.
+    /// It is a retry by its client.
     pub client_retry: bool,
 }
 
-/// Which attempt.
+/// Identity of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
     /// Its request.
     pub request: RequestId,
-    /// Its number among the attempts of the request, from 0.
+    /// Index among the attempts of the request.
     pub number: u32,
-    /// Where it is sent.
+    /// The endpoint that it is sent to.
     pub endpoint: EndpointIndex,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// Which attempt.
+    /// The attempt.
     pub attempt: AttemptId,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// Time since it started.
+    /// Time since its start.
     pub elapsed: TimeDelta,
     /// The request needs no answer any more.
     pub request_closed: bool,
-    /// If it was a write, the session that it was made for.
+    /// Session of the write, if the attempt was one.
     pub write_session: Option<u64>,
-    /// What the answer itself says of the endpoint, as of now.
+    /// Report in the answer itself, valid as of now.
     pub answer_report: EndpointReport,
-    /// A load report that came with it, as old as that is.
+    /// Report that accompanied the answer, which may be older.
     pub load_report: EndpointReport,
 }
 
-/// Something that has happened.
+/// An event that the host reports.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Records of the endpoint list have come.
+    /// Records of the endpoint list were received.
     EndpointList {
-        /// They are the whole list, not changes to it.
+        /// The records are the complete list, not changes to it.
         complete: bool,
         /// The records.
         records: Vec<EndpointRecord>,
     },
-    /// Which member may be taken for the primary from now on.
+    /// Changes which member of a group may be assumed to be the primary.
     PrimaryEligibility {
         /// The group.
         group: GroupIndex,
-        /// The member.
+        /// The new eligibility.
         eligibility: PrimaryEligibility,
     },
     /// A poll of the endpoint list failed, or its watch ended.
     EndpointListFailed,
     /// A client sent a request.
     RequestArrived(RequestArrival),
-    /// The client has begun to get its answer: the request is no longer the policy's.
+    /// The response to the client has started: the policy must not answer the request any more.
     ResponseStarted {
         /// The request.
         request: RequestId,
@@ -210,7 +210,7 @@
         endpoint: EndpointIndex,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// Time since it started.
+        /// Time since its start.
         elapsed: TimeDelta,
         /// What the endpoint reported.
         report: EndpointReport,
@@ -224,26 +224,26 @@
     },
 }
 
-/// Something for the host to do.
+/// An action that the policy requests of the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to an endpoint.
     StartAttempt {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint to send it to.
         endpoint: EndpointIndex,
-        /// The time that the endpoint has for it.
+        /// Time limit for the endpoint.
         timeout: TimeDelta,
     },
-    /// Answer that the request did not run, or may be sent again.
+    /// Answer that the request was not executed or may be retried.
     Reject {
         /// The request.
         request: RequestId,
-        /// The Retry-After to tell, if one may be told.
+        /// Retry-After for the client, if the settings allow one.
         retry_after: Option<TimeDelta>,
     },
-    /// Answer that the request may have run and must not be sent again.
+    /// Answer that the request may have been executed and must not be retried.
     Abort {
         /// The request.
         request: RequestId,
@@ -252,17 +252,17 @@
     CancelAttempt {
         /// Its request.
         request: RequestId,
-        /// Its number.
+        /// Index of the attempt.
         attempt: u32,
     },
     /// Report [`Event::TimerFired`] at a time.
     SetTimer {
         /// The tag to report.
         tag: u64,
-        /// When.
+        /// Time at which to report it.
         at: Timestamp,
     },
-    /// Ask an endpoint for a health report.
+    /// Query the health of an endpoint.
     CheckHealth {
         /// The endpoint.
         endpoint: EndpointIndex,
--- a/routing/src/rng.rs
+++ b/routing/src/rng.rs
@@ -6,10 +6,10 @@
 
 impl Mwc {
     const FACTOR: u64 = 4_294_957_665;
-    /// Outputs discarded after seeding: seeds that differ in few bits begin alike.
+    /// Number of outputs discarded after seeding, because seeds that differ in few bits begin with similar outputs.
     const WARM_UP: usize = 4;
 
-    /// A generator for a seed.
+    /// Creates a generator with a seed.
     pub fn new(seed: u64) -> Mwc {
         // The two fixed points (0 and FACTOR * 2^32 - 1) would repeat for ever.
         let state = seed % (Self::FACTOR << 32).wrapping_sub(1);
@@ -25,7 +25,7 @@
         self.0 as u32
     }
 
-    /// A whole number below `end`; 0 if `end` is 0.
+    /// Returns a number below `end`, or 0 if `end` is 0.
     pub fn below(&mut self, end: usize) -> usize {
         ((u64::from(self.next()) * end as u64) >> 32) as usize
     }
--- a/routing/src/routing_policy.rs
+++ b/routing/src/routing_policy.rs
@@ -1,5 +1,4 @@
-//! The routing policy as a state machine: what it knows, and which decision each event leads to. The decisions
-//! themselves are made in `policy`.
+//! The routing policy as a state machine: its state, and the dispatch of events to the decisions in `policy`.
 
 use crate::events::{Action, AttemptEnd, EndpointIndex, Event, GroupIndex, RequestId};
 use crate::rng::Mwc;
@@ -13,7 +12,7 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// The decisions of one instance and all that it knows.
+/// The routing policy of one instance, with its state.
 pub struct RoutingPolicy {
     pub(crate) settings: CompiledSettings,
     pub(crate) rng: Mwc,
@@ -22,15 +21,15 @@
     pub(crate) endpoints: Vec<Endpoint>,
     pub(crate) groups: Vec<Group>,
     pub(crate) session_writes: SessionWrites,
-    /// By method, in seconds: about three in ten answers take less.
+    /// Quick latency by method in seconds: about three in ten answers take less.
     pub(crate) quick_latency: Vec<f64>,
     pub(crate) next_list_poll: Option<Timestamp>,
-    /// What is to be done, since the last event began.
+    /// Actions requested while the current event is handled.
     pub(crate) actions: Vec<Action>,
 }
 
 impl RoutingPolicy {
-    /// A policy that knows no endpoint yet. What it asks for at its start is appended to `actions`.
+    /// Creates a policy without endpoints. The actions that it requests at its start are appended to `actions`.
     pub fn new(seed: u64, settings: &RoutingSettings, now: Timestamp, actions: &mut Vec<Action>) -> Self {
         let settings = CompiledSettings::new(settings);
         let mut policy = RoutingPolicy {
@@ -51,7 +50,7 @@
         policy
     }
 
-    /// Handles an event that happened at `now`. What is to be done is appended to `actions`, in order.
+    /// Handles an event that happened at `now`. The requested actions are appended to `actions`, in order.
     pub fn on_event(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.dispatch(event);
@@ -114,7 +113,7 @@
         self.set_timer(TimerTag::Tick, at);
     }
 
-    /// Positions that every usable endpoint has reached bind no session any more.
+    /// Drops session positions that every usable endpoint has reached.
     fn expire_session_writes(&mut self) {
         let serving = self.endpoints.iter().filter(|endpoint| endpoint.listing.serving);
         let reached_by_all = serving.map(|endpoint| endpoint.reported.position).min().flatten();
@@ -125,14 +124,14 @@
         self.actions.push(Action::SetTimer { tag: tag.encode(), at });
     }
 
-    /// Makes a group known.
+    /// Adds a group, if it is new.
     pub(crate) fn ensure_group(&mut self, group: GroupIndex) {
         let methods = self.settings.methods.len();
         let groups = self.groups.len().max(group + 1);
         self.groups.resize_with(groups, || Group::new(methods));
     }
 
-    /// Makes an endpoint known, as a member of a group.
+    /// Adds an endpoint as a member of a group, if it is new.
     pub(crate) fn ensure_endpoint(&mut self, index: EndpointIndex, group: GroupIndex, zone: usize) {
         self.ensure_group(group);
         if self.endpoints.len() <= index {
@@ -147,18 +146,18 @@
         }
     }
 
-    /// Whether a group's primary is known, serving, and has not failed lately.
+    /// Whether a group's primary is known, serving, and has not failed recently.
     pub(crate) fn has_healthy_primary(&self, group: &Group) -> bool {
         let primary = group.primary.map(|index| &self.endpoints[index]);
         primary.is_some_and(|primary| primary.health.consecutive_failures == 0 && primary.listing.serving)
     }
 
-    /// The group of an endpoint, if any list has named it.
+    /// The group of an endpoint, if it was ever listed.
     fn group_of(&self, index: EndpointIndex) -> Option<GroupIndex> {
         self.endpoints.get(index).map(|endpoint| endpoint.listing.group)
     }
 
-    /// Work done lately for this instance at the mean warm endpoint, in seconds.
+    /// Work recently completed for this instance, in seconds, averaged over warm endpoints.
     pub(crate) fn mean_warm_work(&self) -> f64 {
         let window = self.settings.settings.overload_window;
         let is_warm =
@@ -168,7 +167,7 @@
         work.iter().sum::<f64>() / work.len().max(1) as f64
     }
 
-    /// The fraction of its capacity that an endpoint in slow start has, by the settings; none if it is warm.
+    /// Slow-start fraction of an endpoint's capacity by the settings; `None` if it is warm.
     pub(crate) fn slow_start_fraction(&self, endpoint: &Endpoint) -> Option<f64> {
         let settings = &self.settings.settings;
         let age = self.now - endpoint.listing.started_at?;
--- a/routing/src/settings.rs
+++ b/routing/src/settings.rs
@@ -1,30 +1,31 @@
-//! What an instance is told once, when it starts. No decision is made here.
+//! Settings of an instance, fixed at its start. No decision is made here.
 
 use crate::time::TimeDelta;
 
-/// How a method reads or writes, and what a read of it must see.
+/// Access of a method: a write, or a read with the consistency that it needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// A write: only the primary takes it.
+    /// A write: only the primary executes it.
     Write,
     /// A read that must see everything committed before it arrived.
     StrongRead,
     /// A read that must see its session's own writes.
     SessionRead,
-    /// A read of data no staler than this when the attempt starts.
+    /// A read of data that is at most this stale when the attempt starts.
     BoundedRead(TimeDelta),
-    /// A read that any member may answer, however stale.
+    /// A read that any member may serve, however stale its data.
     AnyRead,
 }
 
-/// Whether a request that may have run can be sent again.
+/// Whether a request that may have been executed can be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// At any time, anywhere.
+    /// Always, at any endpoint.
     Idempotent,
-    /// With an idempotency key: duplicates are dropped for a time, counted from the first attempt that may have run.
+    /// With an idempotency key: duplicates are dropped for a time, counted from the first attempt that may have been
+    /// executed.
     Keyed {
-        /// Every group drops them, not just the group that may have run it.
+        /// Every group drops duplicates, not only the group that may have executed the request.
         all_groups: bool,
         /// How long duplicates are dropped.
         dedup_window: TimeDelta,
@@ -36,22 +37,22 @@
 /// Settings of one method.
 #[derive(Clone, Debug)]
 pub struct MethodSettings {
-    /// How it reads or writes.
+    /// Access of the method.
     pub access: Access,
-    /// Whether it can be sent again.
+    /// Whether its requests can be retried.
     pub idempotency: Idempotency,
     /// An answer within this time has its full value.
     pub latency_objective: TimeDelta,
-    /// How long a client waits at most.
+    /// Maximum time that a client waits for an answer.
     pub deadline: TimeDelta,
-    /// Value of an answer in time, relative to other methods.
+    /// Value of an answer within the objective, relative to other methods.
     pub priority_weight: f64,
     /// The fraction of its value that an answer after the latency objective still has.
     pub late_value_fraction: f64,
 }
 
 impl MethodSettings {
-    /// How stale the data of a read may be, if that is bounded.
+    /// The bound on staleness of a bounded read.
     pub fn staleness_bound(&self) -> Option<TimeDelta> {
         match self.access {
             Access::BoundedRead(bound) => Some(bound),
@@ -60,43 +61,44 @@
     }
 }
 
-/// What an endpoint does with a read for which its data is too stale.
+/// How endpoints handle reads for which their data is too stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LagHandling {
-    /// It answers with stale data: the router has to check before.
+    /// They serve stale data, so the router must check beforehand.
     ServeStale,
-    /// It rejects the read untouched.
+    /// They reject the read unexecuted.
     Reject,
-    /// It waits for this long to catch up, then rejects the read.
+    /// They wait up to this long to catch up, then reject the read.
     Wait(TimeDelta),
 }
 
 /// Settings of an instance.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// By [`MethodIndex`](crate::MethodIndex).
+    /// Methods by [`MethodIndex`](crate::MethodIndex).
     pub methods: Vec<MethodSettings>,
-    /// Instances that route to the same endpoints.
+    /// Number of instances that route to the same endpoints.
     pub instances: u32,
     /// The zone of this instance.
     pub zone: usize,
     /// Resolution of clocks and positions.
     pub clock_resolution: TimeDelta,
-    /// What endpoints do with reads for which they lag too far.
+    /// How endpoints handle reads for which their data is too stale.
     pub lag_handling: LagHandling,
-    /// Clients say when their session last wrote; otherwise the policy remembers the writes that it saw answered.
+    /// Clients send the time of their session's last write; otherwise the policy keeps the positions of sessions'
+    /// writes.
     pub clients_hold_positions: bool,
-    /// Endpoint lists come only when polled for; a change counts as known this long after the last poll.
+    /// If endpoint lists are polled, the time after the last poll by which a change counts as known.
     pub list_poll_within: Option<TimeDelta>,
-    /// Attempts per request at most.
+    /// Maximum attempts per request.
     pub max_attempts: u32,
     /// An attempt in flight can be cancelled.
     pub may_cancel: bool,
-    /// Endpoints may be asked for health reports.
+    /// Health checks are allowed.
     pub may_check_health: bool,
-    /// The longest Retry-After that clients honour, if they may be told one.
+    /// The longest Retry-After that clients honour, if the deployment allows one.
     pub max_retry_after: Option<TimeDelta>,
-    /// Fraction of its capacity that an endpoint has right after its start.
+    /// Fraction of its capacity that an endpoint has at its start.
     pub slow_start_fraction: f64,
     /// Time from its start until an endpoint has its full capacity.
     pub slow_start_duration: TimeDelta,
@@ -104,6 +106,6 @@
     pub overload_multiple: f64,
     /// ... for this long.
     pub overload_window: TimeDelta,
-    /// Only a listed drain ends the use of an endpoint: one that is merely no longer listed stays usable.
+    /// An endpoint that is missing from a complete list stays usable: only a listed drain ends its use.
     pub unlisted_stay_usable: bool,
 }
--- a/routing/src/snapshot.rs
+++ b/routing/src/snapshot.rs
@@ -5,40 +5,40 @@
 use crate::state::endpoint::{EndpointCapacity, ReportedState};
 use crate::time::{TimeDelta, Timestamp};
 
-/// What this instance has in flight at an endpoint, and how much it may have.
+/// Attempts of this instance in flight at an endpoint, and their limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacitySnapshot {
     /// Attempts of this instance in flight.
     pub in_flight: u32,
-    /// Attempts of this instance that it may have in flight; below 1 a rate, in seconds of work per second.
+    /// Maximum attempts of this instance in flight; below 1 it is a rate, in seconds of work per second.
     pub concurrency_limit: f64,
-    /// In slow start: the fraction of its capacity that it has.
+    /// Fraction of its capacity that it has in slow start; `None` if it is warm.
     pub slow_start_fraction: Option<f64>,
 }
 
-/// What an endpoint last reported.
+/// Last report of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportSnapshot {
-    /// How far its data was behind when it last reported its position.
+    /// Replication lag at its last reported position.
     pub lag: Option<TimeDelta>,
     /// Time since it last reported its position.
     pub age: Option<TimeDelta>,
-    /// The fraction of its cores that it last reported as busy.
+    /// Last reported load, as a fraction of its cores.
     pub load: Option<f64>,
 }
 
-/// One endpoint as the routing policy sees it.
+/// The routing policy's state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointSnapshot {
-    /// It may get new attempts, by the endpoint list.
+    /// The endpoint list allows new attempts.
     pub serving: bool,
-    /// It is taken for the primary of its group.
+    /// It is assumed to be the primary of its group.
     pub primary: bool,
-    /// How long it still gets no attempts because of failures.
+    /// Remaining time of its ejection, if it is ejected.
     pub ejected_for: Option<TimeDelta>,
-    /// The attempts at it.
+    /// Attempts in flight and their limit.
     pub capacity: CapacitySnapshot,
-    /// Its last reports.
+    /// Its last report.
     pub report: ReportSnapshot,
 }
 
@@ -64,12 +64,12 @@
 }
 
 impl RoutingPolicy {
-    /// Sessions whose last write is remembered.
+    /// Number of sessions whose positions are kept.
     pub fn tracked_sessions(&self) -> usize {
         self.session_writes.len()
     }
 
-    /// What is known of an endpoint; none if no list has named it.
+    /// Snapshot of an endpoint; `None` if it was never listed.
     pub fn endpoint_snapshot(&self, now: Timestamp, index: EndpointIndex) -> Option<EndpointSnapshot> {
         let endpoint = self.endpoints.get(index)?;
         let group = self.groups.get(endpoint.listing.group);
--- a/routing/src/state/group.rs
+++ b/routing/src/state/group.rs
@@ -26,7 +26,7 @@
     pub fn is_eligible(&self, endpoint: EndpointIndex) -> bool {
         match self.eligibility {
             PrimaryEligibility::Any => true,
-            PrimaryEligibility::Nobody => false,
+            PrimaryEligibility::NoMember => false,
             PrimaryEligibility::Only(only) => only == endpoint,
         }
     }
--- a/routing/src/state/request.rs
+++ b/routing/src/state/request.rs
@@ -52,8 +52,8 @@
 /// Session guarantees of a request: the position that a read must see, and the session that a write is recorded for.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SessionRequirement {
-    /// Position that a read must see regardless of its bound on staleness: that of its arrival, or of what its session
-    /// wrote or read before.
+    /// Position that a read must see regardless of its bound on staleness: that of its arrival, or of what its
+    /// session wrote or read before.
     pub required_position: Option<Timestamp>,
     /// The required position includes one that the session has seen, which endpoints do not check themselves.
     pub carries_position: bool,
--- a/routing/src/state/session_writes.rs
+++ b/routing/src/state/session_writes.rs
@@ -32,8 +32,8 @@
         *self.in_flight.entry(session).or_default() += 1;
     }
 
-    /// Records the end of an attempt of a write. `committed` is a position that surely includes the write, `None` if it
-    /// was not executed.
+    /// Records the end of an attempt of a write. `committed` is a position that surely includes the write, `None` if
+    /// it was not executed.
     pub fn ended(&mut self, session: u64, committed: Option<Timestamp>) {
         if let Some(in_flight) = self.in_flight.get_mut(&session) {
             *in_flight -= 1;
--- a/routing/tests/primaries.rs
+++ b/routing/tests/primaries.rs
@@ -10,7 +10,7 @@
 #[test]
 fn an_ineligible_claimant_gets_nothing() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
-    harness.set_eligibility(0, PrimaryEligibility::Nobody);
+    harness.set_eligibility(0, PrimaryEligibility::NoMember);
     let write = harness.arrive(WRITE, 0, 1.0);
     assert!(harness.open_requests[&write].in_flight.is_none(), "held");
     // A former primary and its successor both claim it; the former one's position is the later.
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -206,7 +206,7 @@
         let group = self.draw(GROUPS);
         let only = PrimaryEligibility::Only(group * 3 + self.draw(3));
         let eligibility =
-            [PrimaryEligibility::Any, PrimaryEligibility::Any, PrimaryEligibility::Nobody, only]
+            [PrimaryEligibility::Any, PrimaryEligibility::Any, PrimaryEligibility::NoMember, only]
                 [self.draw(4)];
         self.report(Event::PrimaryEligibility { group, eligibility });
     }
--- a/routing/tests/rules.rs
+++ b/routing/tests/rules.rs
@@ -54,7 +54,7 @@
         10 => harness.report(Event::EndpointListFailed),
         11 => {
             let only = PrimaryEligibility::Only(pick % 2 * 3 + variant % 3);
-            let eligibility = [PrimaryEligibility::Any, PrimaryEligibility::Nobody, only][variant % 7 % 3];
+            let eligibility = [PrimaryEligibility::Any, PrimaryEligibility::NoMember, only][variant % 7 % 3];
             harness.set_eligibility(pick % 2, eligibility);
         }
         _ => harness.advance(TimeDelta::from_millis(variant as i64)),
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -331,7 +331,9 @@
         assert_eq!(self.group_of[endpoint], open.group, "sent outside its group");
         let writes = method.access == Access::Write;
         match self.eligibility_of[open.group] {
-            PrimaryEligibility::Nobody => assert!(!writes, "a write to a group without an eligible primary"),
+            PrimaryEligibility::NoMember => {
+                assert!(!writes, "a write to a group without an eligible primary")
+            }
             PrimaryEligibility::Only(one) => {
                 assert!(!writes || endpoint == one, "a write to another than the eligible one");
             }
