--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -332,7 +332,7 @@
         let writes = method.access == Access::Write;
         match self.eligibility_of[open.group] {
             PrimaryEligibility::NoMember => {
-                assert!(!writes, "a write to a group without an eligible primary")
+                assert!(!writes, "a write to a group without an eligible primary");
             }
             PrimaryEligibility::Only(one) => {
                 assert!(!writes || endpoint == one, "a write to another than the eligible one");
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -3,7 +3,7 @@
 use host_support::routing_settings::SettingsError;
 use thiserror::Error;
 
-/// Why a message cannot be taken.
+/// Why a message cannot be handled.
 #[derive(Debug, Error)]
 pub enum HostError {
     /// It is not one of the wire's messages; the text names the field at fault.
@@ -12,7 +12,7 @@
     /// A batch began before the one before it was closed.
     #[error("Frame: the batch before it was not closed")]
     NestedFrame,
-    /// It came outside any batch.
+    /// It is outside any batch.
     #[error("a message outside any batch")]
     OutsideFrame,
     /// It names an endpoint list that was not defined.
@@ -24,7 +24,7 @@
     /// A peer's message is not in hex digits.
     #[error("Inbox: bytes: not hex digits")]
     BadBytes,
-    /// An instance cannot be started with its configuration.
+    /// The configuration of an instance is invalid.
     #[error("Start: {0}")]
     Settings(#[from] SettingsError),
     /// The replies could not be written.
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
 
-/// All instances, and the batch that is open.
+/// All instances, and the open batch.
 #[derive(Default)]
 pub struct Host {
     now: Timestamp,
@@ -21,10 +21,10 @@
 }
 
 impl Host {
-    /// Takes one line; true if it closed a batch, whose replies were written to `output`.
+    /// Handles one line. Returns true if it closed a batch, whose replies were written to `output`.
     ///
     /// # Errors
-    /// The line cannot be taken, or the replies cannot be written.
+    /// The line is not a valid message, or the replies cannot be written.
     pub fn take(&mut self, line: &[u8], output: &mut impl Write) -> Result<bool, HostError> {
         let message: In = serde_json::from_slice(line).map_err(|error| malformed(line, &error))?;
         match message {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Reports an event to the policy of an instance and writes what it asks for.
+    /// Reports an event to the policy of an instance and writes the actions that it requests.
     fn report(&mut self, front: u32, event: Event) {
         if let Some(instance) = self.instances.get_mut(&front) {
             instance.on_event(self.now, event);
@@ -149,7 +149,7 @@
     }
 }
 
-/// Reads a faulty line once more, for the path to the field at fault.
+/// Parses an invalid line again to find the path of the invalid field.
 fn malformed(line: &[u8], error: &serde_json::Error) -> HostError {
     let mut deserializer = serde_json::Deserializer::from_slice(line);
     let with_path = serde_path_to_error::deserialize::<_, In>(&mut deserializer).err();
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -16,14 +16,14 @@
 /// Positions count ticks of a quarter of a millisecond; the two lowest bits hold the role.
 const TICKS_PER_MILLI: i64 = 4;
 
-/// What is kept of an open request.
+/// State of an open request.
 struct OpenRequest {
     wire_id: String,
-    /// If it is a write, its session.
+    /// Session of the request, if it is a write.
     write_session: Option<u64>,
 }
 
-/// One instance.
+/// An instance of the routing policy.
 pub struct Instance {
     number: u32,
     policy: RoutingPolicy,
@@ -34,7 +34,7 @@
     groups: IdInterner<i64>,
     request_ids: HashMap<String, RequestId>,
     requests: RequestRegistry<OpenRequest>,
-    /// By method: its requests write.
+    /// Whether requests of a method are writes, by method.
     is_write: Vec<bool>,
     next_request: RequestId,
     actions: Vec<Action>,
@@ -44,7 +44,7 @@
     /// Starts an instance.
     ///
     /// # Errors
-    /// Its configuration is wrong.
+    /// The configuration is invalid.
     pub fn start(
         number: u32,
         seed: u64,
@@ -100,10 +100,10 @@
         }
     }
 
-    /// Registers a request that has come.
+    /// Registers a new request.
     ///
     /// # Errors
-    /// Its session key is not in hex digits.
+    /// The session key is not in hexadecimal digits.
     pub fn request_arrived(&mut self, inbound: Inbound, now: Timestamp) -> Result<RequestArrival, HostError> {
         let session = inbound.conn_key.as_deref().map(session_number).transpose()?;
         let request = self.next_request;
@@ -188,13 +188,13 @@
         report
     }
 
-    /// An attempt has ended.
+    /// Removes an attempt that has ended.
     pub fn end_attempt(&mut self, request: RequestId, closed: bool) {
         let removed = self.requests.end_attempt(request, closed);
         self.forget(removed);
     }
 
-    /// The request was answered, or its client is gone.
+    /// Closes a request that was answered or whose client has left.
     pub fn close(&mut self, request: RequestId) {
         let removed = self.requests.close(request);
         self.forget(removed);
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Writes what the policy asks for, in order.
+    /// Writes the actions that the policy requested, in order.
     pub fn write_actions(&mut self, replies: &mut Vec<u8>) {
         for action in std::mem::take(&mut self.actions) {
             if let Some(message) = self.message(&action) {
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
 //! The adapter for the simulator's wire: reads its messages on standard input, reports them to one routing policy per
-//! instance, and writes what the policies ask for to standard output. No decision is made here.
+//! instance, and writes the actions that the policies request to standard output. No decision is made here.
 
 mod error;
 mod host;
@@ -31,7 +31,7 @@
         match host.take(text, &mut output) {
             Ok(false) => {}
             Ok(true) if output.flush().is_ok() => {}
-            // Nobody reads any more.
+            // The reader has closed its end.
             Ok(true) => return ExitCode::SUCCESS,
             Err(error) => return fail(number, &error),
         }
