--- a/routing/tests/health_checks.rs
+++ b/routing/tests/health_checks.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 #[test]
-fn health_checks_follow_the_instance_s_own_traffic() {
+fn health_checks_are_made_only_for_requests_of_the_instance() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 20, 1);
     harness.advance(TimeDelta::from_millis(20_000));
     assert_eq!(
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn waiting_reads_check_slowly_and_a_rejected_health_check_ejects_nobody() {
+fn health_checks_of_waiting_reads_are_rate_limited_and_a_rejected_one_ejects_no_endpoint() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     harness.advance(TimeDelta::from_millis(200));
     harness.health_check_ended(1, AttemptOutcome::Rejected, harness.now, false);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn no_health_check_is_made_for_a_write_and_of_many_instances_one_for_a_waiting_read() {
+fn a_write_causes_no_health_check_and_a_waiting_read_only_one_with_many_instances() {
     let mut harness = Harness::with_instances(100, LagHandling::ServeStale, 1, 1);
     harness.advance(BOUND * 2);
     let write = harness.arrive(WRITE, 0, 1.0);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_health_check_is_made_only_if_no_replica_qualifies_and_of_the_least_behind_first() {
+fn health_checks_are_made_only_if_no_replica_qualifies_and_start_with_the_least_lagging() {
     let mut harness = Harness::with_instances(100, LagHandling::ServeStale, 1, 1);
     for _ in 0..3 {
         let read = harness.arrive(BOUNDED_READ, 0, 1.0);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_waiting_read_checks_no_healthy_primary() {
+fn a_waiting_read_causes_no_health_check_of_a_healthy_primary() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     // Behind by more than the bound, and near enough to be waited for.
     harness.advance(BOUND + TICK * 4);
--- a/routing/tests/limits.rs
+++ b/routing/tests/limits.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 #[test]
-fn no_limit_rises_at_an_endpoint_that_reports_busy_cores() {
+fn the_concurrency_limit_does_not_rise_at_an_endpoint_that_reports_a_high_load() {
     let mut outs = Vec::new();
     for load in [0.2, 0.95] {
         let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_endpoint_that_fails_fast_is_not_taken_for_an_idle_one() {
+fn an_endpoint_that_fails_fast_is_not_preferred_as_idle() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     for _ in 0..60 {
         let request = harness.arrive(ANY_READ, 0, 1.0);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_endpoint_in_slow_start_gets_little_and_no_long_work() {
+fn an_endpoint_in_slow_start_gets_few_requests_and_no_long_ones() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     harness.started_at[1] = Some(harness.now);
     harness.list(1, EndpointStatus::Serving);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn with_few_instances_an_endpoint_in_slow_start_takes_some_attempts_side_by_side() {
+fn with_few_instances_an_endpoint_in_slow_start_gets_concurrent_attempts() {
     for (instances, least, most) in [(2, 2, 8), (100, 0, 1)] {
         let mut harness = Harness::with_instances(instances, LagHandling::ServeStale, 1, 1);
         harness.started_at = vec![Some(harness.now - TimeDelta::from_millis(8000)); 3];
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn of_many_instances_each_sends_a_primary_two_writes_in_a_row_and_no_third() {
+fn with_many_instances_a_primary_gets_two_writes_in_a_row_and_the_third_waits() {
     for (instances, at_once) in [(2, true), (100, false)] {
         let mut harness = Harness::with_instances(instances, LagHandling::ServeStale, 1, 1);
         // Writes come in twos by chance, and the endpoint is idle for all that this instance knows.
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn of_many_instances_each_sends_no_second_write_behind_a_late_answer() {
+fn with_many_instances_no_second_write_directly_follows_a_late_answer() {
     let mut harness = Harness::with_instances(100, LagHandling::ServeStale, 1, 1);
     let late = harness.arrive(WRITE, 0, 1.0);
     harness.advance(TimeDelta::from_millis(600));
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn of_many_instances_each_recovers_the_limit_that_late_answers_cost() {
+fn with_many_instances_timely_answers_restore_a_limit_lowered_by_late_ones() {
     let mut harness = Harness::with_instances(100, LagHandling::ServeStale, 1, 1);
     let write = |harness: &mut Harness, took: i64| {
         let write = harness.arrive(WRITE, 0, 1.0);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn of_many_instances_each_takes_a_replica_s_late_answer_for_its_group() {
+fn with_many_instances_late_answers_reduce_reads_to_all_replicas_of_the_group() {
     let mut outs = Vec::new();
     for late in [false, true] {
         let mut harness = Harness::with_instances(100, LagHandling::ServeStale, 1, 1);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn long_reads_leave_half_of_the_replicas_free_to_catch_up_whatever_their_number() {
+fn long_reads_leave_half_of_the_replicas_free_to_catch_up() {
     let mut harness = Harness::with_instances(100, LagHandling::Wait(TimeDelta::from_millis(100)), 1, 1);
     harness.advance(TimeDelta::from_millis(100));
     harness.health_check_ended(1, AttemptOutcome::Succeeded, harness.now, false);
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_primary_that_reports_itself_busy_serves_no_waiting_reads() {
+fn a_primary_that_reports_a_high_load_serves_no_waiting_reads() {
     for (load, helps) in [(0.2, true), (0.9, false)] {
         let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
         harness.advance(BOUND + TICK);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn replicas_at_their_limits_make_reads_wait_and_a_rejection_has_a_retry_after() {
+fn reads_wait_while_replicas_are_at_their_limits_and_unknown_events_are_ignored() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let reads: Vec<RequestId> = (0..40).map(|_| harness.arrive(BOUNDED_READ, 0, 1.0)).collect();
     let in_flight = reads.iter().filter(|request| harness.open_requests[request].in_flight.is_some()).count();
--- a/routing/tests/positions.rs
+++ b/routing/tests/positions.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 #[test]
-fn what_a_session_has_seen_binds_every_read() {
+fn no_read_goes_to_a_replica_behind_the_position_its_session_has_seen() {
     for lag_handling in LAG_HANDLINGS {
         let mut harness = Harness::with_reports(lag_handling, 1, 1);
         harness.seen_position = Some(harness.now + TimeDelta::from_millis(50));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn positions_of_old_sessions_are_dropped_and_no_session_is_shown_less() {
+fn positions_of_old_sessions_are_dropped_without_weakening_read_your_writes() {
     let mut router = SessionRouter::new();
     router.check(START, 0, START);
     router.check(START, 1, START);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_write_binds_its_session_though_its_client_is_gone_and_its_answer_reports_nothing() {
+fn reads_see_their_sessions_write_even_if_its_client_left_or_no_position_was_reported() {
     let ms = TimeDelta::from_millis;
     for gone in [false, true] {
         assert!(!is_shown_after(gone, Some(ms(5)), ms(6)), "gone {gone}: the write is not shown there yet");
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_write_that_may_have_run_binds_its_session_though_its_answer_never_came() {
+fn reads_see_their_sessions_write_that_may_have_run_without_an_answer() {
     let ms = TimeDelta::from_millis;
     for may_have_run in [
         AttemptOutcome::ConnectionLost,
--- a/routing/tests/primaries.rs
+++ b/routing/tests/primaries.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 #[test]
-fn an_ineligible_claimant_gets_nothing() {
+fn an_ineligible_endpoint_that_claims_to_be_primary_gets_no_requests() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     harness.set_eligibility(0, PrimaryEligibility::Nobody);
     let write = harness.arrive(WRITE, 0, 1.0);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_presumed_start_gives_way_to_the_listed_one() {
+fn a_listed_start_time_replaces_a_presumed_one() {
     let mut harness = Harness::with_instances(2, LagHandling::ServeStale, 1, 1);
     let in_flight = |harness: &mut Harness| {
         let reads: Vec<RequestId> = (0..12).map(|_| harness.arrive(ANY_READ, 0, 1.0)).collect();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn without_health_checks_writes_find_their_primary_and_reads_go_to_everybody() {
+fn without_health_checks_writes_find_the_primary_and_reads_go_to_all_endpoints() {
     for seed in 0..20 {
         let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, seed);
         let write = harness.arrive(WRITE, 0, 1.0);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_listed_primary_counts_until_the_list_or_the_endpoint_says_otherwise() {
+fn a_listed_primary_is_used_until_the_list_or_the_endpoint_contradicts_it() {
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 3);
     let list_as_primary = |harness: &mut Harness, endpoint: EndpointIndex, primary: bool| {
         let records = vec![EndpointRecord { primary, ..harness.entry(endpoint, EndpointStatus::Serving) }];
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn without_health_checks_no_read_goes_to_a_silent_primary_before_a_write_was_answered() {
+fn without_health_checks_strong_reads_avoid_a_primary_after_lost_connections_until_a_write_succeeds() {
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 3);
     let write = harness.arrive(WRITE, 0, 1.0);
     let primary = harness.endpoint_of(write).expect("somebody has to be asked");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_write_to_an_unknown_primary_is_confirmed_only_while_none_is_known_or_ineligible() {
+fn a_write_to_a_guessed_primary_is_confirmed_only_until_another_is_known_or_alone_eligible() {
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 1);
     let write = harness.arrive(WRITE, 0, 1.0);
     let asked = harness.endpoint_of(write).expect("somebody has to be asked");
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn an_answer_that_says_replica_ends_a_primary_and_writes_wait_for_the_next() {
+fn writes_wait_for_a_new_primary_after_the_old_one_answers_as_a_replica() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let write = harness.arrive(WRITE, 0, 1.0);
     assert_eq!(
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_write_goes_to_the_listed_primary_before_that_has_reported() {
+fn a_write_but_no_strong_read_goes_to_a_listed_primary_that_has_not_reported() {
     let (mut policy, mut actions) = policy_at_start(1, &routing_settings(LagHandling::ServeStale));
     let now = START;
     policy.on_event(
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn every_action_is_as_it_was_recorded() {
+fn every_action_matches_the_recording() {
     let played = play();
     if std::env::var_os("REPLAY_RECORD").is_some() {
         std::fs::write("tests/data/replay.txt", &played).expect("a writable file");
--- a/routing/tests/requests.rs
+++ b/routing/tests/requests.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 #[test]
-fn a_bounded_read_goes_to_a_replica_and_waits_for_one_before_the_primary() {
+fn a_bounded_read_waits_for_a_fresh_replica_before_it_goes_to_the_primary() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     harness.arrive(BOUNDED_READ, 0, 1.0);
     assert_ne!(harness.sent[0].endpoint, 0, "a fresh replica serves it");
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_replica_of_another_zone_is_selected_once_the_own_one_has_more_in_flight() {
+fn a_replica_of_another_zone_is_selected_once_the_local_one_has_more_in_flight() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let endpoints =
         [(); 3].map(|()| harness.arrive(BOUNDED_READ, 0, 1.0)).map(|read| harness.endpoint_of(read));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_position_in_the_future_makes_neither_a_fresh_replica_nor_a_primary() {
+fn a_position_in_the_future_proves_neither_freshness_nor_the_primary_role() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     harness.health_check_ended(1, AttemptOutcome::Succeeded, harness.now + BOUND * 2, true);
     let write = harness.arrive(WRITE, 0, 1.0);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_aborted_or_retried_only_as_its_method_allows() {
+fn a_request_that_may_have_run_is_aborted_or_retried_as_its_method_allows() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let write = harness.arrive(WRITE, 0, 1.0);
     end_attempt(&mut harness, write, AttemptOutcome::ConnectionLost, None);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn an_attempt_is_confirmed_only_while_its_reason_holds() {
+fn an_attempt_is_confirmed_only_while_its_endpoint_qualifies() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let read = harness.arrive(BOUNDED_READ, 0, 1.0);
     let InFlight { attempt, endpoint, sent } =
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_request_that_was_never_sent_is_given_up_by_half_of_its_time() {
+fn a_request_that_was_never_sent_is_rejected_by_half_of_its_time() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let sent = harness.arrive(WRITE, 0, 1.0);
     for endpoint in 0..3 {
--- a/routing/tests/rules.rs
+++ b/routing/tests/rules.rs
@@ -13,7 +13,7 @@
     #![proptest_config(seeded_cases(192, 20_26))]
 
     #[test]
-    fn rules_hold_after_every_step(
+    fn routing_rules_hold_after_every_random_event(
         seed in any::<u64>(),
         lag_handling in 0..3usize,
         without_health_checks in any::<bool>(),
--- a/routing/tests/slow_start.rs
+++ b/routing/tests/slow_start.rs
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn all_instances_together_stay_within_the_budget_of_a_server_in_slow_start() {
+fn all_instances_together_stay_within_the_budget_of_an_endpoint_in_slow_start() {
     for work in [TimeDelta::from_millis(10), TimeDelta::from_millis(100)] {
         for instances in [2, 6, 30, 300] {
             let part = worst_part_of_budget(instances, work);
