--- a/server/tests/admission.rs
+++ b/server/tests/admission.rs
@@ -1,8 +1,10 @@
 //! Known clients and floods, on loopback's own addresses.
 
-mod common;
+mod common {
+    pub mod router_program;
+}
 
-use common::ROUTER;
+use common::router_program::ROUTER;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn desk_apps_are_admitted_through_a_flood_that_shuts_them_out_without_client_classes() {
+fn a_reserved_client_class_is_admitted_during_a_flood_that_rejects_it_without_classes() {
     let fixture = Fixture::new();
     let daemon =
         fixture.start("admit desk from 127.9.0.0/16 keep 20\nadmit others each 3 rate 50 burst 10\n");
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn limits_change_while_the_instance_runs_and_no_client_that_may_stay_is_disconnected() {
+fn a_reload_changes_connection_limits_without_disconnecting_admitted_clients() {
     let fixture = Fixture::new();
     let desk = "admit desk from 127.9.0.0/16 keep 5\n";
     let daemon = fixture.start(&format!("{desk}admit others each 4\n"));
@@ -186,7 +188,7 @@
 }
 
 #[test]
-fn a_full_client_class_closes_its_own_idle_connections_and_nobody_elses() {
+fn a_full_client_class_closes_only_its_own_idle_connections() {
     let fixture = Fixture::new();
     let daemon = fixture.start("admit desk from 127.9.0.0/16 keep 9\nadmit others most 3\n");
     let from = |net: u8, index: u8| {
@@ -225,7 +227,7 @@
 }
 
 #[test]
-fn a_process_that_may_open_less_than_its_settings_say_goes_by_that_and_desks_still_get_in() {
+fn a_lower_descriptor_limit_of_the_process_applies_and_reserved_clients_are_admitted() {
     let mut fixture = Fixture::new();
     fixture.program = limited(&fixture, 100);
     let daemon = fixture.start("admit desk from 127.9.0.0/16 keep 8\nadmit others each 3\n");
@@ -238,7 +240,7 @@
 }
 
 #[test]
-fn a_client_that_connects_while_no_descriptor_is_left_is_rejected_and_admitted_ones_are_answered() {
+fn clients_are_rejected_while_descriptors_are_exhausted_and_admitted_ones_are_answered() {
     let fixture = Fixture::new();
     let daemon = fixture.start("admit desk from 127.9.0.0/16 keep 8\n");
     let open = || Client::from_address(&fixture.listen, Ipv4Addr::new(127, 9, 0, 1));
@@ -275,7 +277,7 @@
 }
 
 #[test]
-fn limits_that_do_not_fit_are_reported_at_the_start() {
+fn reservations_above_the_descriptor_limit_fail_the_start_with_an_error() {
     let fixture = Fixture::new();
     let mut daemon = fixture.begin("admit desk from 127.9.0.0/16 keep 5000\n");
     assert_eq!(daemon.exit_status_within(Duration::from_secs(5)), Some(78));
--- a/server/tests/attempts.rs
+++ b/server/tests/attempts.rs
@@ -1,9 +1,13 @@
 //! Attempts on real connections, without a control loop: what happens between the last check of a connection and the instant
 //! at which a request is sent on it.
 
-mod common;
+mod common {
+    pub mod message;
+    pub mod value_messages;
+}
 
-use common::{message, value_messages};
+use common::message::message;
+use common::value_messages::value_messages;
 use may::sync::mpsc::{channel, Receiver, Sender};
 use routing::time::TimeDelta;
 use routing::{AttemptId, AttemptOutcome};
@@ -196,7 +200,7 @@
 }
 
 #[test]
-fn what_arrives_before_a_request_is_sent_is_no_part_of_its_answer() {
+fn bytes_received_before_a_request_is_sent_are_not_part_of_its_answer() {
     let complete = |stream: &mut TcpStream| stream.write_all(&answer(b"another's")).expect("sent");
     assert_eq!(second_attempt(complete), SecondAttempt::succeeded_on(1), "a complete answer");
     let half = |stream: &mut TcpStream| stream.write_all(&answer(b"another's")[..40]).expect("sent");
@@ -208,7 +212,7 @@
 }
 
 #[test]
-fn a_connection_that_is_closed_before_a_request_is_sent_costs_it_nothing() {
+fn a_request_uses_a_new_connection_if_the_pooled_one_was_closed() {
     let close = |stream: &mut TcpStream| stream.shutdown(Shutdown::Both).expect("open until then");
     assert_eq!(second_attempt(close), SecondAttempt::succeeded_on(1));
     assert_eq!(second_attempt(|_| {}), SecondAttempt::succeeded_on(0), "one that stays open is reused");
--- a/server/tests/client_protocol.rs
+++ b/server/tests/client_protocol.rs
@@ -1,8 +1,10 @@
 //! What clients send, without a socket: messages in any split, statements, and what is rejected by which code.
 
-mod common;
+mod common {
+    pub mod message;
+}
 
-use common::message;
+use common::message::message;
 use proptest::prelude::*;
 use server::protocol::decode::StartupParameters;
 use server::protocol::encode::startup_message;
@@ -64,7 +66,7 @@
 
 proptest! {
     #[test]
-    fn messages_are_the_same_however_their_bytes_are_split(
+    fn decoded_messages_do_not_depend_on_how_the_bytes_are_split(
         messages in prop::collection::vec(any_message(), 0..12),
         cuts in prop::collection::vec(1usize..30, 0..80),
         encryption_request in any::<bool>(),
@@ -110,7 +112,7 @@
 }
 
 #[test]
-fn what_cannot_be_taken_is_rejected_by_a_fitting_code() {
+fn invalid_statements_are_rejected_with_the_matching_sqlstate() {
     for (text, code) in [
         ("SELECT 1", "42601"),
         ("/* id=1,c=a,d=1 SELECT", "42601"),
@@ -138,7 +140,7 @@
 }
 
 #[test]
-fn startup_messages_and_unsupported_messages_are_distinguished() {
+fn startup_cancel_and_unsupported_messages_are_recognised() {
     let long = [startup_message(), message(b'Q', &vec![b'a'; MAX_QUERY_BYTES])].concat();
     let too_long = ClientError::new(SqlState::PROGRAM_LIMIT_EXCEEDED, "message too long");
     assert_eq!(too_long.code.as_str(), "54000");
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_panic_of_the_policy_aborts_what_is_open_and_the_next_request_is_served_by_a_new_one() {
+fn a_panic_of_the_routing_policy_aborts_open_requests_and_a_new_policy_takes_over() {
     let silent = silent_endpoint();
     let rig = rig(&silent, 100);
     rig.write(1, 60_000);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn beyond_the_limit_of_open_requests_others_are_rejected_until_some_have_ended() {
+fn requests_above_the_limit_of_open_requests_are_rejected_until_others_end() {
     let silent = silent_endpoint();
     let rig = rig(&silent, 2);
     (1..=3).for_each(|request| rig.write(request, 60_000));
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_timer_that_fires_while_a_batch_is_handled_holds_up_nobody() {
+fn a_timer_that_fires_while_a_batch_is_handled_is_not_lost() {
     const OTHER_GROUP: GroupNumber = 4;
     let silent = silent_endpoint();
     let rig = rig(&silent, 100);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn an_id_is_in_use_until_nothing_more_can_come_of_its_request() {
+fn an_id_stays_in_use_until_its_last_attempt_has_ended() {
     let silent = silent_endpoint();
     let rig = rig(&silent, 100);
     rig.write_as(1, "same", 60_000);
--- a/server/tests/discovery_stream.rs
+++ b/server/tests/discovery_stream.rs
@@ -34,7 +34,7 @@
     }
 
     #[test]
-    fn events_are_the_same_however_they_are_indented_and_the_answer_is_split(
+    fn events_do_not_depend_on_whitespace_or_on_how_the_response_is_split(
         lines in prop::collection::vec(prop::option::of(("[a-z{}\\[\\] ]{0,30}", "[ \t\r\n]{0,4}")), 1..10),
         sizes in prop::collection::vec(1usize..25, 1..40),
         cuts in prop::collection::vec(1usize..40, 0..60),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_cut_list_is_none_and_a_complete_one_needs_neither_length_nor_line_end() {
+fn a_truncated_list_is_never_accepted_and_a_complete_one_needs_no_length_or_line_end() {
     let list = r#"{"seq":4, "hosts":[{"host":"}\"{"}]}"#;
     for end in 1..=list.len() {
         let event_behind = |head: String| {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_is_no_object_is_no_list() {
+fn text_that_is_not_a_json_object_is_rejected_as_a_list() {
     for text in ["[1]", "x", "\"\"", "} {", "4"] {
         let mut stream = WatchStream::default();
         stream.feed(format!("HTTP/1.1 200 OK\r\n\r\n{text}").as_bytes()).expect("a sound answer");
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_flood_of_small_chunks_costs_time_by_its_bytes_and_not_by_their_square() {
+fn parsing_many_small_chunks_takes_linear_time() {
     let flood = [CHUNKED_HEAD.to_vec(), b"1\r\n\n\r\n".repeat(300_000)].concat();
     let (mut stream, started) = (WatchStream::default(), Instant::now());
     stream.feed(&flood).expect("a sound answer");
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn an_entry_is_read_with_all_that_may_be_missing_or_new() {
+fn a_list_entry_may_have_missing_and_unknown_fields() {
     let line = r#"{"seq":43,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","block":3,"health":"SERVING",
         "born_ms":1767225600123,"recovery":"off","new":{}},{"host":"t","health":"PAUSED"}]}"#;
     let list: EndpointListUpdate = serde_json::from_str(line).expect("a line of the page's form");
--- a/server/tests/endpoint_responses.rs
+++ b/server/tests/endpoint_responses.rs
@@ -1,8 +1,12 @@
 //! What endpoints answer, without a socket: any split, spoilt answers, the table of outcomes, and reports.
 
-mod common;
+mod common {
+    pub mod message;
+    pub mod value_messages;
+}
 
-use common::{message, value_messages, ONE_COLUMN};
+use common::message::message;
+use common::value_messages::{value_messages, ONE_COLUMN};
 use proptest::prelude::*;
 use routing::time::Timestamp;
 use routing::{AttemptOutcome, Role};
@@ -66,7 +70,7 @@
     }
 
     #[test]
-    fn an_answer_is_the_same_however_its_bytes_are_split(
+    fn a_parsed_answer_does_not_depend_on_how_the_bytes_are_split(
         value in prop::collection::vec(any::<u8>(), 0..5000),
         cuts in prop::collection::vec(1usize..400, 0..30),
         surplus in prop::collection::vec(any::<u8>(), 0..9),
@@ -87,7 +91,7 @@
     }
 
     #[test]
-    fn a_spoilt_answer_is_never_taken_for_a_value(
+    fn a_corrupted_answer_gives_a_complete_value_or_an_error(
         value in prop::collection::vec(any::<u8>(), 0..300),
         spoils in prop::collection::vec((0usize..400, 0usize..4, any::<u8>()), 1..4),
         cuts in prop::collection::vec(1usize..40, 0..30),
@@ -139,7 +143,7 @@
 }
 
 #[test]
-fn each_row_of_the_outcome_table_is_one_outcome() {
+fn each_sequence_of_messages_has_its_attempt_outcome() {
     use AttemptOutcome::{ConnectionLost, Failed, Succeeded};
     let ready = &message(b'Z', b"I")[..];
     let row = &message(b'D', &[0, 1, 0, 0, 0, 1, 7])[..];
@@ -177,7 +181,7 @@
 }
 
 #[test]
-fn positions_keep_their_units() {
+fn positions_are_converted_from_seconds_and_milliseconds() {
     assert_eq!(from_unix_ms(1_767_225_600_123.0), Some(POSITION));
     assert_eq!(from_unix_s(1_767_225_600.123), Some(POSITION));
     assert_eq!(load_report::parse("x0=1767225600.123,x1=1,load_share=0.25").position, Some(POSITION));
@@ -189,7 +193,7 @@
 }
 
 #[test]
-fn a_load_report_with_one_unreadable_field_reports_nothing() {
+fn a_load_report_with_an_invalid_field_is_ignored() {
     for unreadable in
         ["x1=0,util=0.61,broken", "x1=2", "x0=nan,x1=1", "x0=-5", "util=inf", "x0=1e9,x1=1", "x1=+1", ""]
     {
--- a/server/tests/fates.rs
+++ b/server/tests/fates.rs
@@ -1,8 +1,12 @@
 //! The fate that a client is reported for a write that it asks about again, through kills of the instance that had it.
 
-mod common;
+mod common {
+    pub mod connect;
+    pub mod router_program;
+}
 
-use common::{connect, ROUTER};
+use common::connect::connect;
+use common::router_program::ROUTER;
 use routing::rng::Mwc;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -147,7 +151,7 @@
 }
 
 #[test]
-fn through_kills_no_client_is_reported_a_wrong_fate_and_nothing_runs_after_a_fate_of_never() {
+fn reported_fates_are_correct_after_kills_and_no_write_runs_after_fate_never() {
     let fixture = Fixture::new(4);
     let mut rng = Mwc::new(7);
     // What each write was answered, where it was sent, and which fate was reported for it later.
@@ -175,7 +179,7 @@
 }
 
 #[test]
-fn a_write_that_never_left_or_went_elsewhere_is_reported_as_such() {
+fn fates_are_reported_for_unsent_writes_writes_in_flight_and_writes_of_other_instances() {
     let fixture = Fixture::new(300);
     let _daemons = [fixture.start(0), fixture.start(1)];
     // Until it knows the primary an instance rejects a write by half of its time, whatever is recorded of it.
@@ -214,7 +218,7 @@
 }
 
 #[test]
-fn a_keyed_write_is_sent_again_after_a_kill_and_client_retries_are_deduplicated_only_within_the_window() {
+fn after_a_kill_a_keyed_write_may_be_retried_only_within_the_deduplication_window() {
     let fixture = Fixture::new(150);
     let daemon = fixture.start(0);
     let origin = fixture.client(0).origin.expect("reported at the start");
@@ -244,7 +248,7 @@
 }
 
 #[test]
-fn a_retry_that_no_endpoint_took_is_aborted_and_is_not_sent_after_the_deduplication_window() {
+fn a_retry_that_no_primary_executes_is_aborted_and_not_sent_after_the_deduplication_window() {
     let fixture = Fixture::new(150);
     let ran = fixture.cut_off(fixture.start(0), [("early", Kind::KeyedWrite), ("late", Kind::KeyedWrite)]);
     let daemon = fixture.start(0);
@@ -265,7 +269,7 @@
 }
 
 #[test]
-fn a_rejected_write_may_be_retried_under_its_id_until_a_client_is_reported_never() {
+fn a_rejected_write_may_be_retried_under_its_id_until_its_fate_is_reported_as_never() {
     let fixture = Fixture::new(4);
     let daemon = fixture.start(0);
     let mut client = fixture.client(0);
--- a/server/tests/histories.rs
+++ b/server/tests/histories.rs
@@ -1,9 +1,11 @@
 //! Sessions and writes through kills of instances, moves between them, lag and a failover that loses the tail of a log: the
 //! checker judges what clients saw by what endpoints executed.
 
-mod common;
+mod common {
+    pub mod router_program;
+}
 
-use common::ROUTER;
+use common::router_program::ROUTER;
 use std::path::Path;
 use test_servers::sessions::{run_plan, Outcome, Plan};
 use test_servers::Build;
@@ -11,7 +13,7 @@
 const KILLS: usize = 8;
 
 #[test]
-fn no_guarantee_breaks_through_kills_moves_lag_and_a_failover() {
+fn session_and_write_guarantees_hold_during_kills_moves_lag_and_a_failover() {
     let program = Path::new(ROUTER);
     let build = Build { program, has_operator_file: true };
     let mut sum = Outcome::default();
--- a/server/tests/import_cycles.rs
+++ b/server/tests/import_cycles.rs
@@ -1,5 +1,5 @@
-//! No files of a package import each other in a circle, in any package of the workspace: each can be read after those that it
-//! imports. An item that is imported by way of a re-export counts as an import of the file that re-exports it.
+//! Checks that no package of the workspace has an import cycle between its files, so that each file can be read after
+//! those that it imports. An item imported through a re-export counts as an import of the file that re-exports it.
 
 #[path = "common/source_files.rs"]
 mod source_files;
@@ -12,9 +12,9 @@
 use std::path::{Path, PathBuf};
 use use_tree::{imported_paths, ItemPath};
 
-/// The text of each module by its path from the root of its package. That of `lib.rs` or `main.rs` is empty.
+/// The text of each module by its path from the root of its package. The path of `lib.rs` or `main.rs` is empty.
 type Modules = BTreeMap<ItemPath, String>;
-/// For each module those that it imports.
+/// The modules that each module imports.
 type Imports = BTreeMap<ItemPath, BTreeSet<ItemPath>>;
 
 /// The directories of the workspace's packages.
@@ -48,14 +48,14 @@
     modules.collect()
 }
 
-/// An import as a path from the root of the package; none if it is of another package.
+/// Returns an import as a path from the root of the package, or `None` if it is from another package.
 fn absolute_path(modules: &Modules, importer: &[String], import: &[String]) -> Option<ItemPath> {
     let first = import.first()?;
     let parent = || importer.split_last().map_or(&[][..], |(_, parent)| parent);
     match first.as_str() {
         "crate" => Some(import[1..].to_vec()),
         "self" => Some([importer, &import[1..]].concat()),
-        // Only the first `super` is left to be followed by another.
+        // Of several `super` in a row the first is resolved here, the others by recursion.
         "super" if import.get(1).is_some_and(|next| next == "super") => {
             absolute_path(modules, parent(), &import[1..])
         }
@@ -67,14 +67,14 @@
     }
 }
 
-/// The module that an item is imported from: the longest part of its path that is a file.
+/// The module that an item is imported from: the longest prefix of its path that is a module.
 fn module_of(modules: &Modules, item: &[String]) -> ItemPath {
     let lengths = (0..=item.len()).rev();
     let mut candidates = lengths.map(|length| item[..length].to_vec());
     candidates.find(|path| modules.contains_key(path)).unwrap_or_default()
 }
 
-/// Which module imports which.
+/// The imports of all modules.
 fn imports(modules: &Modules) -> Imports {
     let imports_of = |importer: &ItemPath, text: &str| {
         let paths = imported_paths(text);
@@ -85,8 +85,8 @@
     modules.iter().map(|(importer, text)| (importer.clone(), imports_of(importer, text))).collect()
 }
 
-/// Goes on from the last module of `path`; the circle that is met first.
-fn circle_from(
+/// Searches depth-first from the last module of `path` and returns the first cycle found.
+fn cycle_from(
     imports: &Imports,
     path: &mut Vec<ItemPath>,
     finished: &mut BTreeSet<ItemPath>,
@@ -100,9 +100,9 @@
             continue;
         }
         path.push(imported.clone());
-        let circle = circle_from(imports, path, finished);
-        if circle.is_some() {
-            return circle;
+        let cycle = cycle_from(imports, path, finished);
+        if cycle.is_some() {
+            return cycle;
         }
         path.pop();
     }
@@ -110,15 +110,16 @@
     None
 }
 
-/// The modules of a circle, each imported by the one before it and the first by the last; none if there is no circle.
-fn find_circle(imports: &Imports) -> Option<Vec<ItemPath>> {
+/// Returns the modules of a cycle, each imported by the one before it and the first by the last, or `None` if there is no
+/// cycle.
+fn find_cycle(imports: &Imports) -> Option<Vec<ItemPath>> {
     let mut finished = BTreeSet::new();
-    imports.keys().find_map(|module| circle_from(imports, &mut vec![module.clone()], &mut finished))
+    imports.keys().find_map(|module| cycle_from(imports, &mut vec![module.clone()], &mut finished))
 }
 
-/// `crate::a -> crate::b -> crate::a`.
-fn describe(circle: &[ItemPath]) -> String {
-    let names = circle.iter().chain(circle.first());
+/// Formats a cycle as `crate::a -> crate::b -> crate::a`.
+fn describe(cycle: &[ItemPath]) -> String {
+    let names = cycle.iter().chain(cycle.first());
     let names: Vec<String> = names
         .map(|path| {
             ["crate"].into_iter().chain(path.iter().map(String::as_str)).collect::<Vec<_>>().join("::")
@@ -127,48 +128,48 @@
     names.join(" -> ")
 }
 
-/// A package from the texts of its modules.
+/// The modules of a package, from their files and texts.
 fn modules_of(texts: &[(&str, &str)]) -> Modules {
     let modules = texts.iter().map(|(file, text)| (module_path(Path::new(file)), text.to_string()));
     modules.collect()
 }
 
-fn circle_in(texts: &[(&str, &str)]) -> Option<String> {
-    find_circle(&imports(&modules_of(texts))).map(|circle| describe(&circle))
+fn cycle_in(texts: &[(&str, &str)]) -> Option<String> {
+    find_cycle(&imports(&modules_of(texts))).map(|cycle| describe(&cycle))
 }
 
 #[test]
-fn no_package_has_a_circle_of_imports() {
+fn no_package_has_an_import_cycle() {
     let mut import_count = 0;
-    let mut circles = Vec::new();
+    let mut cycles = Vec::new();
     for directory in package_directories() {
         let imports = imports(&read_modules(&directory.join("src")));
         import_count += imports.values().map(BTreeSet::len).sum::<usize>();
-        let circle = find_circle(&imports);
-        circles.extend(circle.map(|circle| format!("{}: {}", directory.display(), describe(&circle))));
+        let cycle = find_cycle(&imports);
+        cycles.extend(cycle.map(|cycle| format!("{}: {}", directory.display(), describe(&cycle))));
     }
-    assert!(circles.is_empty(), "files that import each other:\n{}", circles.join("\n"));
+    assert!(cycles.is_empty(), "files that import each other:\n{}", cycles.join("\n"));
     assert!(import_count > 300, "{import_count} imports were found");
 }
 
 #[test]
-fn a_circle_is_named_whatever_way_it_is_imported() {
+fn a_cycle_is_found_for_every_form_of_import() {
     let by_crate = [("a.rs", "use crate::b::B;"), ("b.rs", "use crate::a::A;"), ("c.rs", "use crate::a::A;")];
-    assert_eq!(circle_in(&by_crate).as_deref(), Some("crate::a -> crate::b -> crate::a"));
+    assert_eq!(cycle_in(&by_crate).as_deref(), Some("crate::a -> crate::b -> crate::a"));
     let by_super = [("a/b.rs", "use super::c::{C, D};"), ("a/c.rs", "fn f() { super::super::a::b::g(); }")];
-    assert_eq!(circle_in(&by_super).as_deref(), Some("crate::a::b -> crate::a::c -> crate::a::b"));
+    assert_eq!(cycle_in(&by_super).as_deref(), Some("crate::a::b -> crate::a::c -> crate::a::b"));
     let by_re_export = [("lib.rs", "mod a;\npub use a::A;"), ("a.rs", "use crate::A;")];
-    assert_eq!(circle_in(&by_re_export).as_deref(), Some("crate -> crate::a -> crate"));
+    assert_eq!(cycle_in(&by_re_export).as_deref(), Some("crate -> crate::a -> crate"));
     let in_a_group =
         [("a.rs", "use crate::{\n    b::{self, B as Other},\n    c,\n};"), ("c.rs", "use crate::a::*;")];
-    assert_eq!(circle_in(&in_a_group).as_deref(), Some("crate::a -> crate::c -> crate::a"));
+    assert_eq!(cycle_in(&in_a_group).as_deref(), Some("crate::a -> crate::c -> crate::a"));
 }
 
 #[test]
-fn imports_one_way_and_comments_are_no_circle() {
+fn one_way_imports_and_comments_are_not_cycles() {
     let one_way =
         [("a.rs", "use crate::b::B;\nuse crate::c::C;"), ("b.rs", "use crate::c::C;"), ("c.rs", "")];
-    assert_eq!(circle_in(&one_way), None);
+    assert_eq!(cycle_in(&one_way), None);
     let comments = [("a.rs", "use crate::b::B;"), ("b.rs", "/// [`A`](crate::a::A)\nuse other::a::A;")];
-    assert_eq!(circle_in(&comments), None);
+    assert_eq!(cycle_in(&comments), None);
 }
--- a/server/tests/loopback/disconnects.rs
+++ b/server/tests/loopback/disconnects.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_queued_request_is_not_forwarded_once_its_client_has_left_however_it_leaves() {
+fn a_queued_request_is_not_forwarded_once_its_client_has_disconnected() {
     let settings = SETTINGS
         .replace(r#""probes":true"#, r#""probes":false,"dialTimeoutNs":8000000000"#)
         .replace(r#""deadlineNs":3000000000"#, r#""deadlineNs":60000000000"#);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_burst_of_disconnecting_clients_releases_everything_held_for_them() {
+fn a_burst_of_disconnecting_clients_releases_their_requests_and_descriptors() {
     let router = RouterProcess::start();
     while Client::open(router.listen).request("order", "good", 1000) != value() {}
     // As many as this endpoint's concurrency limit, each for longer than the disconnecting clients have.
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_behind_more_than_one_read_is_detected() {
+fn a_disconnect_is_detected_behind_a_long_pipeline_of_unread_queries() {
     let settings = SETTINGS
         .replace(r#""probes":true"#, r#""probes":false,"dialTimeoutNs":8000000000"#)
         .replace(r#""deadlineNs":3000000000"#, r#""deadlineNs":60000000000"#);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_client_whose_first_bytes_cross_the_start_of_shutdown_is_served() {
+fn a_client_that_sends_its_startup_message_after_shutdown_began_is_served() {
     let mut router = RouterProcess::start();
     while Client::open(router.listen).request("order", "good", 1000) != value() {}
     let mut early = TcpStream::connect(router.listen).expect("a listener");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_client_that_always_pipelines_the_next_query_is_closed_and_what_it_then_sends_is_not_read() {
+fn a_client_that_always_pipelines_is_closed_at_shutdown_and_its_later_queries_are_not_read() {
     let (mut router, mut client) = RouterProcess::start().with_client();
     while client.request("order", "good", 1000) != value() {}
     let (began, mut sent, mut answered) = (Instant::now(), 0, 0);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_query_that_crosses_the_close_is_left_unread() {
+fn a_query_sent_after_the_instance_closed_the_connection_is_not_read() {
     let mut router = RouterProcess::start();
     while Client::open(router.listen).request("order", "good", 1000) != value() {}
     let mut clients: Vec<Client> = (0..20).map(|_| Client::open(router.listen)).collect();
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_long_last_answer_is_not_cut_off_by_what_its_client_sends_meanwhile() {
+fn a_query_sent_during_shutdown_does_not_cut_off_a_long_answer() {
     let (mut router, mut client) = RouterProcess::start().with_client();
     while client.request("order", "good", 1000) != value() {}
     let small = socket2::SockRef::from(&client.0);
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn endpoints_that_hang_during_shutdown_cost_nobody_an_answer_in_time() {
+fn requests_to_hanging_endpoints_are_answered_in_time_during_shutdown() {
     let mut router = RouterProcess::without_health_checks();
     while Client::open(router.listen).request("order", "good", 1000) != value() {}
     let mut before = Client::open(router.listen);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn idle_connections_close_by_the_end_of_shutdown_and_a_half_sent_query_is_waited_for() {
+fn shutdown_closes_idle_connections_and_waits_for_a_half_sent_query() {
     let mut router = RouterProcess::start();
     while Client::open(router.listen).request("order", "good", 1000) != value() {}
     // It has only connected, it has only begun its start-up, it has begun its first query.
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn the_deadline_sent_to_an_endpoint_is_no_longer_than_its_client_has_left() {
+fn the_timeout_sent_to_an_endpoint_does_not_exceed_the_clients_remaining_time() {
     let router = RouterProcess::without_health_checks();
     let (open, startup_gate) = channel();
     *router.primary.startup_gate.lock().expect("no panic") = Some(startup_gate);
--- a/server/tests/loopback/discovery_watch.rs
+++ b/server/tests/loopback/discovery_watch.rs
@@ -83,13 +83,13 @@
 }
 
 #[test]
-fn a_list_over_many_lines_with_empty_ones_is_accepted() {
+fn a_list_over_several_lines_with_empty_lines_is_accepted() {
     let (router, _asks) = router(vec![sends_list], true);
     wait_until_served(&router, Duration::from_secs(2));
 }
 
 #[test]
-fn a_list_without_length_or_line_end_is_accepted_whole_and_never_in_part() {
+fn a_list_without_length_or_line_end_is_accepted_only_if_complete() {
     let scripts = vec![sends_all_but_the_last_byte, sends_list_and_closes, never_answers];
     let (router, requests) = router(scripts, false);
     (0..3).for_each(|_| _ = requests.recv_timeout(LIMIT).expect("it is asked for again"));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_watch_that_never_ends_its_event_or_never_answers_is_reopened_in_time() {
+fn a_watch_that_never_completes_an_event_or_never_answers_is_reopened() {
     let (router, requests) = router(vec![drips, never_answers, sends_list], false);
     let request = || requests.recv_timeout(LIMIT).expect("it is asked for again");
     let (first, second, third) = (request(), request(), request());
--- a/server/tests/loopback/main.rs
+++ b/server/tests/loopback/main.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn pipelined_queries_are_answered_in_order_whatever_comes_first() {
+fn pipelined_queries_are_answered_in_order() {
     let (router, mut client) = RouterProcess::start().with_client();
     let mut bytes = Vec::new();
     query(&mut bytes, &statement("order", "slow", 3000));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_older_list_changes_nothing_and_an_endpoint_restart_ends_old_connections() {
+fn an_older_list_is_ignored_and_an_endpoint_restart_closes_old_connections() {
     let (router, mut client) = RouterProcess::without_health_checks().with_client();
     assert_eq!(client.request("order", "good", 3000), value());
     assert_eq!(client.request("order", "good", 3000), value());
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_attempt_right_behind_another_waits_for_its_connection_and_opens_none() {
+fn an_attempt_right_after_another_reuses_its_connection() {
     let (router, mut client) = RouterProcess::start().with_client();
     for _ in 0..20 {
         assert_eq!(client.request("read", "good", 1500), value());
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_connection_that_never_proves_itself_holds_up_nobody_for_long() {
+fn a_connection_that_never_answers_its_liveness_check_is_replaced_within_a_second() {
     let (router, mut client) = RouterProcess::without_health_checks().with_client();
     for index in 1..4 {
         assert_eq!(client.request("order", "mute", 3000), value());
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_duplicate_answer_reaches_nobody_and_a_malformed_one_is_reported_at_once() {
+fn a_duplicate_answer_is_discarded_and_a_malformed_one_is_reported_at_once() {
     let (router, mut client) = RouterProcess::without_health_checks().with_client();
     for _ in 0..3 {
         assert_eq!(client.request("order", "twice", 3000), ClientResponse::Value(vec![0, 255, b'\n', 7, 2]));
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_killed_instance_restarts_on_its_address_and_serves_though_discovery_floods_it() {
+fn a_killed_instance_restarts_on_its_address_and_serves_while_discovery_floods_it() {
     let (mut router, mut client) = RouterProcess::start().with_client();
     while client.request("order", "good", 1000) != value() {}
     router.signal("-KILL");
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn an_invalid_configuration_ends_the_start_with_one_line_that_names_the_key() {
+fn an_invalid_configuration_fails_the_start_with_one_line_that_names_the_key() {
     let good = format!(r#"{{"seed":"1","settings":{SETTINGS}}}"#);
     for (config, key) in [
         ("{".to_string(), "ROUTER_CONFIG"),
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_flood_costs_silent_clients_their_place_then_those_longest_idle_and_nobody_who_waits() {
+fn a_flood_closes_silent_connections_then_the_longest_idle_and_none_with_a_request_in_flight() {
     let router = RouterProcess::with_limits(100, 192, SETTINGS);
     let mut first = Client::open(router.listen);
     let silent: Vec<TcpStream> =
@@ -338,14 +338,14 @@
 }
 
 #[test]
-fn long_values_go_out_whole() {
+fn long_values_are_forwarded_completely() {
     let (_router, mut client) = RouterProcess::start().with_client();
     let ClientResponse::Value(value) = client.request("read", "long", 1500) else { panic!("not served") };
     assert!(value.len() == 400_000 && value.iter().all(|byte| *byte == 9));
 }
 
 #[test]
-fn buffers_beyond_the_memory_for_them_end_the_sessions_that_fill_them() {
+fn clients_that_fill_buffers_beyond_the_memory_limit_are_disconnected() {
     let router = RouterProcess::with_limits(1024, 1, SETTINGS);
     let mut clients: Vec<Client> = (0..5).map(|_| Client::open(router.listen)).collect();
     let mut part = vec![b'Q'];
--- a/server/tests/operator_pages/cached_list.rs
+++ b/server/tests/operator_pages/cached_list.rs
@@ -1,6 +1,6 @@
 //! What `query-router` prints of an endpoint list that is cached on disk.
 
-use crate::common::ROUTER;
+use crate::router_program::ROUTER;
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport};
 use std::path::Path;
 use std::process::Command;
--- a/server/tests/operator_pages/main.rs
+++ b/server/tests/operator_pages/main.rs
@@ -2,10 +2,10 @@
 //! the files in `earlier/` under the earlier names, and those in `standard/` under the standard names.
 
 mod cached_list;
-#[path = "../common/mod.rs"]
-mod common;
 mod events;
 mod fixture;
+#[path = "../common/router_program.rs"]
+mod router_program;
 
 use cached_list::{run_on_list, run_on_nothing, CommandResult};
 use fixture::Fixture;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_earlier_pages_are_unchanged() {
+fn pages_under_their_earlier_names_are_unchanged() {
     let fixture = Fixture::shared();
     assert_eq!(fixture.page("clients"), include_str!("earlier/clients.txt"));
     assert_eq!(fixture.page("limits"), include_str!("earlier/limits.txt"));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_second_names_give_the_same_rows_in_standard_terms() {
+fn pages_under_their_standard_names_use_standard_terms() {
     let fixture = Fixture::shared();
     assert_eq!(fixture.page("connections"), include_str!("standard/connections.txt"));
     assert_eq!(fixture.page("resources"), include_str!("standard/resources.txt"));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_earlier_metrics_are_unchanged_and_the_standard_ones_are_all_that_is_added() {
+fn metrics_keep_their_earlier_names_and_add_only_the_standard_ones() {
     let page = Fixture::shared().page("metrics");
     let expected = [include_str!("earlier/metrics.txt"), include_str!("standard/metrics.txt")].concat();
     assert_eq!(sorted_lines(&page), sorted_lines(&expected));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_earlier_texts_of_a_cached_list_are_unchanged() {
+fn list_commands_print_their_earlier_texts_unchanged() {
     assert_eq!(run_on_list(&["list", "show"]), result(0, include_str!("earlier/list-show.txt")));
     assert_eq!(run_on_list(&["list", "verify"]), result(0, include_str!("earlier/list-verify.txt")));
     let nothing = result(65, "query-router: PATH: no list that is whole\n");
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn the_second_name_of_a_cached_list_gives_the_same_in_standard_terms() {
+fn cache_commands_print_a_cached_list_in_standard_terms() {
     assert_eq!(run_on_list(&["cache", "show"]), result(0, include_str!("standard/cache-show.txt")));
     assert_eq!(run_on_list(&["cache", "verify"]), result(0, include_str!("standard/cache-verify.txt")));
     let nothing = result(65, "query-router: PATH: no complete list\n");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn the_json_of_a_cached_list_is_the_same_under_both_names() {
+fn list_and_cache_commands_print_the_same_json() {
     let fields = |command| {
         let json: serde_json::Value = serde_json::from_str(&run_on_list(command).text).expect("JSON");
         (json["seq"].clone(), json["stores"][0]["host"].clone())
--- a/server/tests/resource_limits.rs
+++ b/server/tests/resource_limits.rs
@@ -93,7 +93,7 @@
 
 proptest! {
     #[test]
-    fn each_descriptor_and_each_byte_is_given_back_once(
+    fn each_descriptor_and_each_byte_is_released_once(
         steps in prop::collection::vec(any_step(), 1..200),
         rejects_clients: bool,
     ) {
--- a/server/tests/sessions.rs
+++ b/server/tests/sessions.rs
@@ -1,9 +1,16 @@
 //! Sessions whose tokens their clients hold, over two instances, lag, restarts and a failover that loses the tail of a
 //! log.
 
-mod common;
+mod common {
+    pub mod connect;
+    pub mod endpoint_group;
+    pub mod router_program;
+    pub mod start_router;
+}
 
-use common::{connect, group_entry, one_group, start_router};
+use common::connect::connect;
+use common::endpoint_group::{group_entry, one_group};
+use common::start_router::start_router;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread;
@@ -120,7 +127,7 @@
 }
 
 #[test]
-fn a_session_that_moves_between_instances_and_restarts_never_sees_less_than_before() {
+fn a_session_keeps_monotonic_reads_across_instances_and_restarts() {
     let fixture = Fixture::new([15, 700]);
     let mut daemons = [fixture.start(0), fixture.start(1)].map(Some);
     let mut token = fixture.client(0, Some("new")).token.expect("a token is given");
@@ -156,7 +163,7 @@
 }
 
 #[test]
-fn a_failover_that_loses_what_a_session_saw_is_reported_once() {
+fn a_failover_that_loses_data_seen_by_a_session_is_reported_to_it_once() {
     let fixture = Fixture::new([400, 400]);
     let mut daemons = [fixture.start(0), fixture.start(1)].map(Some);
     // Sessions that both instances remember.
@@ -192,7 +199,7 @@
 }
 
 #[test]
-fn a_token_is_valid_for_its_client_until_it_expires_though_keys_change() {
+fn a_session_token_is_valid_for_its_user_until_it_expires_even_if_keys_change() {
     let fixture = Fixture::new([15, 15]);
     let daemons = [fixture.start(0), fixture.start(1)];
     let mut client = fixture.client(0, Some("new"));
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -1,9 +1,15 @@
 //! Starts with and without discovery, on sockets: drawn faults, a state directory through kills, what the
 //! command line and the log say.
 
-mod common;
+mod common {
+    pub mod endpoint_group;
+    pub mod router_program;
+    pub mod start_router;
+}
 
-use common::{group_entry, one_group, start_router, ROUTER};
+use common::endpoint_group::{group_entry, one_group};
+use common::router_program::ROUTER;
+use common::start_router::start_router;
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -21,7 +27,7 @@
 use test_servers::{each_seed, Build};
 
 #[test]
-fn no_rule_breaks_with_discovery_down_and_a_wrong_list_and_writes_are_served_once_they_may() {
+fn starts_from_an_outdated_list_violate_no_rule_and_writes_are_served_after_discovery_returns() {
     let phases =
         Phases { discovery_down: Duration::from_millis(1_500), discovery_back: Duration::from_millis(6_000) };
     let build = Build { program: Path::new(ROUTER), has_operator_file: true };
@@ -100,7 +106,7 @@
 }
 
 #[test]
-fn a_cached_list_that_outlives_a_kill_serves_the_next_start_without_discovery() {
+fn an_instance_starts_from_its_cached_list_without_discovery_after_kills() {
     let fixture = Fixture::new(DiscoveryMode::Up);
     let daemon = fixture.start(&fixture.operator_file());
     fixture.time_until_served(Kind::Write, "a");
@@ -136,7 +142,7 @@
 }
 
 #[test]
-fn an_unusable_state_directory_costs_one_line_of_the_log_and_no_service() {
+fn an_unusable_state_directory_is_logged_once_and_requests_are_served() {
     let fixture = Fixture::new(DiscoveryMode::Up);
     let missing = fixture.start(&fixture.operator_file().replace("/state", "/nowhere"));
     fixture.time_until_served(Kind::Write, "a");
@@ -175,7 +181,7 @@
 }
 
 #[test]
-fn a_list_of_ten_thousand_endpoints_most_of_them_gone_delays_no_request() {
+fn a_cached_list_of_ten_thousand_mostly_unreachable_endpoints_does_not_delay_the_first_write() {
     let fixture = Fixture::new(DiscoveryMode::Up);
     let daemon = fixture.start(&fixture.operator_file());
     fixture.time_until_served(Kind::Write, "a");
@@ -237,7 +243,7 @@
 }
 
 #[test]
-fn the_command_line_reports_all_errors_and_ends_with_the_statuses_of_sysexits() {
+fn the_command_line_reports_all_errors_and_exits_with_sysexits_statuses() {
     let folder = tempfile::tempdir().expect("a folder");
     let [bootstrap, conf] = ["config.json", "gingerwick.conf"].map(|name| folder.path().join(name));
     let good = format!("{{\"seed\":\"1\",\n\"settings\":{}}}", settings());
@@ -276,7 +282,7 @@
 }
 
 #[test]
-fn the_log_is_json_if_configured_and_a_reload_says_which_changes_wait_for_a_start() {
+fn the_log_is_json_if_configured_and_a_reload_reports_settings_that_need_a_restart() {
     let fixture = Fixture::new(DiscoveryMode::Up);
     let conf = fixture.operator_file() + "log-format json\nlog-level debug\n";
     let daemon = fixture.start(&conf);
