--- a/server/tests/admission.rs
+++ b/server/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Known clients and floods, on loopback's own addresses.
+//! Connection admission of client classes during floods, with clients on different loopback addresses.
 
 mod common {
     pub mod router_program;
@@ -16,7 +16,7 @@
 use test_servers::endpoint::free_address;
 use test_servers::single_endpoint::SingleEndpoint;
 
-/// One primary and an instance with few descriptors.
+/// A cluster of one primary, and the address and executable of an instance with a limit of 200 descriptors.
 struct Fixture {
     single_endpoint: SingleEndpoint,
     listen: SocketAddr,
@@ -29,10 +29,12 @@
         Fixture { single_endpoint: SingleEndpoint::new(1), listen: free_address(), program }
     }
 
+    /// Starts an instance with the operators' file `conf` and returns at once.
     fn begin(&self, conf: &str) -> Daemon {
         self.single_endpoint.start(&self.program, self.single_endpoint.folder.path(), self.listen, 200, conf)
     }
 
+    /// Starts an instance with the operators' file `conf` and waits until it serves a write.
     fn start(&self, conf: &str) -> Daemon {
         let daemon = self.begin(conf);
         let began = Instant::now();
@@ -43,6 +45,7 @@
         daemon
     }
 
+    /// Whether a write of a new client at address `from` is served.
     fn is_served(&self, from: Ipv4Addr, id: &str) -> bool {
         let Ok(mut client) = Client::from_address(&self.listen, from) else { return false };
         client.rejected_with.is_none()
@@ -50,9 +53,9 @@
     }
 }
 
-/// What a flood from 300 addresses did, and how many of 60 desk apps were served meanwhile.
+/// Result of a flood from 300 addresses, during which 60 clients of the class `desk` each sent a write.
 #[derive(Debug, Default)]
-struct Flooded {
+struct FloodResult {
     desk_served: usize,
     rejected: usize,
     with_retry_after: usize,
@@ -60,7 +63,7 @@
     requests_lost: usize,
 }
 
-/// What the flood's clients count while they run.
+/// Counters shared by the clients of a flood.
 #[derive(Default)]
 struct FloodCounts {
     rejected: AtomicUsize,
@@ -69,8 +72,8 @@
     requests_lost: AtomicUsize,
 }
 
-/// One of the flood's clients, from two addresses of its own by `index`, until `over` is set: once admitted it asks
-/// again and again, so that it is never idle, and connects again once it is rejected or closed.
+/// Runs one client of a flood until `over` is set. It has two addresses of its own, by `index`. Once admitted it sends one
+/// request after the other, so that it is never idle. It reconnects when it is rejected or disconnected.
 fn flood_client(index: u16, listen: SocketAddr, over: &AtomicBool, counts: &FloodCounts) {
     for round in 0u16.. {
         let from = Ipv4Addr::new(127, 50, (index % 2) as u8 + 2 * (round % 2) as u8, index as u8);
@@ -96,7 +99,7 @@
             }
             let id = format!("f{index}-{round}-{serial}");
             if client.request(&id, 1, Kind::Read, 400).answer == Answer::Missing {
-                // Closed between two queries is no loss; with one on the way it would be.
+                // A connection closed between two queries loses no request, one closed with a query in flight would.
                 counts.requests_lost.fetch_add(usize::from(serial == 0), Ordering::Relaxed);
                 break;
             }
@@ -104,8 +107,8 @@
     }
 }
 
-/// A flood of 150 clients (see [`flood_client`]) while 60 desk apps each try one write.
-fn flood(fixture: &Fixture) -> Flooded {
+/// Runs a flood of 150 clients (see [`flood_client`]) while 60 clients of the class `desk` each send one write.
+fn flood(fixture: &Fixture) -> FloodResult {
     let over = Arc::new(AtomicBool::new(false));
     let counts: Arc<FloodCounts> = Arc::default();
     let flooding: Vec<_> = (0..150u16)
@@ -120,7 +123,7 @@
     over.store(true, Ordering::Release);
     flooding.into_iter().for_each(|flooding| flooding.join().expect("no client panics"));
     let load = |count: &AtomicUsize| count.load(Ordering::Relaxed);
-    Flooded {
+    FloodResult {
         desk_served,
         rejected: load(&counts.rejected),
         with_retry_after: load(&counts.with_retry_after),
@@ -142,7 +145,10 @@
     println!("with classes {with:?}\nwithout {without:?}");
     assert_eq!((with.desk_served, with.requests_lost), (60, 0), "{with:?}");
     assert!(with.rejected > 0 && with.with_retry_after > 0 && with.admitted > 20, "{with:?}");
-    assert!(without.desk_served < 60, "it shows nothing: {without:?}");
+    assert!(
+        without.desk_served < 60,
+        "the flood rejected nobody without classes, so the test proves nothing: {without:?}"
+    );
 }
 
 #[test]
@@ -158,7 +164,7 @@
     assert_eq!(fifth.rejected_with.as_deref(), Some("53300"));
     assert!(fifth.retry_after_ms.is_some_and(|ms| (1..=1_000).contains(&ms)), "{:?}", fifth.retry_after_ms);
     let file = fixture.single_endpoint.folder.path().join("gingerwick.conf");
-    // What contradicts itself changes nothing.
+    // A file with contradictory limits is rejected as a whole.
     std::fs::write(&file, "admit desk from 127.9.0.0/16 keep 5 most 4\n").expect("written");
     daemon.signal("HUP");
     assert!(daemon.has_logged("reload: operators' file not usable, nothing changed"));
@@ -166,8 +172,8 @@
     std::fs::write(&file, "admit desk from 127.9.0.0/16 keep 5000\n").expect("written");
     daemon.signal("HUP");
     assert!(daemon.has_logged("5000 connections are kept in all, and there is room for"));
-    assert_eq!(open().rejected_with.as_deref(), Some("53300"), "the limits from before count");
-    // Lowered below what is held: nobody new, and who is there stays.
+    assert_eq!(open().rejected_with.as_deref(), Some("53300"), "the earlier limits still apply");
+    // The limit is lowered below the connections in use: new ones are rejected, admitted ones stay.
     std::fs::write(&file, format!("{desk}admit others each 1\n")).expect("written");
     daemon.signal("HUP");
     assert!(daemon.has_logged("others 4; rejected since the start: others 2"));
@@ -177,11 +183,14 @@
     }
     held.truncate(1);
     thread::sleep(Duration::from_millis(50));
-    assert_eq!(open().rejected_with.as_deref(), Some("53300"), "one is still held");
+    assert_eq!(open().rejected_with.as_deref(), Some("53300"), "one connection is still open");
     held.clear();
     let began = Instant::now();
     while open().rejected_with.is_some() {
-        assert!(began.elapsed() < Duration::from_secs(5), "the last has gone");
+        assert!(
+            began.elapsed() < Duration::from_secs(5),
+            "no client is admitted after the last connection has closed"
+        );
         thread::sleep(Duration::from_millis(5));
     }
     drop(daemon);
@@ -197,29 +206,33 @@
     let mut desk = [from(9, 1), from(9, 2)];
     let held = [from(60, 1), from(60, 2), from(60, 3)];
     assert!(desk.iter().chain(&held).all(|client| client.rejected_with.is_none()));
-    // A connection that has sent no request is left alone for a short while, and then is closed for newcomers.
+    // A connection without a request is protected for a short time. After that it may be closed for a new connection.
     let began = Instant::now();
-    let mut came = 4;
+    let mut address = 4;
     let mut newer = Vec::new();
     while newer.len() < 3 {
-        assert!(began.elapsed() < Duration::from_secs(10), "{} came in", newer.len());
-        came += 1;
-        let client = from(60, came);
+        assert!(began.elapsed() < Duration::from_secs(10), "only {} new clients were admitted", newer.len());
+        address += 1;
+        let client = from(60, address);
         newer.extend(client.rejected_with.is_none().then_some(client));
         thread::sleep(Duration::from_millis(20));
     }
     for (index, client) in desk.iter_mut().enumerate() {
         let answer = client.request(&format!("k{index}"), 1, Kind::Write, 800).answer;
-        assert!(matches!(answer, Answer::Value(_)), "a desk app was let go for the others: {answer:?}");
+        assert!(
+            matches!(answer, Answer::Value(_)),
+            "a client of class desk was disconnected for another class: {answer:?}"
+        );
     }
     drop(daemon);
 }
 
-/// The daemon under a limit of the process's own, by the shell.
+/// Writes a shell script that starts the daemon with a limit on its file descriptors, and returns its path.
 fn limited(fixture: &Fixture, descriptors: usize) -> PathBuf {
     let path = fixture.single_endpoint.folder.path().join("limited");
     let text = format!("#!/bin/sh\nulimit -n {descriptors}\nexec {ROUTER} \"$@\"\n");
-    // By a process of its own: a child that another test starts while this one writes would hold the file open.
+    // Written by a child process: a process that another test starts meanwhile would inherit a descriptor open for
+    // writing, and the script could not be executed.
     let write = r#"printf %s "$1" > "$2" && chmod 755 "$2""#;
     let shell = std::process::Command::new("/bin/sh").args(["-c", write, "sh", &text]).arg(&path).status();
     assert!(shell.expect("a shell").success());
@@ -233,10 +246,10 @@
     let daemon = fixture.start("admit desk from 127.9.0.0/16 keep 8\nadmit others each 3\n");
     assert!(daemon
         .has_logged("descriptor limit of the process is lower than configured allowed=100 configured=200"));
-    let flooded = flood(&fixture);
+    let result = flood(&fixture);
     let log = daemon.kill();
-    assert_eq!((flooded.desk_served, flooded.requests_lost), (60, 0), "{flooded:?}");
-    assert!(flooded.rejected > 0 && !log.contains("connection not accepted"), "{flooded:?} {log}");
+    assert_eq!((result.desk_served, result.requests_lost), (60, 0), "{result:?}");
+    assert!(result.rejected > 0 && !log.contains("connection not accepted"), "{result:?} {log}");
 }
 
 #[test]
@@ -244,9 +257,9 @@
     let fixture = Fixture::new();
     let daemon = fixture.start("admit desk from 127.9.0.0/16 keep 8\n");
     let open = || Client::from_address(&fixture.listen, Ipv4Addr::new(127, 9, 0, 1));
-    let mut first = open().expect("it is let in");
-    // A connection to its endpoint is there; from now on the machine gives it none beyond a few more. What closes
-    // meanwhile, as the one that warmed it up, gives some back.
+    let mut first = open().expect("it is admitted");
+    // The instance has a connection to its endpoint; from now on it can open only a few descriptors more. Connections
+    // that close meanwhile, such as the one of the warm-up, free some.
     assert!(matches!(first.request("before", 1, Kind::Write, 800).answer, Answer::Value(_)));
     let used = std::fs::read_dir(format!("/proc/{}/fd", daemon.pid())).expect("a process").count() as u64;
     let pid = daemon.pid() as i32;
@@ -255,15 +268,19 @@
     let began = Instant::now();
     let (mut held, mut rejected) = (Vec::new(), 0);
     for _ in 0..30 {
-        // One whose rejection was lost to a reset was not left waiting either.
+        // A client whose rejection was lost in a connection reset was not left waiting either.
         match open() {
             Ok(client) if client.rejected_with.is_none() => held.push(client),
             Ok(client) => rejected += usize::from(client.rejected_with.as_deref() == Some("53300")),
             Err(_) => {}
         }
     }
-    assert!(began.elapsed() < Duration::from_secs(3), "nobody waits in the queue: {:?}", began.elapsed());
-    assert!(held.len() <= 9 && rejected >= 20, "{} were let in, {rejected} rejected", held.len());
+    assert!(
+        began.elapsed() < Duration::from_secs(3),
+        "clients waited in the accept queue: {:?}",
+        began.elapsed()
+    );
+    assert!(held.len() <= 9 && rejected >= 20, "{} were admitted, {rejected} rejected", held.len());
     for (index, client) in [first].iter_mut().chain(&mut held).enumerate() {
         let answer = client.request(&format!("held{index}"), 1, Kind::Write, 800).answer;
         assert!(matches!(answer, Answer::Value(_) | Answer::Rejected(_)), "{answer:?}");
@@ -271,7 +288,10 @@
     limit(4_096).expect("an own process may be limited");
     let began = Instant::now();
     while !open().is_ok_and(|client| client.rejected_with.is_none()) {
-        assert!(began.elapsed() < Duration::from_secs(2), "there are descriptors again");
+        assert!(
+            began.elapsed() < Duration::from_secs(2),
+            "no client is admitted although descriptors are available again"
+        );
     }
     assert!(daemon.has_logged("connection not accepted reason="));
 }
--- a/server/tests/attempts.rs
+++ b/server/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts on real connections, without a control loop: what happens between the last check of a connection and the instant
-//! at which a request is sent on it.
+//! Attempts on real connections, without a control loop: events between the last check of a pooled connection and the
+//! sending of a request on it.
 
 mod common {
     pub mod message;
@@ -27,21 +27,22 @@
 use std::time::Duration;
 
 const SECOND: TimeDelta = TimeDelta::from_millis(1000);
-/// By then what was sent on loopback has arrived.
-const ARRIVED: Duration = Duration::from_millis(50);
-/// The body of the query that asks whether a connection is alive: its closing zero.
+/// Time after which bytes sent on loopback have arrived.
+const LOOPBACK_DELAY: Duration = Duration::from_millis(50);
+/// Length of the body of the empty query, which checks whether a connection is alive: its terminating zero.
 const EMPTY_QUERY_BYTES: usize = 1;
 
+/// A complete answer with a value.
 fn answer(value: &[u8]) -> Vec<u8> {
     [value_messages(value), message(b'Z', b"I")].concat()
 }
 
-/// An endpoint that answers each statement with its number, and on which a test can have something happen on the first
-/// connection.
+/// An endpoint that answers each statement with the number of statements so far, and that gives the test access to its
+/// first connection.
 struct Endpoint {
     addr: SocketAddr,
     first_connection: Arc<Mutex<Option<TcpStream>>>,
-    /// On which connection each statement came.
+    /// The index of the connection on which each statement arrived.
     executed_on: Arc<Mutex<Vec<usize>>>,
 }
 
@@ -88,7 +89,7 @@
     }
 }
 
-/// A length, and the body that it counts.
+/// Reads a length field and the body that it describes.
 fn read_body(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).ok()?;
@@ -97,23 +98,24 @@
     Some(body)
 }
 
-struct Rig {
+/// A connection pool, and a channel to a control loop that the test plays.
+struct Fixture {
     pool: Arc<ConnectionPool>,
     control: Sender<ControlMessage>,
     messages: Receiver<ControlMessage>,
 }
 
-impl Rig {
-    fn new() -> Rig {
+impl Fixture {
+    fn new() -> Fixture {
         may::config().set_workers(1).set_stack_size(16 << 10);
         let timers = Arc::new(Timers::start(Clock::start()));
         let resources = ResourceLimits::new(64, 1 << 20, false);
         let pool = Arc::new(ConnectionPool::new(timers, resources, SECOND, SECOND * 30));
         let (control, messages) = channel();
-        Rig { pool, control, messages }
+        Fixture { pool, control, messages }
     }
 
-    /// Makes one attempt; `before_sending` happens when it asks for confirmation.
+    /// Makes one attempt and calls `before_sending` when it asks for confirmation.
     fn attempt(&self, endpoint: &Endpoint, before_sending: impl Fn()) -> AttemptReport {
         self.cancellable_attempt(Arc::default(), endpoint, before_sending)
     }
@@ -133,7 +135,7 @@
         });
         let mut is_first = true;
         loop {
-            match self.messages.recv().expect("the attempt goes on") {
+            match self.messages.recv().expect("the attempt is still running") {
                 ControlMessage::Confirm(question) => {
                     if std::mem::take(&mut is_first) {
                         before_sending();
@@ -141,7 +143,9 @@
                     question.reply.send(true).expect("the attempt waits");
                 }
                 ControlMessage::AttemptEnded(report) => {
-                    is_done.recv_timeout(Duration::from_secs(5)).expect("the connection is given back");
+                    is_done
+                        .recv_timeout(Duration::from_secs(5))
+                        .expect("the connection is returned to the pool");
                     return *report;
                 }
                 _ => panic!("an attempt sends no other message"),
@@ -167,32 +171,33 @@
     }
 }
 
-/// What became of a second attempt.
+/// Result of the second of two attempts.
 #[derive(Debug, PartialEq, Eq)]
 struct SecondAttempt {
     outcome: AttemptOutcome,
     value: Vec<u8>,
-    /// On which connections statements were executed.
+    /// Indexes of the connections on which statements were executed.
     executed_on: Vec<usize>,
 }
 
 impl SecondAttempt {
-    /// It got its own answer, on a connection of this number.
+    /// It received its own answer, on the connection with this index.
     fn succeeded_on(connection: usize) -> SecondAttempt {
         SecondAttempt { outcome: AttemptOutcome::Succeeded, value: vec![2], executed_on: vec![0, connection] }
     }
 }
 
-/// Makes two attempts; this happens on the connection of the first right before the second is sent.
-fn second_attempt(happens: fn(&mut TcpStream)) -> SecondAttempt {
-    let (rig, endpoint) = (Rig::new(), Endpoint::start());
-    let first = rig.attempt(&endpoint, || {});
+/// Makes two attempts and calls `before_second` on the endpoint's side of the first connection right before the second
+/// is sent.
+fn second_attempt(before_second: fn(&mut TcpStream)) -> SecondAttempt {
+    let (fixture, endpoint) = (Fixture::new(), Endpoint::start());
+    let first = fixture.attempt(&endpoint, || {});
     assert_eq!((first.outcome, only_row(&first.value)), (AttemptOutcome::Succeeded, Some(&[1][..])));
-    // The answer to the empty query has arrived by then.
-    thread::sleep(ARRIVED);
-    let report = rig.attempt(&endpoint, || {
-        happens(endpoint.first_connection.lock().expect("no panic").as_mut().expect("a connection"));
-        thread::sleep(ARRIVED);
+    // Waits for the answer to the empty query.
+    thread::sleep(LOOPBACK_DELAY);
+    let report = fixture.attempt(&endpoint, || {
+        before_second(endpoint.first_connection.lock().expect("no panic").as_mut().expect("a connection"));
+        thread::sleep(LOOPBACK_DELAY);
     });
     let executed_on = endpoint.executed_on.lock().expect("no panic").clone();
     let value = only_row(&report.value).unwrap_or_default().to_vec();
@@ -215,16 +220,21 @@
 fn a_request_uses_a_new_connection_if_the_pooled_one_was_closed() {
     let close = |stream: &mut TcpStream| stream.shutdown(Shutdown::Both).expect("open until then");
     assert_eq!(second_attempt(close), SecondAttempt::succeeded_on(1));
-    assert_eq!(second_attempt(|_| {}), SecondAttempt::succeeded_on(0), "one that stays open is reused");
+    assert_eq!(
+        second_attempt(|_| {}),
+        SecondAttempt::succeeded_on(0),
+        "a connection that stays open is reused"
+    );
 }
 
 #[test]
 fn an_attempt_that_is_cancelled_before_it_has_a_connection_opens_none() {
-    let (rig, endpoint) = (Rig::new(), Endpoint::start());
+    let (fixture, endpoint) = (Fixture::new(), Endpoint::start());
     let cancellation = Arc::new(CancellationToken::default());
     cancellation.cancel();
-    let report = rig.cancellable_attempt(cancellation, &endpoint, || panic!("it asks for nothing"));
+    let report = fixture
+        .cancellable_attempt(cancellation, &endpoint, || panic!("a cancelled attempt asks for confirmation"));
     assert_eq!(report.outcome, AttemptOutcome::NotSent);
-    thread::sleep(ARRIVED);
-    assert!(!endpoint.has_connection(), "a connection costs the endpoint work");
+    thread::sleep(LOOPBACK_DELAY);
+    assert!(!endpoint.has_connection(), "a connection was opened for a cancelled attempt");
 }
--- a/server/tests/client_protocol.rs
+++ b/server/tests/client_protocol.rs
@@ -1,4 +1,4 @@
-//! What clients send, without a socket: messages in any split, statements, and what is rejected by which code.
+//! Decoding of messages and statements from clients, without a socket, and the SQLSTATEs of rejections.
 
 mod common {
     pub mod message;
@@ -16,7 +16,7 @@
 const GET: &str = "/* id=9b1f03aa5c7e2d41,c=basket,d=480,cluster=2,after=1767225600123,r=1 */ \
                    SELECT content FROM kv WHERE name = '7f3a9c21e0b4d655'";
 
-/// All messages of some bytes that are read in these parts.
+/// Decodes all messages of bytes that arrive in the given parts.
 fn decode(parts: &[&[u8]]) -> Vec<FrontendMessage> {
     let mut codec = FrontendCodec::default();
     let mut messages = Vec::new();
@@ -27,7 +27,7 @@
     messages
 }
 
-/// What the startup message of `protocol::encode` is decoded to.
+/// The decoded form of `protocol::encode::startup_message`.
 fn startup() -> FrontendMessage {
     let parameters =
         StartupParameters { audience: "7:backend/store".into(), user: "backend".into(), session: None };
@@ -46,7 +46,7 @@
     }
 }
 
-/// One message or another, most of them complete.
+/// Generates messages, most of them well-formed, and short random bytes.
 fn any_message() -> impl Strategy<Value = Vec<u8>> {
     let tag = prop::sample::select(b"QQQQSPBDEHCFdcfX?".to_vec());
     let body = prop_oneof![
@@ -89,7 +89,7 @@
             }
         }
         let before_last = decoded.iter().rev().skip(1);
-        prop_assert!(before_last.into_iter().all(|message| !ends_connection(message)), "nothing follows an end");
+        prop_assert!(before_last.into_iter().all(|message| !ends_connection(message)), "a message was decoded after one that ends the connection");
     }
 
     #[test]
@@ -103,7 +103,7 @@
 fn a_header_is_parsed_and_reports_where_its_timeout_digits_are() {
     let body = [GET.as_bytes(), b"\0"].concat();
     let Statement::Request(header) = statement::parse(&body) else {
-        panic!("a statement of the page's form")
+        panic!("the statement is not recognised as a request")
     };
     assert_eq!((header.id, header.method, header.group), ("9b1f03aa5c7e2d41", "basket", 2));
     assert_eq!((header.timeout_ms, header.is_retry), (480, true));
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -1,4 +1,4 @@
-//! The control loop without client sockets: what it answers, and what a panic of the routing policy leaves behind.
+//! The control loop without client sockets: its responses, and recovery from a panic of the routing policy.
 
 use host_support::bootstrap_config::BootstrapConfig;
 use host_support::routing_settings::routing_settings;
@@ -31,13 +31,14 @@
     "allowed":{"maxAttempts":6,"retryAfter":true,"maxRetryAfterNs":2000000000}}"#;
 const WRITE: MethodIndex = 0;
 const READ: MethodIndex = 1;
-/// The group of the endpoint that every test has.
+/// The group of the primary in every test.
 const GROUP: GroupNumber = 3;
 const SECOND: TimeDelta = TimeDelta::from_millis(1000);
 /// How long a test waits for the control loop before it fails.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-struct Rig {
+/// A running control loop and the channel of its responses.
+struct Fixture {
     control: Sender<ControlMessage>,
     timers: Arc<Timers>,
     resources: Arc<ResourceLimits>,
@@ -45,15 +46,16 @@
     _stream: TcpStream,
 }
 
+/// A listener whose connections are never answered.
 fn silent_endpoint() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
-/// A control loop that knows one endpoint, a primary that accepts connections and never answers.
-fn rig(silent: &TcpListener, max_open_requests: usize) -> Rig {
+/// Starts a control loop that knows one endpoint: a primary that accepts connections and never answers.
+fn start_control_loop(silent: &TcpListener, max_open_requests: usize) -> Fixture {
     may::config().set_workers(1).set_stack_size(16 << 10);
     let config: BootstrapConfig = serde_json::from_str(SETTINGS).expect("a bootstrap configuration");
-    let settings = routing_settings(&config).expect("sound settings");
+    let settings = routing_settings(&config).expect("valid settings");
     let timers = Arc::new(Timers::start(Clock::start()));
     let resources = ResourceLimits::new(64, 1 << 20, false);
     let pool = Arc::new(ConnectionPool::new(timers.clone(), resources.clone(), SECOND, SECOND * 30));
@@ -74,10 +76,15 @@
     let control_loop = ControlLoop::new(setup);
     spawn(move || control_loop.run());
     let stream = TcpStream::connect(silent.local_addr().expect("its address")).expect("a connection");
-    let rig =
-        Rig { control, timers, resources, channel: ResponseChannel::new(stream.waker()), _stream: stream };
-    rig.send(ControlMessage::EndpointList { complete: true, endpoints: vec![primary("s", silent)] });
-    rig
+    let fixture = Fixture {
+        control,
+        timers,
+        resources,
+        channel: ResponseChannel::new(stream.waker()),
+        _stream: stream,
+    };
+    fixture.send(ControlMessage::EndpointList { complete: true, endpoints: vec![primary("s", silent)] });
+    fixture
 }
 
 fn primary(name: &str, at: &TcpListener) -> ListedEndpoint {
@@ -92,6 +99,7 @@
     }
 }
 
+/// An update of the endpoint list with 2,000 replicas of `group`.
 fn replicas(group: GroupNumber, at: &TcpListener) -> ControlMessage {
     let replica = |index: usize| ListedEndpoint {
         group,
@@ -101,7 +109,7 @@
     ControlMessage::EndpointList { complete: false, endpoints: (0..2_000).map(replica).collect() }
 }
 
-impl Rig {
+impl Fixture {
     fn send(&self, message: ControlMessage) {
         self.control.send(message).expect("a control loop");
     }
@@ -136,7 +144,7 @@
         self.send(ControlMessage::Request(Box::new(IncomingRequest { header, text, ticket })));
     }
 
-    /// So many responses, by request.
+    /// Waits for `count` responses and returns them ordered by request.
     fn responses(&self, count: usize) -> Vec<(RequestId, Response)> {
         let give_up_at = Instant::now() + WAIT_TIMEOUT;
         let mut responses = Vec::new();
@@ -152,7 +160,7 @@
     /// The response to the only request that is open.
     fn response_to(&self, request: RequestId) -> Response {
         let mut responses = self.responses(1);
-        assert_eq!(responses.len(), 1, "requests whose clients are gone get no response");
+        assert_eq!(responses.len(), 1, "a request whose client has disconnected got a response");
         let (answered, response) = responses.remove(0);
         assert_eq!(answered, request);
         response
@@ -166,37 +174,37 @@
 #[test]
 fn a_panic_of_the_routing_policy_aborts_open_requests_and_a_new_policy_takes_over() {
     let silent = silent_endpoint();
-    let rig = rig(&silent, 100);
-    rig.write(1, 60_000);
-    rig.write(2, 60_000);
-    // An endpoint that the policy was never notified of: its table has no such row.
+    let fixture = start_control_loop(&silent, 100);
+    fixture.write(1, 60_000);
+    fixture.write(2, 60_000);
+    // The policy panics on an endpoint that it does not know: its table has no such row.
     let attempt = AttemptId { request: 1, number: 0, endpoint: 99 };
     let (reply, _confirmed) = channel();
-    rig.send(ControlMessage::Confirm(ConfirmAttempt { attempt, reply }));
-    assert_eq!(rig.responses(2), [(1, Response::Aborted), (2, Response::Aborted)]);
-    rig.write(3, 200);
-    let response = rig.response_to(3);
-    let given_up = matches!(response, Response::Rejected { .. } | Response::Aborted);
-    assert!(given_up, "its endpoint is silent: {response:?}");
-    assert!(!rig.resources.is_memory_short());
+    fixture.send(ControlMessage::Confirm(ConfirmAttempt { attempt, reply }));
+    assert_eq!(fixture.responses(2), [(1, Response::Aborted), (2, Response::Aborted)]);
+    fixture.write(3, 200);
+    let response = fixture.response_to(3);
+    let is_given_up = matches!(response, Response::Rejected { .. } | Response::Aborted);
+    assert!(is_given_up, "its endpoint is silent: {response:?}");
+    assert!(!fixture.resources.is_memory_short());
 }
 
 #[test]
 fn requests_above_the_limit_of_open_requests_are_rejected_until_others_end() {
     let silent = silent_endpoint();
-    let rig = rig(&silent, 2);
-    (1..=3).for_each(|request| rig.write(request, 60_000));
+    let fixture = start_control_loop(&silent, 2);
+    (1..=3).for_each(|request| fixture.write(request, 60_000));
     let rejected = Response::Rejected { retry_after: Some(TimeDelta::from_millis(2000)) };
-    assert_eq!(rig.response_to(3), rejected, "and given a Retry-After");
-    (1..=2).for_each(|request| rig.send(ControlMessage::ClientGone { request }));
-    // They are forgotten once their attempts have ended, which the silent endpoint takes a second for.
+    assert_eq!(fixture.response_to(3), rejected, "rejected with a Retry-After");
+    (1..=2).for_each(|request| fixture.send(ControlMessage::ClientGone { request }));
+    // The requests are removed once their attempts have ended, which takes a second with the silent endpoint.
     let give_up_at = Instant::now() + WAIT_TIMEOUT;
     for request in 4.. {
-        rig.write(request, 200);
-        if rig.response_to(request) != rejected {
+        fixture.write(request, 200);
+        if fixture.response_to(request) != rejected {
             break;
         }
-        assert!(Instant::now() < give_up_at, "no request is forgotten");
+        assert!(Instant::now() < give_up_at, "requests of disconnected clients are never removed");
     }
 }
 
@@ -204,14 +212,14 @@
 fn a_timer_that_fires_while_a_batch_is_handled_is_not_lost() {
     const OTHER_GROUP: GroupNumber = 4;
     let silent = silent_endpoint();
-    let rig = rig(&silent, 100);
-    // No primary of the group is known, so nothing but time ends a read that needs the latest data.
-    rig.send(replicas(OTHER_GROUP, &silent));
+    let fixture = start_control_loop(&silent, 100);
+    // No primary of the group is known, so only a timer can end a read that needs the latest data.
+    fixture.send(replicas(OTHER_GROUP, &silent));
     for request in 1..=3 {
-        rig.request(READ, OTHER_GROUP, request, &request.to_string(), 300);
-        // It takes far longer to handle than the timers of this control loop lie apart.
-        rig.send(replicas(OTHER_GROUP, &silent));
-        let response = rig.response_to(request);
+        fixture.request(READ, OTHER_GROUP, request, &request.to_string(), 300);
+        // Handling this list takes far longer than the interval between timers of this control loop.
+        fixture.send(replicas(OTHER_GROUP, &silent));
+        let response = fixture.response_to(request);
         assert!(matches!(response, Response::Rejected { .. }), "{response:?}");
     }
 }
@@ -219,20 +227,20 @@
 #[test]
 fn an_id_stays_in_use_until_its_last_attempt_has_ended() {
     let silent = silent_endpoint();
-    let rig = rig(&silent, 100);
-    rig.write_as(1, "same", 60_000);
-    rig.write_as(2, "same", 60_000);
+    let fixture = start_control_loop(&silent, 100);
+    fixture.write_as(1, "same", 60_000);
+    fixture.write_as(2, "same", 60_000);
     assert_eq!(SqlState::DUPLICATE_OBJECT.as_str(), "42710");
-    let second = rig.response_to(2);
+    let second = fixture.response_to(2);
     assert!(is_id_in_use(&second), "{second:?}");
-    rig.send(ControlMessage::ClientGone { request: 1 });
-    // Its attempt still waits for the silent endpoint, a second at most: until that has ended the id is in use.
+    fixture.send(ControlMessage::ClientGone { request: 1 });
+    // Its attempt waits for the silent endpoint for at most a second. The id is in use until the attempt has ended.
     let give_up_at = Instant::now() + WAIT_TIMEOUT;
     for request in 4.. {
-        rig.write_as(request, "same", 400);
-        if !is_id_in_use(&rig.response_to(request)) {
+        fixture.write_as(request, "same", 400);
+        if !is_id_in_use(&fixture.response_to(request)) {
             break;
         }
-        assert!(Instant::now() < give_up_at, "an id is in use for good");
+        assert!(Instant::now() < give_up_at, "the id is still in use after its attempt has ended");
     }
 }
--- a/server/tests/discovery_stream.rs
+++ b/server/tests/discovery_stream.rs
@@ -1,4 +1,5 @@
-//! What discovery sends, without a socket: any split of the answer, cut lists, floods, and entries of the list.
+//! Parsing of discovery's responses, without a socket: responses split anywhere, truncated lists, floods of small chunks,
+//! and the entries of a list.
 
 use proptest::prelude::*;
 use routing::time::Timestamp;
@@ -9,7 +10,7 @@
 
 const CHUNKED_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A complete answer of these bytes in chunks of these sizes; what is left is one more chunk.
+/// A complete chunked response with `text` in chunks of the given sizes. The remainder is one more chunk.
 fn chunked(text: &[u8], sizes: Vec<usize>) -> Vec<u8> {
     let mut answer = CHUNKED_HEAD.to_vec();
     let mut rest = text;
@@ -71,7 +72,7 @@
     for end in 1..=list.len() {
         let event_behind = |head: String| {
             let mut stream = WatchStream::default();
-            stream.feed(&[head.as_bytes(), &list.as_bytes()[..end]].concat()).expect("a sound answer");
+            stream.feed(&[head.as_bytes(), &list.as_bytes()[..end]].concat()).expect("a valid response");
             stream.next_event()
         };
         let complete = Ok(Some(WatchEvent::List(list.as_bytes().to_vec())));
@@ -88,7 +89,7 @@
 fn text_that_is_not_a_json_object_is_rejected_as_a_list() {
     for text in ["[1]", "x", "\"\"", "} {", "4"] {
         let mut stream = WatchStream::default();
-        stream.feed(format!("HTTP/1.1 200 OK\r\n\r\n{text}").as_bytes()).expect("a sound answer");
+        stream.feed(format!("HTTP/1.1 200 OK\r\n\r\n{text}").as_bytes()).expect("a valid response");
         assert_eq!(stream.next_event(), Err(StreamError::NotAList), "{text}");
     }
 }
@@ -97,10 +98,10 @@
 fn parsing_many_small_chunks_takes_linear_time() {
     let flood = [CHUNKED_HEAD.to_vec(), b"1\r\n\n\r\n".repeat(300_000)].concat();
     let (mut stream, started) = (WatchStream::default(), Instant::now());
-    stream.feed(&flood).expect("a sound answer");
+    stream.feed(&flood).expect("a valid response");
     let unchanged = std::iter::from_fn(|| stream.next_event().expect("empty lines"));
     assert_eq!(unchanged.count(), 300_000);
-    // Moving what is left for each chunk is a quarter of a terabyte, some ten seconds at the least.
+    // If the remaining bytes were moved for each chunk, a quarter of a terabyte would be copied, in at least ten seconds.
     assert!(started.elapsed() < Duration::from_secs(4), "{:?}", started.elapsed());
 }
 
@@ -108,7 +109,7 @@
 fn a_list_entry_may_have_missing_and_unknown_fields() {
     let line = r#"{"seq":43,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","block":3,"health":"SERVING",
         "born_ms":1767225600123,"recovery":"off","new":{}},{"host":"t","health":"PAUSED"}]}"#;
-    let list: EndpointListUpdate = serde_json::from_str(line).expect("a line of the page's form");
+    let list: EndpointListUpdate = serde_json::from_str(line).expect("a valid list");
     assert_eq!((list.version, list.complete), (43, false));
     let [complete, sparse] = &list.endpoints[..] else { panic!("two entries") };
     let read = |entry: &ListedEndpoint| (entry.status(), entry.is_primary(), entry.started_at());
@@ -117,7 +118,7 @@
     assert_eq!(
         read(sparse),
         (EndpointStatus::Draining, false, None),
-        "an unknown state gets no new attempts"
+        "an endpoint in an unknown state gets no new attempts"
     );
     assert!(complete.socket_addr().is_some() && sparse.socket_addr().is_none());
 }
--- a/server/tests/endpoint_responses.rs
+++ b/server/tests/endpoint_responses.rs
@@ -1,4 +1,5 @@
-//! What endpoints answer, without a socket: any split, spoilt answers, the table of outcomes, and reports.
+//! Parsing of endpoints' answers, without a socket: answers split anywhere, corrupted answers, attempt outcomes, and load
+//! reports.
 
 mod common {
     pub mod message;
@@ -19,13 +20,13 @@
 
 const POSITION: Timestamp = Timestamp(1_767_225_600_123_000_000);
 
-/// A complete answer of a replica with this value.
+/// A complete answer of a replica with a value.
 fn answer(value: &[u8]) -> Vec<u8> {
     let parameters = [message(b'S', b"recovery\0on\0"), message(b'S', b"lsn_ms\x001767225600123\0")];
     [&value_messages(value)[..], &parameters.concat(), &message(b'Z', b"I")].concat()
 }
 
-/// The tags of complete messages; a question mark if any bytes follow them.
+/// The tags of all complete messages, followed by a question mark if more bytes follow.
 fn tags(bytes: &[u8]) -> String {
     let (mut tags, mut at) = (String::new(), 0);
     while let Ok(Some(frame)) = frame(bytes, at, MAX_VALUE_BYTES) {
@@ -35,7 +36,7 @@
     tags + if at == bytes.len() { "" } else { "?" }
 }
 
-/// Parses growing parts of an answer until its outcome is known; that, and how many bytes it took.
+/// Parses growing prefixes of an answer until its outcome is known. Returns the outcome and the length of the last prefix.
 fn parse_in_parts(
     parser: &mut ResponseParser,
     bytes: &[u8],
@@ -52,7 +53,8 @@
     (None, end)
 }
 
-fn spoil(bytes: &mut Vec<u8>, at: usize, how: usize, byte: u8) {
+/// Truncates the bytes, inserts or changes a byte, or removes some bytes.
+fn corrupt(bytes: &mut Vec<u8>, at: usize, how: usize, byte: u8) {
     let at = at % (bytes.len() + 1);
     match how {
         0 => bytes.truncate(at),
@@ -79,7 +81,7 @@
         let mut parser = ResponseParser::default();
         let (outcome, end) = parse_in_parts(&mut parser, &bytes, cuts);
         prop_assert_eq!(outcome, Some(AttemptOutcome::Succeeded));
-        prop_assert_eq!(end, bytes.len(), "known with its last byte and not before");
+        prop_assert_eq!(end, bytes.len(), "the outcome is known at the last byte and not before");
         prop_assert!(parser.frees_connection(&bytes));
         let with_surplus = [&bytes[..], &surplus].concat();
         prop_assert_eq!(parser.frees_connection(&with_surplus), surplus.is_empty());
@@ -93,28 +95,28 @@
     #[test]
     fn a_corrupted_answer_gives_a_complete_value_or_an_error(
         value in prop::collection::vec(any::<u8>(), 0..300),
-        spoils in prop::collection::vec((0usize..400, 0usize..4, any::<u8>()), 1..4),
+        corruptions in prop::collection::vec((0usize..400, 0usize..4, any::<u8>()), 1..4),
         cuts in prop::collection::vec(1usize..40, 0..30),
     ) {
         let mut bytes = answer(&value);
-        for (at, how, byte) in spoils {
-            spoil(&mut bytes, at, how, byte);
+        for (at, how, byte) in corruptions {
+            corrupt(&mut bytes, at, how, byte);
         }
         let mut parser = ResponseParser::default();
         let (outcome, end) = parse_in_parts(&mut parser, &bytes, cuts);
         let at_once = ResponseParser::default().parse(&bytes[..end]);
-        prop_assert_eq!(at_once, outcome, "however it is split");
+        prop_assert_eq!(at_once, outcome, "the outcome depends on how the answer is split");
         if parser.outcome(AttemptOutcome::ConnectionLost) == AttemptOutcome::Succeeded {
             let value = parser.value(bytes.clone());
-            prop_assert!(only_row(&value).is_some() && tags(&value) == "TDC", "one row of one column, complete");
+            prop_assert!(only_row(&value).is_some() && tags(&value) == "TDC", "the value is not one complete row of one column");
         }
         if outcome == Some(AttemptOutcome::Failed) && !parser.frees_connection(&bytes) {
-            prop_assert!(parser.reports().answer.position.is_none(), "a spoilt answer reports nothing");
+            prop_assert!(parser.reports().answer.position.is_none(), "a corrupted answer reported a position");
         }
     }
 }
 
-/// The outcome of an answer behind which the connection is lost, and whether the connection can be used again.
+/// The outcome of an answer after which the connection is lost, and whether the connection could be reused.
 fn outcome_of(messages: &[&[u8]]) -> (AttemptOutcome, bool) {
     let (mut parser, bytes) = (ResponseParser::default(), messages.concat());
     let outcome = parser.parse(&bytes).unwrap_or_else(|| parser.outcome(AttemptOutcome::ConnectionLost));
@@ -127,7 +129,7 @@
     out
 }
 
-/// Each error code's outcome, with and without the end of the answer behind it.
+/// Checks the outcome of each error code, with and without a ReadyForQuery after it.
 fn assert_error_code_outcomes(ready: &[u8]) {
     for (code, outcome) in [
         ("25006", AttemptOutcome::NotEligible),
@@ -153,22 +155,22 @@
     let too_long = &message(b'D', &vec![7; MAX_VALUE_BYTES])[..];
     let rows: [(&[&[u8]], AttemptOutcome, bool, &str); 21] = [
         (&[description, row, complete, ready], Succeeded, true, "a value"),
-        (&[parameter, description, row, parameter, complete, ready], Succeeded, true, "parameters beside it"),
-        (&[description, row, complete], Succeeded, false, "complete, the connection broke behind it"),
-        (&[description, row, complete, ready, ready], Succeeded, false, "more than belongs to it"),
+        (&[parameter, description, row, parameter, complete, ready], Succeeded, true, "with parameters"),
+        (&[description, row, complete], Succeeded, false, "complete, connection lost after it"),
+        (&[description, row, complete, ready, ready], Succeeded, false, "surplus bytes after it"),
         (&[description, row], ConnectionLost, false, "not complete"),
         (&[], ConnectionLost, false, "nothing"),
         (&[description, complete, ready], Failed, false, "no row"),
         (&[description, row, row, complete, ready], Failed, false, "two rows"),
         (&[row, complete, ready], Failed, false, "a row without its description"),
-        (&[description, row, complete, row], Failed, false, "a row behind the end"),
-        (&[description, row, &error("53300"), ready], Failed, true, "rejected behind a row"),
+        (&[description, row, complete, row], Failed, false, "a row after the end"),
+        (&[description, row, &error("53300"), ready], Failed, true, "rejected after a row"),
         (&[&message(b'T', &ONE_COLUMN[..9]), row], Failed, false, "half a description"),
         (&[description, &message(b'D', &[0, 1, 0, 0, 0, 2, 7])], Failed, false, "a column cut short"),
         (&[description, &message(b'D', &[0, 2, 0, 0, 0, 1, 7])], Failed, false, "two columns announced"),
         (&[description, &message(b'D', &[0, 1, 255, 255, 255, 255])], Failed, false, "no value"),
         (&[description, too_long], Failed, false, "too long, recognised by its header"),
-        (&[&message(b'A', b"x\0")], Failed, false, "a tag that no answer has"),
+        (&[&message(b'A', b"x\0")], Failed, false, "an unexpected tag"),
         (&[&message(b'E', b"SERROR\0C53300\0")], Failed, false, "an error without its end"),
         (&[&message(b'E', b"SERROR\0\0")], Failed, false, "an error without a code"),
         (&[&message(b'S', &vec![b'x'; 9000])], Failed, false, "parameters without end"),
@@ -199,6 +201,6 @@
     {
         let report = load_report::parse(unreadable);
         let fields = (report.position, report.role, report.load);
-        assert!(fields == (None, None, None), "{unreadable:?} is no report at all");
+        assert!(fields == (None, None, None), "{unreadable:?} was reported in part");
     }
 }
--- a/server/tests/fates.rs
+++ b/server/tests/fates.rs
@@ -1,4 +1,4 @@
-//! The fate that a client is reported for a write that it asks about again, through kills of the instance that had it.
+//! Fates that instances report to clients for their writes, also after kills of the instance that received a write.
 
 mod common {
     pub mod connect;
@@ -20,13 +20,14 @@
 use test_servers::settings::DEDUP_WINDOW_MS;
 use test_servers::single_endpoint::SingleEndpoint;
 
-/// One primary, which takes a few milliseconds for each write, and two instances with journals of their own.
+/// A cluster of one primary, and two instances that each have their own write journal.
 struct Fixture {
     single_endpoint: SingleEndpoint,
     listen: [SocketAddr; 2],
 }
 
 impl Fixture {
+    /// Starts the cluster. The primary takes `work_ms` milliseconds for each write.
     fn new(work_ms: i64) -> Fixture {
         Fixture { single_endpoint: SingleEndpoint::new(work_ms), listen: [free_address(), free_address()] }
     }
@@ -41,10 +42,14 @@
         connect(&self.listen[index], "backend", Some("new"))
     }
 
-    /// Waits until the endpoint has executed these writes, then kills the instance before it is notified of that;
-    /// returns the instant by which they had executed.
-    fn cut_off<const N: usize>(&self, instance: Daemon, writes: [(&'static str, Kind); N]) -> Instant {
-        // The first write after an instance starts waits for the endpoint list; the writes after it are sent at once.
+    /// Sends writes, waits until the endpoint has executed them, and kills the instance before it receives the answers.
+    /// Returns an instant by which all had been executed.
+    fn kill_before_answers<const N: usize>(
+        &self,
+        instance: Daemon,
+        writes: [(&'static str, Kind); N],
+    ) -> Instant {
+        // The first write after a start waits for the endpoint list. Later writes are sent at once.
         self.wait_until_served("warm");
         let asking = writes.map(|(id, kind)| {
             let mut client = self.client(0);
@@ -61,24 +66,25 @@
         ran
     }
 
-    /// Sends the write `id` with an idempotency key to instance 0, on a new client each time, until it is served.
+    /// Sends the write `id` with an idempotency key to instance 0, each time on a new connection, until it is served.
     fn wait_until_served(&self, id: &str) {
         while !matches!(self.client(0).request(id, 1, Kind::KeyedWrite, 900).answer, Answer::Value(_)) {}
     }
 
+    /// Number of executions of the write `id`.
     fn executions(&self, id: &str) -> usize {
         self.single_endpoint.cluster.lock().executions.get(id).map_or(0, Vec::len)
     }
 }
 
-/// A write as its client saw it: its id, the origin of the instance that took it, and its answer.
+/// A write as recorded by its client: its id, the origin of the instance that received it, and its answer.
 struct SentWrite {
     id: String,
     origin: String,
     answer: Answer,
 }
 
-/// How many fates of each kind were reported.
+/// Number of reported fates of each kind.
 #[derive(Default)]
 struct ReportedFates {
     ran: usize,
@@ -86,7 +92,8 @@
     not_known: usize,
 }
 
-/// Six clients of instance 0 that write until `over` is set or their connection is lost; each write goes into `sent`.
+/// Starts six clients of instance 0 that send writes until `over` is set or their connection is lost. Each write is
+/// recorded in `sent`.
 fn spawn_writers(
     fixture: &Fixture,
     round: usize,
@@ -116,12 +123,12 @@
         .collect()
 }
 
-/// Asks for the fate of each write in `sent`, checks it against what the endpoint executed, and counts it in `fates`.
+/// Queries the fate of each write in `sent`, checks it against the endpoint's executions, and counts it in `fates`.
 fn check_fates(fixture: &Fixture, client: &mut Client, sent: &[SentWrite], fates: &mut ReportedFates) {
     for SentWrite { id, origin, answer } in sent {
         let executions = fixture.executions(id);
         let fate = client.fate(id, origin);
-        let right = match &fate {
+        let is_correct = match &fate {
             Answer::Value(value) if value.starts_with("ran") => {
                 fates.ran += 1;
                 executions == 1
@@ -137,11 +144,11 @@
             _ => false,
         };
         assert!(
-            right && executions <= 1,
+            is_correct && executions <= 1,
             "{id}, answered {answer:?}, reported {fate:?}, ran {executions} times"
         );
-        // A client whose write was lost or reported as never run may send it again under another id; under this id
-        // nothing goes out.
+        // Once a write was reported as never run, its client may send it again under another id. Under the same id it is
+        // not forwarded.
         if *answer == Answer::Missing && fate == Answer::Value("never".into()) {
             let again = client.request(id, 1, Kind::Write, 400).answer;
             assert_eq!(again, Answer::Error("42710".into()), "{id}");
@@ -154,7 +161,7 @@
 fn reported_fates_are_correct_after_kills_and_no_write_runs_after_fate_never() {
     let fixture = Fixture::new(4);
     let mut rng = Mwc::new(7);
-    // What each write was answered, where it was sent, and which fate was reported for it later.
+    // The writes of the current round.
     let sent: Arc<Mutex<Vec<SentWrite>>> = Arc::default();
     let mut fates = ReportedFates::default();
     for round in 0..14 {
@@ -182,7 +189,7 @@
 fn fates_are_reported_for_unsent_writes_writes_in_flight_and_writes_of_other_instances() {
     let fixture = Fixture::new(300);
     let _daemons = [fixture.start(0), fixture.start(1)];
-    // Until it knows the primary an instance rejects a write by half of its time, whatever is recorded of it.
+    // An instance that does not know the primary yet rejects a write after half of its timeout, whatever the journal says.
     fixture.wait_until_served("warm");
     let mut client = fixture.client(0);
     let origin = client.origin.clone().expect("reported at the start");
@@ -190,12 +197,12 @@
     assert_eq!(
         client.request("nobody", 1, Kind::Write, 900).answer,
         Answer::Error("42710".into()),
-        "it was on its way"
+        "a write whose fate was reported as never was accepted"
     );
     let mut other = fixture.client(1);
-    assert_eq!(other.fate("nobody", &origin), Answer::Error("40003".into()), "another instance's");
+    assert_eq!(other.fate("nobody", &origin), Answer::Error("40003".into()), "a write of another instance");
     assert_eq!(other.fate("nobody", "x"), Answer::Error("40003".into()));
-    // While it has been sent it is under way, and then it has run.
+    // The fate of a write is `under way` from when it is sent until it is answered.
     let listen = fixture.listen[0];
     let asking = thread::spawn(move || {
         let mut client = Client::open(&listen).expect("a client");
@@ -222,25 +229,31 @@
     let fixture = Fixture::new(150);
     let daemon = fixture.start(0);
     let origin = fixture.client(0).origin.expect("reported at the start");
-    let ran = fixture
-        .cut_off(daemon, [("early", Kind::KeyedWrite), ("late", Kind::KeyedWrite), ("plain", Kind::Write)]);
+    let ran = fixture.kill_before_answers(
+        daemon,
+        [("early", Kind::KeyedWrite), ("late", Kind::KeyedWrite), ("plain", Kind::Write)],
+    );
     let daemon = fixture.start(0);
     let mut client = fixture.client(0);
-    assert_eq!(client.fate("early", &origin), Answer::Error("40003".into()), "it may have run");
+    assert_eq!(
+        client.fate("early", &origin),
+        Answer::Error("40003".into()),
+        "a write in flight at the kill may have run"
+    );
     let again = client.request("early", 1, Kind::KeyedWrite, 900).answer;
     assert!(matches!(&again, Answer::Value(value) if value.starts_with("early ")), "{again:?}");
     assert!(
         ran.elapsed() < Duration::from_millis(DEDUP_WINDOW_MS as u64),
-        "the machine is too slow to show it"
+        "the machine is too slow: the deduplication window has already ended"
     );
-    // That its retry was answered shows that it ran; no endpoint reported where it was committed.
+    // The answer to its retry proves that it ran. No endpoint reported the position of its commit.
     assert_eq!(client.fate("early", &origin), Answer::Value("ran".into()));
-    let barred = Answer::Error("42710".into());
-    assert_eq!(client.request("plain", 1, Kind::Write, 900).answer, barred, "it has no idempotency key");
+    let id_in_use = Answer::Error("42710".into());
+    assert_eq!(client.request("plain", 1, Kind::Write, 900).answer, id_in_use, "it has no idempotency key");
     thread::sleep(Duration::from_millis(DEDUP_WINDOW_MS as u64).saturating_sub(ran.elapsed()));
     assert_eq!(
         client.request("late", 1, Kind::KeyedWrite, 900).answer,
-        barred,
+        id_in_use,
         "its retries are no longer deduplicated"
     );
     assert_eq!(["early", "late", "plain"].map(|id| fixture.executions(id)), [1, 1, 1]);
@@ -250,10 +263,11 @@
 #[test]
 fn a_retry_that_no_primary_executes_is_aborted_and_not_sent_after_the_deduplication_window() {
     let fixture = Fixture::new(150);
-    let ran = fixture.cut_off(fixture.start(0), [("early", Kind::KeyedWrite), ("late", Kind::KeyedWrite)]);
+    let ran = fixture
+        .kill_before_answers(fixture.start(0), [("early", Kind::KeyedWrite), ("late", Kind::KeyedWrite)]);
     let daemon = fixture.start(0);
     fixture.wait_until_served("known");
-    // The endpoint that takes it now is no longer primary and reports so: this time it is known not to have run.
+    // The endpoint is no longer a primary and reports so: the retries are known not to have run.
     fixture.single_endpoint.cluster.lock().endpoints[0].primary = false;
     let asking = [("early", 700), ("late", 2_600)].map(|(id, timeout_ms)| {
         let mut client = fixture.client(0);
@@ -275,7 +289,7 @@
     let mut client = fixture.client(0);
     let origin = client.origin.clone().expect("reported at the start");
     while !matches!(client.request("known", 1, Kind::Write, 900).answer, Answer::Value(_)) {}
-    // Once it has been sent, the endpoint that receives it is no longer primary: it is known not to have run.
+    // The endpoint is no longer a primary when the writes arrive: they are known not to have run.
     fixture.single_endpoint.cluster.lock().endpoints[0].primary = false;
     let asking =
         [("again", Kind::Write), ("token", Kind::KeyedWrite), ("notified", Kind::Write)].map(|(id, kind)| {
--- a/server/tests/histories.rs
+++ b/server/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Sessions and writes through kills of instances, moves between them, lag and a failover that loses the tail of a log: the
-//! checker judges what clients saw by what endpoints executed.
+//! Randomized runs of sessions and writes during kills of instances, moves of clients between instances, replication lag and
+//! a failover that loses the end of a log. The history checker compares the clients' answers with the endpoints' executions.
 
 mod common {
     pub mod router_program;
@@ -10,6 +10,7 @@
 use test_servers::sessions::{run_plan, Outcome, Plan};
 use test_servers::Build;
 
+/// Kills of instances in each run.
 const KILLS: usize = 8;
 
 #[test]
@@ -19,7 +20,7 @@
     let mut sum = Outcome::default();
     for seed in 1..=6 {
         let plan = Plan::draw(seed, KILLS);
-        let outcome = run_plan(&plan, &build).expect("it can be run here");
+        let outcome = run_plan(&plan, &build).expect("the run could not be set up");
         assert!(outcome.verdict.violations.is_empty(), "{plan:?}\n{:#?}", outcome.verdict.violations);
         sum.verdict.add(outcome.verdict);
         sum.writes_in_doubt += outcome.writes_in_doubt;
@@ -31,6 +32,6 @@
     println!(
         "{requests} requests, {writes_in_doubt} writes in doubt, {fates_reported} fates, {losses_reported} losses"
     );
-    // A run in which nothing was in doubt and nothing lost would show nothing.
+    // Runs without writes in doubt or lost data would prove nothing.
     assert!(writes_in_doubt > 0 && fates_reported > 0 && losses_reported > 0);
 }
--- a/server/tests/journal_batches.rs
+++ b/server/tests/journal_batches.rs
@@ -1,5 +1,5 @@
-//! The thread of the journal of writes: operations that come faster than they are written go in several batches, and each gets
-//! its reply.
+//! The thread of the write journal: operations that arrive faster than they are written are split into several batches, and
+//! each of them gets its reply.
 
 use server::storage::journal::WriteJournal;
 use std::sync::mpsc::channel;
@@ -16,7 +16,7 @@
     let queries = 40 * MAX_BATCH;
     let (replies, replied) = channel();
     for index in 0..queries {
-        // Writing these takes the thread long enough for a queue to form behind them.
+        // Writing these takes long enough for a queue to form.
         journal.record_end(&format!("written-{index}"), RecordEvent::NotExecuted);
         let replies = replies.clone();
         journal.query_fate(format!("unknown-{index}"), None, false, move |fate| _ = replies.send(fate));
--- a/server/tests/layers.rs
+++ b/server/tests/layers.rs
@@ -1,4 +1,4 @@
-//! The layers of the server: a module uses only those that stand before it in this list.
+//! Checks the layers of the server: a module uses only modules of its own layer and of lower layers.
 
 #[path = "common/source_files.rs"]
 mod source_files;
@@ -24,15 +24,19 @@
     "cli",
 ];
 
-/// The layer of a file: its first folder, or its own name.
+/// The layer of a file: its first directory below the root, or its own name without extension.
 fn layer_of(file: &Path, root: &Path) -> String {
     let first = file.strip_prefix(root).expect("below the root").components().next();
     let name = first.expect("a name").as_os_str().to_string_lossy().into_owned();
     name.trim_end_matches(".rs").to_string()
 }
 
+/// The position of a layer, counted from the bottom.
 fn rank(layer: &str) -> usize {
-    LAYERS.iter().position(|known| *known == layer).unwrap_or_else(|| panic!("{layer} is no layer"))
+    LAYERS
+        .iter()
+        .position(|known| *known == layer)
+        .unwrap_or_else(|| panic!("{layer} is not in the list of layers"))
 }
 
 #[test]
@@ -49,7 +53,7 @@
             let name: String =
                 used.chars().take_while(|char| char.is_ascii_lowercase() || *char == '_').collect();
             if name == "log" || name.is_empty() {
-                continue; // The macro, which is exported at the root.
+                continue; // `log` is a macro exported at the root.
             }
             uses += 1;
             assert!(rank(&name) <= rank(&layer), "{} uses {name}", file.display());
--- a/server/tests/loopback/discovery_watch.rs
+++ b/server/tests/loopback/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! Edge cases of the watch on discovery: lists in an odd shape, a watch that never ends an event, or sends none.
+//! Edge cases of the watch on discovery: lists in unusual formats, and watches that never complete or never send an event.
 
 use crate::fixture::*;
 use std::io::{Read, Write};
@@ -9,8 +9,8 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\n\r\n";
 
-/// Discovery that answers each watch by the script of that number, each later one by the last. Tells when a watch
-/// was asked for.
+/// Starts a discovery service that answers the n-th watch by the n-th script, and later ones by the last script. The
+/// receiver gets the time of each watch request.
 fn scripted(scripts: Vec<fn(&mut TcpStream, &str)>, list: String) -> (SocketAddr, Receiver<Instant>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (addr, (request, requests)) = (listener.local_addr().expect("its address"), channel());
@@ -19,7 +19,7 @@
         for (mut stream, script) in listener.incoming().flatten().zip(index) {
             let (request, list) = (request.clone(), list.clone());
             thread::spawn(move || {
-                if stream.read(&mut [0; 1024]).is_ok_and(|many| many > 0) {
+                if stream.read(&mut [0; 1024]).is_ok_and(|read| read > 0) {
                     let _ = request.send(Instant::now());
                     script(&mut stream, &list);
                 }
@@ -29,7 +29,7 @@
     (addr, requests)
 }
 
-/// An instance that knows of nobody but by discovery, which has these endpoints.
+/// Starts an instance that learns of its endpoints only from a discovery service with these scripts.
 fn router(scripts: Vec<fn(&mut TcpStream, &str)>, indented: bool) -> (RouterProcess, Receiver<Instant>) {
     let ((primary, arrivals), (replica, _)) = (StubEndpoint::start(true), StubEndpoint::start(false));
     let hosts = [host(&primary, "p", "SERVING"), host(&replica, "r", "SERVING")].join(",");
@@ -43,13 +43,13 @@
     (RouterProcess { child, listen, lines, primary, replica, arrivals, positions }, requests)
 }
 
-/// Sends the whole list and holds the watch open.
+/// Sends the complete list and keeps the watch open.
 fn sends_list(stream: &mut TcpStream, list: &str) {
     let _ = stream.write_all(format!("{HEAD}{list}").as_bytes());
     thread::sleep(LIMIT);
 }
 
-/// Sends the whole list and closes the watch: no length and no line end tell where it ends.
+/// Sends the complete list without length or line end and closes the watch.
 fn sends_list_and_closes(stream: &mut TcpStream, list: &str) {
     let _ = stream.write_all(format!("{HEAD}{list}").as_bytes());
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Takes the request and never answers.
+/// Reads the request and never answers.
 fn never_answers(_: &mut TcpStream, _: &str) {
     thread::sleep(LIMIT);
 }
@@ -92,17 +92,25 @@
 fn a_list_without_length_or_line_end_is_accepted_only_if_complete() {
     let scripts = vec![sends_all_but_the_last_byte, sends_list_and_closes, never_answers];
     let (router, requests) = router(scripts, false);
-    (0..3).for_each(|_| _ = requests.recv_timeout(LIMIT).expect("it is asked for again"));
+    (0..3).for_each(|_| _ = requests.recv_timeout(LIMIT).expect("the watch is requested again"));
     wait_until_served(&router, Duration::from_secs(2));
 }
 
 #[test]
 fn a_watch_that_never_completes_an_event_or_never_answers_is_reopened() {
     let (router, requests) = router(vec![drips, never_answers, sends_list], false);
-    let request = || requests.recv_timeout(LIMIT).expect("it is asked for again");
+    let request = || requests.recv_timeout(LIMIT).expect("the watch is requested again");
     let (first, second, third) = (request(), request(), request());
-    // Both together must leave some of the six seconds after which what was missed counts as notified.
-    assert!(second - first < Duration::from_millis(3_500), "it drips: {:?}", second - first);
-    assert!(third - second < Duration::from_millis(1_500), "it is mute: {:?}", third - second);
+    // Both together must leave some of the six seconds within which an instance must have learned of a change.
+    assert!(
+        second - first < Duration::from_millis(3_500),
+        "reopened too late after an incomplete event: {:?}",
+        second - first
+    );
+    assert!(
+        third - second < Duration::from_millis(1_500),
+        "reopened too late without an answer: {:?}",
+        third - second
+    );
     wait_until_served(&router, Duration::from_secs(2));
 }
--- a/server/tests/loopback/fixture.rs
+++ b/server/tests/loopback/fixture.rs
@@ -1,6 +1,6 @@
-//! An instance as a child process, a client of it, stand-ins for two endpoints and for discovery.
+//! An instance as a child process with two stub endpoints and a stub discovery service, and a client of it.
 
-use crate::stub_endpoint::next;
+use crate::stub_endpoint::read_message;
 pub use crate::stub_endpoint::StubEndpoint;
 use server::protocol::decode::{error_field, only_column};
 use server::protocol::encode::{query, startup_message};
@@ -12,22 +12,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far longer than anything here takes: reached only where something hangs.
+/// Timeout of waits, far longer than any of them takes: reached only if something hangs.
 pub const LIMIT: Duration = Duration::from_secs(10);
 
-/// A start-up message with one query straight behind it.
+/// A startup message followed by one query.
 pub fn startup_and_query(text: &str) -> Vec<u8> {
     let mut out = startup_message();
     query(&mut out, text);
     out
 }
 
-/// The configuration file of an instance, one for each address.
+/// Path of the bootstrap file of the instance that listens on this address.
 pub fn config_at(listen: SocketAddr) -> std::path::PathBuf {
     std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{listen}.json"))
 }
 
-/// Discovery: one watch, whose lines are what the test sends.
+/// Starts a discovery service that sends the lines that the test passes to the returned sender on its watch, and empty lines
+/// otherwise.
 pub fn discovery() -> (SocketAddr, Sender<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("its address");
@@ -50,7 +51,7 @@
     (addr, lines)
 }
 
-/// The routing settings of every instance here: two methods, one zone, health checks on.
+/// The settings of all instances: two methods, one zone, health checks allowed.
 pub const SETTINGS: &str = r#"{"nInstances":2,"zone":0,"azs":["a"],"resolutionNs":5000000,"membershipMode":"push",
     "classes":[{"name":"read","aimNs":600000000,"deadlineNs":1500000000,"effect":"read_like"},
         {"name":"order","aimNs":500000000,"deadlineNs":3000000000,"effect":"non_idempotent","lateValue":0.5}],
@@ -60,23 +61,23 @@
 
 /// An instance of the router as a child process, with its stub endpoints and its discovery.
 pub struct RouterProcess {
-    /// The process; killed when this is dropped.
+    /// The process, killed on drop.
     pub child: Child,
-    /// Where it listens for clients.
+    /// Address that it listens on.
     pub listen: SocketAddr,
-    /// Lines of its discovery's watch.
+    /// Sender of lines on its discovery's watch.
     pub lines: Sender<String>,
     /// The primary of group 3.
     pub primary: StubEndpoint,
     /// The replica of group 3.
     pub replica: StubEndpoint,
-    /// What the primary's `arrived` is sent.
+    /// Notifications of the primary, see [`StubEndpoint::arrived`].
     pub arrivals: Receiver<()>,
-    /// The next group number and version that `publish_list` uses to mark its entries.
+    /// The next number that `publish_list` uses as group and version of its marker entry.
     pub positions: AtomicU32,
 }
 
-/// The endpoint list entry of a stub endpoint in group 3, with its name and health.
+/// The list entry of a stub endpoint in group 3, with a name and a health.
 pub fn host(stub: &StubEndpoint, name: &str, health: &str) -> String {
     let role = if stub.primary { "off" } else { "on" };
     format!(
@@ -85,7 +86,7 @@
     )
 }
 
-/// Starts the daemon with this bootstrap file, listen address and discovery address.
+/// Starts the daemon with this content of its bootstrap file, listen address and discovery address.
 pub fn launch(config: &str, listen: SocketAddr, discovery: SocketAddr) -> Child {
     let path = config_at(listen);
     std::fs::write(&path, config).expect("a writable folder");
@@ -99,8 +100,8 @@
         .expect("the daemon was built")
 }
 
-/// An address of its own for each instance. It is not tried first: a listener that another thread's new process
-/// has inherited takes connections until that process has begun its program, and drops them then.
+/// Returns a different loopback address for each instance. The address is not bound as a test: a process that another
+/// thread starts meanwhile would inherit the listener and accept connections until it executes its program.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(2);
     let (pid, next) = (std::process::id(), NEXT.fetch_add(1, Ordering::AcqRel));
@@ -108,25 +109,26 @@
 }
 
 impl RouterProcess {
-    /// An instance with the usual limits and settings.
+    /// Starts an instance with the default limits and settings of these tests.
     pub fn start() -> RouterProcess {
         RouterProcess::with_limits(1024, 192, SETTINGS)
     }
 
-    /// All connections are then made for attempts, and may take their time.
+    /// Starts an instance that makes no health checks and has a long connect timeout, so that all connections are made for
+    /// attempts.
     pub fn without_health_checks() -> RouterProcess {
         let settings = SETTINGS.replace(r#""probes":true"#, r#""probes":false,"dialTimeoutNs":8000000000"#);
         RouterProcess::with_limits(1024, 192, &settings)
     }
 
-    /// The instance with one client connected to it.
+    /// Connects a client to the instance.
     pub fn with_client(self) -> (RouterProcess, Client) {
         let client = Client::open(self.listen);
         (self, client)
     }
 
-    /// Sends an entry as a watch event, and waits until the instance has applied it: a group named in the event
-    /// sent behind it is known then.
+    /// Sends a list entry as a watch event, and waits until the instance has applied it: until it knows the group of a marker
+    /// entry in the next event.
     pub fn publish_list(&self, seq: u32, entry: &str) {
         let mark = self.positions.fetch_add(1, Ordering::AcqRel);
         let marked = host(&self.replica, "m", "DRAINING").replace(":3,", &format!(":{mark},"));
@@ -144,7 +146,7 @@
         }
     }
 
-    /// An instance limited to so many sockets and so many MB of memory, with these settings.
+    /// Starts an instance with limits on sockets and on buffer memory in MB, and with these settings.
     pub fn with_limits(sockets: usize, memory_mb: usize, settings: &str) -> RouterProcess {
         let ((primary, arrivals), (replica, _)) = (StubEndpoint::start(true), StubEndpoint::start(false));
         let (discovery, lines) = discovery();
@@ -158,20 +160,20 @@
         RouterProcess { child, listen, lines, primary, replica, arrivals, positions: AtomicU32::new(100) }
     }
 
-    /// Sends the process a signal, named as `kill` takes it (`-TERM`).
+    /// Sends a signal, given as an option of the `kill` program (`-TERM`).
     pub fn signal(&self, name: &str) {
         let done = Command::new("kill").args([name, &self.child.id().to_string()]).status();
         assert!(done.expect("a kill command").success());
     }
 
-    /// Waits until the process has ended, at most `LIMIT`.
+    /// Waits until the process has exited, for at most `LIMIT`.
     pub fn ended(&mut self) -> ExitStatus {
         let until = Instant::now() + LIMIT;
         loop {
             if let Some(status) = self.child.try_wait().expect("a child of ours") {
                 return status;
             }
-            assert!(Instant::now() < until, "the daemon goes on");
+            assert!(Instant::now() < until, "the daemon has not exited");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -199,14 +201,14 @@
     Empty,
     /// The value of the one column of the last row.
     Value(Vec<u8>),
-    /// The SQLSTATE of an error and its detail, which carries a Retry-After in milliseconds where there is one.
+    /// The SQLSTATE of an error, and its detail: the Retry-After in milliseconds if it has one.
     Error(String, Option<String>),
     /// The connection ended.
     Ended,
 }
 
 impl Client {
-    /// Sends the first query straight behind the start-up.
+    /// Connects and sends an empty query directly after the startup message.
     pub fn open(listen: SocketAddr) -> Client {
         let until = Instant::now() + LIMIT;
         let stream = loop {
@@ -223,7 +225,7 @@
         assert_eq!(
             (client.response(), client.response()),
             (ClientResponse::Empty, ClientResponse::Empty),
-            "the greeting and the empty query"
+            "the responses to the startup message and the empty query"
         );
         client
     }
@@ -235,11 +237,11 @@
         self.0.write_all(&out).expect("sent");
     }
 
-    /// What comes up to the next ReadyForQuery.
+    /// Reads the response up to the next ReadyForQuery.
     pub fn response(&mut self) -> ClientResponse {
         let mut response = ClientResponse::Empty;
         loop {
-            match next(&mut self.0) {
+            match read_message(&mut self.0) {
                 None => {
                     return if response == ClientResponse::Empty { ClientResponse::Ended } else { response }
                 }
@@ -256,7 +258,7 @@
         }
     }
 
-    /// Sends a statement of this method, key and deadline (ms), and reads its response.
+    /// Sends a statement with this method, key and timeout in milliseconds, and reads its response.
     pub fn request(&mut self, class: &str, key: &str, d: u32) -> ClientResponse {
         self.send(&statement(class, key, d));
         self.response()
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Sends the request until it is served; fails the test with `failure` once `until` has passed.
+    /// Sends requests until one is served. Panics with `failure` once `until` has passed.
     pub fn request_until_served(&mut self, class: &str, key: &str, d: u32, until: Instant, failure: &str) {
         while self.request(class, key, d) != value() {
             assert!(Instant::now() < until, "{failure}");
@@ -280,19 +282,20 @@
     }
 }
 
-/// A statement with a new id, this method and deadline (ms) in its comment, for group 3, naming `key`.
+/// A statement for group 3 with a new id, a method, a timeout in milliseconds, and the key that tells the stub endpoint how
+/// to answer.
 pub fn statement(class: &str, key: &str, d: u32) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let id = NEXT.fetch_add(1, Ordering::AcqRel);
     format!("/* id={id:08x},c={class},d={d},cluster=3 */ SELECT content FROM kv WHERE name = '{key}'")
 }
 
-/// The value that a stub endpoint usually answers.
+/// The value that a stub endpoint answers by default.
 pub fn value() -> ClientResponse {
     ClientResponse::Value(vec![0, 255, b'\n', 7])
 }
 
-/// An error with this SQLSTATE and no detail.
+/// An error with a SQLSTATE and no detail.
 pub fn error(code: &str) -> ClientResponse {
     ClientResponse::Error(code.to_string(), None)
 }
--- a/server/tests/loopback/main.rs
+++ b/server/tests/loopback/main.rs
@@ -1,4 +1,4 @@
-//! The whole path over loopback: the daemon between a client, stand-ins for two endpoints and one for discovery.
+//! The daemon as a child process on loopback, with clients, two stub endpoints and a stub discovery service.
 
 mod disconnects;
 mod discovery_watch;
@@ -31,13 +31,17 @@
     assert!(code == "53300" && wait.parse::<u32>().expect("milliseconds") <= 2000);
     // A rejection ejects its endpoint; a health check brings it back.
     let until = Instant::now() + LIMIT;
-    client.request_until_served("order", "good", 1000, until, "an ejected endpoint does not come back");
+    client.request_until_served("order", "good", 1000, until, "an ejected endpoint is not used again");
     assert_eq!(client.request("order", "error", 3000), error("58000"), "it may have run");
-    client.request_until_served("order", "good", 1000, until, "an ejected endpoint does not come back");
+    client.request_until_served("order", "good", 1000, until, "an ejected endpoint is not used again");
     let began = Instant::now();
     assert_eq!(client.request("order", "silent", 500), error("58000"));
-    assert!(began.elapsed() < Duration::from_millis(500), "before its client gives up");
-    assert_eq!(client.request("read", "good", 1500), value(), "a replica is not touched by that");
+    assert!(began.elapsed() < Duration::from_millis(500), "answered after its client's timeout");
+    assert_eq!(
+        client.request("read", "good", 1500),
+        value(),
+        "a replica is unaffected by the primary's failure"
+    );
 
     for (text, code) in [
         (statement("other", "good", 500), "42704"),
@@ -51,11 +55,15 @@
     assert_eq!((client.response(), client.response()), (error("08P01"), ClientResponse::Ended));
 }
 
-/// The deadline (ms) in a statement that an endpoint was sent; all else is as the client sent it in `request`.
+/// Returns the timeout in a forwarded statement, in milliseconds, and checks that the rest is as in `request`.
 fn forwarded_deadline(forwarded: &str, request: &str) -> i32 {
     let sent = forwarded.replace(",d=", "|").replace(",cluster", "|");
     let [head, deadline, tail] = sent.split('|').collect::<Vec<_>>()[..] else { panic!("{forwarded}") };
-    assert_eq!([head, tail].concat(), request.replace(",d=3000,cluster", ""), "only d changes");
+    assert_eq!(
+        [head, tail].concat(),
+        request.replace(",d=3000,cluster", ""),
+        "more than the timeout was changed"
+    );
     deadline.parse().expect("a number")
 }
 
@@ -121,8 +129,15 @@
         assert_eq!(client.request("order", "mute", 3000), value());
         let began = Instant::now();
         assert_eq!(client.request("order", "good", 3000), value());
-        assert!(began.elapsed() < Duration::from_secs(1), "most of its time was spent on waiting");
-        assert_eq!(router.primary.connections.load(Ordering::Acquire), index + 1, "a new one in its place");
+        assert!(
+            began.elapsed() < Duration::from_secs(1),
+            "the request waited too long for the unresponsive connection"
+        );
+        assert_eq!(
+            router.primary.connections.load(Ordering::Acquire),
+            index + 1,
+            "the unresponsive connection was not replaced by one new one"
+        );
     }
 }
 
@@ -131,13 +146,20 @@
     let (router, mut client) = RouterProcess::without_health_checks().with_client();
     for _ in 0..3 {
         assert_eq!(client.request("order", "twice", 3000), ClientResponse::Value(vec![0, 255, b'\n', 7, 2]));
-        assert_eq!(client.request("order", "good", 3000), value(), "its own");
+        assert_eq!(
+            client.request("order", "good", 3000),
+            value(),
+            "the answer to the earlier statement was returned again"
+        );
         thread::sleep(Duration::from_millis(30));
     }
-    assert!(router.primary.connections.load(Ordering::Acquire) >= 3, "what had more behind it is closed");
+    assert!(
+        router.primary.connections.load(Ordering::Acquire) >= 3,
+        "a connection with a surplus answer was reused"
+    );
     let began = Instant::now();
     assert_eq!(client.request("order", "malformed", 5000), error("58000"), "it may have run");
-    assert!(began.elapsed() < Duration::from_secs(2), "reported by its header, not by its end");
+    assert!(began.elapsed() < Duration::from_secs(2), "the malformed answer was not detected by its header");
 }
 
 #[test]
@@ -155,7 +177,7 @@
     assert_eq!(
         idle.response(),
         ClientResponse::Ended,
-        "idle sessions close first; a message behind an answer would be a second answer"
+        "an idle connection is closed without a message, which its client would take for an answer"
     );
     let mut late = Client::open(router.listen);
     assert_eq!(late.request("read", "good", 1500), value());
@@ -163,7 +185,7 @@
         (late.response(), busy.response(), busy.response()),
         (ClientResponse::Ended, value(), ClientResponse::Ended)
     );
-    assert!(router.ended().success(), "nobody is waited for who is gone");
+    assert!(router.ended().success(), "the shutdown waited for a request whose client had disconnected");
 }
 
 #[test]
@@ -180,7 +202,7 @@
         std::fs::write(&path, invalid).expect("written");
         router.signal("-HUP");
     }
-    assert_eq!(client.response(), value(), "a request in flight across it");
+    assert_eq!(client.response(), value(), "a request in flight during the reload");
     router.publish_list(5, &host(&router.replica, "r2", "SERVING"));
     // The new discovery's versions continue from the old one's, and it sends an event at once.
     let (addr, lines) = discovery();
@@ -205,8 +227,8 @@
     let hosts = host(&router.primary, "p", "SERVING");
     let config =
         format!(r#"{{"seed":"1","known":{{"seq":4,"whole":true,"hosts":[{hosts}]}},"settings":{SETTINGS}}}"#);
-    // Nobody holds the other end of this discovery's lines: it sends empty ones without a pause, which must starve
-    // nobody.
+    // The sender of this discovery's lines is dropped, so it sends empty lines without a pause. They must not starve
+    // requests.
     router.child = launch(&config, router.listen, discovery().0);
     let mut client = Client::open(router.listen);
     assert_eq!(client.request("order", "good", 3000), value());
@@ -240,8 +262,9 @@
 fn a_flood_closes_silent_connections_then_the_longest_idle_and_none_with_a_request_in_flight() {
     let router = RouterProcess::with_limits(100, 192, SETTINGS);
     let mut first = Client::open(router.listen);
-    let silent: Vec<TcpStream> =
-        (0..45).map(|_| TcpStream::connect(router.listen).expect("the listener goes on")).collect();
+    let silent: Vec<TcpStream> = (0..45)
+        .map(|_| TcpStream::connect(router.listen).expect("the listener still accepts connections"))
+        .collect();
     thread::sleep(Duration::from_millis(150));
     let mut clients: Vec<Client> = (0..30).map(|_| Client::open(router.listen)).collect();
     for mut stream in silent {
@@ -251,14 +274,14 @@
     assert_eq!(
         first.request("read", "good", 1500),
         value(),
-        "a client that has sent a query holds its place as long as that"
+        "a client that sent a query recently was disconnected before silent ones"
     );
     thread::sleep(Duration::from_millis(2100));
     clients.extend((0..20).map(|_| Client::open(router.listen)));
     assert_eq!(
         clients[0].response(),
         ClientResponse::Ended,
-        "of the others, the first has been idle longest"
+        "the client that was idle longest was not closed first"
     );
     let last = clients.last_mut().expect("fifty");
     while last.request("order", "good", 1000) != value() {}
@@ -269,7 +292,7 @@
     }
     let mut rejected = 0;
     for _ in 0..40 {
-        let mut stream = TcpStream::connect(router.listen).expect("the listener goes on");
+        let mut stream = TcpStream::connect(router.listen).expect("the listener still accepts connections");
         stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
         let mut out = startup_message();
         query(&mut out, &statement("order", "silent", 5000));
@@ -283,42 +306,49 @@
             clients.push(client);
         }
     }
-    assert!(rejected >= 1, "never more than the descriptors allow");
-    // The accept loop pauses after each burst, and need not have read the closes when it takes the next connection: only
-    // closes that the instance has answered with its own have freed their descriptors for certain.
+    assert!(rejected >= 1, "no client was rejected at the descriptor limit");
+    // The accept loop pauses after each burst and may not have processed the closes before it accepts the next connection.
+    // Only connections that the instance has closed as well have certainly freed their descriptors.
     clients.into_iter().for_each(Client::close);
-    assert_eq!(Client::open(router.listen).request("read", "good", 1500), value(), "and capacity comes back");
+    assert_eq!(
+        Client::open(router.listen).request("read", "good", 1500),
+        value(),
+        "no capacity after connections were closed"
+    );
 }
 
 #[test]
 fn a_client_that_stalls_or_sends_garbage_gets_an_error_or_a_close_within_three_seconds() {
-    let (router, mut usual) = RouterProcess::start().with_client();
+    let (router, mut well_behaved) = RouterProcess::start().with_client();
     let sent = misbehaving_clients();
     let began = Instant::now();
     let streams = sent.map(|bytes| {
-        let mut stream = TcpStream::connect(router.listen).expect("the listener goes on");
+        let mut stream = TcpStream::connect(router.listen).expect("the listener still accepts connections");
         stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
-        // The last is reset while it still sends, or gets an error first: both are answers.
+        // The last connection may be reset while it still sends, which is as good as an error.
         let _ = stream.write_all(&bytes);
         stream
     });
     for (index, mut stream) in streams.into_iter().enumerate() {
         let mut received = Vec::new();
         let _ = stream.read_to_end(&mut received);
-        assert!(began.elapsed() < Duration::from_secs(3), "the {index}th is still here");
-        assert!(!received.windows(8).any(|part| part == b"SELECT 1"), "the {index}th was served");
+        assert!(began.elapsed() < Duration::from_secs(3), "connection {index} is still open");
+        assert!(!received.windows(8).any(|part| part == b"SELECT 1"), "connection {index} was served");
     }
-    let mut dribble = TcpStream::connect(router.listen).expect("the listener goes on");
+    let mut dribble = TcpStream::connect(router.listen).expect("the listener still accepts connections");
     let began = Instant::now();
     while dribble.write_all(b"\0").is_ok() {
-        assert!(began.elapsed() < Duration::from_secs(4), "byte after byte holds the connection open");
+        assert!(
+            began.elapsed() < Duration::from_secs(4),
+            "a client that sends single bytes keeps its connection open"
+        );
         thread::sleep(Duration::from_millis(50));
     }
-    assert_eq!(usual.request("read", "good", 1500), value());
+    assert_eq!(well_behaved.request("read", "good", 1500), value());
 }
 
-/// What clients that stall or send garbage send: nothing, part of a start-up, a start-up alone, a query without its
-/// last byte, HTTP, a query behind an answer followed by a huge length, and a huge query.
+/// The bytes sent by clients that stall or send garbage: nothing, part of a startup message, a startup message alone, a query
+/// without its last byte, HTTP, a query followed by a message with an invalid length, and a huge query.
 fn misbehaving_clients() -> [Vec<u8>; 7] {
     let half = startup_and_query(&statement("order", "good", 60_000));
     let mut behind = startup_and_query(&statement("order", "silent", 60_000));
@@ -360,8 +390,8 @@
         client.0.set_read_timeout(Some(Duration::from_millis(500))).expect("a time-out");
         ended += usize::from(client.response() == error("53200"));
     }
-    assert!((1..5).contains(&ended), "{ended} of five were ended, a third of a megabyte is for all");
+    assert!((1..5).contains(&ended), "{ended} of five were disconnected, with a third of a megabyte for all");
     drop(clients);
     let mut client = Client::open(router.listen);
-    client.request_until_served("read", "good", 1500, Instant::now() + LIMIT, "the memory is not given back");
+    client.request_until_served("read", "good", 1500, Instant::now() + LIMIT, "the memory was not released");
 }
--- a/server/tests/loopback/stub_endpoint.rs
+++ b/server/tests/loopback/stub_endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an endpoint: it speaks enough of PostgreSQL's protocol, and answers each statement as its key says.
+//! A stub endpoint. It supports the necessary part of the PostgreSQL protocol and answers each statement according to its key.
 
 use server::protocol::encode::{error_fields, Severity};
 use std::io::{Read, Write};
@@ -9,15 +9,15 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Appends one message of the protocol: its tag, its length and its body.
+/// Appends a protocol message with its tag, length and body.
 pub fn message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
     out.push(tag);
     out.extend((body.len() as u32 + 4).to_be_bytes());
     out.extend(body);
 }
 
-/// The next message on a stream; none where it ended.
-pub fn next(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
+/// Reads the next message. Returns `None` if the stream has ended.
+pub fn read_message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     stream.read_exact(&mut head).ok()?;
     let mut body = vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
@@ -25,25 +25,25 @@
     Some((head[0], body))
 }
 
-/// An endpoint that does what the key of a statement says.
+/// An endpoint whose answers are controlled by the keys of statements.
 #[derive(Clone)]
 pub struct StubEndpoint {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Whether it is the primary; otherwise a replica.
+    /// It is the primary, not a replica.
     pub primary: bool,
-    /// Every statement that it was sent, other than health checks.
+    /// All statements received, except health checks.
     pub statements: Arc<Mutex<Vec<String>>>,
-    /// Where set, a start-up is answered only after a message from the test.
+    /// If set, the next startup message is answered only after a message from the test.
     pub startup_gate: Arc<Mutex<Option<Receiver<()>>>>,
-    /// Notified when a start-up waits at the gate, and when a slow statement arrives.
+    /// Notified when a startup message waits for the gate, and when a slow statement arrives.
     pub arrived: Sender<()>,
-    /// Connections that have sent their start-up.
+    /// Number of connections that have sent their startup message.
     pub connections: Arc<AtomicUsize>,
 }
 
 impl StubEndpoint {
-    /// Listens on a free port of loopback; the receiver gets what `arrived` is sent.
+    /// Starts an endpoint on a free port of loopback. The receiver gets the notifications of `arrived`.
     pub fn start(primary: bool) -> (StubEndpoint, Receiver<()>) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let (arrived, arrivals) = channel();
@@ -60,18 +60,17 @@
         (stub, arrivals)
     }
 
-    /// Serves one connection: its start-up, then queries answered by their keys; none where the stream failed or
-    /// the key asked for a reset.
+    /// Serves one connection. Returns `None` if the stream failed or a key requested a reset.
     pub fn serve(&self, mut stream: TcpStream) -> Option<()> {
         self.accept_startup(&mut stream)?;
         let mut mute = false;
-        while let Some((b'Q', body)) = next(&mut stream) {
+        while let Some((b'Q', body)) = read_message(&mut stream) {
             let text = String::from_utf8(body).expect("text").trim_end_matches('\0').to_string();
             if text.is_empty() && mute {
                 continue;
             }
             if text.is_empty() {
-                // A network's round trip: long enough for another attempt to want the connection.
+                // Simulates a network round trip, long enough for another attempt to need the connection.
                 thread::sleep(Duration::from_millis(5));
                 stream.write_all(b"I\0\0\0\x04Z\0\0\0\x05I").ok()?;
                 continue;
@@ -84,7 +83,7 @@
         Some(())
     }
 
-    /// Reads the start-up message, waits at the gate where the test set one, and greets.
+    /// Reads the startup message, waits for the gate if the test has set one, and completes the startup.
     fn accept_startup(&self, stream: &mut TcpStream) -> Option<()> {
         let mut length = [0; 4];
         stream.read_exact(&mut length).ok()?;
@@ -101,13 +100,12 @@
         stream.write_all(&out).ok()
     }
 
-    /// The load report of a health check; any other statement is recorded and has the usual value.
+    /// Returns a load report for a health check. Other statements are recorded and get the default value.
     fn value_for(&self, text: &str) -> Vec<u8> {
         if text == "SHOW health" {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
             let role = u8::from(self.primary);
-            // A tenth of a second behind: a machine that sets its clock forward must not make it the
-            // future.
+            // 0.1 s in the past, so that a clock adjustment of the machine does not put the position into the future.
             format!("x0={:.3},x1={role},load_share=0.1", unix.as_secs_f64() - 0.1).into_bytes()
         } else {
             self.statements.lock().expect("no panic").push(text.to_string());
@@ -115,7 +113,7 @@
         }
     }
 
-    /// Answers one query as its key says; none where the connection is to be reset.
+    /// Answers a query according to its key. Returns `None` if the connection is to be closed.
     fn answer(&self, stream: &mut TcpStream, key: &str, mut value: Vec<u8>) -> Option<()> {
         let mut out = Vec::new();
         match key {
@@ -141,7 +139,7 @@
         message(&mut out, b'Z', b"I");
         stream.write_all(&out).ok()?;
         if key == "twice" {
-            // What another request on this connection would take for its own value.
+            // The next request on this connection would take this for its own answer.
             thread::sleep(Duration::from_millis(20));
             stream.write_all(&out).ok()?;
         }
@@ -149,7 +147,7 @@
     }
 }
 
-/// Appends a result of one row with `value` in its one column, and the completion of its command.
+/// Appends a result of one row with one column.
 fn one_row(out: &mut Vec<u8>, value: &[u8]) {
     let row = [&[0, 1][..], &(value.len() as u32).to_be_bytes()[..], value].concat();
     message(out, b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
--- a/server/tests/operator_pages/cached_list.rs
+++ b/server/tests/operator_pages/cached_list.rs
@@ -1,4 +1,4 @@
-//! What `query-router` prints of an endpoint list that is cached on disk.
+//! Output of the `query-router` commands on a cached endpoint list.
 
 use crate::router_program::ROUTER;
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport};
@@ -6,14 +6,14 @@
 use std::process::Command;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What stands for the path of the list in the texts that are compared.
+/// Placeholder for the path of the list in the compared output.
 const PATH: &str = "PATH";
-/// What stands for the age of the list there.
+/// Placeholder for the age of the list.
 const AGE: &str = "AGE";
 /// The age of the list that [`run_on_list`] saves.
 const LIST_AGE_MS: i64 = 30_000;
 
-/// What a command ends with: its exit code, and its standard output and standard error together.
+/// Exit code of a command, and its standard output followed by its standard error.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CommandResult {
     pub code: Option<i32>,
@@ -27,7 +27,7 @@
     CommandResult { code: output.status.code(), text: without_age(&text) }
 }
 
-/// The age changes from one run to the next.
+/// Replaces the age of the list, which differs between runs.
 fn without_age(text: &str) -> String {
     let replace = |line: &str| match line.strip_prefix("age         ").and_then(|rest| rest.split_once(' ')) {
         Some((_, rest)) => format!("age         {AGE} {rest}\n"),
@@ -36,7 +36,7 @@
     text.lines().map(replace).collect()
 }
 
-/// Runs a command on a state directory with a list of a primary, a replica and an endpoint that never reported.
+/// Runs a command on a state directory with a list of a primary, a replica and an endpoint without a report.
 pub fn run_on_list(command: &[&str]) -> CommandResult {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut directory, _) = CacheDirectory::open(folder.path()).expect("it opens");
@@ -45,7 +45,7 @@
 }
 
 /// Runs a command on an empty state directory.
-pub fn run_on_nothing(command: &[&str]) -> CommandResult {
+pub fn run_without_list(command: &[&str]) -> CommandResult {
     run(command, tempfile::tempdir().expect("a folder").path())
 }
 
--- a/server/tests/operator_pages/events.rs
+++ b/server/tests/operator_pages/events.rs
@@ -1,4 +1,4 @@
-//! One or more of every event that is counted where it happens, for the page `metrics`.
+//! Events for the metrics page: at least one of each kind that is counted when it happens.
 
 use admission::concurrency_limiter::{ClientKey, ConcurrencyLimits};
 use admission::ClientClass;
@@ -15,10 +15,10 @@
 use std::net::TcpListener;
 use std::sync::Arc;
 
-/// A name that must be escaped as the value of a label, and must not pass for another label.
+/// A method name that must be escaped in a label value, so that it is not taken for another label.
 const ODD_METHOD: &str = "odd \"name\", answer=\"";
 
-/// Counts them. The recorder must be installed before.
+/// Counts the events. The recorder must be installed before.
 pub fn count_events(client: &ClientKey, resources: &Arc<ResourceLimits>) {
     let metrics = Metrics::new(&["view".into(), ODD_METHOD.into()]);
     metrics.request_answered(0, ResponseKind::Rejected, TimeDelta::from_millis(4));
@@ -29,7 +29,7 @@
     queue_two_requests(client, resources);
 }
 
-/// The first is admitted at once, the second is shed: its class may have one.
+/// Queues two requests of a class with a limit of one: the first is admitted at once, the second is shed.
 fn queue_two_requests(client: &ClientKey, resources: &Arc<ResourceLimits>) {
     let limits = ConcurrencyLimits {
         max_in_flight: 1,
--- a/server/tests/operator_pages/fixture.rs
+++ b/server/tests/operator_pages/fixture.rs
@@ -1,4 +1,4 @@
-//! An admin socket over a control loop that always gives the same snapshot.
+//! An admin socket with a control loop that always returns the same snapshot.
 
 use crate::events::count_events;
 use admission::concurrency_limiter::{ConcurrencyLimits, RequestCounts, ShedReason};
@@ -39,13 +39,13 @@
 }
 
 impl Fixture {
-    /// The one of this process, which has one recorder.
+    /// The fixture of this process. There is only one, because a process has one recorder.
     pub fn shared() -> &'static Fixture {
         static FIXTURE: OnceLock<Fixture> = OnceLock::new();
         FIXTURE.get_or_init(Fixture::start)
     }
 
-    /// Serves the pages. One of the two connections that have come was rejected.
+    /// Starts serving the pages. One of two client connections was rejected.
     fn start() -> Fixture {
         may::config().set_workers(1);
         let recorder = install_recorder().expect("the only one");
@@ -76,7 +76,7 @@
         request_page(&self.socket(), name).expect("a page")
     }
 
-    /// What is said to whoever asks for a page that there is not.
+    /// The error message for a page that does not exist.
     pub fn page_error(&self, name: &str) -> String {
         request_page(&self.socket(), name).expect_err("no page").to_string()
     }
@@ -91,16 +91,16 @@
     };
     let settings = ClassSettings { classes: vec![desk], prefixes: AddressPrefixes::default() };
     let timers = Arc::new(Timers::start(Clock::start()));
-    AdmissionControl::new(settings, TimeDelta::ZERO, 1, timers, resources.clone()).expect("sound classes")
+    AdmissionControl::new(settings, TimeDelta::ZERO, 1, timers, resources.clone()).expect("valid classes")
 }
 
-/// Answers every question with the same snapshot.
+/// Starts a control loop that answers every snapshot request with the same snapshot.
 fn control_loop() -> Sender<ControlMessage> {
     let (control, messages) = channel();
     thread::spawn(move || {
         while let Ok(message) = messages.recv() {
             if let ControlMessage::Snapshot { reply } = message {
-                reply.send(server_snapshot()).expect("somebody waits for it");
+                reply.send(server_snapshot()).expect("the requester waits for the snapshot");
             }
         }
     });
--- a/server/tests/operator_pages/main.rs
+++ b/server/tests/operator_pages/main.rs
@@ -1,5 +1,5 @@
-//! The pages of the admin socket and the texts of the command line, as operators' programs read them: byte for byte those of
-//! the files in `earlier/` under the earlier names, and those in `standard/` under the standard names.
+//! The pages of the admin socket and the output of the command line, which operators' programs parse. Under the earlier names
+//! they must equal the files in `earlier/`, under the standard names those in `standard/`, byte for byte.
 
 mod cached_list;
 mod events;
@@ -7,7 +7,7 @@
 #[path = "../common/router_program.rs"]
 mod router_program;
 
-use cached_list::{run_on_list, run_on_nothing, CommandResult};
+use cached_list::{run_on_list, run_without_list, CommandResult};
 use fixture::Fixture;
 
 /// Samples of one metric under its two names.
@@ -35,14 +35,14 @@
     ("gingerwick_rpcs_open", "gingerwick_requests_open"),
 ];
 
-/// The lines of a page of metrics in an order that does not change: the recorder has none.
+/// The lines of the metrics page, sorted because the recorder writes them in no fixed order.
 fn sorted_lines(page: &str) -> Vec<&str> {
     let mut lines: Vec<&str> = page.lines().filter(|line| !line.is_empty()).collect();
     lines.sort_unstable();
     lines
 }
 
-/// The value of a sample on a page of metrics.
+/// The value of a sample on the metrics page.
 fn value<'a>(page: &'a str, sample: &str) -> Option<&'a str> {
     page.lines().find_map(|line| line.strip_prefix(sample)?.strip_prefix(' '))
 }
@@ -93,18 +93,18 @@
 fn list_commands_print_their_earlier_texts_unchanged() {
     assert_eq!(run_on_list(&["list", "show"]), result(0, include_str!("earlier/list-show.txt")));
     assert_eq!(run_on_list(&["list", "verify"]), result(0, include_str!("earlier/list-verify.txt")));
-    let nothing = result(65, "query-router: PATH: no list that is whole\n");
-    assert_eq!(run_on_nothing(&["list", "show"]), nothing);
-    assert_eq!(run_on_nothing(&["list", "verify"]), nothing);
+    let no_list = result(65, "query-router: PATH: no list that is whole\n");
+    assert_eq!(run_without_list(&["list", "show"]), no_list);
+    assert_eq!(run_without_list(&["list", "verify"]), no_list);
 }
 
 #[test]
 fn cache_commands_print_a_cached_list_in_standard_terms() {
     assert_eq!(run_on_list(&["cache", "show"]), result(0, include_str!("standard/cache-show.txt")));
     assert_eq!(run_on_list(&["cache", "verify"]), result(0, include_str!("standard/cache-verify.txt")));
-    let nothing = result(65, "query-router: PATH: no complete list\n");
-    assert_eq!(run_on_nothing(&["cache", "show"]), nothing);
-    assert_eq!(run_on_nothing(&["cache", "verify"]), nothing);
+    let no_list = result(65, "query-router: PATH: no complete list\n");
+    assert_eq!(run_without_list(&["cache", "show"]), no_list);
+    assert_eq!(run_without_list(&["cache", "verify"]), no_list);
 }
 
 #[test]
--- a/server/tests/resource_limits.rs
+++ b/server/tests/resource_limits.rs
@@ -1,4 +1,5 @@
-//! Descriptors and memory: whatever the order of events, each is given back once and no limit is exceeded.
+//! Limits on file descriptors and buffer memory under random operations: each descriptor and byte is released exactly once,
+//! and no limit is exceeded.
 
 use proptest::prelude::*;
 use routing::time::Timestamp;
@@ -38,7 +39,7 @@
     ]
 }
 
-/// What the test holds of the limits.
+/// The descriptors and charges that the test has acquired.
 struct Held {
     limits: Arc<ResourceLimits>,
     descriptors: Vec<(DescriptorClass, Descriptor)>,
@@ -104,11 +105,11 @@
             held.apply(step);
             let counts = CLASSES.map(|class| held.count(class));
             prop_assert_eq!(CLASSES.map(|class| limits.in_use(class)), counts);
-            prop_assert!(counts.iter().sum::<usize>() < DESCRIPTORS, "some stay free");
-            prop_assert!(rejects_clients || counts[3] == 0, "none is set aside for rejections");
+            prop_assert!(counts.iter().sum::<usize>() < DESCRIPTORS, "all descriptors are in use");
+            prop_assert!(rejects_clients || counts[3] == 0, "a descriptor was acquired for a rejection although none is reserved");
             let below_limit = counts[0] <= limits.limit(DescriptorClass::Clients);
             if matches!(step, Step::AcquireForClient) && below_limit {
-                prop_assert_eq!(held.descriptors.len(), before + 1, "rejected clients stand in nobody's way");
+                prop_assert_eq!(held.descriptors.len(), before + 1, "descriptors of rejected clients kept a client from being admitted");
             }
             prop_assert_eq!(limits.is_memory_short(), held.bytes() > MEMORY / 3);
         }
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -1,5 +1,5 @@
-//! Starts with and without discovery, on sockets: drawn faults, a state directory through kills, what the
-//! command line and the log say.
+//! Starts of instances with and without discovery: randomized faults, a state directory during kills, the command line, and
+//! the log.
 
 mod common {
     pub mod endpoint_group;
@@ -31,12 +31,12 @@
     let phases =
         Phases { discovery_down: Duration::from_millis(1_500), discovery_back: Duration::from_millis(6_000) };
     let build = Build { program: Path::new(ROUTER), has_operator_file: true };
-    // Daemons, endpoints and clients of one plan keep a core or two busy; starved of them answers are late.
+    // Daemons, endpoints and clients of one plan use one or two cores. With fewer cores answers would be late.
     let cores = thread::available_parallelism().map_or(2, usize::from);
     let failed = each_seed(0..18, (cores / 2).clamp(1, 6), |seed| {
         let plan = Plan::draw(seed);
         println!("seed {seed}: {plan:?}");
-        let outcome = run_plan(&plan, &build, phases).expect("it can be run here");
+        let outcome = run_plan(&plan, &build, phases).expect("the run could not be set up");
         let lacks_writes = outcome.groups_writing < outcome.groups_with_primary;
         (!outcome.verdict.violations.is_empty() || lacks_writes).then(|| format!("{plan:?}\n{outcome:#?}"))
     });
@@ -44,7 +44,7 @@
     assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
 
-/// A primary and its replica, and discovery.
+/// A group of a primary and a replica, a discovery service, and a temporary directory for an instance.
 struct Fixture {
     folder: tempfile::TempDir,
     listen: SocketAddr,
@@ -63,6 +63,7 @@
         Fixture { folder, listen: free_address(), discovery, cluster, _served: served }
     }
 
+    /// Path of the state directory.
     fn state(&self) -> PathBuf {
         self.folder.path().join("state")
     }
@@ -71,11 +72,12 @@
         start_router(1, operator_file, self.folder.path(), self.listen, self.discovery.addr)
     }
 
+    /// Content of an operators' file with the state directory.
     fn operator_file(&self) -> String {
         format!("state-dir {}\nstore-identity postgres\nsave-gap 100ms\n", self.state().display())
     }
 
-    /// Sends requests until one is served, for ten seconds at most; the time it took.
+    /// Sends requests until one is served, for ten seconds at most. Returns the time that it took.
     fn time_until_served(&self, kind: Kind, name: &str) -> Duration {
         let (began, mut index) = (Instant::now(), 0);
         while began.elapsed() < Duration::from_secs(10) {
@@ -91,6 +93,7 @@
         panic!("{kind:?} {name} is not served");
     }
 
+    /// Waits until the cached list satisfies `wanted`, for ten seconds at most. Returns the list.
     fn wait_for_cached(&self, wanted: impl Fn(&CachedEndpointList) -> bool) -> CachedEndpointList {
         let began = Instant::now();
         loop {
@@ -110,26 +113,27 @@
     let fixture = Fixture::new(DiscoveryMode::Up);
     let daemon = fixture.start(&fixture.operator_file());
     fixture.time_until_served(Kind::Write, "a");
-    let knows = |cached: &CachedEndpointList| {
+    let is_verified = |cached: &CachedEndpointList| {
         cached.version == 7
             && cached.endpoints.iter().filter_map(|endpoint| endpoint.report).any(|report| report.primary)
     };
-    let cached = fixture.wait_for_cached(knows);
+    let cached = fixture.wait_for_cached(is_verified);
     assert_eq!(cached.endpoints.len(), 2);
     daemon.kill();
     fixture.discovery.set_mode(DiscoveryMode::Down);
-    // Killed again and again while it starts and saves: the list stays whole, and it serves each time.
+    // The instance is killed repeatedly while it starts and saves: the list stays complete, and requests are served each
+    // time.
     for round in 0..6 {
         let daemon = fixture.start(&fixture.operator_file());
         fixture.time_until_served(Kind::Write, &format!("b{round}"));
         fixture.time_until_served(Kind::Read, &format!("c{round}"));
         assert!(daemon.has_logged("starting from the cached endpoint list"), "{}", daemon.kill());
         daemon.kill();
-        fixture.wait_for_cached(knows);
+        fixture.wait_for_cached(is_verified);
     }
     // The endpoint list of a new incarnation of discovery is accepted, and cached.
     let daemon = fixture.start(&fixture.operator_file());
-    let entries = fixture.wait_for_cached(knows).endpoints;
+    let entries = fixture.wait_for_cached(is_verified).endpoints;
     let hosts = entries.iter().enumerate().map(|(index, endpoint)| {
         let dial = endpoint.dial.parse().expect("an address");
         list_entry(&endpoint.host, &dial, 1, index == 0, "SERVING", 0)
@@ -147,7 +151,7 @@
     let missing = fixture.start(&fixture.operator_file().replace("/state", "/nowhere"));
     fixture.time_until_served(Kind::Write, "a");
     missing.has_logged("endpoint list not cached");
-    // A second line would come with the next saves.
+    // A second log line would appear with the next saves.
     thread::sleep(Duration::from_millis(300));
     let log = missing.kill();
     assert_eq!(log.matches("endpoint list not cached").count(), 1, "{log}");
@@ -158,10 +162,10 @@
     let other = second.start(&fixture.operator_file());
     second.time_until_served(Kind::Write, "c");
     assert!(other.has_logged("another process uses it"), "{}", other.kill());
-    // No space for the next save: saving fails from now on, and is logged once.
+    // A directory in place of the temporary file makes all saves fail from now on, which is logged once.
     let entries = fixture.wait_for_cached(|cached| cached.version == 7).endpoints;
     let blocked = fixture.state().join("list.new");
-    // A save may just be under way.
+    // A save may be in progress.
     while std::fs::create_dir(&blocked).is_err() {
         thread::sleep(Duration::from_millis(1));
     }
@@ -189,10 +193,10 @@
         fixture.wait_for_cached(|cached| cached.endpoints.iter().any(|endpoint| endpoint.report.is_some()));
     daemon.kill();
     fixture.discovery.set_mode(DiscoveryMode::Down);
-    let nobody = free_address().to_string();
+    let unused_address = free_address().to_string();
     cached.endpoints.extend((0..9_998).map(|index| CachedEndpoint {
         host: format!("a-{index:05}"),
-        dial: nobody.clone(),
+        dial: unused_address.clone(),
         block: 2 + index / 3,
         health: "SERVING".into(),
         ..CachedEndpoint::default()
@@ -207,7 +211,7 @@
     println!("first write after {took:?}, {} kB at most", resident.unwrap_or("?"));
 }
 
-/// The discovery entries of these cached endpoints, each of them a serving replica.
+/// Creates list entries of cached endpoints, all as serving replicas.
 fn replica_entries(endpoints: &[CachedEndpoint]) -> Vec<serde_json::Value> {
     let entry = |endpoint: &CachedEndpoint| {
         list_entry(&endpoint.host, &endpoint.dial.parse().expect("one"), 1, false, "SERVING", 0)
@@ -215,7 +219,7 @@
     endpoints.iter().map(entry).collect()
 }
 
-/// Runs the router's command line with `args` and the bootstrap file `bootstrap`: its exit code, stdout and stderr.
+/// Runs the router's command line with `args` and the bootstrap file `bootstrap`. Returns its exit code, stdout and stderr.
 fn run(args: &[&str], bootstrap: &Path) -> (Option<i32>, String, String) {
     let mut command = Command::new(ROUTER);
     command.env_clear().env("ROUTER_CONFIG", bootstrap).env("ROUTER_LISTEN", "127.0.0.1:1");
@@ -228,7 +232,7 @@
     std::fs::write(path, text).expect("written");
 }
 
-/// Saves an endpoint list of version 41, of one endpoint, confirmed two hours ago, in the state directory `state`.
+/// Saves an endpoint list with version 41 and one endpoint in the state directory `state`, confirmed two hours ago.
 fn save_old_list(state: &Path) {
     let (mut dir, _) = CacheDirectory::open(state).expect("it opens");
     let endpoints = vec![CachedEndpoint { host: "s-1".into(), block: 4, ..CachedEndpoint::default() }];
@@ -303,14 +307,14 @@
         log.lines().map(|line| serde_json::from_str(line).unwrap_or_else(|_| panic!("{line}"))).collect();
     let logged =
         |text: &str| lines.iter().any(|line| line["message"].as_str().is_some_and(|m| m.contains(text)));
-    let waits = lines.iter().find(|line| line["setting"] == "store-identity");
-    let waits = waits.unwrap_or_else(|| panic!("{log}"));
-    assert_eq!(waits["message"], "reload: changed setting takes effect at the next start");
+    let needs_restart = lines.iter().find(|line| line["setting"] == "store-identity");
+    let needs_restart = needs_restart.unwrap_or_else(|| panic!("{log}"));
+    assert_eq!(needs_restart["message"], "reload: changed setting takes effect at the next start");
     assert!(logged("reload: operators' file not usable, nothing changed"), "{log}");
     let reason =
         |line: &serde_json::Value| line["reason"].as_str().is_some_and(|it| it.contains("1: save-gap: "));
     assert!(lines.iter().any(reason), "{log}");
-    // The path of one attempt can be followed by its fields.
+    // The fields of a log line identify its attempt.
     let ended = lines.iter().find(|line| line["message"] == "attempt ended");
     let ended = ended.unwrap_or_else(|| panic!("{log}"));
     for field in ["request", "attempt", "endpoint", "group", "outcome"] {
