--- a/routing/tests/limits.rs
+++ b/routing/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits and slow start, with few instances and many.
+//! Concurrency limits and slow start, with few and with many instances.
 
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
@@ -9,7 +9,7 @@
 
 #[test]
 fn the_concurrency_limit_does_not_rise_at_an_endpoint_that_reports_a_high_load() {
-    let mut outs = Vec::new();
+    let mut in_flight_by_load = Vec::new();
     for load in [0.2, 0.95] {
         let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
         harness.load = Some(load);
@@ -27,9 +27,11 @@
             }
         }
         (0..20).for_each(|_| _ = harness.arrive(WRITE, 0, 1.0));
-        outs.push(harness.open_requests.values().filter(|open| open.in_flight.is_some()).count());
+        in_flight_by_load
+            .push(harness.open_requests.values().filter(|open| open.in_flight.is_some()).count());
     }
-    assert!(outs[1] <= 4 && outs[0] > outs[1] + 4, "{outs:?} of 20 are out, all answered in time before");
+    let [idle, busy] = in_flight_by_load[..] else { panic!("two loads") };
+    assert!(busy <= 4 && idle > busy + 4, "{idle} of 20 in flight at low load, {busy} at high load");
 }
 
 #[test]
@@ -47,7 +49,7 @@
         harness.advance(TimeDelta::from_millis(10));
     }
     let bad = harness.sent.iter().filter(|sent| sent.endpoint == 1).count();
-    assert!(bad <= 6, "{bad} attempts went to the endpoint that answers nothing but errors");
+    assert!(bad <= 6, "{bad} attempts went to the endpoint that answers only errors");
 }
 
 #[test]
@@ -63,8 +65,8 @@
         harness.end(long, AttemptOutcome::Succeeded, None);
         harness.advance(TimeDelta::from_millis(20));
     }
-    let cold = harness.sent_in_slow_start[1].len();
-    assert!(cold <= 8, "{cold} attempts in its first second, when all may send it 0.4 of a core a second");
+    let sent = harness.sent_in_slow_start[1].len();
+    assert!(sent <= 8, "{sent} attempts in its first second, in which all instances may use 0.4 of a core");
 }
 
 #[test]
@@ -77,7 +79,7 @@
         let in_flight = harness.open_requests.values().filter(|open| open.in_flight.is_some()).count();
         assert!(
             (least..=most).contains(&in_flight),
-            "{in_flight} at the primary that has just started, of {instances} instances"
+            "{in_flight} in flight at a primary in slow start, with {instances} instances"
         );
     }
 }
@@ -100,8 +102,8 @@
             harness.end(read, AttemptOutcome::Succeeded, None);
         }
     }
-    // Each takes a tenth of a second of one core; from 0.2 to 0.3 of the capacity is there, and twice that,
-    // for a whole window, is what makes an endpoint of one core fall.
+    // Each read takes 0.1 s of one core. The endpoint has 0.2 to 0.3 of its capacity, and is overloaded by twice that
+    // over a whole window.
     assert!((2..=8).contains(&sends.len()), "{} of 2000 reads in its first two seconds", sends.len());
 }
 
@@ -109,7 +111,7 @@
 fn with_many_instances_a_primary_gets_two_writes_in_a_row_and_the_third_waits() {
     for (instances, at_once) in [(2, true), (100, false)] {
         let mut harness = Harness::with_instances(instances, LagHandling::ServeStale, 1, 1);
-        // Writes come in twos by chance, and the endpoint is idle for all that this instance knows.
+        // Two writes may arrive together by chance, and the endpoint is idle as far as this instance knows.
         let pair = [(); 2].map(|()| {
             let write = harness.arrive(WRITE, 0, 1.0);
             harness.advance(TimeDelta::from_millis(200));
@@ -121,7 +123,10 @@
         let third = harness.arrive(WRITE, 0, 1.0);
         assert_eq!(harness.open_requests[&third].in_flight.is_some(), at_once, "{instances} instances");
         harness.advance(TimeDelta::from_millis(1000));
-        assert!(harness.open_requests[&third].in_flight.is_some(), "held no longer than the others need");
+        assert!(
+            harness.open_requests[&third].in_flight.is_some(),
+            "the third write waits longer than the other instances need"
+        );
     }
 }
 
@@ -136,9 +141,15 @@
     harness.advance(TimeDelta::from_millis(500));
     harness.end(first, AttemptOutcome::Failed, None);
     let second = harness.arrive(WRITE, 0, 1.0);
-    assert!(harness.open_requests[&second].in_flight.is_none(), "the queue there is no chance of two calls");
+    assert!(
+        harness.open_requests[&second].in_flight.is_none(),
+        "a write was sent although a late answer showed a queue at the endpoint"
+    );
     harness.advance(TimeDelta::from_millis(800));
-    assert!(harness.open_requests[&second].in_flight.is_some(), "held no longer than its rate asks");
+    assert!(
+        harness.open_requests[&second].in_flight.is_some(),
+        "the write waits longer than the rate of attempts requires"
+    );
 }
 
 #[test]
@@ -162,13 +173,13 @@
     harness.advance(TimeDelta::from_millis(700));
     assert!(
         harness.open_requests[&third].in_flight.is_some(),
-        "eight timely answers make up for five late ones"
+        "eight timely answers did not restore the limit lowered by five late ones"
     );
 }
 
 #[test]
 fn with_many_instances_late_answers_reduce_reads_to_all_replicas_of_the_group() {
-    let mut outs = Vec::new();
+    let mut reads_to_replicas = Vec::new();
     for late in [false, true] {
         let mut harness = Harness::with_instances(100, LagHandling::ServeStale, 1, 1);
         for step in 0..200 {
@@ -177,9 +188,10 @@
             harness.end(read, AttemptOutcome::Succeeded, None);
             harness.advance(TimeDelta::from_millis(if late && step % 2 == 0 { 20 } else { 410 }));
         }
-        outs.push(harness.sent.iter().filter(|sent| sent.endpoint != 0).count());
+        reads_to_replicas.push(harness.sent.iter().filter(|sent| sent.endpoint != 0).count());
     }
-    assert!(outs[1] >= 5 && outs[1] * 3 < outs[0] * 2, "{outs:?} sent to replicas, timely and late ones");
+    let [timely, late] = reads_to_replicas[..] else { panic!("two runs") };
+    assert!(late >= 5 && late * 3 < timely * 2, "{timely} reads to timely replicas, {late} to late ones");
 }
 
 #[test]
@@ -194,13 +206,13 @@
     assert!(!harness.sent.is_empty());
     assert!(
         harness.sent.iter().all(|sent| sent.endpoint == 2),
-        "all to the one behind or held, though it is the busier"
+        "a long read went to the replica that is up to date"
     );
 }
 
 #[test]
 fn a_primary_that_reports_a_high_load_serves_no_waiting_reads() {
-    for (load, helps) in [(0.2, true), (0.9, false)] {
+    for (load, is_served) in [(0.2, true), (0.9, false)] {
         let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
         harness.advance(BOUND + TICK);
         harness.load = Some(load);
@@ -209,8 +221,8 @@
         harness.advance(TimeDelta::from_millis(350));
         assert_eq!(
             harness.open_requests[&read].in_flight.is_some(),
-            helps,
-            "replicas reported nothing new, the primary is {load} busy"
+            is_served,
+            "no recent reports of replicas, load of the primary {load}"
         );
     }
 }
@@ -220,7 +232,7 @@
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let reads: Vec<RequestId> = (0..40).map(|_| harness.arrive(BOUNDED_READ, 0, 1.0)).collect();
     let in_flight = reads.iter().filter(|request| harness.open_requests[request].in_flight.is_some()).count();
-    assert!(in_flight < 20, "{in_flight} of 40 are out where nothing has been answered yet");
+    assert!(in_flight < 20, "{in_flight} of 40 in flight before the first answer");
     harness.advance(TimeDelta::from_millis(650));
     assert!(reads.iter().all(|request| !harness.open_requests.contains_key(request)
         || harness.open_requests[request].in_flight.is_some()));
--- a/routing/tests/positions.rs
+++ b/routing/tests/positions.rs
@@ -1,4 +1,4 @@
-//! What sessions have seen and written binds their reads.
+//! Read your writes and monotonic reads: positions that sessions have seen or written limit where their reads may go.
 
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
@@ -16,7 +16,7 @@
         let reads = [ANY_READ, LONG_READ, BOUNDED_READ].map(|method| harness.arrive(method, 0, 1.0));
         assert!(
             reads.iter().all(|request| harness.open_requests[request].in_flight.is_none()),
-            "{lag_handling:?}: no replica has reported it"
+            "{lag_handling:?}: a read was sent although no replica had reported the position"
         );
         harness.health_check_ended(
             2,
@@ -24,13 +24,13 @@
             harness.now - TimeDelta::from_millis(40),
             false,
         );
-        let outs = reads.map(|request| harness.endpoint_of(request));
-        assert_eq!(outs, [Some(2); 3], "{lag_handling:?}");
+        let endpoints = reads.map(|request| harness.endpoint_of(request));
+        assert_eq!(endpoints, [Some(2); 3], "{lag_handling:?}");
     }
 }
 
-/// A router that remembers sessions' writes by itself, with one primary (0) and one replica (1), and the actions
-/// that it has asked for since the last arrival.
+/// A routing policy that tracks the positions of sessions' writes itself, with a primary (0) and a replica (1), and
+/// the actions that it has requested since the last arrival.
 struct SessionRouter {
     policy: RoutingPolicy,
     actions: Vec<Action>,
@@ -52,13 +52,13 @@
         self.policy.on_event(now, event, &mut self.actions);
     }
 
-    /// A health check at `now` finds `endpoint` at `position`.
+    /// Reports a health check of `endpoint` at `now` with `position`.
     fn check(&mut self, now: Timestamp, endpoint: EndpointIndex, position: Timestamp) {
         let role = if endpoint == 0 { Role::Primary } else { Role::Replica };
         self.report(now, health_check_succeeded(endpoint, endpoint_report(position, role)));
     }
 
-    /// A request of `session` arrives at `now` with a deadline 2 s later; the actions before it are cleared.
+    /// Clears the actions and reports a request of `session` that arrives at `now` with a deadline 2 s later.
     fn arrive(&mut self, now: Timestamp, request: RequestId, method: MethodIndex, session: u64) {
         self.actions.clear();
         let deadline = now + TimeDelta::from_millis(2_000);
@@ -66,12 +66,12 @@
         self.report(now, Event::RequestArrived(arrival));
     }
 
-    /// The endpoint of the first attempt of `request` since the last arrival, if there is one.
+    /// The endpoint of the first attempt of `request` since the last arrival.
     fn sent_to(&self, request: RequestId) -> Option<EndpointIndex> {
         attempt_started(&self.actions, request)
     }
 
-    /// Whether an attempt of `request` went to `endpoint` since the last arrival.
+    /// Whether an attempt of `request` was started to `endpoint` since the last arrival.
     fn starts(&self, request: RequestId, endpoint: EndpointIndex) -> bool {
         self.actions.iter().any(|action| {
             matches!(action, Action::StartAttempt { request: started, endpoint: to, .. }
@@ -79,7 +79,8 @@
         })
     }
 
-    /// Whether a read of session 7 that arrives at `now`, when the replica reports `position`, goes to the replica.
+    /// Reports `position` of the replica and then a read of session 7, both at `now`. Returns whether the read goes to
+    /// the replica.
     fn read_goes_to_replica(&mut self, now: Timestamp, position: Timestamp) -> bool {
         self.check(now, 1, position);
         self.arrive(now, 2, ANY_READ, 7);
@@ -87,12 +88,12 @@
     }
 }
 
-/// A router whose primary reported at [`START`], with write 1 of session 7 out there since then.
-fn with_write_out() -> SessionRouter {
+/// A router whose primary reported at [`START`], where write 1 of session 7 is in flight since then.
+fn router_with_write_in_flight() -> SessionRouter {
     let mut router = SessionRouter::new();
     router.check(START, 0, START);
     router.arrive(START, 1, WRITE, 7);
-    assert!(router.starts(1, 0), "the write goes to the primary");
+    assert!(router.starts(1, 0), "the write was not sent to the primary");
     router
 }
 
@@ -101,10 +102,10 @@
     let mut router = SessionRouter::new();
     router.check(START, 0, START);
     router.check(START, 1, START);
-    // Far more sessions than are tracked write, each once; the replica does not move on, so none may be dropped for
-    // free.
-    let (many, mut now) = (80_000u64, START);
-    for session in 0..many {
+    // Far more sessions write, once each, than can be tracked. The replica makes no progress, so that no position
+    // becomes unnecessary.
+    let (session_count, mut now) = (80_000u64, START);
+    for session in 0..session_count {
         now = now + TimeDelta(10_000);
         router.arrive(now, session, WRITE, session);
         if router.sent_to(session).is_some() {
@@ -120,29 +121,34 @@
     router.report(now, Event::TimerFired { tag: 0 });
     let tracked = router.policy.tracked_sessions();
     assert!(tracked <= 1 << 16, "{tracked} are tracked");
-    // The first session's position is dropped, and it still is not sent to a replica that has not got there.
-    for (request, session) in [(many, 0), (many + 1, many - 1)] {
+    // The position of the first session was dropped. Its reads still do not go to a replica that may not have reached
+    // it.
+    for (request, session) in [(session_count, 0), (session_count + 1, session_count - 1)] {
         router.arrive(now, request, ANY_READ, session);
         assert_ne!(router.sent_to(request), Some(1), "session {session}");
     }
-    // Once every endpoint has got there, no position is left and none is needed. The last write lies anywhere in
-    // the millisecond that was reported.
+    // Once every endpoint has reached all positions, none is tracked. The last write lies anywhere within the
+    // millisecond that was reported.
     now = now + TimeDelta::from_millis(1);
     router.check(now, 0, now);
     router.check(now, 1, now);
     router.report(now, Event::TimerFired { tag: 0 });
     assert_eq!(router.policy.tracked_sessions(), 0);
-    router.arrive(now, many + 2, ANY_READ, 3);
-    assert_eq!(router.sent_to(many + 2), Some(1));
+    router.arrive(now, session_count + 2, ANY_READ, 3);
+    assert_eq!(router.sent_to(session_count + 2), Some(1));
 }
 
-/// A write of session 7 runs on the primary, whose client may leave before it ends; `position` is how long before
-/// its end the position that its answer reports lies. Whether a read of the session that comes 100 ms later goes
-/// to the replica, whose position lies `behind` before the write's end.
-fn is_shown_after(gone: bool, position: Option<TimeDelta>, behind: TimeDelta) -> bool {
-    let mut router = with_write_out();
+/// Ends a write of session 7 at the primary, after its client has disconnected if `client_gone`. The answer reports
+/// the position `position` before the end of the write. Returns whether a read of the session 100 ms later goes to the
+/// replica, which is at the position `behind` before the end of the write.
+fn read_after_write_goes_to_replica(
+    client_gone: bool,
+    position: Option<TimeDelta>,
+    behind: TimeDelta,
+) -> bool {
+    let mut router = router_with_write_in_flight();
     let now = START + TimeDelta::from_millis(500);
-    if gone {
+    if client_gone {
         router.report(START, Event::ClientGone { request: 1 });
     }
     let answer_report =
@@ -160,30 +166,36 @@
 #[test]
 fn reads_see_their_sessions_write_even_if_its_client_left_or_no_position_was_reported() {
     let ms = TimeDelta::from_millis;
-    for gone in [false, true] {
-        assert!(!is_shown_after(gone, Some(ms(5)), ms(6)), "gone {gone}: the write is not shown there yet");
+    for client_gone in [false, true] {
         assert!(
-            !is_shown_after(gone, Some(ms(5)), ms(5)),
-            "gone {gone}: both may lie anywhere in that millisecond"
+            !read_after_write_goes_to_replica(client_gone, Some(ms(5)), ms(6)),
+            "client gone {client_gone}: the replica has not replicated the write yet"
         );
-        assert!(is_shown_after(gone, Some(ms(5)), ms(4)), "gone {gone}: it is shown");
         assert!(
-            !is_shown_after(gone, None, ms(1)),
-            "gone {gone}: where no position is reported, it ran just now"
+            !read_after_write_goes_to_replica(client_gone, Some(ms(5)), ms(5)),
+            "client gone {client_gone}: both may lie anywhere within the same millisecond"
+        );
+        assert!(
+            read_after_write_goes_to_replica(client_gone, Some(ms(5)), ms(4)),
+            "client gone {client_gone}: the replica has replicated the write"
+        );
+        assert!(
+            !read_after_write_goes_to_replica(client_gone, None, ms(1)),
+            "client gone {client_gone}: without a position the write may have run at its end"
         );
     }
 }
 
-/// A write of session 7 is out, or its attempt has ended with `outcome`. Whether a read of the session that comes
-/// 100 ms later may go to the replica, whose position lies `behind` before that.
-fn is_shown_without_answer(outcome: Option<AttemptOutcome>, behind: TimeDelta) -> bool {
-    let mut router = with_write_out();
+/// Ends the attempt of a write of session 7 with `outcome`, or leaves it in flight. Returns whether a read of the
+/// session 100 ms later goes to the replica, which is `behind` the time of the read.
+fn read_after_unanswered_write_goes_to_replica(outcome: Option<AttemptOutcome>, behind: TimeDelta) -> bool {
+    let mut router = router_with_write_in_flight();
     let now = START + TimeDelta::from_millis(500);
     if let Some(outcome) = outcome {
         let end = AttemptEnd { write_session: Some(7), ..attempt_end(1, 0, 0, outcome, now - START) };
         router.report(now, Event::AttemptEnded(end));
     }
-    // Where it never ran it is sent again: its client takes it back first.
+    // The client disconnects, so that a write that did not run is not sent again.
     router.report(now, Event::ClientGone { request: 1 });
     let later = now + TimeDelta::from_millis(100);
     router.read_goes_to_replica(later, later - behind)
@@ -199,11 +211,14 @@
         AttemptOutcome::Cancelled,
     ] {
         assert!(
-            !is_shown_without_answer(Some(may_have_run), ms(110)),
-            "{may_have_run:?} may have run until then"
+            !read_after_unanswered_write_goes_to_replica(Some(may_have_run), ms(110)),
+            "{may_have_run:?}: the write may have run until the end of its attempt"
+        );
+        assert!(
+            read_after_unanswered_write_goes_to_replica(Some(may_have_run), ms(90)),
+            "{may_have_run:?}: the write cannot have run after the end of its attempt"
         );
-        assert!(is_shown_without_answer(Some(may_have_run), ms(90)), "{may_have_run:?}, and not after it");
     }
-    assert!(!is_shown_without_answer(None, ms(1)), "it is out, and may have been answered just now");
-    assert!(is_shown_without_answer(None, ms(0)));
+    assert!(!read_after_unanswered_write_goes_to_replica(None, ms(1)), "a write in flight may run until now");
+    assert!(read_after_unanswered_write_goes_to_replica(None, ms(0)));
 }
--- a/routing/tests/primaries.rs
+++ b/routing/tests/primaries.rs
@@ -1,4 +1,4 @@
-//! Which member is taken for the primary: claims, the list, eligibility, writes that find it.
+//! Selection of a group's primary: by endpoints' claims, the endpoint list, eligibility, and the answers to writes.
 
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
@@ -12,8 +12,11 @@
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     harness.set_eligibility(0, PrimaryEligibility::Nobody);
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert!(harness.open_requests[&write].in_flight.is_none(), "held");
-    // A former primary and its successor both claim it; the former one's position is the later.
+    assert!(
+        harness.open_requests[&write].in_flight.is_none(),
+        "the write was sent without an eligible primary"
+    );
+    // A former primary and its successor both claim to be primary, and the former one reports the later position.
     harness.health_check_ended(1, AttemptOutcome::Succeeded, harness.now - TimeDelta::from_millis(50), true);
     harness.health_check_ended(0, AttemptOutcome::Succeeded, harness.now, true);
     harness.set_eligibility(0, PrimaryEligibility::Only(1));
@@ -23,12 +26,12 @@
         assert_ne!(
             harness.open_requests[&read].in_flight.map(|in_flight| in_flight.endpoint),
             Some(0),
-            "it may stand on a log of its own"
+            "a read went to an ineligible endpoint, whose log may have diverged"
         );
     }
     harness.set_eligibility(0, PrimaryEligibility::Any);
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert_eq!(harness.endpoint_of(write), Some(0), "the ordinary rule: the latest claim");
+    assert_eq!(harness.endpoint_of(write), Some(0), "without restrictions the latest claim counts");
 }
 
 #[test]
@@ -48,7 +51,7 @@
         }
         in_flight
     };
-    let warm = in_flight(&mut harness);
+    let after_warmup = in_flight(&mut harness);
     let records = |harness: &Harness, start_presumed: bool| {
         let started_at = start_presumed.then_some(harness.now);
         (0..3)
@@ -61,11 +64,11 @@
     };
     let start_presumed = records(&harness, true);
     harness.report(Event::EndpointList { complete: true, records: start_presumed });
-    let cold = in_flight(&mut harness);
+    let in_slow_start = in_flight(&mut harness);
     let known = records(&harness, false);
     harness.report(Event::EndpointList { complete: true, records: known });
-    assert!(cold < warm, "{cold} of {warm}");
-    assert!(in_flight(&mut harness) >= warm, "warm again, and its limit has widened since");
+    assert!(in_slow_start < after_warmup, "{in_slow_start} in slow start, {after_warmup} before");
+    assert!(in_flight(&mut harness) >= after_warmup, "still in slow start by the presumed start time");
 }
 
 #[test]
@@ -73,30 +76,34 @@
     for seed in 0..20 {
         let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, seed);
         let write = harness.arrive(WRITE, 0, 1.0);
-        let first = harness.endpoint_of(write).expect("somebody has to be asked");
-        let second =
-            end_attempt(&mut harness, write, AttemptOutcome::NotEligible, Some(false)).expect("another one");
+        let first = harness.endpoint_of(write).expect("a write to one of the unknown endpoints");
+        let second = end_attempt(&mut harness, write, AttemptOutcome::NotEligible, Some(false))
+            .expect("a retry at another endpoint");
         assert_ne!(first, second);
-        let third =
-            end_attempt(&mut harness, write, AttemptOutcome::NotEligible, Some(false)).expect("the last one");
+        let third = end_attempt(&mut harness, write, AttemptOutcome::NotEligible, Some(false))
+            .expect("a retry at the last endpoint");
         assert!(third != first && third != second);
-        // All have answered lately that they are not the primary: it waits, and asks each again after a while.
+        // All endpoints have recently answered that they are not the primary. The write waits and is retried later.
         assert_eq!(end_attempt(&mut harness, write, AttemptOutcome::NotEligible, Some(false)), None);
         harness.advance(TimeDelta::from_millis(1_400));
         assert!(
             harness.answers.contains_key(&write) || harness.endpoint_of(write).is_none(),
-            "within what is lately"
+            "retried although the answers are recent"
         );
         let again = harness.arrive(WRITE, 0, 1.0);
         harness.advance(TimeDelta::from_millis(2_000));
-        let found = harness.endpoint_of(again).expect("whoever was none may be one now");
+        let found = harness.endpoint_of(again).expect("an attempt once the answers are no longer recent");
         harness.end(again, AttemptOutcome::Succeeded, Some(true));
         for _ in 0..3 {
             let next = harness.arrive(WRITE, 0, 1.0);
-            assert_eq!(harness.endpoint_of(next), Some(found), "its answer has shown it");
+            assert_eq!(
+                harness.endpoint_of(next),
+                Some(found),
+                "its answer has proved that it is the primary"
+            );
             harness.end(next, AttemptOutcome::Succeeded, Some(true));
         }
-        // What any member may answer goes to whoever has never spoken, before those with nothing to do.
+        // A read that any endpoint may serve prefers endpoints that have never answered to idle ones.
         let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, seed);
         let mut answered = Vec::new();
         for _ in 0..3 {
@@ -118,21 +125,25 @@
     };
     list_as_primary(&mut harness, 1, true);
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert_eq!(harness.endpoint_of(write), Some(1), "the list names it, and nothing else is known");
-    // An error names the role of who gave it, and is no answer; then the list, which is late, names the same again.
+    assert_eq!(
+        harness.endpoint_of(write),
+        Some(1),
+        "the list names it as primary, and nothing else is known"
+    );
+    // The endpoint answers an error and reports the role replica. Then an outdated list names it as primary again.
     let Some(InFlight { attempt, endpoint, sent }) =
         harness.open_requests.get_mut(&write).and_then(|open| open.in_flight.take())
     else {
-        panic!("it is out")
+        panic!("the write is in flight")
     };
     let answer_report = EndpointReport { role: Some(Role::Replica), ..EndpointReport::default() };
-    harness.open_requests.get_mut(&write).expect("it is live").first_run_at = Some(sent);
+    harness.open_requests.get_mut(&write).expect("the write is open").first_run_at = Some(sent);
     let end = attempt_end(write, attempt, endpoint, AttemptOutcome::Failed, harness.now - sent);
     harness.report(Event::AttemptEnded(AttemptEnd { answer_report, ..end }));
     list_as_primary(&mut harness, 1, true);
     let next = harness.arrive(WRITE, 0, 1.0);
-    assert_ne!(harness.endpoint_of(next), Some(1), "its own answer goes before the list");
-    // Of two that have never answered, the list takes one back.
+    assert_ne!(harness.endpoint_of(next), Some(1), "its own answer takes precedence over the list");
+    // Neither of two endpoints has answered. The list withdraws one and names the other.
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 3);
     list_as_primary(&mut harness, 2, true);
     list_as_primary(&mut harness, 2, false);
@@ -145,7 +156,7 @@
 fn without_health_checks_strong_reads_avoid_a_primary_after_lost_connections_until_a_write_succeeds() {
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 3);
     let write = harness.arrive(WRITE, 0, 1.0);
-    let primary = harness.endpoint_of(write).expect("somebody has to be asked");
+    let primary = harness.endpoint_of(write).expect("a write to one of the unknown endpoints");
     harness.end(write, AttemptOutcome::Succeeded, Some(true));
     let read = harness.arrive(STRONG_READ, 0, 1.0);
     assert_eq!(harness.endpoint_of(read), Some(primary));
@@ -158,10 +169,14 @@
     assert_eq!(
         harness.endpoint_of(read),
         None,
-        "it may have answered that it is not the primary, and the answer was lost"
+        "a lost answer may have reported that it is no longer the primary"
     );
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert_eq!(harness.endpoint_of(write), Some(primary), "one that is not the primary refuses a write");
+    assert_eq!(
+        harness.endpoint_of(write),
+        Some(primary),
+        "a write may be sent, because an endpoint that is not the primary refuses it"
+    );
     harness.end(write, AttemptOutcome::Succeeded, Some(true));
     let read = harness.arrive(STRONG_READ, 0, 1.0);
     assert_eq!(harness.endpoint_of(read), Some(primary));
@@ -171,17 +186,23 @@
 fn a_write_to_a_guessed_primary_is_confirmed_only_until_another_is_known_or_alone_eligible() {
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 1);
     let write = harness.arrive(WRITE, 0, 1.0);
-    let asked = harness.endpoint_of(write).expect("somebody has to be asked");
-    assert!(harness.policy.confirm_attempt(harness.now, write, 0, asked));
-    harness.set_eligibility(0, PrimaryEligibility::Only((asked + 1) % 3));
-    assert!(!harness.policy.confirm_attempt(harness.now, write, 0, asked), "another one alone is cleared");
+    let guessed = harness.endpoint_of(write).expect("a write to one of the unknown endpoints");
+    assert!(harness.policy.confirm_attempt(harness.now, write, 0, guessed));
+    harness.set_eligibility(0, PrimaryEligibility::Only((guessed + 1) % 3));
+    assert!(
+        !harness.policy.confirm_attempt(harness.now, write, 0, guessed),
+        "only another endpoint is eligible"
+    );
     harness.set_eligibility(0, PrimaryEligibility::Any);
     let other = harness.arrive(KEYED_WRITE, 0, 1.0);
-    let it = harness.endpoint_of(other).expect("another one is asked");
+    let primary = harness.endpoint_of(other).expect("an attempt at another endpoint");
     harness.end(other, AttemptOutcome::Succeeded, Some(true));
-    assert_ne!(asked, it);
-    assert!(!harness.policy.confirm_attempt(harness.now, write, 0, asked), "it is known now, and is another");
-    // Where there are health checks, they find out.
+    assert_ne!(guessed, primary);
+    assert!(
+        !harness.policy.confirm_attempt(harness.now, write, 0, guessed),
+        "another endpoint is known to be the primary"
+    );
+    // If health checks are allowed, they find the primary, and no write is sent to a guessed one.
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let write = harness.arrive(WRITE, 0, 1.0);
     assert_eq!(end_attempt(&mut harness, write, AttemptOutcome::NotEligible, Some(false)), None);
@@ -194,12 +215,12 @@
     assert_eq!(
         end_attempt(&mut harness, write, AttemptOutcome::NotEligible, Some(false)),
         None,
-        "held: nobody is primary"
+        "the write waits because no primary is known"
     );
     harness.health_check_ended(0, AttemptOutcome::Succeeded, harness.now - TimeDelta::from_millis(900), true);
     assert!(
         harness.open_requests[&write].in_flight.is_none(),
-        "a report older than the answer does not bring it back"
+        "a report older than the answer made the endpoint primary again"
     );
     harness.advance(TimeDelta::from_millis(100));
     harness.health_check_ended(1, AttemptOutcome::Succeeded, harness.now, true);
@@ -223,5 +244,9 @@
         Action::StartAttempt { request, .. } => Some(*request),
         _ => None,
     });
-    assert_eq!(sent.collect::<Vec<_>>(), [2], "an endpoint would answer the read whatever it is by now");
+    assert_eq!(
+        sent.collect::<Vec<_>>(),
+        [2],
+        "only the write is sent: an endpoint would serve the read even if it is no longer the primary"
+    );
 }
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -1,9 +1,9 @@
 //! Replays recorded sequences of events through the routing policy and compares every action with what the policy
-//! did when the recording was made: a change of names or of structure must change no decision.
+//! did when the recording was made, so that refactorings change no decision.
 //!
-//! The events are drawn from a seed and react to the actions, as a host's would. `tests/data/replay.txt` holds, for
-//! each run, how many actions there were and a checksum over all of them. `REPLAY_RECORD=1` writes that file again,
-//! which belongs into a commit that means to change decisions and says why.
+//! The events are generated from a seed and react to the actions, as those of a real host do. `tests/data/replay.txt`
+//! has the number of actions of each run and a checksum over them. `REPLAY_RECORD=1` rewrites that file, which belongs
+//! only in a commit that changes decisions on purpose and says why.
 
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
@@ -20,28 +20,34 @@
 const ENDPOINTS: usize = GROUPS * 3;
 const STEPS: usize = 6_000;
 
-/// Settings under which the same draws are played.
-fn mixtures() -> Vec<(&'static str, RoutingSettings)> {
-    let usual = || support::routing_settings(LagHandling::ServeStale);
+/// The settings of the runs, with their names in the recording.
+fn recorded_settings() -> Vec<(&'static str, RoutingSettings)> {
+    let defaults = || support::routing_settings(LagHandling::ServeStale);
     vec![
-        ("usual", usual()),
+        ("usual", defaults()),
         ("refuses", support::routing_settings(LagHandling::Reject)),
         ("holds", support::routing_settings(LagHandling::Wait(TimeDelta::from_millis(100)))),
-        ("many-instances", RoutingSettings { instances: 300, ..usual() }),
-        ("one-instance", RoutingSettings { instances: 1, ..usual() }),
-        ("no-probes", RoutingSettings { may_check_health: false, ..usual() }),
+        ("many-instances", RoutingSettings { instances: 300, ..defaults() }),
+        ("one-instance", RoutingSettings { instances: 1, ..defaults() }),
+        ("no-probes", RoutingSettings { may_check_health: false, ..defaults() }),
         (
             "no-probes-refuses",
             RoutingSettings { may_check_health: false, ..support::routing_settings(LagHandling::Reject) },
         ),
-        ("pushed-lists", RoutingSettings { list_poll_within: None, ..usual() }),
-        ("marks-remembered", RoutingSettings { clients_hold_positions: false, may_cancel: false, ..usual() }),
-        ("gone-stays-open", RoutingSettings { unlisted_stay_usable: true, max_retry_after: None, ..usual() }),
-        ("few-attempts", RoutingSettings { max_attempts: 2, instances: 30, ..usual() }),
+        ("pushed-lists", RoutingSettings { list_poll_within: None, ..defaults() }),
+        (
+            "marks-remembered",
+            RoutingSettings { clients_hold_positions: false, may_cancel: false, ..defaults() },
+        ),
+        (
+            "gone-stays-open",
+            RoutingSettings { unlisted_stay_usable: true, max_retry_after: None, ..defaults() },
+        ),
+        ("few-attempts", RoutingSettings { max_attempts: 2, instances: 30, ..defaults() }),
     ]
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 struct Attempt {
     request: RequestId,
     number: u32,
@@ -49,7 +55,7 @@
     sent: Timestamp,
 }
 
-/// A host that plays drawn events.
+/// A simulated host that reports random events.
 struct Player {
     policy: RoutingPolicy,
     routing_settings: RoutingSettings,
@@ -57,7 +63,7 @@
     draws: Mwc,
     next_request: RequestId,
     attempts: Vec<Attempt>,
-    /// Attempts made, by request that is still open.
+    /// Number of attempts of each open request.
     open_requests: BTreeMap<RequestId, u32>,
     timers: BTreeSet<(Timestamp, u64)>,
     pending_health_checks: Vec<EndpointIndex>,
@@ -107,7 +113,7 @@
         }
     }
 
-    /// What an endpoint reports of itself: often right, sometimes old, in part, or of a time to come.
+    /// Draws a report of an endpoint: often correct, sometimes outdated, incomplete, or with a position in the future.
     fn endpoint_report(&mut self, endpoint: EndpointIndex) -> EndpointReport {
         let lag = [0, 5, 40, 300, 1_200, -400][self.draw(6)];
         let position = (self.draw(5) > 0).then(|| self.now - TimeDelta::from_millis(lag));
@@ -147,7 +153,7 @@
         let Attempt { request, number, endpoint, sent } = self.attempts.remove(nth);
         let confirmed = self.policy.confirm_attempt(self.now, request, number, endpoint);
         self.record(&format!("confirms {request} {number} {endpoint} {confirmed}"));
-        // Every outcome but a success.
+        // All outcomes except success.
         let outcomes = &support::OUTCOMES[1..];
         let outcome =
             if self.draw(4) > 0 { AttemptOutcome::Succeeded } else { outcomes[self.draw(outcomes.len())] };
@@ -296,7 +302,7 @@
 
 fn play() -> String {
     let mut text = String::new();
-    for (name, routing_settings) in mixtures() {
+    for (name, routing_settings) in recorded_settings() {
         for seed in 1..=6 {
             let mut player = Player::new(routing_settings.clone(), seed);
             for _ in 0..STEPS {
--- a/routing/tests/requests.rs
+++ b/routing/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The way of single requests: waiting, retries, confirmation, giving up.
+//! The lifecycle of a request: waiting, retries, confirmation of attempts, rejection.
 
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
@@ -11,19 +11,23 @@
 fn a_bounded_read_waits_for_a_fresh_replica_before_it_goes_to_the_primary() {
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     harness.arrive(BOUNDED_READ, 0, 1.0);
-    assert_ne!(harness.sent[0].endpoint, 0, "a fresh replica serves it");
+    assert_ne!(harness.sent[0].endpoint, 0, "the read was not sent to a fresh replica");
     harness.advance(BOUND + TICK);
     let held = harness.arrive(BOUNDED_READ, 0, 1.0);
     assert!(
         harness.open_requests[&held].in_flight.is_none(),
-        "reported positions have aged past the bound: held"
+        "the read was sent although all reported positions are older than the bound"
     );
     harness.health_check_ended(2, AttemptOutcome::Succeeded, harness.now, false);
-    assert_eq!(harness.endpoint_of(held), Some(2), "a report of a fresh one lets it go");
+    assert_eq!(harness.endpoint_of(held), Some(2), "the read was not sent after a report of a fresh replica");
     harness.advance(BOUND + TICK);
     let late = harness.arrive(BOUNDED_READ, 0, 1.0);
     harness.advance(TimeDelta::from_millis(400));
-    assert_eq!(harness.endpoint_of(late), Some(0), "half of its time is spent: the primary");
+    assert_eq!(
+        harness.endpoint_of(late),
+        Some(0),
+        "the read was not sent to the primary after half of its time"
+    );
 }
 
 #[test]
@@ -40,29 +44,29 @@
     );
     let write = arrival(1, WRITE, start, start + TimeDelta::from_millis(3_000));
     policy.on_event(start, Event::RequestArrived(write), &mut actions);
-    let broke = start + TimeDelta::from_millis(10);
+    let lost_at = start + TimeDelta::from_millis(10);
     let end = attempt_end(1, 0, endpoint, AttemptOutcome::ConnectionLost, TimeDelta::from_millis(10));
-    policy.on_event(broke, Event::AttemptEnded(end), &mut actions);
-    // The endpoint rests for a while after a failure.
-    let mut now = broke;
-    let again = |actions: &[Action]| {
+    policy.on_event(lost_at, Event::AttemptEnded(end), &mut actions);
+    // The endpoint is ejected for a while after a failure.
+    let mut now = lost_at;
+    let is_retried = |actions: &[Action]| {
         actions.iter().filter(|action| matches!(action, Action::StartAttempt { .. })).count() == 2
     };
-    while !again(&actions) && now < start + dedup_window {
+    while !is_retried(&actions) && now < start + dedup_window {
         now = now + TICK;
         let load_report = endpoint_report(now, Role::Primary);
         policy.on_event(now, health_check_succeeded(endpoint, load_report), &mut actions);
         policy.on_event(now, Event::TimerFired { tag: 0 }, &mut actions);
     }
-    assert!(again(&actions), "it is repeated within its memory");
+    assert!(is_retried(&actions), "not retried within the deduplication window");
     assert!(policy.confirm_attempt(now, 1, 1, 0));
     assert!(
         policy.confirm_attempt(start + dedup_window - TICK * 3, 1, 1, 0),
-        "as long as the endpoint knows the first"
+        "not confirmed while the endpoint still deduplicates it"
     );
     assert!(
         !policy.confirm_attempt(start + dedup_window - TICK, 1, 1, 0),
-        "its connection took too long: it may run twice"
+        "confirmed although it may run twice after the deduplication window"
     );
 }
 
@@ -84,7 +88,7 @@
     let read = harness.arrive(BOUNDED_READ, 0, 1.0);
     assert!(
         harness.open_requests[&read].in_flight.is_none(),
-        "nothing reported since proves that it is fresh"
+        "the read was sent although no valid report shows a fresh replica"
     );
 }
 
@@ -93,22 +97,22 @@
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let write = harness.arrive(WRITE, 0, 1.0);
     end_attempt(&mut harness, write, AttemptOutcome::ConnectionLost, None);
-    assert_eq!(harness.answers[&write], Answer::Aborted, "at once, not near its deadline");
+    assert_eq!(harness.answers[&write], Answer::Aborted, "not aborted at once");
     harness.advance(TimeDelta::from_millis(1000));
     harness.health_check_ended(0, AttemptOutcome::Succeeded, harness.now, true);
     let keyed = harness.arrive(KEYED_WRITE, 0, 1.0);
     assert_eq!(
         end_attempt(&mut harness, keyed, AttemptOutcome::Failed, None),
         Some(0),
-        "one bad answer rests nobody"
+        "an endpoint was ejected after one failure"
     );
     assert_eq!(
         end_attempt(&mut harness, keyed, AttemptOutcome::Failed, None),
         None,
-        "its only primary rests"
+        "the only primary is ejected"
     );
     harness.advance(DEDUP_WINDOW);
-    assert_eq!(harness.answers[&keyed], Answer::Aborted, "past its group's memory");
+    assert_eq!(harness.answers[&keyed], Answer::Aborted, "not aborted after the deduplication window");
 }
 
 #[test]
@@ -125,13 +129,16 @@
     assert!(policy.confirm_attempt(sent + BOUND, read, attempt, replica));
     assert!(
         !policy.confirm_attempt(sent + BOUND + TICK, read, attempt, replica),
-        "connecting outlasted the bound"
+        "confirmed although the position aged past the bound meanwhile"
     );
-    assert!(policy.confirm_attempt(sent + BOUND + TICK, read, attempt, 0), "a primary is always up to date");
+    assert!(policy.confirm_attempt(sent + BOUND + TICK, read, attempt, 0), "a primary is never stale");
     harness.list(0, EndpointStatus::Draining);
-    assert!(!harness.policy.confirm_attempt(sent, read, attempt, 0), "drained meanwhile");
+    assert!(
+        !harness.policy.confirm_attempt(sent, read, attempt, 0),
+        "confirmed although the endpoint is draining"
+    );
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert!(!harness.policy.confirm_attempt(sent, write, 0, 0), "held, not out");
+    assert!(!harness.policy.confirm_attempt(sent, write, 0, 0), "confirmed although the request is waiting");
 }
 
 #[test]
@@ -141,18 +148,22 @@
     for endpoint in 0..3 {
         harness.list(endpoint, EndpointStatus::Draining);
     }
-    let held =
+    let waiting =
         [harness.arrive(WRITE, 0, 1.0), harness.arrive(WRITE, 0, 0.5), harness.arrive(BOUNDED_READ, 0, 0.4)];
     let start = harness.now;
-    for (request, half) in held.into_iter().zip([1500, 750, 300]).rev() {
+    for (request, half) in waiting.into_iter().zip([1500, 750, 300]).rev() {
         harness.advance(start + TimeDelta::from_millis(half) - TICK * 3 - harness.now);
-        assert!(harness.open_requests.contains_key(&request), "{request} has time left to wait");
+        assert!(harness.open_requests.contains_key(&request), "{request} was rejected too early");
         harness.advance(TICK * 2);
-        assert_eq!(harness.answers.get(&request).copied(), Some(Answer::Rejected), "{request}, never sent");
+        assert_eq!(
+            harness.answers.get(&request).copied(),
+            Some(Answer::Rejected),
+            "{request} was never sent"
+        );
     }
-    assert!(harness.open_requests.contains_key(&sent), "its attempt may still be answered");
+    assert!(harness.open_requests.contains_key(&sent), "a request with an attempt in flight was ended");
 
-    // A attempt that no endpoint has had a byte of is none.
+    // An attempt of which no byte was sent does not count as sent.
     let mut harness = Harness::with_reports(LagHandling::ServeStale, 1, 1);
     let unsent = harness.arrive(WRITE, 0, 1.0);
     harness.advance(TimeDelta::from_millis(1000));
--- a/routing/tests/rules.rs
+++ b/routing/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules under seeded random events.
+//! The rules that the harness checks, under random events from a fixed seed.
 
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
@@ -25,18 +25,18 @@
             play(&mut harness, without_health_checks, step);
         }
         harness.advance(TimeDelta::from_millis(10_000));
-        prop_assert!(harness.open_requests.is_empty(), "every request has its answer in the end");
+        prop_assert!(harness.open_requests.is_empty(), "a request has no final answer");
     }
 }
 
-/// Plays one drawn step: `kind` picks what happens, `pick` and `variant` its details.
+/// Performs one random step: `kind` selects the event, `pick` and `variant` its details.
 fn play(harness: &mut Harness, without_health_checks: bool, (kind, pick, variant): (u8, u16, u8)) {
     let (pick, variant) = (usize::from(pick), usize::from(variant));
     let endpoint = pick % harness.group_of.len();
     let old = TimeDelta::from_millis(variant as i64 * 20);
     match kind {
-        0..=3 => arrive_drawn(harness, pick, variant, old),
-        4..=6 => end_drawn_attempt(harness, pick, variant),
+        0..=3 => arrive_at_random(harness, pick, variant, old),
+        4..=6 => end_random_attempt(harness, pick, variant),
         7..=8 if without_health_checks => {}
         7..=8 => {
             let outcome = if variant < 200 { AttemptOutcome::Succeeded } else { AttemptOutcome::TimedOut };
@@ -61,17 +61,17 @@
     }
 }
 
-/// A request of method `variant % 6` arrives at group `pick % 2`; every third has seen a position `old / 8` ago.
-fn arrive_drawn(harness: &mut Harness, pick: usize, variant: usize, old: TimeDelta) {
-    // A try may be given up after less than the method's deadline, but for current reads, whose arrival the
-    // checker reads off it.
+/// Reports a request of method `variant % 6` to group `pick % 2`. Every third has seen the position `old / 8` ago.
+fn arrive_at_random(harness: &mut Harness, pick: usize, variant: usize, old: TimeDelta) {
+    // Requests may have less time than the method's deadline, except strong reads: the harness derives their arrival
+    // time from the deadline.
     let share = if variant % 6 == STRONG_READ { 1.0 } else { 0.4 + variant as f64 / 425.0 };
     harness.seen_position = pick.is_multiple_of(3).then(|| harness.now - old / 8);
     harness.arrive(variant % 6, pick % 2, share);
 }
 
-/// Ends one of the attempts that are out, if there is one.
-fn end_drawn_attempt(harness: &mut Harness, pick: usize, variant: usize) {
+/// Ends one of the attempts in flight, if there is one.
+fn end_random_attempt(harness: &mut Harness, pick: usize, variant: usize) {
     let in_flight: Vec<RequestId> = harness
         .open_requests
         .iter()
@@ -79,7 +79,7 @@
         .map(|(&request, _)| request)
         .collect();
     if let Some(&request) = in_flight.get(pick % in_flight.len().max(1)) {
-        // Half of all answers are good, so that runs get past the first failure.
+        // Half of all attempts succeed, so that runs continue past the first failure.
         let outcome = OUTCOMES[if variant < 128 { 0 } else { variant % 9 }];
         let role = [None, Some(true), Some(false)][variant % 3];
         harness.end(request, outcome, role);
--- a/routing/tests/support/events.rs
+++ b/routing/tests/support/events.rs
@@ -1,17 +1,17 @@
-//! Events and records of a plain shape, for tests that run a routing policy by hand or through the harness.
+//! Constructors of events and records with default fields, for tests with and without the harness.
 
 use super::{START, TICK};
 use routing::time::{TimeDelta, Timestamp};
 use routing::*;
 
-/// A policy made at [`START`] with `seed`, and the actions it asked for when it was made.
+/// Creates a policy at [`START`] with `seed`. Returns it with the actions that it requested.
 pub fn policy_at_start(seed: u64, routing_settings: &RoutingSettings) -> (RoutingPolicy, Vec<Action>) {
     let mut actions = Vec::new();
     let policy = RoutingPolicy::new(seed, routing_settings, START, &mut actions);
     (policy, actions)
 }
 
-/// The list entry of a serving endpoint of group 0 and zone 0 whose start is not known.
+/// The list entry of a serving endpoint of group 0 and zone 0 with an unknown start time.
 pub fn serving_record(endpoint: EndpointIndex, primary: bool) -> EndpointRecord {
     EndpointRecord {
         endpoint,
@@ -24,7 +24,7 @@
     }
 }
 
-/// A request to group 0 of no session, with no position seen and no write of its own; not a client's retry.
+/// A request to group 0 without a session, a position seen or an earlier write, which is not a retry by the client.
 pub fn arrival(
     request: RequestId,
     method: MethodIndex,
@@ -44,8 +44,8 @@
     }
 }
 
-/// The end of an attempt, `elapsed` after it was sent, that leaves its request open: of no write session, with
-/// empty reports.
+/// The end of an attempt `elapsed` after it was sent. The request stays open, there is no write session, and the
+/// reports are empty.
 pub fn attempt_end(
     request: RequestId,
     number: u32,
@@ -64,7 +64,7 @@
     }
 }
 
-/// What an endpoint reports of itself: its `position` and its `role`, no load.
+/// A report of an endpoint with a position and a role, without load.
 pub fn endpoint_report(position: Timestamp, role: Role) -> EndpointReport {
     EndpointReport { position: Some(position), role: Some(role), load: None }
 }
@@ -74,7 +74,7 @@
     Event::HealthCheckEnded { endpoint, outcome: AttemptOutcome::Succeeded, elapsed: TICK, report }
 }
 
-/// The endpoint to which `actions` start an attempt of `request`, if they do.
+/// The endpoint of the first attempt of `request` that `actions` start.
 pub fn attempt_started(actions: &[Action], request: RequestId) -> Option<EndpointIndex> {
     actions.iter().find_map(|action| match action {
         Action::StartAttempt { request: started, endpoint, .. } if *started == request => Some(*endpoint),
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A routing policy under scripted events, with the rules checked after each of them. Each test file uses a part of this.
+//! A harness that reports scripted events to a routing policy and checks the rules after each of them. Each test file
+//! uses a part of it.
 
 use routing::time::{TimeDelta, Timestamp};
 use routing::RoutingPolicy;
@@ -10,7 +11,7 @@
 pub use events::*;
 pub use settings::*;
 
-/// An attempt that is out: its number (from 0), its endpoint and when it was sent.
+/// An attempt in flight: its number (from 0), its endpoint and when it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlight {
     pub attempt: u32,
@@ -18,7 +19,7 @@
     pub sent: Timestamp,
 }
 
-/// An attempt that the policy started: of which request, to which endpoint.
+/// An attempt that the policy has started: its request and its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentAttempt {
     pub request: RequestId,
@@ -36,7 +37,7 @@
     Aborted,
 }
 
-/// What the harness knows of a request that still waits for its final answer.
+/// A request without a final answer.
 pub struct OpenRequest {
     /// Its method, an index into the settings' methods.
     pub method: MethodIndex,
@@ -44,17 +45,17 @@
     pub group: GroupIndex,
     /// When its final answer is due at the latest.
     pub deadline: Timestamp,
-    /// Its attempt that is out, if one is.
+    /// Its attempt in flight.
     pub in_flight: Option<InFlight>,
-    /// How many attempts it has had.
+    /// Number of its attempts so far.
     pub attempts: u32,
     /// When the first attempt that may have run was sent.
     pub first_run_at: Option<Timestamp>,
-    /// What its session has seen.
+    /// The position that its session has seen.
     pub seen_position: Option<Timestamp>,
 }
 
-/// A routing policy driven by scripted events, whose actions are checked against the rules as they come.
+/// A routing policy driven by scripted events. Its actions are checked against the rules.
 pub struct Harness {
     /// The policy under test.
     pub policy: RoutingPolicy,
@@ -62,50 +63,51 @@
     pub routing_settings: RoutingSettings,
     /// The present time of the script.
     pub now: Timestamp,
-    /// The requests that wait for their final answer.
+    /// The requests without a final answer.
     pub open_requests: BTreeMap<RequestId, OpenRequest>,
-    /// The timers that the policy has set: when each falls due, and its tag.
+    /// The timers that the policy has set: due time and tag.
     pub timers: Vec<(Timestamp, u64)>,
-    /// The endpoints with a health check asked for and not yet ended, in the order asked.
+    /// The endpoints with a health check in progress, in the order in which they were requested.
     pub health_checks: Vec<EndpointIndex>,
-    /// By endpoint: its group.
+    /// The group of each endpoint.
     pub group_of: Vec<GroupIndex>,
-    /// By endpoint: whether the list shows it serving.
+    /// Whether each endpoint is listed as serving.
     pub is_serving: Vec<bool>,
     /// The highest position that each endpoint has reported.
     pub reported: Vec<Option<Timestamp>>,
-    /// Whether it claimed to be primary, and no answer has denied that since.
+    /// Whether each endpoint has claimed to be primary and has not denied it in an answer since.
     pub claims_primary: Vec<bool>,
-    /// When it started.
+    /// When each endpoint started, if known.
     pub started_at: Vec<Option<Timestamp>>,
-    /// By endpoint: when attempts went to it within the overload window after its start.
+    /// The times of attempts to each endpoint within the overload window after its start.
     pub sent_in_slow_start: Vec<Vec<Timestamp>>,
-    /// By group: who may be taken for its primary.
+    /// Which endpoints of each group are eligible as its primary.
     pub eligibility_of: Vec<PrimaryEligibility>,
     /// The final answer of each request that has had one.
     pub answers: BTreeMap<RequestId, Answer>,
     /// Every attempt started: its request and its endpoint, in order.
     pub sent: Vec<SentAttempt>,
-    /// How busy the next endpoints checked say they are.
+    /// The load that endpoints report in the next health checks.
     pub load: Option<f64>,
-    /// What the next requests' session has seen.
+    /// The position that the session of the next requests has seen.
     pub seen_position: Option<Timestamp>,
     next: RequestId,
 }
 
 impl Harness {
-    /// `groups` groups of three: the first member of each is listed as its primary, and all have answered a
-    /// health check that says so, with a position of now.
+    /// Creates `groups` groups of three endpoints. The first of each is listed as its primary. All endpoints have
+    /// reported their roles in a health check, with a position of now.
     pub fn with_reports(lag_handling: LagHandling, groups: usize, seed: u64) -> Harness {
         Harness::with_instances(2, lag_handling, groups, seed)
     }
 
-    /// As [`Harness::with_reports`], for a router that runs as `instances` instances.
+    /// As [`Harness::with_reports`], for a deployment of `instances` instances.
     pub fn with_instances(instances: u32, lag_handling: LagHandling, groups: usize, seed: u64) -> Harness {
         Harness::new(RoutingSettings { instances, ..routing_settings(lag_handling) }, groups, seed)
     }
 
-    /// Nobody may be checked, and the list tells of no roles: nothing is known of anybody.
+    /// As [`Harness::with_reports`], but health checks are not allowed and the list has no primaries, so that nothing
+    /// is known of any endpoint.
     pub fn without_health_checks(lag_handling: LagHandling, groups: usize, seed: u64) -> Harness {
         Harness::new(
             RoutingSettings { may_check_health: false, ..routing_settings(lag_handling) },
@@ -141,15 +143,15 @@
         harness.check(actions);
         let records = (0..endpoints).map(|index| harness.entry(index, EndpointStatus::Serving)).collect();
         harness.report(Event::EndpointList { complete: true, records });
-        let health_check_ended = if harness.routing_settings.may_check_health { endpoints } else { 0 };
-        for index in 0..health_check_ended {
+        let checked = if harness.routing_settings.may_check_health { endpoints } else { 0 };
+        for index in 0..checked {
             harness.health_check_ended(index, AttemptOutcome::Succeeded, now, index % 3 == 0);
         }
         harness
     }
 
-    /// The list entry of `endpoint` with `status`; it is listed as primary if it is the first of its group and
-    /// health checks are allowed.
+    /// The list entry of `endpoint` with `status`. It is listed as primary if it is the first of its group and health
+    /// checks are allowed.
     pub fn entry(&self, endpoint: EndpointIndex, status: EndpointStatus) -> EndpointRecord {
         let (group, primary) =
             (self.group_of[endpoint], self.routing_settings.may_check_health && endpoint.is_multiple_of(3));
@@ -164,20 +166,20 @@
         }
     }
 
-    /// Reports a list change of `endpoint` alone to `status`.
+    /// Reports an update of the endpoint list that changes `endpoint` to `status`.
     pub fn list(&mut self, endpoint: EndpointIndex, status: EndpointStatus) {
         self.is_serving[endpoint] = status == EndpointStatus::Serving;
         let records = vec![self.entry(endpoint, status)];
         self.report(Event::EndpointList { complete: false, records });
     }
 
-    /// Reports who of `group` may be taken for its primary.
+    /// Reports which endpoints of `group` are eligible as its primary.
     pub fn set_eligibility(&mut self, group: GroupIndex, eligibility: PrimaryEligibility) {
         self.eligibility_of[group] = eligibility;
         self.report(Event::PrimaryEligibility { group, eligibility });
     }
 
-    /// Reports a new request of session 7 whose deadline is `share` of its method's deadline from now.
+    /// Reports a new request of session 7. Its deadline is after the fraction `share` of its method's deadline.
     pub fn arrive(&mut self, method: MethodIndex, group: GroupIndex, share: f64) -> RequestId {
         let deadline = self.now + self.routing_settings.methods[method].deadline.mul_f64(share);
         let request = self.next;
@@ -208,8 +210,8 @@
         request
     }
 
-    /// Reports the end of a health check of `endpoint`; a success reports `position` and the role that `primary`
-    /// gives, with the load of [`Harness::load`].
+    /// Reports the end of a health check of `endpoint`. If it succeeded, its report has `position`, the role by
+    /// `primary`, and the load of [`Harness::load`].
     pub fn health_check_ended(
         &mut self,
         endpoint: EndpointIndex,
@@ -221,7 +223,7 @@
         if outcome == AttemptOutcome::Succeeded {
             load_report.position = Some(position);
             load_report.role = Some(if primary { Role::Primary } else { Role::Replica });
-            // A position in the future proves nothing.
+            // A position in the future must be ignored.
             if position <= self.now + TICK * 2 {
                 self.reported[endpoint] = self.reported[endpoint].max(Some(position));
                 self.claims_primary[endpoint] |= primary;
@@ -231,8 +233,8 @@
         self.report(Event::HealthCheckEnded { endpoint, outcome, elapsed: TICK, report: load_report });
     }
 
-    /// Ends the attempt that a request has out; a success or a refusal as not eligible reports the role that
-    /// `primary` gives, if any.
+    /// Ends the attempt in flight of a request. The outcomes `Succeeded` and `NotEligible` report the role by
+    /// `primary`, if it is given.
     pub fn end(&mut self, request: RequestId, outcome: AttemptOutcome, primary: Option<bool>) {
         let Some(open) = self.open_requests.get_mut(&request) else { return };
         let Some(InFlight { attempt: number, endpoint, sent }) = open.in_flight.take() else { return };
@@ -264,7 +266,7 @@
         }));
     }
 
-    /// Lets time pass, firing the timers that fall due.
+    /// Advances the time and fires the timers that become due.
     pub fn advance(&mut self, time: TimeDelta) {
         let until = self.now + time;
         while let Some(&(at, tag)) = self.timers.iter().min().filter(|due| due.0 <= until) {
@@ -273,19 +275,19 @@
             self.report(Event::TimerFired { tag });
         }
         self.now = until;
-        self.overdue();
+        self.check_deadlines();
     }
 
-    /// Hands `event` to the policy at the present time and checks the actions it asks for.
+    /// Reports `event` to the policy at the current time and checks the actions that it requests.
     pub fn report(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.on_event(self.now, event, &mut actions);
         self.check(actions);
-        self.overdue();
+        self.check_deadlines();
     }
 
-    /// No request is lost: its answer comes at least a tick before its deadline.
-    fn overdue(&self) {
+    /// Checks that no request is overdue: each gets its final answer at least a tick before its deadline.
+    fn check_deadlines(&self) {
         for (request, open) in &self.open_requests {
             assert!(
                 self.now + TICK <= open.deadline,
@@ -299,23 +301,28 @@
             match action {
                 Action::SetTimer { tag, at } => self.timers.push((at, tag)),
                 Action::CheckHealth { endpoint } => {
-                    assert!(self.routing_settings.may_check_health, "checked where it is not allowed");
+                    assert!(
+                        self.routing_settings.may_check_health,
+                        "a health check although they are not allowed"
+                    );
                     self.health_checks.push(endpoint);
                 }
                 Action::StartAttempt { request, endpoint, timeout } => {
                     self.check_send(request, endpoint, timeout);
                 }
                 Action::Reject { request, .. } => {
-                    let open =
-                        self.open_requests.remove(&request).expect("one final answer, to a live request");
+                    let open = self
+                        .open_requests
+                        .remove(&request)
+                        .expect("the only final answer to an open request");
                     let ran = open.first_run_at.is_some() || open.in_flight.is_some();
-                    let safe =
+                    let is_idempotent =
                         self.routing_settings.methods[open.method].idempotency == Idempotency::Idempotent;
-                    assert!(safe || !ran, "rejected though it may have run");
+                    assert!(is_idempotent || !ran, "rejected though it may have run");
                     self.answers.insert(request, Answer::Rejected);
                 }
                 Action::Abort { request } => {
-                    self.open_requests.remove(&request).expect("one final answer, to a live request");
+                    self.open_requests.remove(&request).expect("the only final answer to an open request");
                     self.answers.insert(request, Answer::Aborted);
                 }
                 _ => {}
@@ -324,25 +331,30 @@
     }
 
     fn check_send(&mut self, request: RequestId, endpoint: EndpointIndex, timeout: TimeDelta) {
-        let open = self.open_requests.get_mut(&request).expect("sent only while it waits for an answer");
+        let open = self.open_requests.get_mut(&request).expect("an attempt of an open request");
         let method = &self.routing_settings.methods[open.method];
-        assert!(open.in_flight.is_none(), "two attempts out at once");
+        assert!(open.in_flight.is_none(), "two attempts in flight at once");
         assert!(open.attempts < self.routing_settings.max_attempts, "too many attempts");
-        assert_eq!(self.group_of[endpoint], open.group, "sent outside its group");
+        assert_eq!(self.group_of[endpoint], open.group, "sent to an endpoint of another group");
         let writes = method.access == Access::Write;
         match self.eligibility_of[open.group] {
             PrimaryEligibility::Nobody => assert!(!writes, "a write to a group without an eligible primary"),
             PrimaryEligibility::Only(one) => {
-                assert!(!writes || endpoint == one, "a write to another than the eligible one");
+                assert!(!writes || endpoint == one, "a write to an ineligible endpoint");
             }
             PrimaryEligibility::Any => {}
         }
-        assert!(self.is_serving[endpoint], "sent to an endpoint that drains or is gone");
-        assert!(timeout > TimeDelta::ZERO && self.now + timeout < open.deadline, "no time, or too much");
+        assert!(self.is_serving[endpoint], "sent to an endpoint that is draining or removed");
+        assert!(
+            timeout > TimeDelta::ZERO && self.now + timeout < open.deadline,
+            "a timeout of zero, or one beyond the deadline"
+        );
         match (open.first_run_at, method.idempotency) {
-            (Some(_), Idempotency::NonIdempotent) => panic!("a non-idempotent request went out again"),
+            (Some(_), Idempotency::NonIdempotent) => {
+                panic!("a non-idempotent request that may have run was sent again")
+            }
             (Some(ran), Idempotency::Keyed { .. }) => {
-                assert!(self.now < ran + DEDUP_WINDOW, "past its deduplication window");
+                assert!(self.now < ran + DEDUP_WINDOW, "sent again after its deduplication window");
             }
             _ => {}
         }
@@ -354,13 +366,13 @@
             };
             assert!(
                 needed.is_none() || self.reported[endpoint] >= needed,
-                "no proof that it is fresh enough"
+                "sent to an endpoint not known to be fresh enough"
             );
         }
         if !writes && !self.claims_primary[endpoint] {
             assert!(
                 open.seen_position.is_none() || self.reported[endpoint] >= open.seen_position,
-                "less than its session has seen"
+                "sent to an endpoint behind the position that its session has seen"
             );
         }
         if self.started_at[endpoint].is_some_and(|at| self.now - at < self.routing_settings.overload_window) {
@@ -371,13 +383,13 @@
         self.sent.push(SentAttempt { request, endpoint });
     }
 
-    /// The endpoint to which `request` has an attempt out just now, if any.
+    /// The endpoint of the attempt in flight of `request`.
     pub fn endpoint_of(&self, request: RequestId) -> Option<EndpointIndex> {
         self.open_requests.get(&request).and_then(|open| open.in_flight).map(|in_flight| in_flight.endpoint)
     }
 }
 
-/// Ends the attempt of a request; the endpoint of its next attempt, if there is one.
+/// Ends the attempt in flight of a request. Returns the endpoint of its next attempt, if one was started.
 pub fn end_attempt(
     harness: &mut Harness,
     request: RequestId,
--- a/routing/tests/support/settings.rs
+++ b/routing/tests/support/settings.rs
@@ -1,4 +1,4 @@
-//! The settings under which the tests run: six methods, two instances, and the lists of lag handlings and outcomes.
+//! The settings of the tests, with six methods and two instances, and lists of all lag handlings and outcomes.
 
 use routing::time::{TimeDelta, Timestamp};
 use routing::*;
@@ -17,14 +17,14 @@
 pub const ANY_READ: MethodIndex = 4;
 /// The method of a read that any endpoint may serve, with a latency objective of 3 s.
 pub const LONG_READ: MethodIndex = 5;
-/// How far behind a bounded read may be: 800 ms.
+/// The bound on staleness of a bounded read: 800 ms.
 pub const BOUND: TimeDelta = TimeDelta::from_millis(800);
-/// How long an endpoint remembers a keyed write: 3 s.
+/// The deduplication window of keyed writes: 3 s.
 pub const DEDUP_WINDOW: TimeDelta = TimeDelta::from_millis(3000);
-/// When every scripted run starts: an instant far enough from zero that no subtraction in a test goes below it.
+/// The start of every scripted run, far enough from zero that subtractions in tests stay positive.
 pub const START: Timestamp = Timestamp(1_000_000_000_000);
 
-/// What endpoints may do with a read for which they are too stale.
+/// All ways in which endpoints handle a read for which they are too stale.
 pub const LAG_HANDLINGS: [LagHandling; 3] =
     [LagHandling::ServeStale, LagHandling::Reject, LagHandling::Wait(TimeDelta::from_millis(100))];
 /// All outcomes of an attempt.
--- a/server/tests/admission.rs
+++ b/server/tests/admission.rs
@@ -72,8 +72,8 @@
     requests_lost: AtomicUsize,
 }
 
-/// Runs one client of a flood until `over` is set. It has two addresses of its own, by `index`. Once admitted it sends one
-/// request after the other, so that it is never idle. It reconnects when it is rejected or disconnected.
+/// Runs one client of a flood until `over` is set. It has two addresses of its own, by `index`. Once admitted it sends
+/// one request after the other, so that it is never idle. It reconnects when it is rejected or disconnected.
 fn flood_client(index: u16, listen: SocketAddr, over: &AtomicBool, counts: &FloodCounts) {
     for round in 0u16.. {
         let from = Ipv4Addr::new(127, 50, (index % 2) as u8 + 2 * (round % 2) as u8, index as u8);
--- a/server/tests/common/start_router.rs
+++ b/server/tests/common/start_router.rs
@@ -6,8 +6,9 @@
 use test_servers::daemon::{Daemon, DaemonOptions};
 use test_servers::settings::settings;
 
-/// Starts an instance of the router with the test settings and `seed`. Its bootstrap file and its operators' file, whose
-/// content is `operator_file`, are written to `folder`. It listens on `listen` and watches discovery at `discovery`.
+/// Starts an instance of the router with the test settings and `seed`. Its bootstrap file and its operators' file,
+/// whose content is `operator_file`, are written to `folder`. It listens on `listen` and watches discovery at
+/// `discovery`.
 ///
 /// # Panics
 /// The process cannot be started.
--- a/server/tests/discovery_stream.rs
+++ b/server/tests/discovery_stream.rs
@@ -1,5 +1,5 @@
-//! Parsing of discovery's responses, without a socket: responses split anywhere, truncated lists, floods of small chunks,
-//! and the entries of a list.
+//! Parsing of discovery's responses, without a socket: responses split anywhere, truncated lists, floods of small
+//! chunks, and the entries of a list.
 
 use proptest::prelude::*;
 use routing::time::Timestamp;
@@ -101,7 +101,8 @@
     stream.feed(&flood).expect("a valid response");
     let unchanged = std::iter::from_fn(|| stream.next_event().expect("empty lines"));
     assert_eq!(unchanged.count(), 300_000);
-    // If the remaining bytes were moved for each chunk, a quarter of a terabyte would be copied, in at least ten seconds.
+    // If the remaining bytes were moved for each chunk, a quarter of a terabyte would be copied, in at least ten
+    // seconds.
     assert!(started.elapsed() < Duration::from_secs(4), "{:?}", started.elapsed());
 }
 
--- a/server/tests/endpoint_responses.rs
+++ b/server/tests/endpoint_responses.rs
@@ -1,5 +1,5 @@
-//! Parsing of endpoints' answers, without a socket: answers split anywhere, corrupted answers, attempt outcomes, and load
-//! reports.
+//! Parsing of endpoints' answers, without a socket: answers split anywhere, corrupted answers, attempt outcomes, and
+//! load reports.
 
 mod common {
     pub mod message;
@@ -36,7 +36,8 @@
     tags + if at == bytes.len() { "" } else { "?" }
 }
 
-/// Parses growing prefixes of an answer until its outcome is known. Returns the outcome and the length of the last prefix.
+/// Parses growing prefixes of an answer until its outcome is known. Returns the outcome and the length of the last
+/// prefix.
 fn parse_in_parts(
     parser: &mut ResponseParser,
     bytes: &[u8],
--- a/server/tests/fates.rs
+++ b/server/tests/fates.rs
@@ -147,8 +147,8 @@
             is_correct && executions <= 1,
             "{id}, answered {answer:?}, reported {fate:?}, ran {executions} times"
         );
-        // Once a write was reported as never run, its client may send it again under another id. Under the same id it is
-        // not forwarded.
+        // Once a write was reported as never run, its client may send it again under another id. Under the same id it
+        // is not forwarded.
         if *answer == Answer::Missing && fate == Answer::Value("never".into()) {
             let again = client.request(id, 1, Kind::Write, 400).answer;
             assert_eq!(again, Answer::Error("42710".into()), "{id}");
@@ -189,7 +189,8 @@
 fn fates_are_reported_for_unsent_writes_writes_in_flight_and_writes_of_other_instances() {
     let fixture = Fixture::new(300);
     let _daemons = [fixture.start(0), fixture.start(1)];
-    // An instance that does not know the primary yet rejects a write after half of its timeout, whatever the journal says.
+    // An instance that does not know the primary yet rejects a write after half of its timeout, whatever the journal
+    // says.
     fixture.wait_until_served("warm");
     let mut client = fixture.client(0);
     let origin = client.origin.clone().expect("reported at the start");
--- a/server/tests/histories.rs
+++ b/server/tests/histories.rs
@@ -1,5 +1,6 @@
-//! Randomized runs of sessions and writes during kills of instances, moves of clients between instances, replication lag and
-//! a failover that loses the end of a log. The history checker compares the clients' answers with the endpoints' executions.
+//! Randomized runs of sessions and writes during kills of instances, moves of clients between instances, replication
+//! lag and a failover that loses the end of a log. The history checker compares the clients' answers with the
+//! endpoints' executions.
 
 mod common {
     pub mod router_program;
--- a/server/tests/import_cycles.rs
+++ b/server/tests/import_cycles.rs
@@ -110,8 +110,8 @@
     None
 }
 
-/// Returns the modules of a cycle, each imported by the one before it and the first by the last, or `None` if there is no
-/// cycle.
+/// Returns the modules of a cycle, each imported by the one before it and the first by the last, or `None` if there is
+/// no cycle.
 fn find_cycle(imports: &Imports) -> Option<Vec<ItemPath>> {
     let mut finished = BTreeSet::new();
     imports.keys().find_map(|module| cycle_from(imports, &mut vec![module.clone()], &mut finished))
--- a/server/tests/journal_batches.rs
+++ b/server/tests/journal_batches.rs
@@ -1,5 +1,5 @@
-//! The thread of the write journal: operations that arrive faster than they are written are split into several batches, and
-//! each of them gets its reply.
+//! The thread of the write journal: operations that arrive faster than they are written are split into several
+//! batches, and each of them gets its reply.
 
 use server::storage::journal::WriteJournal;
 use std::sync::mpsc::channel;
--- a/server/tests/loopback/discovery_watch.rs
+++ b/server/tests/loopback/discovery_watch.rs
@@ -1,4 +1,5 @@
-//! Edge cases of the watch on discovery: lists in unusual formats, and watches that never complete or never send an event.
+//! Edge cases of the watch on discovery: lists in unusual formats, and watches that never complete or never send an
+//! event.
 
 use crate::fixture::*;
 use std::io::{Read, Write};
--- a/server/tests/loopback/fixture.rs
+++ b/server/tests/loopback/fixture.rs
@@ -27,8 +27,8 @@
     std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{listen}.json"))
 }
 
-/// Starts a discovery service that sends the lines that the test passes to the returned sender on its watch, and empty lines
-/// otherwise.
+/// Starts a discovery service that sends the lines that the test passes to the returned sender on its watch, and empty
+/// lines otherwise.
 pub fn discovery() -> (SocketAddr, Sender<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("its address");
@@ -114,8 +114,8 @@
         RouterProcess::with_limits(1024, 192, SETTINGS)
     }
 
-    /// Starts an instance that makes no health checks and has a long connect timeout, so that all connections are made for
-    /// attempts.
+    /// Starts an instance that makes no health checks and has a long connect timeout, so that all connections are made
+    /// for attempts.
     pub fn without_health_checks() -> RouterProcess {
         let settings = SETTINGS.replace(r#""probes":true"#, r#""probes":false,"dialTimeoutNs":8000000000"#);
         RouterProcess::with_limits(1024, 192, &settings)
@@ -127,8 +127,8 @@
         (self, client)
     }
 
-    /// Sends a list entry as a watch event, and waits until the instance has applied it: until it knows the group of a marker
-    /// entry in the next event.
+    /// Sends a list entry as a watch event, and waits until the instance has applied it: until it knows the group of a
+    /// marker entry in the next event.
     pub fn publish_list(&self, seq: u32, entry: &str) {
         let mark = self.positions.fetch_add(1, Ordering::AcqRel);
         let marked = host(&self.replica, "m", "DRAINING").replace(":3,", &format!(":{mark},"));
@@ -282,8 +282,8 @@
     }
 }
 
-/// A statement for group 3 with a new id, a method, a timeout in milliseconds, and the key that tells the stub endpoint how
-/// to answer.
+/// A statement for group 3 with a new id, a method, a timeout in milliseconds, and the key that tells the stub
+/// endpoint how to answer.
 pub fn statement(class: &str, key: &str, d: u32) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let id = NEXT.fetch_add(1, Ordering::AcqRel);
--- a/server/tests/loopback/main.rs
+++ b/server/tests/loopback/main.rs
@@ -307,8 +307,8 @@
         }
     }
     assert!(rejected >= 1, "no client was rejected at the descriptor limit");
-    // The accept loop pauses after each burst and may not have processed the closes before it accepts the next connection.
-    // Only connections that the instance has closed as well have certainly freed their descriptors.
+    // The accept loop pauses after each burst and may not have processed the closes before it accepts the next
+    // connection. Only connections that the instance has closed as well have certainly freed their descriptors.
     clients.into_iter().for_each(Client::close);
     assert_eq!(
         Client::open(router.listen).request("read", "good", 1500),
@@ -347,8 +347,8 @@
     assert_eq!(well_behaved.request("read", "good", 1500), value());
 }
 
-/// The bytes sent by clients that stall or send garbage: nothing, part of a startup message, a startup message alone, a query
-/// without its last byte, HTTP, a query followed by a message with an invalid length, and a huge query.
+/// The bytes sent by clients that stall or send garbage: nothing, part of a startup message, a startup message alone,
+/// a query without its last byte, HTTP, a query followed by a message with an invalid length, and a huge query.
 fn misbehaving_clients() -> [Vec<u8>; 7] {
     let half = startup_and_query(&statement("order", "good", 60_000));
     let mut behind = startup_and_query(&statement("order", "silent", 60_000));
--- a/server/tests/loopback/stub_endpoint.rs
+++ b/server/tests/loopback/stub_endpoint.rs
@@ -1,4 +1,5 @@
-//! A stub endpoint. It supports the necessary part of the PostgreSQL protocol and answers each statement according to its key.
+//! A stub endpoint. It supports the necessary part of the PostgreSQL protocol and answers each statement according to
+//! its key.
 
 use server::protocol::encode::{error_fields, Severity};
 use std::io::{Read, Write};
--- a/server/tests/operator_pages/main.rs
+++ b/server/tests/operator_pages/main.rs
@@ -1,5 +1,5 @@
-//! The pages of the admin socket and the output of the command line, which operators' programs parse. Under the earlier names
-//! they must equal the files in `earlier/`, under the standard names those in `standard/`, byte for byte.
+//! The pages of the admin socket and the output of the command line, which operators' programs parse. Under the earlier
+//! names they must equal the files in `earlier/`, under the standard names those in `standard/`, byte for byte.
 
 mod cached_list;
 mod events;
--- a/server/tests/resource_limits.rs
+++ b/server/tests/resource_limits.rs
@@ -1,5 +1,5 @@
-//! Limits on file descriptors and buffer memory under random operations: each descriptor and byte is released exactly once,
-//! and no limit is exceeded.
+//! Limits on file descriptors and buffer memory under random operations: each descriptor and byte is released exactly
+//! once, and no limit is exceeded.
 
 use proptest::prelude::*;
 use routing::time::Timestamp;
--- a/server/tests/sessions.rs
+++ b/server/tests/sessions.rs
@@ -1,4 +1,5 @@
-//! Sessions with client-held tokens: two instances, replication lag, restarts, and a failover that loses the end of a log.
+//! Sessions with client-held tokens: two instances, replication lag, restarts, and a failover that loses the end of a
+//! log.
 
 mod common {
     pub mod connect;
@@ -76,8 +77,8 @@
         token
     }
 
-    /// Promotes replica `s-1`, which loses the end of the log that it had not replicated, including the sessions' writes.
-    /// The old primary stops answering, and discovery lists the new one.
+    /// Promotes replica `s-1`, which loses the end of the log that it had not replicated, including the sessions'
+    /// writes. The old primary stops answering, and discovery lists the new one.
     fn fail_over_to_replica_1(&self) {
         {
             let mut state = self.cluster.lock();
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -1,5 +1,5 @@
-//! Starts of instances with and without discovery: randomized faults, a state directory during kills, the command line, and
-//! the log.
+//! Starts of instances with and without discovery: randomized faults, a state directory during kills, the command
+//! line, and the log.
 
 mod common {
     pub mod endpoint_group;
@@ -121,8 +121,8 @@
     assert_eq!(cached.endpoints.len(), 2);
     daemon.kill();
     fixture.discovery.set_mode(DiscoveryMode::Down);
-    // The instance is killed repeatedly while it starts and saves: the list stays complete, and requests are served each
-    // time.
+    // The instance is killed repeatedly while it starts and saves: the list stays complete, and requests are served
+    // each time.
     for round in 0..6 {
         let daemon = fixture.start(&fixture.operator_file());
         fixture.time_until_served(Kind::Write, &format!("b{round}"));
@@ -219,7 +219,8 @@
     endpoints.iter().map(entry).collect()
 }
 
-/// Runs the router's command line with `args` and the bootstrap file `bootstrap`. Returns its exit code, stdout and stderr.
+/// Runs the router's command line with `args` and the bootstrap file `bootstrap`. Returns its exit code, stdout and
+/// stderr.
 fn run(args: &[&str], bootstrap: &Path) -> (Option<i32>, String, String) {
     let mut command = Command::new(ROUTER);
     command.env_clear().env("ROUTER_CONFIG", bootstrap).env("ROUTER_LISTEN", "127.0.0.1:1");
