--- a/server/tests/client_protocol.rs
+++ b/server/tests/client_protocol.rs
@@ -1,8 +1,10 @@
-//! What clients send, without a socket: messages in any split, statements, and what is rejected by which code.
+//! Decoding of messages and statements from clients, without a socket, and the SQLSTATEs of rejections.
 
-mod common;
+mod common {
+    pub mod message;
+}
 
-use common::message;
+use common::message::message;
 use proptest::prelude::*;
 use server::protocol::decode::StartupParameters;
 use server::protocol::encode::startup_message;
@@ -14,7 +16,7 @@
 const GET: &str = "/* id=9b1f03aa5c7e2d41,c=basket,d=480,cluster=2,after=1767225600123,r=1 */ \
                    SELECT content FROM kv WHERE name = '7f3a9c21e0b4d655'";
 
-/// All messages of some bytes that are read in these parts.
+/// Decodes all messages of bytes that arrive in the given parts.
 fn decode(parts: &[&[u8]]) -> Vec<FrontendMessage> {
     let mut codec = FrontendCodec::default();
     let mut messages = Vec::new();
@@ -25,7 +27,7 @@
     messages
 }
 
-/// What the startup message of `protocol::encode` is decoded to.
+/// The decoded form of `protocol::encode::startup_message`.
 fn startup() -> FrontendMessage {
     let parameters =
         StartupParameters { audience: "7:backend/store".into(), user: "backend".into(), session: None };
@@ -44,7 +46,7 @@
     }
 }
 
-/// One message or another, most of them complete.
+/// Generates messages, most of them well-formed, and short random bytes.
 fn any_message() -> impl Strategy<Value = Vec<u8>> {
     let tag = prop::sample::select(b"QQQQSPBDEHCFdcfX?".to_vec());
     let body = prop_oneof![
@@ -64,7 +66,7 @@
 
 proptest! {
     #[test]
-    fn messages_are_the_same_however_their_bytes_are_split(
+    fn decoded_messages_do_not_depend_on_how_the_bytes_are_split(
         messages in prop::collection::vec(any_message(), 0..12),
         cuts in prop::collection::vec(1usize..30, 0..80),
         encryption_request in any::<bool>(),
@@ -87,7 +89,7 @@
             }
         }
         let before_last = decoded.iter().rev().skip(1);
-        prop_assert!(before_last.into_iter().all(|message| !ends_connection(message)), "nothing follows an end");
+        prop_assert!(before_last.into_iter().all(|message| !ends_connection(message)), "a message was decoded after one that ends the connection");
     }
 
     #[test]
@@ -101,7 +103,7 @@
 fn a_header_is_parsed_and_reports_where_its_timeout_digits_are() {
     let body = [GET.as_bytes(), b"\0"].concat();
     let Statement::Request(header) = statement::parse(&body) else {
-        panic!("a statement of the page's form")
+        panic!("the statement is not recognised as a request")
     };
     assert_eq!((header.id, header.method, header.group), ("9b1f03aa5c7e2d41", "basket", 2));
     assert_eq!((header.timeout_ms, header.is_retry), (480, true));
@@ -110,7 +112,7 @@
 }
 
 #[test]
-fn what_cannot_be_taken_is_rejected_by_a_fitting_code() {
+fn invalid_statements_are_rejected_with_the_matching_sqlstate() {
     for (text, code) in [
         ("SELECT 1", "42601"),
         ("/* id=1,c=a,d=1 SELECT", "42601"),
@@ -138,7 +140,7 @@
 }
 
 #[test]
-fn startup_messages_and_unsupported_messages_are_distinguished() {
+fn startup_cancel_and_unsupported_messages_are_recognised() {
     let long = [startup_message(), message(b'Q', &vec![b'a'; MAX_QUERY_BYTES])].concat();
     let too_long = ClientError::new(SqlState::PROGRAM_LIMIT_EXCEEDED, "message too long");
     assert_eq!(too_long.code.as_str(), "54000");
