--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -310,17 +310,7 @@
                 Action::StartAttempt { request, endpoint, timeout } => {
                     self.check_send(request, endpoint, timeout);
                 }
-                Action::Reject { request, .. } => {
-                    let open = self
-                        .open_requests
-                        .remove(&request)
-                        .expect("the only final answer to an open request");
-                    let ran = open.first_run_at.is_some() || open.in_flight.is_some();
-                    let is_idempotent =
-                        self.routing_settings.methods[open.method].idempotency == Idempotency::Idempotent;
-                    assert!(is_idempotent || !ran, "rejected though it may have run");
-                    self.answers.insert(request, Answer::Rejected);
-                }
+                Action::Reject { request, retry_after } => self.check_reject(request, retry_after),
                 Action::Abort { request } => {
                     self.open_requests.remove(&request).expect("the only final answer to an open request");
                     self.answers.insert(request, Answer::Aborted);
@@ -330,6 +320,22 @@
         }
     }
 
+    /// A rejection is the only final answer, is safe to retry, and has a Retry-After exactly if the settings allow one.
+    fn check_reject(&mut self, request: RequestId, retry_after: Option<TimeDelta>) {
+        let open = self.open_requests.remove(&request).expect("the only final answer to an open request");
+        let ran = open.first_run_at.is_some() || open.in_flight.is_some();
+        let idempotency = self.routing_settings.methods[open.method].idempotency;
+        assert!(idempotency == Idempotency::Idempotent || !ran, "rejected though it may have run");
+        match (self.routing_settings.max_retry_after, retry_after) {
+            (None, None) => {}
+            (Some(longest), Some(delay)) => {
+                assert!((TimeDelta::ZERO..=longest).contains(&delay), "a Retry-After of {delay:?}");
+            }
+            (allowed, given) => panic!("a Retry-After of {given:?} where the settings allow {allowed:?}"),
+        }
+        self.answers.insert(request, Answer::Rejected);
+    }
+
     fn check_send(&mut self, request: RequestId, endpoint: EndpointIndex, timeout: TimeDelta) {
         let open = self.open_requests.get_mut(&request).expect("an attempt of an open request");
         let method = &self.routing_settings.methods[open.method];
