--- a/admission/src/client_address.rs
+++ b/admission/src/client_address.rs
@@ -59,6 +59,15 @@
     conforms_at: Timestamp,
 }
 
+/// Number of open connections of one address.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AddressConnections {
+    /// The address, truncated to its prefix.
+    pub address: ClientAddress,
+    /// Its open connections.
+    pub connections: usize,
+}
+
 /// Connection counts and rate-limit states by client address.
 #[derive(Debug, Default)]
 pub struct AddressTable {
@@ -74,11 +83,12 @@
     }
 
     /// The `count` addresses with the most connections, in descending order.
-    pub fn top(&self, count: usize) -> Vec<(ClientAddress, usize)> {
+    pub fn top(&self, count: usize) -> Vec<AddressConnections> {
         let connected = self.addresses.iter().filter(|(_, state)| state.connections > 0);
-        let mut top: Vec<(ClientAddress, usize)> =
-            connected.map(|(address, state)| (*address, state.connections)).collect();
-        top.sort_by_key(|(address, connections)| (Reverse(*connections), *address));
+        let mut top: Vec<AddressConnections> = connected
+            .map(|(address, state)| AddressConnections { address: *address, connections: state.connections })
+            .collect();
+        top.sort_by_key(|entry| (Reverse(entry.connections), entry.address));
         top.truncate(count);
         top
     }
--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -13,7 +13,8 @@
 mod views;
 
 pub use types::{
-    Arrival, ClientKey, ConcurrencyLimits, Decision, LoadShed, RequestCounts, RequestId, ShedReason,
+    Arrival, ClassRequests, ClientKey, ClientRequests, ConcurrencyLimits, Decision, LoadShed, RequestCounts,
+    RequestId, ShedCount, ShedReason,
 };
 
 use crate::client_class::ClientClass;
@@ -43,6 +44,12 @@
     InFlight(ClientKey),
 }
 
+/// The request that is admitted next.
+struct NextRequest {
+    client: ClientKey,
+    request: RequestId,
+}
+
 /// How long the service tags of an idle client are kept. Without them, a client that returns after a pause would be
 /// queued behind clients that always have requests.
 const IDLE_CLIENT_TTL: TimeDelta = TimeDelta::from_millis(5_000);
@@ -260,7 +267,7 @@
 
     fn admit_next(&mut self, now: Timestamp, decisions: &mut Vec<Decision>) {
         while self.in_flight < self.limits.max_in_flight {
-            let Some((client, request)) = self.next_waiting() else { return };
+            let Some(NextRequest { client, request }) = self.next_waiting() else { return };
             let waited = match self.requests.get(&request) {
                 Some(Request::Waiting { since, .. }) => now - *since,
                 _ => TimeDelta::ZERO,
@@ -273,12 +280,12 @@
     }
 
     /// The next request to admit, by the shares of classes and then of clients within the class.
-    fn next_waiting(&self) -> Option<(ClientKey, RequestId)> {
+    fn next_waiting(&self) -> Option<NextRequest> {
         let waiting = self.queues.iter().filter(|(_, queue)| queue.waiting > 0);
         let (class, queue) = waiting.min_by_key(|(_, queue)| (queue.in_flight_share(), queue.start_tag))?;
         let client = ClientKey { class: class.clone(), address: queue.next_client()? };
         let request = self.flow(&client)?.oldest()?;
-        Some((client, request))
+        Some(NextRequest { client, request })
     }
 
     /// Accounts for a request taken from the queue: advances the virtual times and the start tags of the class and the
--- a/admission/src/concurrency_limiter/types.rs
+++ b/admission/src/concurrency_limiter/types.rs
@@ -99,6 +99,17 @@
     pub retry_after: TimeDelta,
 }
 
+/// Number of requests of one class that were shed for one reason.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ShedCount {
+    /// Name of the class.
+    pub class: Arc<str>,
+    /// Why they were shed.
+    pub reason: ShedReason,
+    /// Requests shed since the start.
+    pub count: u64,
+}
+
 /// An arriving request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
@@ -141,3 +152,21 @@
         self.in_flight + self.waiting
     }
 }
+
+/// Request counts of one class.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ClassRequests {
+    /// Name of the class.
+    pub class: Arc<str>,
+    /// Its requests.
+    pub requests: RequestCounts,
+}
+
+/// Request counts of one client.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ClientRequests {
+    /// The client.
+    pub client: ClientKey,
+    /// Its requests.
+    pub requests: RequestCounts,
+}
--- a/admission/src/concurrency_limiter/views.rs
+++ b/admission/src/concurrency_limiter/views.rs
@@ -1,28 +1,30 @@
 //! Read-only views of the limiter for metrics and the admin socket.
 
 use super::fair_queue::ClassQueue;
-use super::types::{ClientKey, RequestCounts, ShedReason};
+use super::types::{ClassRequests, ClientKey, ClientRequests, RequestCounts, ShedCount};
 use super::ConcurrencyLimiter;
+use std::cmp::Reverse;
 
 impl ConcurrencyLimiter {
     /// Request counts of each class that has any.
-    pub fn requests_by_class(&self) -> impl Iterator<Item = (&str, RequestCounts)> {
+    pub fn requests_by_class(&self) -> impl Iterator<Item = ClassRequests> + '_ {
         let busy = self.queues.iter().filter(|(_, queue)| !queue.is_idle());
-        busy.map(|(name, queue)| {
-            (&**name, RequestCounts { in_flight: queue.in_flight, waiting: queue.waiting })
+        busy.map(|(class, queue)| ClassRequests {
+            class: class.clone(),
+            requests: RequestCounts { in_flight: queue.in_flight, waiting: queue.waiting },
         })
     }
 
     /// The `count` clients with the most requests, in descending order.
-    pub fn top_clients(&self, count: usize) -> Vec<(ClientKey, RequestCounts)> {
-        let mut clients: Vec<(ClientKey, RequestCounts)> = Vec::new();
+    pub fn top_clients(&self, count: usize) -> Vec<ClientRequests> {
+        let mut clients: Vec<ClientRequests> = Vec::new();
         for (class, queue) in &self.queues {
-            clients.extend(queue.busy_flows().map(|(address, flow)| {
-                let counts = RequestCounts { in_flight: flow.in_flight, waiting: flow.waiting() };
-                (ClientKey { class: class.clone(), address }, counts)
+            clients.extend(queue.busy_flows().map(|(address, flow)| ClientRequests {
+                client: ClientKey { class: class.clone(), address },
+                requests: RequestCounts { in_flight: flow.in_flight, waiting: flow.waiting() },
             }));
         }
-        clients.sort_by(|a, b| (b.1.total(), &a.0).cmp(&(a.1.total(), &b.0)));
+        clients.sort_by_cached_key(|entry| (Reverse(entry.requests.total()), entry.client.clone()));
         clients.truncate(count);
         clients
     }
@@ -33,7 +35,12 @@
     }
 
     /// Numbers of requests shed since the start, by class and reason.
-    pub fn shed_counts(&self) -> impl Iterator<Item = (&str, ShedReason, u64)> {
-        self.shed.iter().map(|((name, reason), count)| (&**name, *reason, *count))
+    pub fn shed_counts(&self) -> impl Iterator<Item = ShedCount> + '_ {
+        let shed = self.shed.iter();
+        shed.map(|((class, reason), count)| ShedCount {
+            class: class.clone(),
+            reason: *reason,
+            count: *count,
+        })
     }
 }
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -1,7 +1,7 @@
 //! Connection limiter: admits or rejects new connections by a table of rules, and counts the open ones by class and
 //! address.
 
-use crate::client_address::{AddressPrefixes, AddressTable, ClientAddress};
+use crate::client_address::{AddressConnections, AddressPrefixes, AddressTable, ClientAddress};
 use crate::client_class::{classify, validate, ClassError, ClientClass, DEFAULT_CLASS};
 use crate::concurrency_limiter::ClientKey;
 use crate::retry_after_jitter::RetryAfterJitter;
@@ -100,6 +100,26 @@
     }
 }
 
+/// Number of open connections of one class.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ClassConnections {
+    /// Name of the class.
+    pub class: Arc<str>,
+    /// Its open connections.
+    pub connections: usize,
+}
+
+/// Number of connections of one class that were rejected for one reason.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RejectionCount {
+    /// Name of the class.
+    pub class: Arc<str>,
+    /// Why they were rejected.
+    pub reason: RejectionReason,
+    /// Connections rejected since the start.
+    pub count: u64,
+}
+
 /// Input of the admission decision for a new connection.
 struct Arrival<'a> {
     class: &'a ClientClass,
@@ -294,19 +314,26 @@
         &self.limits.classes
     }
 
-    /// The `count` addresses with the most connections, with their numbers of connections.
-    pub fn top_addresses(&self, count: usize) -> Vec<(ClientAddress, usize)> {
+    /// The `count` addresses with the most connections, in descending order.
+    pub fn top_addresses(&self, count: usize) -> Vec<AddressConnections> {
         self.addresses.top(count)
     }
 
     /// Numbers of open connections by class.
-    pub fn connections_by_class(&self) -> impl Iterator<Item = (&str, usize)> {
-        self.by_class.iter().map(|(name, connections)| (&**name, *connections))
+    pub fn connections_by_class(&self) -> impl Iterator<Item = ClassConnections> + '_ {
+        let by_class = self.by_class.iter();
+        by_class
+            .map(|(class, connections)| ClassConnections { class: class.clone(), connections: *connections })
     }
 
     /// Numbers of connections rejected since the start, by class and reason.
-    pub fn rejections(&self) -> impl Iterator<Item = (&str, RejectionReason, u64)> {
-        self.rejections.iter().map(|((name, reason), count)| (&**name, *reason, *count))
+    pub fn rejections(&self) -> impl Iterator<Item = RejectionCount> + '_ {
+        let rejections = self.rejections.iter();
+        rejections.map(|((class, reason), count)| RejectionCount {
+            class: class.clone(),
+            reason: *reason,
+            count: *count,
+        })
     }
 
     /// Number of addresses with remembered state.
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -20,8 +20,9 @@
 mod retry_after_jitter;
 pub mod retry_budget;
 
-pub use client_address::{AddressPrefixes, ClientAddress};
+pub use client_address::{AddressConnections, AddressPrefixes, ClientAddress};
 pub use client_class::{ClassError, ClientClass, ConnectionRate};
 pub use connection_limiter::{
-    AdmittedConnection, ClassSettings, ConnectionLimiter, Rejection, RejectionReason,
+    AdmittedConnection, ClassConnections, ClassSettings, ConnectionLimiter, Rejection, RejectionCount,
+    RejectionReason,
 };
--- a/admission/tests/concurrency_limiter_model.rs
+++ b/admission/tests/concurrency_limiter_model.rs
@@ -12,6 +12,7 @@
 use proptest_support::seeded_cases;
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 use support::requests::{classes, client, limits, MAX_RETRY_AFTER};
 
 /// The classes that the property test draws clients from.
@@ -176,10 +177,10 @@
 
     /// The limiter's own counts by class agree, and the class with a request limit is within it.
     fn check_counts(&self) -> TestCaseResult {
-        let counts: BTreeMap<&str, (usize, usize)> = self
+        let counts: BTreeMap<Arc<str>, (usize, usize)> = self
             .limiter
             .requests_by_class()
-            .map(|(name, counts)| (name, (counts.in_flight, counts.waiting)))
+            .map(|entry| (entry.class, (entry.requests.in_flight, entry.requests.waiting)))
             .collect();
         let expected = |name: &str| {
             let in_flight = self.in_flight.values().filter(|client| &*client.class == name).count();
--- a/admission/tests/connection_limiter.rs
+++ b/admission/tests/connection_limiter.rs
@@ -6,8 +6,8 @@
 use admission::client_address::{ClientAddress, MAX_REMEMBERED};
 use admission::client_class::{validate, DEFAULT_CLASS};
 use admission::{
-    AddressPrefixes, AdmittedConnection, ClassError, ClientClass, ConnectionLimiter, ConnectionRate,
-    RejectionReason,
+    AddressPrefixes, AdmittedConnection, ClassConnections, ClassError, ClientClass, ConnectionLimiter,
+    ConnectionRate, RejectionReason,
 };
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
@@ -54,7 +54,9 @@
     // What the desk releases beyond its reservation is available to the others as well.
     limiter.release(at(305), admitted.pop().expect("the last one"));
     assert_eq!(reason(&mut limiter, 306, v4(1, 0, 250)), None);
-    assert_eq!(limiter.connections_by_class().collect::<Vec<_>>(), [("desk", 4), (DEFAULT_CLASS, 6)]);
+    let expected = [("desk", 4), (DEFAULT_CLASS, 6)];
+    let expected = expected.map(|(class, connections)| ClassConnections { class: class.into(), connections });
+    assert_eq!(limiter.connections_by_class().collect::<Vec<_>>(), expected);
 }
 
 #[test]
--- a/admission/tests/connection_limiter_model.rs
+++ b/admission/tests/connection_limiter_model.rs
@@ -146,7 +146,7 @@
             Step::Release { nth } => self.release(usize::from(nth)),
             Step::LowerLimit { by } => self.lower_limit(usize::from(by)),
         }
-        let held: usize = self.limiter.connections_by_class().map(|(_, held)| held).sum();
+        let held: usize = self.limiter.connections_by_class().map(|class| class.connections).sum();
         prop_assert_eq!(held, self.connections.len());
         Ok(())
     }
--- a/server/src/admin/client_page.rs
+++ b/server/src/admin/client_page.rs
@@ -6,7 +6,8 @@
 use crate::clients::admission_control::AdmissionSnapshot;
 use crate::messages::snapshot::{QueueSnapshot, MAX_CLIENTS};
 use crate::runtime::terms::{Term, Vocabulary};
-use admission::concurrency_limiter::RequestCounts;
+use admission::concurrency_limiter::{ClientRequests, RequestCounts};
+use std::net::IpAddr;
 
 const CLASS: Term = Term::same("class");
 const ADDRESS: Term = Term::same("address");
@@ -93,9 +94,9 @@
         .collect();
     let connected = admission.into_iter().flat_map(|admission| &admission.connections);
     let requesting = queue.into_iter().flat_map(|queue| &queue.classes);
-    let names = connected.map(|(class, _)| class).chain(requesting.map(|(class, _)| class));
+    let names = connected.map(|entry| &entry.class).chain(requesting.map(|entry| &entry.class));
     for name in names {
-        if !rows.iter().any(|row| row.name == name) {
+        if !rows.iter().any(|row| row.name == &**name) {
             rows.push(ClassRow { name, reserved: 0, max_connections: None });
         }
     }
@@ -104,25 +105,25 @@
 
 fn connections_of(admission: Option<&AdmissionSnapshot>, class: &str) -> usize {
     let connections = admission.into_iter().flat_map(|admission| &admission.connections);
-    let mut of_class = connections.filter(|(name, _)| name == class);
-    of_class.next().map_or(0, |(_, count)| *count)
+    let mut of_class = connections.filter(|entry| &*entry.class == class);
+    of_class.next().map_or(0, |entry| entry.connections)
 }
 
 fn requests_of(queue: Option<&QueueSnapshot>, class: &str) -> RequestCounts {
     let requests = queue.into_iter().flat_map(|queue| &queue.classes);
-    let mut of_class = requests.filter(|(name, _)| name == class);
-    of_class.next().map(|(_, counts)| *counts).unwrap_or_default()
+    let mut of_class = requests.filter(|entry| &*entry.class == class);
+    of_class.next().map(|entry| entry.requests).unwrap_or_default()
 }
 
 fn connection_tables(admission: &AdmissionSnapshot, vocabulary: Vocabulary) -> String {
     let mut top = Table::new(&ADDRESS_COLUMNS, vocabulary);
-    for (address, connections) in &admission.top_addresses {
-        top.push([address.to_string(), connections.to_string()]);
+    for entry in &admission.top_addresses {
+        top.push([IpAddr::from(entry.address).to_string(), entry.connections.to_string()]);
     }
     let mut rejected = Table::new(&REJECTION_COLUMNS, vocabulary);
-    for (class, reason, count) in &admission.rejections {
-        let reason = rejection_term(*reason).word(vocabulary);
-        rejected.push([class.clone(), count.to_string(), reason.into()]);
+    for entry in &admission.rejections {
+        let reason = rejection_term(entry.reason).word(vocabulary);
+        rejected.push([entry.class.to_string(), entry.count.to_string(), reason.into()]);
     }
     let (handshakes, remembered) = (admission.handshakes, admission.remembered_addresses);
     let queue = IN_HANDSHAKE_QUEUE.word(vocabulary);
@@ -131,15 +132,15 @@
 
 fn request_tables(queue: &QueueSnapshot, vocabulary: Vocabulary) -> String {
     let mut top = Table::new(&CLIENT_COLUMNS, vocabulary);
-    for client in &queue.top_clients {
-        let (in_flight, waiting) = (client.requests.in_flight, client.requests.waiting);
-        let address = client.address.to_string();
-        top.push([client.class.clone(), address, in_flight.to_string(), waiting.to_string()]);
+    for ClientRequests { client, requests } in &queue.top_clients {
+        let (in_flight, waiting) = (requests.in_flight, requests.waiting);
+        let address = IpAddr::from(client.address).to_string();
+        top.push([client.class.to_string(), address, in_flight.to_string(), waiting.to_string()]);
     }
     let mut shed = Table::new(&SHED_COLUMNS, vocabulary);
-    for (class, reason, count) in &queue.shed {
-        let reason = shed_term(*reason).word(vocabulary);
-        shed.push([class.clone(), count.to_string(), reason.into()]);
+    for entry in &queue.shed {
+        let reason = shed_term(entry.reason).word(vocabulary);
+        shed.push([entry.class.to_string(), entry.count.to_string(), reason.into()]);
     }
     format!("\n{top}\n{shed}")
 }
--- a/server/src/admin/limits_page.rs
+++ b/server/src/admin/limits_page.rs
@@ -42,8 +42,8 @@
 }
 
 fn push_queue_limits(table: &mut Table, queue: &QueueSnapshot, vocabulary: Vocabulary) {
-    let in_flight: usize = queue.classes.iter().map(|(_, requests)| requests.in_flight).sum();
-    let waiting: usize = queue.classes.iter().map(|(_, requests)| requests.waiting).sum();
+    let in_flight: usize = queue.classes.iter().map(|class| class.requests.in_flight).sum();
+    let waiting: usize = queue.classes.iter().map(|class| class.requests.waiting).sum();
     let limits = &queue.limits;
     let first_attempts = FIRST_ATTEMPTS.word(vocabulary);
     let retries = limits.retry_percent.map(|percent| format!("{percent}% of {first_attempts}"));
--- a/server/src/admin/metrics_page.rs
+++ b/server/src/admin/metrics_page.rs
@@ -3,6 +3,8 @@
 use crate::admin::metric_names::{metric_names, with_standard_names};
 use crate::admin::view::{AdminView, DESCRIPTOR_CLASSES};
 use crate::messages::snapshot::ServerSnapshot;
+use admission::concurrency_limiter::ClassRequests;
+use admission::ClassConnections;
 use metrics::gauge;
 use metrics_exporter_prometheus::PrometheusHandle;
 
@@ -28,7 +30,7 @@
     fn set_connection_gauges(&self) {
         gauge!("gingerwick_sessions").set(self.shutdown.connections() as f64);
         let Some(admission) = &self.admission else { return };
-        for (class, connections) in admission.snapshot(0).connections {
+        for ClassConnections { class, connections } in admission.snapshot(0).connections {
             gauge!("gingerwick_connections", "class" => class).set(connections as f64);
         }
     }
@@ -36,7 +38,7 @@
 
 fn set_request_gauges(snapshot: ServerSnapshot) {
     gauge!("gingerwick_rpcs_open").set(snapshot.open_requests as f64);
-    for (class, requests) in snapshot.queue.into_iter().flat_map(|queue| queue.classes) {
+    for ClassRequests { class, requests } in snapshot.queue.into_iter().flat_map(|queue| queue.classes) {
         gauge!("gingerwick_rpcs_under_way", "class" => class.clone()).set(requests.in_flight as f64);
         gauge!("gingerwick_rpcs_waiting", "class" => class).set(requests.waiting as f64);
     }
--- a/server/src/admin/request_page.rs
+++ b/server/src/admin/request_page.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::table::{format_delta, Table, EMPTY_CELL};
 use crate::admin::view::{AdminView, PageError};
-use crate::messages::snapshot::{RequestSnapshot, MAX_REQUESTS};
+use crate::messages::snapshot::{RequestSnapshot, WaitingRequest, MAX_REQUESTS};
 use crate::runtime::terms::{Term, Vocabulary};
 use routing::time::Timestamp;
 
@@ -28,8 +28,8 @@
         let snapshot = self.snapshot()?;
         let mut table = Table::new(&COLUMNS, vocabulary);
         let waiting = snapshot.queue.iter().flat_map(|queue| &queue.waiting);
-        for (id, received_at) in waiting.clone().take(MAX_REQUESTS) {
-            table.push(waiting_cells(id, *received_at, snapshot.now, vocabulary));
+        for request in waiting.clone().take(MAX_REQUESTS) {
+            table.push(waiting_cells(request, snapshot.now, vocabulary));
         }
         for request in &snapshot.requests {
             table.push(self.request_cells(request, snapshot.now, vocabulary));
@@ -56,13 +56,12 @@
 }
 
 fn waiting_cells(
-    id: &str,
-    received_at: Timestamp,
+    request: &WaitingRequest,
     now: Timestamp,
     vocabulary: Vocabulary,
 ) -> [String; COLUMNS.len()] {
-    let age = format_delta(now - received_at);
-    [id, EMPTY_CELL, EMPTY_CELL, &age, "0", QUEUED.word(vocabulary)].map(String::from)
+    let age = format_delta(now - request.received_at);
+    [request.id.as_str(), EMPTY_CELL, EMPTY_CELL, &age, "0", QUEUED.word(vocabulary)].map(String::from)
 }
 
 fn request_state(request: &RequestSnapshot, now: Timestamp, vocabulary: Vocabulary) -> String {
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -10,7 +10,8 @@
 use admission::connection_limiter::ConnectionLimits;
 use admission::handshake_queue::{Enqueued, HandshakeId, HandshakeQueue};
 use admission::{
-    AdmittedConnection, ClassError, ClassSettings, ClientClass, ConnectionLimiter, Rejection, RejectionReason,
+    AddressConnections, AdmittedConnection, ClassConnections, ClassError, ClassSettings, ClientClass,
+    ConnectionLimiter, Rejection, RejectionCount,
 };
 use routing::time::TimeDelta;
 use std::collections::HashMap;
@@ -127,11 +128,11 @@
     /// The configured client classes.
     pub classes: Vec<ClientClass>,
     /// Open connections by class.
-    pub connections: Vec<(String, usize)>,
-    /// Connections rejected since the start: class, reason, count.
-    pub rejections: Vec<(String, RejectionReason, u64)>,
+    pub connections: Vec<ClassConnections>,
+    /// Connections rejected since the start, by class and reason.
+    pub rejections: Vec<RejectionCount>,
     /// The addresses with the most connections.
-    pub top_addresses: Vec<(IpAddr, usize)>,
+    pub top_addresses: Vec<AddressConnections>,
     /// Connections in the handshake queue.
     pub handshakes: usize,
     /// Addresses for which the limiter holds state.
@@ -223,15 +224,11 @@
     pub fn snapshot(&self, top_addresses: usize) -> AdmissionSnapshot {
         let state = self.lock();
         let limiter = &state.limiter;
-        let connections = limiter.connections_by_class().map(|(class, count)| (class.to_string(), count));
-        let rejections =
-            limiter.rejections().map(|(class, reason, count)| (class.to_string(), reason, count));
-        let top = limiter.top_addresses(top_addresses).into_iter();
         AdmissionSnapshot {
             classes: limiter.classes().to_vec(),
-            connections: connections.collect(),
-            rejections: rejections.collect(),
-            top_addresses: top.map(|(address, count)| (address.into(), count)).collect(),
+            connections: limiter.connections_by_class().collect(),
+            rejections: limiter.rejections().collect(),
+            top_addresses: limiter.top_addresses(top_addresses),
             handshakes: state.handshakes.len(),
             remembered_addresses: limiter.remembered_addresses(),
         }
@@ -240,10 +237,11 @@
     /// The open and the rejected connections by class, as one line of text.
     pub fn summary(&self) -> String {
         let snapshot = self.snapshot(0);
-        let connections = snapshot.connections.iter().map(|(class, count)| format!("{class} {count}"));
+        let connections = snapshot.connections.iter();
+        let connections = connections.map(|entry| format!("{} {}", entry.class, entry.connections));
         let rejections = snapshot.rejections.iter();
         let rejections =
-            rejections.map(|(class, reason, count)| format!("{class} {count} ({})", reason.message()));
+            rejections.map(|entry| format!("{} {} ({})", entry.class, entry.count, entry.reason.message()));
         let connections: Vec<String> = connections.collect();
         let rejections: Vec<String> = rejections.collect();
         format!(
--- a/server/src/control/request_queue.rs
+++ b/server/src/control/request_queue.rs
@@ -2,11 +2,10 @@
 
 use crate::messages::control::{IncomingRequest, QueueLimits};
 use crate::messages::response::Response;
-use crate::messages::snapshot::{ClientRequests, QueueSnapshot};
+use crate::messages::snapshot::{QueueSnapshot, WaitingRequest};
 use admission::concurrency_limiter::{Arrival, ConcurrencyLimiter, Decision, LoadShed, RequestId};
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::HashMap;
-use std::net::IpAddr;
 
 /// The table of waiting requests is not shrunk below this capacity.
 const MIN_CAPACITY: usize = 1_024;
@@ -138,22 +137,16 @@
     /// The present state, with the `top_clients` clients that have the most requests.
     pub fn snapshot(&self, top_clients: usize) -> QueueSnapshot {
         let limiter = &self.limiter;
-        let classes = limiter.requests_by_class().map(|(class, counts)| (class.to_string(), counts));
-        let shed = limiter.shed_counts().map(|(class, reason, count)| (class.to_string(), reason, count));
-        let clients = limiter.top_clients(top_clients).into_iter().map(|(client, requests)| ClientRequests {
-            class: client.class.to_string(),
-            address: IpAddr::from(client.address),
-            requests,
+        let waiting = self.waiting.values().map(|queued| WaitingRequest {
+            id: queued.incoming.header.identity.id.to_string(),
+            received_at: queued.received_at,
         });
-        let waiting = self.waiting.values();
         QueueSnapshot {
             limits: limiter.limits(),
-            classes: classes.collect(),
-            shed: shed.collect(),
-            top_clients: clients.collect(),
-            waiting: waiting
-                .map(|queued| (queued.incoming.header.identity.id.to_string(), queued.received_at))
-                .collect(),
+            classes: limiter.requests_by_class().collect(),
+            shed: limiter.shed_counts().collect(),
+            top_clients: limiter.top_clients(top_clients),
+            waiting: waiting.collect(),
         }
     }
 }
--- a/server/src/messages/snapshot.rs
+++ b/server/src/messages/snapshot.rs
@@ -1,10 +1,10 @@
 //! Snapshots of the control loop for the admin socket.
 
 use crate::messages::request::RequestIdentity;
-use admission::concurrency_limiter::{ConcurrencyLimits, RequestCounts, ShedReason};
+use admission::concurrency_limiter::{ClassRequests, ClientRequests, ConcurrencyLimits, ShedCount};
 use routing::time::Timestamp;
 use routing::EndpointSnapshot;
-use std::net::{IpAddr, SocketAddr};
+use std::net::SocketAddr;
 
 /// The maximum number of requests in a snapshot; the oldest are kept.
 pub const MAX_REQUESTS: usize = 200;
@@ -52,24 +52,22 @@
     /// The limits on requests.
     pub limits: ConcurrencyLimits,
     /// The requests of each client class.
-    pub classes: Vec<(String, RequestCounts)>,
+    pub classes: Vec<ClassRequests>,
     /// Requests shed since the start, by class and reason.
-    pub shed: Vec<(String, ShedReason, u64)>,
+    pub shed: Vec<ShedCount>,
     /// The clients with the most requests.
     pub top_clients: Vec<ClientRequests>,
-    /// The waiting requests: their ids, and when they were received.
-    pub waiting: Vec<(String, Timestamp)>,
+    /// The waiting requests.
+    pub waiting: Vec<WaitingRequest>,
 }
 
-/// The requests of one client.
+/// A request that waits in the queue.
 #[derive(Debug)]
-pub struct ClientRequests {
-    /// The client's class.
-    pub class: String,
-    /// The client's address.
-    pub address: IpAddr,
-    /// The numbers of the client's requests.
-    pub requests: RequestCounts,
+pub struct WaitingRequest {
+    /// The request's id, as the client knows it.
+    pub id: String,
+    /// When the control loop received the request.
+    pub received_at: Timestamp,
 }
 
 /// The state of the control loop.
--- a/server/tests/operator_pages/fixture.rs
+++ b/server/tests/operator_pages/fixture.rs
@@ -1,8 +1,10 @@
 //! An admin socket over a control loop that always gives the same snapshot.
 
 use crate::events::count_events;
-use admission::concurrency_limiter::{ConcurrencyLimits, RequestCounts, ShedReason};
-use admission::{AddressPrefixes, ClassSettings, ClientClass};
+use admission::concurrency_limiter::{
+    ClassRequests, ClientKey, ClientRequests, ConcurrencyLimits, RequestCounts, ShedCount, ShedReason,
+};
+use admission::{AddressPrefixes, ClassSettings, ClientAddress, ClientClass};
 use may::sync::mpsc::{channel, Sender};
 use routing::time::{TimeDelta, Timestamp};
 use routing::{CapacitySnapshot, EndpointSnapshot, ReportSnapshot};
@@ -13,7 +15,7 @@
 use server::messages::control::ControlMessage;
 use server::messages::request::RequestIdentity;
 use server::messages::snapshot::{
-    ClientRequests, EndpointRow, InFlightAt, QueueSnapshot, RequestSnapshot, ServerSnapshot,
+    EndpointRow, InFlightAt, QueueSnapshot, RequestSnapshot, ServerSnapshot, WaitingRequest,
 };
 use server::runtime::clock::{Clock, Timers};
 use server::runtime::metrics::install_recorder;
@@ -161,6 +163,8 @@
 
 fn queue_snapshot() -> QueueSnapshot {
     let requests = RequestCounts { in_flight: 2, waiting: 1 };
+    let address = ClientAddress::new(IpAddr::from(CLIENT), AddressPrefixes::default());
+    let client = ClientKey { class: "desk".into(), address };
     QueueSnapshot {
         limits: ConcurrencyLimits {
             max_in_flight: 8,
@@ -168,13 +172,13 @@
             target_wait: TimeDelta::from_millis(30),
             retry_percent: Some(10),
         },
-        classes: vec![("desk".into(), requests)],
+        classes: vec![ClassRequests { class: "desk".into(), requests }],
         shed: ShedReason::ALL
             .iter()
             .zip(1..)
-            .map(|(reason, count)| ("desk".into(), *reason, count))
+            .map(|(reason, count)| ShedCount { class: "desk".into(), reason: *reason, count })
             .collect(),
-        top_clients: vec![ClientRequests { class: "desk".into(), address: IpAddr::from(CLIENT), requests }],
-        waiting: vec![("b1".into(), Timestamp(NOW.0 - 7_000_000))],
+        top_clients: vec![ClientRequests { client, requests }],
+        waiting: vec![WaitingRequest { id: "b1".into(), received_at: Timestamp(NOW.0 - 7_000_000) }],
     }
 }
