--- a/admission/src/concurrency_limiter/arrival_table.rs
+++ b/admission/src/concurrency_limiter/arrival_table.rs
@@ -28,19 +28,29 @@
     Shed(ShedReason),
 }
 
-type Rule = (fn(&Case) -> bool, Step);
+/// In the cases that `matches` accepts, the decision is `step`.
+struct Rule {
+    matches: fn(&Case) -> bool,
+    step: Step,
+}
 
 /// The first rule that matches applies.
 const RULES: &[Rule] = &[
-    (|case| case.is_retry && !case.within_retry_budget, Step::Shed(ShedReason::RetryBudget)),
-    (|case| case.class_requests >= case.max_class_requests, Step::Shed(ShedReason::ClassLimit)),
-    (|case| case.in_flight < case.max_in_flight, Step::Admit),
-    (|case| case.waiting < case.max_waiting, Step::Wait),
-    (|case| case.queue_share < case.max_queue_share, Step::Displace),
-    (|_| true, Step::Shed(ShedReason::QueueFull)),
+    Rule {
+        matches: |case| case.is_retry && !case.within_retry_budget,
+        step: Step::Shed(ShedReason::RetryBudget),
+    },
+    Rule {
+        matches: |case| case.class_requests >= case.max_class_requests,
+        step: Step::Shed(ShedReason::ClassLimit),
+    },
+    Rule { matches: |case| case.in_flight < case.max_in_flight, step: Step::Admit },
+    Rule { matches: |case| case.waiting < case.max_waiting, step: Step::Wait },
+    Rule { matches: |case| case.queue_share < case.max_queue_share, step: Step::Displace },
+    Rule { matches: |_| true, step: Step::Shed(ShedReason::QueueFull) },
 ];
 
 /// Decides on an arriving request.
 pub fn decide(case: &Case) -> Step {
-    RULES.iter().find(|(matches, _)| matches(case)).map_or(Step::Admit, |(_, step)| *step)
+    RULES.iter().find(|rule| (rule.matches)(case)).map_or(Step::Admit, |rule| rule.step)
 }
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -136,26 +136,40 @@
     capacity: usize,
 }
 
-/// A reason to reject a connection, and whether it applies.
-type Rule = (RejectionReason, fn(&Arrival) -> bool);
+/// A reason to reject a connection.
+struct Rule {
+    /// Whether the connection is rejected for this reason.
+    applies: fn(&Arrival) -> bool,
+    reason: RejectionReason,
+}
 
 /// The first rule that applies rejects the connection; if none does, the connection is admitted.
 const REJECTION_RULES: &[Rule] = &[
-    (RejectionReason::Rate, |arrival| arrival.wait > TimeDelta::ZERO),
-    (RejectionReason::AddressLimit, |arrival| {
-        arrival.class.max_per_address.is_some_and(|max| arrival.address_connections >= max)
-    }),
-    (RejectionReason::ClassLimit, |arrival| {
-        arrival.class.max_connections.is_some_and(|max| arrival.class_connections >= max)
-    }),
+    Rule { applies: |arrival| arrival.wait > TimeDelta::ZERO, reason: RejectionReason::Rate },
+    Rule {
+        applies: |arrival| {
+            arrival.class.max_per_address.is_some_and(|max| arrival.address_connections >= max)
+        },
+        reason: RejectionReason::AddressLimit,
+    },
+    Rule {
+        applies: |arrival| arrival.class.max_connections.is_some_and(|max| arrival.class_connections >= max),
+        reason: RejectionReason::ClassLimit,
+    },
     // Within its own reservation, a class is rejected only when the server is full.
-    (RejectionReason::Reserved, |arrival| {
-        arrival.class_connections < arrival.class.reserved && arrival.connections >= arrival.capacity
-    }),
-    (RejectionReason::Reserved, |arrival| {
-        let claimed = arrival.connections + arrival.reserved_for_others;
-        arrival.class_connections >= arrival.class.reserved && claimed >= arrival.capacity
-    }),
+    Rule {
+        applies: |arrival| {
+            arrival.class_connections < arrival.class.reserved && arrival.connections >= arrival.capacity
+        },
+        reason: RejectionReason::Reserved,
+    },
+    Rule {
+        applies: |arrival| {
+            let claimed = arrival.connections + arrival.reserved_for_others;
+            arrival.class_connections >= arrival.class.reserved && claimed >= arrival.capacity
+        },
+        reason: RejectionReason::Reserved,
+    },
 ];
 
 /// Client classes, and how connections are assigned to clients.
@@ -251,8 +265,8 @@
         let address = ClientAddress::new(from, self.limits.prefixes);
         let arrival = self.arrival(now, class, address);
         let (name, rate, wait) = (class.name.clone(), class.rate, arrival.wait);
-        if let Some((reason, _)) = REJECTION_RULES.iter().find(|(_, applies)| applies(&arrival)) {
-            return Err(self.reject(now, *reason, name, wait));
+        if let Some(rule) = REJECTION_RULES.iter().find(|rule| (rule.applies)(&arrival)) {
+            return Err(self.reject(now, rule.reason, name, wait));
         }
         self.addresses.connected(now, address, rate);
         *self.by_class.entry(name.clone()).or_default() += 1;
--- a/recovery/src/discovery_incarnation.rs
+++ b/recovery/src/discovery_incarnation.rs
@@ -53,17 +53,30 @@
     unconfirmed: bool,
 }
 
-type Rule = (fn(&IncarnationTracker, &OfferedList, Timestamp) -> bool, ListDecision);
+/// A list that `matches` accepts, received at the given time, gets this decision.
+struct Rule {
+    matches: fn(&IncarnationTracker, &OfferedList, Timestamp) -> bool,
+    decision: ListDecision,
+}
 
 /// The first rule that matches applies.
 const RULES: &[Rule] = &[
     // An empty list after a start from the cache means that discovery has lost its data.
-    (|tracker, list, _| tracker.unconfirmed && list.complete && list.empty, ListDecision::Ignore),
-    (|tracker, list, _| list.version > tracker.version, ListDecision::Accept),
-    (|tracker, list, _| list.version == tracker.version && list.complete, ListDecision::Accept),
-    (|_, list, _| !list.complete || list.empty, ListDecision::Ignore),
-    (|tracker, list, now| tracker.confirms_suspicion(list, now), ListDecision::Accept),
-    (|_, _, _| true, ListDecision::Suspect),
+    Rule {
+        matches: |tracker, list, _| tracker.unconfirmed && list.complete && list.empty,
+        decision: ListDecision::Ignore,
+    },
+    Rule { matches: |tracker, list, _| list.version > tracker.version, decision: ListDecision::Accept },
+    Rule {
+        matches: |tracker, list, _| list.version == tracker.version && list.complete,
+        decision: ListDecision::Accept,
+    },
+    Rule { matches: |_, list, _| !list.complete || list.empty, decision: ListDecision::Ignore },
+    Rule {
+        matches: |tracker, list, now| tracker.confirms_suspicion(list, now),
+        decision: ListDecision::Accept,
+    },
+    Rule { matches: |_, _, _| true, decision: ListDecision::Suspect },
 ];
 
 impl IncarnationTracker {
@@ -91,8 +104,8 @@
 
     /// Decides on a list received at `now`.
     pub fn offer(&mut self, now: Timestamp, list: OfferedList) -> ListDecision {
-        let rule = RULES.iter().find(|(matches, _)| matches(self, &list, now));
-        let decision = rule.map_or(ListDecision::Ignore, |(_, decision)| *decision);
+        let rule = RULES.iter().find(|rule| (rule.matches)(self, &list, now));
+        let decision = rule.map_or(ListDecision::Ignore, |rule| rule.decision);
         match decision {
             ListDecision::Accept => *self = IncarnationTracker::new(list.version, false),
             ListDecision::Suspect => {
--- a/recovery/src/endpoint_state.rs
+++ b/recovery/src/endpoint_state.rs
@@ -53,8 +53,22 @@
     Withdraw,
 }
 
-/// A transition rule: the condition on the current state, the event, the next state and the effect.
-type Rule = (fn(EndpointState) -> bool, EndpointEvent, EndpointState, Effect);
+/// Result of an event.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Transition {
+    /// The new state.
+    pub state: EndpointState,
+    /// The notification that the routing policy requires.
+    pub effect: Effect,
+}
+
+/// A transition rule: in a state that `from` matches, the event `on` leads to the state `to`, with this effect.
+struct Rule {
+    from: fn(EndpointState) -> bool,
+    on: EndpointEvent,
+    to: EndpointState,
+    effect: Effect,
+}
 
 fn any(_: EndpointState) -> bool {
     true
@@ -79,23 +93,63 @@
 /// The first rule that matches applies. An identified endpoint that stops answering is not withdrawn, since the
 /// routing policy ejects it; only an endpoint with a wrong identity or one that is no longer listed is withdrawn.
 const RULES: &[Rule] = &[
-    (removed, EndpointEvent::Listed, EndpointState::NotAnswered, Effect::Nothing),
-    (removed, EndpointEvent::Unlisted, EndpointState::Removed, Effect::Nothing),
-    (any, EndpointEvent::Unlisted, EndpointState::Removed, Effect::Withdraw),
-    (identified, EndpointEvent::AnsweredAsAnother, EndpointState::WrongIdentity, Effect::Withdraw),
-    (unidentified, EndpointEvent::Answered, EndpointState::Identified, Effect::Admit),
-    (identified, EndpointEvent::Answered, EndpointState::Identified, Effect::Nothing),
-    (unidentified, EndpointEvent::AnsweredAsAnother, EndpointState::WrongIdentity, Effect::Nothing),
-    (unidentified, EndpointEvent::AnsweredAnonymously, EndpointState::Anonymous, Effect::Nothing),
-    (identified, EndpointEvent::AnsweredAnonymously, EndpointState::Identified, Effect::Nothing),
-    (listed, EndpointEvent::NoAnswer, EndpointState::Silent, Effect::Nothing),
-    (listed, EndpointEvent::ConnectionRefused, EndpointState::Refusing, Effect::Nothing),
+    Rule {
+        from: removed,
+        on: EndpointEvent::Listed,
+        to: EndpointState::NotAnswered,
+        effect: Effect::Nothing,
+    },
+    Rule { from: removed, on: EndpointEvent::Unlisted, to: EndpointState::Removed, effect: Effect::Nothing },
+    Rule { from: any, on: EndpointEvent::Unlisted, to: EndpointState::Removed, effect: Effect::Withdraw },
+    Rule {
+        from: identified,
+        on: EndpointEvent::AnsweredAsAnother,
+        to: EndpointState::WrongIdentity,
+        effect: Effect::Withdraw,
+    },
+    Rule {
+        from: unidentified,
+        on: EndpointEvent::Answered,
+        to: EndpointState::Identified,
+        effect: Effect::Admit,
+    },
+    Rule {
+        from: identified,
+        on: EndpointEvent::Answered,
+        to: EndpointState::Identified,
+        effect: Effect::Nothing,
+    },
+    Rule {
+        from: unidentified,
+        on: EndpointEvent::AnsweredAsAnother,
+        to: EndpointState::WrongIdentity,
+        effect: Effect::Nothing,
+    },
+    Rule {
+        from: unidentified,
+        on: EndpointEvent::AnsweredAnonymously,
+        to: EndpointState::Anonymous,
+        effect: Effect::Nothing,
+    },
+    Rule {
+        from: identified,
+        on: EndpointEvent::AnsweredAnonymously,
+        to: EndpointState::Identified,
+        effect: Effect::Nothing,
+    },
+    Rule { from: listed, on: EndpointEvent::NoAnswer, to: EndpointState::Silent, effect: Effect::Nothing },
+    Rule {
+        from: listed,
+        on: EndpointEvent::ConnectionRefused,
+        to: EndpointState::Refusing,
+        effect: Effect::Nothing,
+    },
 ];
 
-/// The next state after an event and the effect of the transition, if a rule matches.
-pub fn next(state: EndpointState, event: EndpointEvent) -> Option<(EndpointState, Effect)> {
-    let rule = RULES.iter().find(|(from, on, ..)| from(state) && *on == event);
-    rule.map(|(_, _, to, effect)| (*to, *effect))
+/// The transition that an event causes, if a rule matches.
+pub fn next(state: EndpointState, event: EndpointEvent) -> Option<Transition> {
+    let rule = RULES.iter().find(|rule| (rule.from)(state) && rule.on == event)?;
+    Some(Transition { state: rule.to, effect: rule.effect })
 }
 
 /// Role, position and timeline that an endpoint reported in one answer.
--- a/recovery/src/primary_discovery/events.rs
+++ b/recovery/src/primary_discovery/events.rs
@@ -1,7 +1,7 @@
 //! Events that the host passes to primary discovery, and actions that the host carries out.
 
 use crate::endpoint_state::RoleReport;
-use crate::primary_verification::MinimumPosition;
+use crate::primary_verification::GroupMinimum;
 use routing::time::Timestamp;
 use routing::{EndpointIndex, EndpointReport, GroupIndex, PrimaryEligibility};
 
@@ -44,7 +44,7 @@
         /// The listed endpoints.
         members: Vec<Member>,
         /// Lower bounds on the timelines and positions of groups, as saved with the list.
-        minimum_positions: Vec<(GroupIndex, MinimumPosition)>,
+        minimum_positions: Vec<GroupMinimum>,
     },
     /// Discovery has provided a complete list or a set of changes.
     Listed {
--- a/recovery/src/primary_discovery/mod.rs
+++ b/recovery/src/primary_discovery/mod.rs
@@ -6,9 +6,11 @@
 
 pub use events::{Action, Event, Identity, Member, QueryFailure};
 
-use crate::endpoint_state::{self, Effect, EndpointEvent, EndpointState, RecoveringEndpoint, RoleReport};
+use crate::endpoint_state::{
+    self, Effect, EndpointEvent, EndpointState, RecoveringEndpoint, RoleReport, Transition,
+};
 use crate::group_state::{self, GroupEvent, GroupState};
-use crate::primary_verification::{verify, GroupEvidence, MinimumPosition, Verification};
+use crate::primary_verification::{verify, GroupEvidence, GroupMinimum, MinimumPosition, Verification};
 use crate::query_schedule::QuerySchedule;
 use crate::staleness::{verification_level, CacheTimes, VerificationLevel};
 use routing::time::Timestamp;
@@ -137,16 +139,11 @@
         actions.append(&mut self.actions);
     }
 
-    fn on_cached_list(
-        &mut self,
-        now: Timestamp,
-        members: &[Member],
-        minimum_positions: Vec<(GroupIndex, MinimumPosition)>,
-    ) {
+    fn on_cached_list(&mut self, now: Timestamp, members: &[Member], minimum_positions: Vec<GroupMinimum>) {
         for member in members {
             self.add_member(now, *member);
         }
-        for (group, minimum) in minimum_positions {
+        for GroupMinimum { group, minimum } in minimum_positions {
             self.ensure_group(group);
             self.groups[group].minimum = minimum;
         }
@@ -306,7 +303,7 @@
 
     fn endpoint_event(&mut self, index: EndpointIndex, event: EndpointEvent) {
         let Some(endpoint) = self.endpoints.get_mut(index) else { return };
-        let Some((state, effect)) = endpoint_state::next(endpoint.state, event) else { return };
+        let Some(Transition { state, effect }) = endpoint_state::next(endpoint.state, event) else { return };
         endpoint.state = state;
         match effect {
             Effect::Nothing => {}
--- a/recovery/src/primary_verification.rs
+++ b/recovery/src/primary_verification.rs
@@ -9,7 +9,7 @@
 use crate::endpoint_state::{EndpointState, RecoveringEndpoint};
 use crate::staleness::VerificationLevel;
 use routing::time::{TimeDelta, Timestamp};
-use routing::{EndpointIndex, Role};
+use routing::{EndpointIndex, GroupIndex, Role};
 
 /// The timeline and position that a group had reached before this start. The true primary is not below them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -20,6 +20,15 @@
     pub position: Option<Timestamp>,
 }
 
+/// The minimum position of one group.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct GroupMinimum {
+    /// The group.
+    pub group: GroupIndex,
+    /// The timeline and position that it had reached.
+    pub minimum: MinimumPosition,
+}
+
 /// Result of evaluating the members' claims to be primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verification {
--- a/recovery/tests/primary_verification.rs
+++ b/recovery/tests/primary_verification.rs
@@ -6,7 +6,7 @@
 use recovery::endpoint_state::RoleReport;
 use recovery::group_state::GroupState;
 use recovery::primary_discovery::{Event, QueryFailure};
-use recovery::primary_verification::MinimumPosition;
+use recovery::primary_verification::{GroupMinimum, MinimumPosition};
 use routing::PrimaryEligibility::{NoMember, Only};
 use routing::{EndpointReport, Role};
 use support::{at, primary, replica, without_timeline, Fixture, DAY, FRESH, START};
@@ -127,7 +127,10 @@
 fn a_report_below_the_cached_minimum_position_is_no_evidence() {
     let mut fixture = Fixture::new(1, FRESH);
     let minimum = MinimumPosition { timeline: Some(3), position: Some(at(START - 5_000)) };
-    fixture.handle(Event::CachedList { members: Vec::new(), minimum_positions: vec![(0, minimum)] });
+    fixture.handle(Event::CachedList {
+        members: Vec::new(),
+        minimum_positions: vec![GroupMinimum { group: 0, minimum }],
+    });
     for report in [primary(START, 2), primary(START - 6_000, 3)] {
         let behind = RoleReport { timeline: report.timeline, ..replica(START - 7_000, 1) };
         fixture.answer_in_order([report, behind, behind]);
--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -16,17 +16,37 @@
     Nothing,
 }
 
-/// From this phase, on an event that matches, to that phase, with this step.
-type Transition = (RequestPhase, fn(RequestEvent) -> bool, RequestPhase, Step);
+/// In the phase `from`, an event that `on` matches leads to the phase `to`, and then to `step`.
+struct Transition {
+    from: RequestPhase,
+    on: fn(RequestEvent) -> bool,
+    to: RequestPhase,
+    step: Step,
+}
 
 const TRANSITIONS: &[Transition] = &[
-    (Waiting, |event| event == Progress, Waiting, Step::SelectEndpoint),
-    (Waiting, |event| matches!(event, EndpointSelected(_)), InFlight, Step::StartAttempt),
-    (Waiting, |event| matches!(event, NoProspect | AnswerDue), Done, Step::GiveUp),
-    (Waiting, |event| event == Closed, Done, Step::Nothing),
-    (InFlight, |event| event == AttemptFailed, Waiting, Step::SelectEndpoint),
-    (InFlight, |event| event == AnswerDue, Done, Step::GiveUp),
-    (InFlight, |event| event == Closed, Done, Step::Nothing),
+    Transition { from: Waiting, on: |event| event == Progress, to: Waiting, step: Step::SelectEndpoint },
+    Transition {
+        from: Waiting,
+        on: |event| matches!(event, EndpointSelected(_)),
+        to: InFlight,
+        step: Step::StartAttempt,
+    },
+    Transition {
+        from: Waiting,
+        on: |event| matches!(event, NoProspect | AnswerDue),
+        to: Done,
+        step: Step::GiveUp,
+    },
+    Transition { from: Waiting, on: |event| event == Closed, to: Done, step: Step::Nothing },
+    Transition {
+        from: InFlight,
+        on: |event| event == AttemptFailed,
+        to: Waiting,
+        step: Step::SelectEndpoint,
+    },
+    Transition { from: InFlight, on: |event| event == AnswerDue, to: Done, step: Step::GiveUp },
+    Transition { from: InFlight, on: |event| event == Closed, to: Done, step: Step::Nothing },
 ];
 
 /// Factor of a method's quick latency: the time that another attempt needs to be of use.
@@ -89,9 +109,9 @@
         while let Some(event) = next {
             let Some(request) = self.requests.get_mut(&id) else { return };
             let phase = request.phase;
-            let row = TRANSITIONS.iter().find(|(from, on, ..)| *from == phase && on(event));
-            let Some((_, _, to, step)) = row else { return };
-            request.phase = *to;
+            let transition = TRANSITIONS.iter().find(|row| row.from == phase && (row.on)(event));
+            let Some(&Transition { to, step, .. }) = transition else { return };
+            request.phase = to;
             let (method, group) = (request.method, request.group);
             next = match (step, event) {
                 (Step::SelectEndpoint, _) => self.select_endpoint(id),
@@ -105,12 +125,12 @@
                 _ => {}
             }
             let waiting = &mut self.groups[group].waiting[method];
-            if *to == Waiting && next.is_none() {
+            if to == Waiting && next.is_none() {
                 waiting.insert(id);
             } else {
                 waiting.remove(&id);
             }
-            if *to == Done {
+            if to == Done {
                 self.requests.remove(&id);
             }
         }
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -146,7 +146,7 @@
     fn restore_list(&mut self, now: Timestamp) {
         let endpoints: Vec<ListedEndpoint> = self.listed.values().cloned().collect();
         if self.recovery.is_some() && !self.list_was_confirmed {
-            self.state.apply_cached_list(endpoints, Vec::new(), now);
+            self.state.apply_cached_list(endpoints, BTreeMap::new(), now);
         } else {
             self.state.apply_list(true, &endpoints, &self.config.zones, now);
         }
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -9,7 +9,7 @@
 use endpoint_cache::CachedEndpointList;
 use recovery::endpoint_state::{RecoveringEndpoint, RoleReport};
 use recovery::primary_discovery::{Action, Event as DiscoveryEvent, Identity, QueryFailure};
-use recovery::primary_verification::MinimumPosition;
+use recovery::primary_verification::{GroupMinimum, MinimumPosition};
 use routing::time::Timestamp;
 use routing::{AttemptOutcome, EndpointIndex, EndpointRecord, EndpointReport, EndpointStatus, Event};
 use std::collections::{BTreeMap, BTreeSet};
@@ -177,7 +177,7 @@
     pub(super) fn apply_cached_list(
         &mut self,
         endpoints: Vec<ListedEndpoint>,
-        minimum_positions: Vec<(i64, MinimumPosition)>,
+        minimum_positions: BTreeMap<i64, MinimumPosition>,
         now: Timestamp,
     ) {
         let mut members = Vec::with_capacity(endpoints.len());
@@ -186,9 +186,10 @@
             members.push(member);
             self.not_admitted.insert(member.endpoint, listed);
         }
-        let minimum_positions =
-            minimum_positions.into_iter().map(|(group, minimum)| (self.groups.intern(group), minimum));
-        let minimum_positions = minimum_positions.collect();
+        let minimum_positions = minimum_positions
+            .into_iter()
+            .map(|(group, minimum)| GroupMinimum { group: self.groups.intern(group), minimum })
+            .collect();
         self.report_to_discovery(now, DiscoveryEvent::CachedList { members, minimum_positions });
     }
 
@@ -266,8 +267,9 @@
     }
 }
 
-/// The least position that the primary of each group must have, by the reports of the group's members before the start.
-fn minimum_positions(list: &CachedEndpointList) -> Vec<(i64, MinimumPosition)> {
+/// The least position that the primary of each group must have, by the reports of the group's members before the
+/// start. The keys are the numbers of the groups.
+fn minimum_positions(list: &CachedEndpointList) -> BTreeMap<i64, MinimumPosition> {
     let mut minimums: BTreeMap<i64, MinimumPosition> = BTreeMap::new();
     for endpoint in &list.endpoints {
         let minimum = minimums.entry(endpoint.block).or_default();
@@ -279,5 +281,5 @@
             minimum.position = minimum.position.max(position);
         }
     }
-    minimums.into_iter().collect()
+    minimums
 }
