--- a/endpoint-cache/examples/sizes.rs
+++ b/endpoint-cache/examples/sizes.rs
@@ -58,7 +58,7 @@
         let began = Instant::now();
         let loaded = CacheDirectory::read(folder).list.expect("a whole one");
         loads.push(began.elapsed().as_secs_f64() * 1e3);
-        assert_eq!(loaded.0.endpoints.len(), list.endpoints.len());
+        assert_eq!(loaded.list.endpoints.len(), list.endpoints.len());
     }
     Costs { bytes, median_save_ms: median(saves), median_load_ms: median(loads) }
 }
--- a/endpoint-cache/src/directory.rs
+++ b/endpoint-cache/src/directory.rs
@@ -50,11 +50,20 @@
     move |error| CacheError::Io { operation, path: path.to_path_buf(), error }
 }
 
+/// A valid generation of the cached list.
+#[derive(Debug)]
+pub struct LoadedList {
+    /// The list.
+    pub list: CachedEndpointList,
+    /// The file that it was read from.
+    pub file: PathBuf,
+}
+
 /// Result of reading a directory.
 #[derive(Debug, Default)]
 pub struct LoadedCache {
-    /// The newest valid generation and its file, if there is one.
-    pub list: Option<(CachedEndpointList, PathBuf)>,
+    /// The newest valid generation, if there is one.
+    pub list: Option<LoadedList>,
     /// Errors of the other files.
     pub errors: Vec<CacheError>,
 }
@@ -79,7 +88,7 @@
         let lock = lock(path)?;
         let loaded = CacheDirectory::read(path);
         let (generation, current_is_valid) = match &loaded.list {
-            Some((list, from)) => (list.generation, *from == path.join(CURRENT)),
+            Some(newest) => (newest.list.generation, newest.file == path.join(CURRENT)),
             None => (0, false),
         };
         let path = path.to_path_buf();
@@ -95,9 +104,9 @@
             match CacheDirectory::read_file(&file) {
                 Ok(None) => {}
                 Ok(Some(list)) => {
-                    let newest = loaded.list.as_ref().map(|(list, _)| list.generation);
+                    let newest = loaded.list.as_ref().map(|newest| newest.list.generation);
                     if newest.is_none_or(|newest| list.generation > newest) {
-                        loaded.list = Some((list, file));
+                        loaded.list = Some(LoadedList { list, file });
                     }
                 }
                 // A torn new file is expected after the process ended during a save.
--- a/endpoint-cache/tests/crashes.rs
+++ b/endpoint-cache/tests/crashes.rs
@@ -25,7 +25,7 @@
 
 /// The generation of the list that a start would read.
 fn generation(path: &Path) -> Option<u64> {
-    CacheDirectory::read(path).list.map(|(list, _)| list.generation)
+    CacheDirectory::read(path).list.map(|loaded| loaded.list.generation)
 }
 
 /// A directory with two saved generations.
@@ -75,7 +75,7 @@
     for length in 0..saved.third.len() {
         saved.write("list.new", &saved.third[..length]);
         let loaded = CacheDirectory::read(saved.path());
-        assert_eq!(loaded.list.map(|(list, _)| list.generation), Some(2), "{length} bytes");
+        assert_eq!(loaded.list.map(|newest| newest.list.generation), Some(2), "{length} bytes");
         assert!(loaded.errors.is_empty(), "an incomplete save is no error: {:?}", loaded.errors);
     }
     // Killed after the new file was complete: before, between and after the renames.
@@ -204,7 +204,7 @@
     for round in 0..25u64 {
         last = kill_after_lines(folder.path(), 1 + round % 7).unwrap_or(last);
         let loaded = CacheDirectory::read(folder.path());
-        let (list, _) = loaded.list.expect("a complete list");
+        let list = loaded.list.expect("a complete list").list;
         assert!(loaded.errors.is_empty(), "{:?}", loaded.errors);
         assert!(list.generation >= last && list.generation <= last + 1, "{} of {last}", list.generation);
         assert_eq!(list.endpoints.len(), 200);
--- a/endpoint-cache/tests/earlier_build.rs
+++ b/endpoint-cache/tests/earlier_build.rs
@@ -1,7 +1,7 @@
 //! A state directory that an earlier build wrote stays readable. `tests/data/state` was made by the build of commit
 //! 0eda158, not by the code under test.
 
-use endpoint_cache::{CacheDirectory, CachedReport};
+use endpoint_cache::{CacheDirectory, CachedReport, LoadedList};
 use std::path::Path;
 
 #[test]
@@ -13,8 +13,8 @@
     }
     let (mut dir, loaded) = CacheDirectory::open(folder.path()).expect("the directory is free");
     assert!(loaded.errors.is_empty(), "{:?}", loaded.errors);
-    let (mut list, from) = loaded.list.expect("a list");
-    assert_eq!(from, folder.path().join("list"));
+    let LoadedList { mut list, file } = loaded.list.expect("a list");
+    assert_eq!(file, folder.path().join("list"));
     assert_eq!((list.generation, list.version), (2, 42));
     assert_eq!((list.confirmed_ms, list.saved_ms), (1_790_000_100_000, 1_790_000_100_500));
     let [primary, replica] = &list.endpoints[..] else { panic!("{:?}", list.endpoints) };
--- a/server/src/cli/cached_list.rs
+++ b/server/src/cli/cached_list.rs
@@ -5,7 +5,9 @@
 use crate::exit_status::{ExitStatus, Failure};
 use crate::messages::endpoint_list::cache_times;
 use crate::runtime::terms::{Term, Vocabulary};
-use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport, LoadedCache};
+use endpoint_cache::{
+    CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport, LoadedCache, LoadedList,
+};
 use recovery::staleness::{verification_level, VerificationLevel, LEVELS};
 use routing::time::Timestamp;
 use std::path::Path;
@@ -40,7 +42,7 @@
     for error in &loaded.errors {
         print_error(&error.to_string());
     }
-    let Some((list, file)) = &loaded.list else {
+    let Some(LoadedList { list, file }) = &loaded.list else {
         return Err(Failure::new(ExitStatus::DataError, no_list(path, vocabulary)));
     };
     if json {
@@ -60,7 +62,7 @@
     let loaded = load(path)?;
     let mut problems: Vec<String> = loaded.errors.iter().map(|error| error.to_string()).collect();
     match &loaded.list {
-        Some((list, file)) => {
+        Some(LoadedList { list, file }) => {
             let (generation, endpoints) = (list.generation, list.endpoints.len());
             let (complete, noun) = (COMPLETE.word(vocabulary), ENDPOINTS.word(vocabulary));
             print(&format!("{}: {complete}, generation {generation}, {endpoints} {noun}", file.display()));
@@ -88,7 +90,7 @@
     }
     let mut loaded = LoadedCache::default();
     match CacheDirectory::read_file(path) {
-        Ok(list) => loaded.list = list.map(|list| (list, path.to_path_buf())),
+        Ok(list) => loaded.list = list.map(|list| LoadedList { list, file: path.to_path_buf() }),
         Err(error) => loaded.errors.push(error),
     }
     Ok(loaded)
--- a/server/src/startup/initial_list.rs
+++ b/server/src/startup/initial_list.rs
@@ -71,7 +71,7 @@
         for error in &loaded.errors {
             log!(WARN, reason = error; "cached endpoint list not used");
         }
-        let list = loaded.list.map(|(list, _)| list);
+        let list = loaded.list.map(|newest| newest.list);
         let writer = directory.and_then(|directory| {
             let writer = EndpointCacheWriter::start(clock, directory, list.as_ref(), save_interval);
             writer
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -91,7 +91,7 @@
             let loaded = CacheDirectory::read(&self.state());
             assert!(loaded.errors.is_empty(), "{:?}", loaded.errors);
             match loaded.list {
-                Some((list, _)) if wanted(&list) => return list,
+                Some(loaded) if wanted(&loaded.list) => return loaded.list,
                 found => assert!(began.elapsed() < Duration::from_secs(10), "{found:?}"),
             }
             thread::sleep(Duration::from_millis(5));
