--- a/server/src/clients/acceptor.rs
+++ b/server/src/clients/acceptor.rs
@@ -138,7 +138,7 @@
 
 /// Decides on the admission of a connection and runs it in its own coroutine.
 pub fn spawn_connection(context: &Arc<ClientContext>, accepted: AcceptedConnection) {
-    if let Some((descriptor, decision)) = decide_admission(context, &accepted) {
+    if let Some(DecidedConnection { descriptor, decision }) = decide_admission(context, &accepted) {
         // Registered before the coroutine is spawned, so that the process cannot exit in between.
         let connection =
             NewConnection::register(context, accepted.stream, accepted.client_address, descriptor);
@@ -147,14 +147,17 @@
     }
 }
 
+/// The decision on a connection, with the descriptor that the connection is counted by.
+struct DecidedConnection {
+    descriptor: Descriptor,
+    decision: AdmissionDecision,
+}
+
 /// Decides whether a connection is admitted, and acquires its descriptor; `None` if the client was rejected here.
 ///
 /// While all descriptors for rejections are in use, a client is rejected without a coroutine. If it keeps sending, the
 /// close resets the connection and the client may lose the error message.
-fn decide_admission(
-    context: &ClientContext,
-    accepted: &AcceptedConnection,
-) -> Option<(Descriptor, AdmissionDecision)> {
+fn decide_admission(context: &ClientContext, accepted: &AcceptedConnection) -> Option<DecidedConnection> {
     let admission = context.admission.as_ref();
     let permit = admission.map(|admission| admission.arrive(accepted.client_address)).transpose();
     let permit = match permit {
@@ -166,7 +169,8 @@
                 reject_without_waiting(accepted.stream.inner(), reason, retry_after);
                 return None;
             };
-            return Some((descriptor, AdmissionDecision::Rejected { reason, retry_after }));
+            let decision = AdmissionDecision::Rejected { reason, retry_after };
+            return Some(DecidedConnection { descriptor, decision });
         }
     };
     let ClientDescriptor { descriptor, admitted } = acquire_descriptor(context);
@@ -175,7 +179,7 @@
     } else {
         AdmissionDecision::Rejected { reason: NO_DESCRIPTOR, retry_after: None }
     };
-    Some((descriptor, decision))
+    Some(DecidedConnection { descriptor, decision })
 }
 
 /// Acquires a descriptor for a client, and waits for one if even the overflow descriptors are in use.
--- a/server/src/clients/connection.rs
+++ b/server/src/clients/connection.rs
@@ -12,7 +12,7 @@
 use crate::endpoints::connection::{BURST_PAUSE, MAX_BURST_BYTES, SMALL_BUFFER_BYTES};
 use crate::log;
 use crate::messages::control::ControlMessage;
-use crate::messages::response::{Response, ResponseChannel};
+use crate::messages::response::{RequestResponse, Response, ResponseChannel};
 use crate::protocol::frontend_codec::FrontendCodec;
 use crate::protocol::sqlstate::SqlState;
 use crate::runtime::idle_clients::{IdleRank, IdleRegistration};
@@ -291,7 +291,7 @@
     fn collect_responses(&mut self) {
         let now = self.context.timers.now();
         let tokens = self.context.session_tokens.clone();
-        for (request, response) in self.channel.take() {
+        for RequestResponse { request, response } in self.channel.take() {
             let session = self.session.as_mut();
             // Tokens are issued in the order in which responses arrive, which may differ from the order of the
             // queries. So a token may cover later responses too, but always covers its own.
--- a/server/src/messages/response.rs
+++ b/server/src/messages/response.rs
@@ -49,10 +49,19 @@
     Error(ClientError),
 }
 
+/// A response, and the request that it answers.
+#[derive(Debug, PartialEq, Eq)]
+pub struct RequestResponse {
+    /// The request.
+    pub request: RequestId,
+    /// The response to it.
+    pub response: Response,
+}
+
 /// The channel to a client's connection, for responses and requests to close. It is the only part of the connection
 /// that other parts of the server hold.
 pub struct ResponseChannel {
-    responses: Mutex<Vec<(RequestId, Response)>>,
+    responses: Mutex<Vec<RequestResponse>>,
     close_requested: AtomicBool,
     waker: WaitIoWaker,
 }
@@ -67,18 +76,18 @@
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<(RequestId, Response)>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<RequestResponse>> {
         self.responses.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Takes the responses that were sent since the last call.
-    pub fn take(&self) -> Vec<(RequestId, Response)> {
+    pub fn take(&self) -> Vec<RequestResponse> {
         std::mem::take(&mut *self.lock())
     }
 
     /// Sends a response and wakes the connection.
     fn send(&self, request: RequestId, response: Response) {
-        self.lock().push((request, response));
+        self.lock().push(RequestResponse { request, response });
         self.wake();
     }
 
--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -141,7 +141,7 @@
     fn run(&self, mut journal: Journal, jobs: &Receiver<Job>) {
         let mut failing = false;
         while let Ok(first) = jobs.recv() {
-            let (operations, callbacks) = batch(first, jobs);
+            let Batch { operations, callbacks } = batch(first, jobs);
             let needs_uptime =
                 |operation: &Operation| matches!(operation, Operation::Record { deduplication: Some(_), .. });
             let uptime = operations.iter().any(needs_uptime).then(uptime).flatten();
@@ -156,11 +156,18 @@
     }
 }
 
-/// The operations and callbacks of the queued jobs, [`MAX_BATCH`] at most.
-fn batch(first: Job, jobs: &Receiver<Job>) -> (Vec<Operation>, Vec<Callback>) {
+/// Jobs that are applied together: their operations, and their callbacks in the same order.
+struct Batch {
+    operations: Vec<Operation>,
+    callbacks: Vec<Callback>,
+}
+
+/// The queued jobs, [`MAX_BATCH`] at most.
+fn batch(first: Job, jobs: &Receiver<Job>) -> Batch {
     let queued = std::iter::from_fn(|| jobs.try_recv().ok());
     let jobs = std::iter::once(first).chain(queued).take(MAX_BATCH);
-    jobs.map(|job| (job.operation, job.callback)).unzip()
+    let (operations, callbacks) = jobs.map(|job| (job.operation, job.callback)).unzip();
+    Batch { operations, callbacks }
 }
 
 /// Logs one line when the journal begins to fail, and one when it works again.
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -13,7 +13,7 @@
 use server::messages::control::{ConfirmAttempt, ControlMessage, IncomingRequest};
 use server::messages::endpoint_list::{ListedEndpoint, ListedHealth};
 use server::messages::request::{ClientRequest, RequestIdentity, RequestSession, RequestText};
-use server::messages::response::{Response, ResponseChannel, ResponseTicket};
+use server::messages::response::{RequestResponse, Response, ResponseChannel, ResponseTicket};
 use server::protocol::sqlstate::SqlState;
 use server::runtime::clock::{Clock, Timers};
 use server::runtime::metrics::Metrics;
@@ -137,7 +137,7 @@
     }
 
     /// So many responses, by request.
-    fn responses(&self, count: usize) -> Vec<(RequestId, Response)> {
+    fn responses(&self, count: usize) -> Vec<RequestResponse> {
         let give_up_at = Instant::now() + WAIT_TIMEOUT;
         let mut responses = Vec::new();
         while responses.len() < count {
@@ -145,7 +145,7 @@
             assert!(Instant::now() < give_up_at, "a request is lost: {responses:?}");
             std::thread::sleep(Duration::from_millis(1));
         }
-        responses.sort_by_key(|(request, _): &(RequestId, Response)| *request);
+        responses.sort_by_key(|answered: &RequestResponse| answered.request);
         responses
     }
 
@@ -153,9 +153,9 @@
     fn response_to(&self, request: RequestId) -> Response {
         let mut responses = self.responses(1);
         assert_eq!(responses.len(), 1, "requests whose clients are gone get no response");
-        let (answered, response) = responses.remove(0);
-        assert_eq!(answered, request);
-        response
+        let answered = responses.remove(0);
+        assert_eq!(answered.request, request);
+        answered.response
     }
 }
 
@@ -173,7 +173,8 @@
     let attempt = AttemptId { request: 1, number: 0, endpoint: 99 };
     let (reply, _confirmed) = channel();
     rig.send(ControlMessage::Confirm(ConfirmAttempt { attempt, reply }));
-    assert_eq!(rig.responses(2), [(1, Response::Aborted), (2, Response::Aborted)]);
+    let aborted = [1, 2].map(|request| RequestResponse { request, response: Response::Aborted });
+    assert_eq!(rig.responses(2), aborted);
     rig.write(3, 200);
     let response = rig.response_to(3);
     let given_up = matches!(response, Response::Rejected { .. } | Response::Aborted);
