--- a/sessions/src/positions.rs
+++ b/sessions/src/positions.rs
@@ -31,11 +31,20 @@
     }
 }
 
+/// The position of a session on one group's log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct GroupPosition {
+    /// The group.
+    pub group: GroupNumber,
+    /// The position on its log.
+    pub position: LogPosition,
+}
+
 /// The positions of one session. They only advance, except that one is removed when its part of the log is lost.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionPositions {
     /// Positions in ascending order of groups.
-    by_group: Vec<(GroupNumber, LogPosition)>,
+    by_group: Vec<GroupPosition>,
     /// Lower bound for every group without a position of its own.
     lower_bound: Option<LogPosition>,
 }
@@ -44,18 +53,18 @@
     /// The position of the session on a group's log, if any.
     pub fn get(&self, group: GroupNumber) -> Option<LogPosition> {
         match self.find(group) {
-            Ok(index) => Some(self.by_group[index].1),
+            Ok(index) => Some(self.by_group[index].position),
             Err(_) => self.lower_bound,
         }
     }
 
     /// Index of a group in `by_group`, or the index at which to insert it.
     fn find(&self, group: GroupNumber) -> Result<usize, usize> {
-        self.by_group.binary_search_by_key(&group, |(group, _)| *group)
+        self.by_group.binary_search_by_key(&group, |entry| entry.group)
     }
 
     /// Groups with a position of their own, in ascending order.
-    pub fn by_group(&self) -> &[(GroupNumber, LogPosition)] {
+    pub fn by_group(&self) -> &[GroupPosition] {
         &self.by_group
     }
 
@@ -72,10 +81,13 @@
     /// Advances the position of a group. An earlier position has no effect.
     pub fn advance(&mut self, group: GroupNumber, position: LogPosition) {
         match self.find(group) {
-            Ok(index) => self.by_group[index].1 = self.by_group[index].1.later(position),
+            Ok(index) => {
+                let present = &mut self.by_group[index].position;
+                *present = present.later(position);
+            }
             Err(index) => {
                 let position = self.lower_bound.map_or(position, |lower_bound| lower_bound.later(position));
-                self.by_group.insert(index, (group, position));
+                self.by_group.insert(index, GroupPosition { group, position });
             }
         }
         if self.by_group.len() > MAX_POSITIONS {
@@ -85,8 +97,8 @@
 
     /// Merges the earliest position into the lower bound, where it restricts the other groups the least.
     fn fold_oldest_into_lower_bound(&mut self) {
-        let oldest = (0..self.by_group.len()).min_by_key(|&index| self.by_group[index].1.position);
-        let (_, removed) = self.by_group.remove(oldest.unwrap_or(0));
+        let oldest = (0..self.by_group.len()).min_by_key(|&index| self.by_group[index].position.position);
+        let removed = self.by_group.remove(oldest.unwrap_or(0)).position;
         // An epoch is specific to one group, so the lower bound has none.
         self.raise_lower_bound(LogPosition { epoch: 0, ..removed });
     }
@@ -101,7 +113,7 @@
         if let Some(lower_bound) = other.lower_bound {
             self.raise_lower_bound(lower_bound);
         }
-        for &(group, position) in &other.by_group {
+        for &GroupPosition { group, position } in &other.by_group {
             self.advance(group, position);
         }
     }
@@ -110,6 +122,6 @@
     /// then [`advance`](Self::advance) the session to the start of the new epoch: otherwise merging another copy
     /// would restore the lost position.
     pub fn remove(&mut self, group: GroupNumber) {
-        self.by_group.retain(|(other, _)| *other != group);
+        self.by_group.retain(|entry| entry.group != group);
     }
 }
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -17,7 +17,7 @@
 //!
 //! The audience, the client that the token was issued to, is not part of the token.
 
-use crate::positions::{GroupNumber, LogPosition, SessionPositions, MAX_POSITIONS};
+use crate::positions::{GroupNumber, GroupPosition, LogPosition, SessionPositions, MAX_POSITIONS};
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use hmac::{Hmac, Mac};
@@ -246,15 +246,15 @@
     bytes.push(u8::from(positions.lower_bound().is_some()));
     bytes.push(positions.by_group().len() as u8);
     if let Some(lower_bound) = positions.lower_bound() {
-        encode_position(&mut bytes, 0, lower_bound);
+        encode_position(&mut bytes, GroupPosition { group: 0, position: lower_bound });
     }
-    for (group, position) in positions.by_group() {
-        encode_position(&mut bytes, *group, *position);
+    for position in positions.by_group() {
+        encode_position(&mut bytes, *position);
     }
     bytes
 }
 
-fn encode_position(bytes: &mut Vec<u8>, group: GroupNumber, position: LogPosition) {
+fn encode_position(bytes: &mut Vec<u8>, GroupPosition { group, position }: GroupPosition) {
     encode_leb128(bytes, group as u64);
     encode_leb128(bytes, u64::from(position.epoch));
     // Rounded up, so that a decoded position is never earlier than the observed one.
@@ -282,12 +282,12 @@
     None
 }
 
-fn decode_position(bytes: &mut &[u8]) -> Option<(GroupNumber, LogPosition)> {
+fn decode_position(bytes: &mut &[u8]) -> Option<GroupPosition> {
     let group = decode_leb128(bytes)? as GroupNumber;
     let epoch = u32::try_from(decode_leb128(bytes)?).ok()?;
     let millis = i64::try_from(decode_leb128(bytes)?).ok().filter(|millis| *millis < MAX_POSITION_MS)?;
     let position = Timestamp(millis * NANOS_PER_MILLI as i64);
-    Some((group, LogPosition { epoch, position }))
+    Some(GroupPosition { group, position: LogPosition { epoch, position } })
 }
 
 fn decode_body(body: &[u8]) -> Option<Token> {
@@ -304,10 +304,10 @@
     let mut rest = &body[HEADER_BYTES..];
     let mut positions = SessionPositions::default();
     if has_lower_bound == 1 {
-        positions.raise_lower_bound(decode_position(&mut rest)?.1);
+        positions.raise_lower_bound(decode_position(&mut rest)?.position);
     }
     for _ in 0..count {
-        let (group, position) = decode_position(&mut rest)?;
+        let GroupPosition { group, position } = decode_position(&mut rest)?;
         positions.advance(group, position);
     }
     rest.is_empty().then_some(Token { session, issued, expires, positions })
