--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -18,6 +18,7 @@
 };
 
 use crate::client_class::ClientClass;
+use crate::reason_counts::ReasonCounts;
 use crate::retry_after_jitter::RetryAfterJitter;
 use crate::retry_budget::RetryBudgets;
 use arrival_table::{Case, Step};
@@ -80,7 +81,7 @@
     retry_budgets: Option<RetryBudgets<ClientKey>>,
     jitter: RetryAfterJitter,
     /// Requests shed since the start, by class and reason.
-    shed: BTreeMap<(Arc<str>, ShedReason), u64>,
+    shed: ReasonCounts<ShedReason>,
 }
 
 fn retry_budgets(limits: ConcurrencyLimits) -> Option<RetryBudgets<ClientKey>> {
@@ -110,7 +111,7 @@
             queue_shares: BTreeSet::new(),
             retry_budgets: retry_budgets(limits),
             jitter: RetryAfterJitter::new(limits.max_in_flight, max_retry_after, seed),
-            shed: BTreeMap::new(),
+            shed: ReasonCounts::default(),
         }
     }
 
@@ -374,7 +375,7 @@
         reason: ShedReason,
         decisions: &mut Vec<Decision>,
     ) {
-        *self.shed.entry((class.clone(), reason)).or_default() += 1;
+        self.shed.increment(class.clone(), reason);
         let retry_after = self.jitter.next(now, TimeDelta::ZERO);
         decisions.push(Decision::Shed(LoadShed { request, class, reason, retry_after }));
     }
--- a/admission/src/concurrency_limiter/types.rs
+++ b/admission/src/concurrency_limiter/types.rs
@@ -2,6 +2,7 @@
 
 use crate::client_address::{AddressPrefixes, ClientAddress};
 use crate::client_class::DEFAULT_CLASS;
+use crate::reason_counts::ReasonCount;
 use routing::time::{TimeDelta, Timestamp};
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -100,15 +101,7 @@
 }
 
 /// Number of requests of one class that were shed for one reason.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ShedCount {
-    /// Name of the class.
-    pub class: Arc<str>,
-    /// Why they were shed.
-    pub reason: ShedReason,
-    /// Requests shed since the start.
-    pub count: u64,
-}
+pub type ShedCount = ReasonCount<ShedReason>;
 
 /// An arriving request.
 #[derive(Clone, Debug)]
--- a/admission/src/concurrency_limiter/views.rs
+++ b/admission/src/concurrency_limiter/views.rs
@@ -36,11 +36,6 @@
 
     /// Numbers of requests shed since the start, by class and reason.
     pub fn shed_counts(&self) -> impl Iterator<Item = ShedCount> + '_ {
-        let shed = self.shed.iter();
-        shed.map(|((class, reason), count)| ShedCount {
-            class: class.clone(),
-            reason: *reason,
-            count: *count,
-        })
+        self.shed.iter()
     }
 }
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -4,6 +4,7 @@
 use crate::client_address::{AddressConnections, AddressPrefixes, AddressTable, ClientAddress};
 use crate::client_class::{classify, validate, ClassError, ClientClass, DEFAULT_CLASS};
 use crate::concurrency_limiter::ClientKey;
+use crate::reason_counts::{ReasonCount, ReasonCounts};
 use crate::retry_after_jitter::RetryAfterJitter;
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
@@ -110,15 +111,7 @@
 }
 
 /// Number of connections of one class that were rejected for one reason.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RejectionCount {
-    /// Name of the class.
-    pub class: Arc<str>,
-    /// Why they were rejected.
-    pub reason: RejectionReason,
-    /// Connections rejected since the start.
-    pub count: u64,
-}
+pub type RejectionCount = ReasonCount<RejectionReason>;
 
 /// Input of the admission decision for a new connection.
 struct Arrival<'a> {
@@ -199,7 +192,7 @@
     connections: usize,
     addresses: AddressTable,
     /// Connections rejected since the start, by class and reason.
-    rejections: BTreeMap<(Arc<str>, RejectionReason), u64>,
+    rejections: ReasonCounts<RejectionReason>,
     jitter: RetryAfterJitter,
 }
 
@@ -220,7 +213,7 @@
             by_class: BTreeMap::new(),
             connections: 0,
             addresses: AddressTable::default(),
-            rejections: BTreeMap::new(),
+            rejections: ReasonCounts::default(),
             jitter,
         })
     }
@@ -301,7 +294,7 @@
         class: Arc<str>,
         wait: TimeDelta,
     ) -> Rejection {
-        *self.rejections.entry((class.clone(), reason)).or_default() += 1;
+        self.rejections.increment(class.clone(), reason);
         Rejection { reason, class, retry_after: self.jitter.next(now, wait) }
     }
 
@@ -342,12 +335,7 @@
 
     /// Numbers of connections rejected since the start, by class and reason.
     pub fn rejections(&self) -> impl Iterator<Item = RejectionCount> + '_ {
-        let rejections = self.rejections.iter();
-        rejections.map(|((class, reason), count)| RejectionCount {
-            class: class.clone(),
-            reason: *reason,
-            count: *count,
-        })
+        self.rejections.iter()
     }
 
     /// Number of addresses with remembered state.
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod concurrency_limiter;
 pub mod connection_limiter;
 pub mod handshake_queue;
+mod reason_counts;
 mod retry_after_jitter;
 pub mod retry_budget;
 
@@ -26,3 +27,4 @@
     AdmittedConnection, ClassConnections, ClassSettings, ConnectionLimiter, Rejection, RejectionCount,
     RejectionReason,
 };
+pub use reason_counts::ReasonCount;
--- a/server/src/admin/request_page.rs
+++ b/server/src/admin/request_page.rs
@@ -61,7 +61,7 @@
     vocabulary: Vocabulary,
 ) -> [String; COLUMNS.len()] {
     let age = format_delta(now - request.received_at);
-    [request.id.as_str(), EMPTY_CELL, EMPTY_CELL, &age, "0", QUEUED.word(vocabulary)].map(String::from)
+    [&*request.id, EMPTY_CELL, EMPTY_CELL, &age, "0", QUEUED.word(vocabulary)].map(String::from)
 }
 
 fn request_state(request: &RequestSnapshot, now: Timestamp, vocabulary: Vocabulary) -> String {
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -129,12 +129,12 @@
     pub classes: Vec<ClientClass>,
     /// Open connections by class.
     pub connections: Vec<ClassConnections>,
+    /// Connections in the handshake queue.
+    pub handshakes: usize,
     /// Connections rejected since the start, by class and reason.
     pub rejections: Vec<RejectionCount>,
     /// The addresses with the most connections.
     pub top_addresses: Vec<AddressConnections>,
-    /// Connections in the handshake queue.
-    pub handshakes: usize,
     /// Addresses for which the limiter holds state.
     pub remembered_addresses: usize,
 }
--- a/server/src/control/request_queue.rs
+++ b/server/src/control/request_queue.rs
@@ -138,7 +138,7 @@
     pub fn snapshot(&self, top_clients: usize) -> QueueSnapshot {
         let limiter = &self.limiter;
         let waiting = self.waiting.values().map(|queued| WaitingRequest {
-            id: queued.incoming.header.identity.id.to_string(),
+            id: queued.incoming.header.identity.id.clone(),
             received_at: queued.received_at,
         });
         QueueSnapshot {
--- a/server/src/messages/snapshot.rs
+++ b/server/src/messages/snapshot.rs
@@ -5,6 +5,7 @@
 use routing::time::Timestamp;
 use routing::EndpointSnapshot;
 use std::net::SocketAddr;
+use std::sync::Arc;
 
 /// The maximum number of requests in a snapshot; the oldest are kept.
 pub const MAX_REQUESTS: usize = 200;
@@ -64,8 +65,8 @@
 /// A request that waits in the queue.
 #[derive(Debug)]
 pub struct WaitingRequest {
-    /// The request's id, as the client knows it.
-    pub id: String,
+    /// The request's id, unique among the open requests of all clients.
+    pub id: Arc<str>,
     /// When the control loop received the request.
     pub received_at: Timestamp,
 }
