--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -13,10 +13,12 @@
 mod views;
 
 pub use types::{
-    Arrival, ClientKey, ConcurrencyLimits, Decision, LoadShed, RequestCounts, RequestId, ShedReason,
+    Arrival, ClassRequests, ClientKey, ClientRequests, ConcurrencyLimits, Decision, LoadShed, RequestCounts,
+    RequestId, ShedCount, ShedReason,
 };
 
 use crate::client_class::ClientClass;
+use crate::reason_counts::ReasonCounts;
 use crate::retry_after_jitter::RetryAfterJitter;
 use crate::retry_budget::RetryBudgets;
 use arrival_table::{Case, Step};
@@ -43,6 +45,12 @@
     InFlight(ClientKey),
 }
 
+/// The request that is admitted next.
+struct NextRequest {
+    client: ClientKey,
+    request: RequestId,
+}
+
 /// How long the service tags of an idle client are kept. Without them, a client that returns after a pause would be
 /// queued behind clients that always have requests.
 const IDLE_CLIENT_TTL: TimeDelta = TimeDelta::from_millis(5_000);
@@ -73,7 +81,7 @@
     retry_budgets: Option<RetryBudgets<ClientKey>>,
     jitter: RetryAfterJitter,
     /// Requests shed since the start, by class and reason.
-    shed: BTreeMap<(Arc<str>, ShedReason), u64>,
+    shed: ReasonCounts<ShedReason>,
 }
 
 fn retry_budgets(limits: ConcurrencyLimits) -> Option<RetryBudgets<ClientKey>> {
@@ -103,7 +111,7 @@
             queue_shares: BTreeSet::new(),
             retry_budgets: retry_budgets(limits),
             jitter: RetryAfterJitter::new(limits.max_in_flight, max_retry_after, seed),
-            shed: BTreeMap::new(),
+            shed: ReasonCounts::default(),
         }
     }
 
@@ -260,7 +268,7 @@
 
     fn admit_next(&mut self, now: Timestamp, decisions: &mut Vec<Decision>) {
         while self.in_flight < self.limits.max_in_flight {
-            let Some((client, request)) = self.next_waiting() else { return };
+            let Some(NextRequest { client, request }) = self.next_waiting() else { return };
             let waited = match self.requests.get(&request) {
                 Some(Request::Waiting { since, .. }) => now - *since,
                 _ => TimeDelta::ZERO,
@@ -273,12 +281,12 @@
     }
 
     /// The next request to admit, by the shares of classes and then of clients within the class.
-    fn next_waiting(&self) -> Option<(ClientKey, RequestId)> {
+    fn next_waiting(&self) -> Option<NextRequest> {
         let waiting = self.queues.iter().filter(|(_, queue)| queue.waiting > 0);
         let (class, queue) = waiting.min_by_key(|(_, queue)| (queue.in_flight_share(), queue.start_tag))?;
         let client = ClientKey { class: class.clone(), address: queue.next_client()? };
         let request = self.flow(&client)?.oldest()?;
-        Some((client, request))
+        Some(NextRequest { client, request })
     }
 
     /// Accounts for a request taken from the queue: advances the virtual times and the start tags of the class and the
@@ -367,7 +375,7 @@
         reason: ShedReason,
         decisions: &mut Vec<Decision>,
     ) {
-        *self.shed.entry((class.clone(), reason)).or_default() += 1;
+        self.shed.increment(class.clone(), reason);
         let retry_after = self.jitter.next(now, TimeDelta::ZERO);
         decisions.push(Decision::Shed(LoadShed { request, class, reason, retry_after }));
     }
--- a/admission/src/concurrency_limiter/types.rs
+++ b/admission/src/concurrency_limiter/types.rs
@@ -2,6 +2,7 @@
 
 use crate::client_address::{AddressPrefixes, ClientAddress};
 use crate::client_class::DEFAULT_CLASS;
+use crate::reason_counts::ReasonCount;
 use routing::time::{TimeDelta, Timestamp};
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -99,6 +100,9 @@
     pub retry_after: TimeDelta,
 }
 
+/// Number of requests of one class that were shed for one reason.
+pub type ShedCount = ReasonCount<ShedReason>;
+
 /// An arriving request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
@@ -141,3 +145,21 @@
         self.in_flight + self.waiting
     }
 }
+
+/// Request counts of one class.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ClassRequests {
+    /// Name of the class.
+    pub class: Arc<str>,
+    /// Its requests.
+    pub requests: RequestCounts,
+}
+
+/// Request counts of one client.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ClientRequests {
+    /// The client.
+    pub client: ClientKey,
+    /// Its requests.
+    pub requests: RequestCounts,
+}
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -1,9 +1,10 @@
 //! Connection limiter: admits or rejects new connections by a table of rules, and counts the open ones by class and
 //! address.
 
-use crate::client_address::{AddressPrefixes, AddressTable, ClientAddress};
+use crate::client_address::{AddressConnections, AddressPrefixes, AddressTable, ClientAddress};
 use crate::client_class::{classify, validate, ClassError, ClientClass, DEFAULT_CLASS};
 use crate::concurrency_limiter::ClientKey;
+use crate::reason_counts::{ReasonCount, ReasonCounts};
 use crate::retry_after_jitter::RetryAfterJitter;
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
@@ -100,6 +101,18 @@
     }
 }
 
+/// Number of open connections of one class.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ClassConnections {
+    /// Name of the class.
+    pub class: Arc<str>,
+    /// Its open connections.
+    pub connections: usize,
+}
+
+/// Number of connections of one class that were rejected for one reason.
+pub type RejectionCount = ReasonCount<RejectionReason>;
+
 /// Input of the admission decision for a new connection.
 struct Arrival<'a> {
     class: &'a ClientClass,
@@ -116,26 +129,40 @@
     capacity: usize,
 }
 
-/// A reason to reject a connection, and whether it applies.
-type Rule = (RejectionReason, fn(&Arrival) -> bool);
+/// A reason to reject a connection.
+struct Rule {
+    /// Whether the connection is rejected for this reason.
+    applies: fn(&Arrival) -> bool,
+    reason: RejectionReason,
+}
 
 /// The first rule that applies rejects the connection; if none does, the connection is admitted.
 const REJECTION_RULES: &[Rule] = &[
-    (RejectionReason::Rate, |arrival| arrival.wait > TimeDelta::ZERO),
-    (RejectionReason::AddressLimit, |arrival| {
-        arrival.class.max_per_address.is_some_and(|max| arrival.address_connections >= max)
-    }),
-    (RejectionReason::ClassLimit, |arrival| {
-        arrival.class.max_connections.is_some_and(|max| arrival.class_connections >= max)
-    }),
+    Rule { applies: |arrival| arrival.wait > TimeDelta::ZERO, reason: RejectionReason::Rate },
+    Rule {
+        applies: |arrival| {
+            arrival.class.max_per_address.is_some_and(|max| arrival.address_connections >= max)
+        },
+        reason: RejectionReason::AddressLimit,
+    },
+    Rule {
+        applies: |arrival| arrival.class.max_connections.is_some_and(|max| arrival.class_connections >= max),
+        reason: RejectionReason::ClassLimit,
+    },
     // Within its own reservation, a class is rejected only when the server is full.
-    (RejectionReason::Reserved, |arrival| {
-        arrival.class_connections < arrival.class.reserved && arrival.connections >= arrival.capacity
-    }),
-    (RejectionReason::Reserved, |arrival| {
-        let claimed = arrival.connections + arrival.reserved_for_others;
-        arrival.class_connections >= arrival.class.reserved && claimed >= arrival.capacity
-    }),
+    Rule {
+        applies: |arrival| {
+            arrival.class_connections < arrival.class.reserved && arrival.connections >= arrival.capacity
+        },
+        reason: RejectionReason::Reserved,
+    },
+    Rule {
+        applies: |arrival| {
+            let claimed = arrival.connections + arrival.reserved_for_others;
+            arrival.class_connections >= arrival.class.reserved && claimed >= arrival.capacity
+        },
+        reason: RejectionReason::Reserved,
+    },
 ];
 
 /// Client classes, and how connections are assigned to clients.
@@ -165,7 +192,7 @@
     connections: usize,
     addresses: AddressTable,
     /// Connections rejected since the start, by class and reason.
-    rejections: BTreeMap<(Arc<str>, RejectionReason), u64>,
+    rejections: ReasonCounts<RejectionReason>,
     jitter: RetryAfterJitter,
 }
 
@@ -186,7 +213,7 @@
             by_class: BTreeMap::new(),
             connections: 0,
             addresses: AddressTable::default(),
-            rejections: BTreeMap::new(),
+            rejections: ReasonCounts::default(),
             jitter,
         })
     }
@@ -231,8 +258,8 @@
         let address = ClientAddress::new(from, self.limits.prefixes);
         let arrival = self.arrival(now, class, address);
         let (name, rate, wait) = (class.name.clone(), class.rate, arrival.wait);
-        if let Some((reason, _)) = REJECTION_RULES.iter().find(|(_, applies)| applies(&arrival)) {
-            return Err(self.reject(now, *reason, name, wait));
+        if let Some(rule) = REJECTION_RULES.iter().find(|rule| (rule.applies)(&arrival)) {
+            return Err(self.reject(now, rule.reason, name, wait));
         }
         self.addresses.connected(now, address, rate);
         *self.by_class.entry(name.clone()).or_default() += 1;
@@ -267,7 +294,7 @@
         class: Arc<str>,
         wait: TimeDelta,
     ) -> Rejection {
-        *self.rejections.entry((class.clone(), reason)).or_default() += 1;
+        self.rejections.increment(class.clone(), reason);
         Rejection { reason, class, retry_after: self.jitter.next(now, wait) }
     }
 
@@ -294,19 +321,21 @@
         &self.limits.classes
     }
 
-    /// The `count` addresses with the most connections, with their numbers of connections.
-    pub fn top_addresses(&self, count: usize) -> Vec<(ClientAddress, usize)> {
+    /// The `count` addresses with the most connections, in descending order.
+    pub fn top_addresses(&self, count: usize) -> Vec<AddressConnections> {
         self.addresses.top(count)
     }
 
     /// Numbers of open connections by class.
-    pub fn connections_by_class(&self) -> impl Iterator<Item = (&str, usize)> {
-        self.by_class.iter().map(|(name, connections)| (&**name, *connections))
+    pub fn connections_by_class(&self) -> impl Iterator<Item = ClassConnections> + '_ {
+        let by_class = self.by_class.iter();
+        by_class
+            .map(|(class, connections)| ClassConnections { class: class.clone(), connections: *connections })
     }
 
     /// Numbers of connections rejected since the start, by class and reason.
-    pub fn rejections(&self) -> impl Iterator<Item = (&str, RejectionReason, u64)> {
-        self.rejections.iter().map(|((name, reason), count)| (&**name, *reason, *count))
+    pub fn rejections(&self) -> impl Iterator<Item = RejectionCount> + '_ {
+        self.rejections.iter()
     }
 
     /// Number of addresses with remembered state.
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -17,11 +17,14 @@
 pub mod concurrency_limiter;
 pub mod connection_limiter;
 pub mod handshake_queue;
+mod reason_counts;
 mod retry_after_jitter;
 pub mod retry_budget;
 
-pub use client_address::{AddressPrefixes, ClientAddress};
+pub use client_address::{AddressConnections, AddressPrefixes, ClientAddress};
 pub use client_class::{ClassError, ClientClass, ConnectionRate};
 pub use connection_limiter::{
-    AdmittedConnection, ClassSettings, ConnectionLimiter, Rejection, RejectionReason,
+    AdmittedConnection, ClassConnections, ClassSettings, ConnectionLimiter, Rejection, RejectionCount,
+    RejectionReason,
 };
+pub use reason_counts::ReasonCount;
--- a/server/src/admin/endpoint_page.rs
+++ b/server/src/admin/endpoint_page.rs
@@ -35,7 +35,7 @@
             table.push(cells(row, vocabulary));
         }
         let (endpoints, groups) = (snapshot.endpoints.len(), snapshot.groups);
-        let noun = ENDPOINTS.word(vocabulary);
+        let noun = ENDPOINTS.text(vocabulary);
         Ok(format!("{}: {endpoints} {noun}, {groups} groups\n\n{table}", self.name))
     }
 }
@@ -61,8 +61,8 @@
 
 fn state_label(endpoint: &EndpointSnapshot, vocabulary: Vocabulary) -> String {
     match (endpoint.serving, endpoint.capacity.slow_start_fraction) {
-        (false, _) => NOT_SERVING.word(vocabulary).to_string(),
-        (true, Some(fraction)) => format!("{}, {:.0}%", SLOW_START.word(vocabulary), fraction * 100.0),
-        (true, None) => SERVING.word(vocabulary).to_string(),
+        (false, _) => NOT_SERVING.text(vocabulary).to_string(),
+        (true, Some(fraction)) => format!("{}, {:.0}%", SLOW_START.text(vocabulary), fraction * 100.0),
+        (true, None) => SERVING.text(vocabulary).to_string(),
     }
 }
--- a/server/src/admin/limits_page.rs
+++ b/server/src/admin/limits_page.rs
@@ -25,30 +25,30 @@
         let mut table = Table::new(&COLUMNS, vocabulary);
         for (name, class) in DESCRIPTOR_CLASSES {
             let (in_use, limit) = (self.resources.in_use(class), self.resources.limit(class));
-            let name = name.word(vocabulary);
+            let name = name.text(vocabulary);
             table.push([format!("descriptors: {name}"), in_use.to_string(), limit.to_string()]);
         }
         let (bytes, max_bytes) = (self.resources.buffer_bytes(), self.resources.max_buffer_bytes());
-        table.push([BUFFER_BYTES.word(vocabulary).into(), bytes.to_string(), max_bytes.to_string()]);
+        table.push([BUFFER_BYTES.text(vocabulary).into(), bytes.to_string(), max_bytes.to_string()]);
         let open_requests = snapshot.open_requests.to_string();
-        table.push([OPEN_REQUESTS.word(vocabulary).into(), open_requests, EMPTY_CELL.into()]);
+        table.push([OPEN_REQUESTS.text(vocabulary).into(), open_requests, EMPTY_CELL.into()]);
         if let Some(queue) = &snapshot.queue {
             push_queue_limits(&mut table, queue, vocabulary);
         }
-        let shutting_down = SHUTTING_DOWN.word(vocabulary);
+        let shutting_down = SHUTTING_DOWN.text(vocabulary);
         let heading = if self.shutdown.has_begun() { format!("{shutting_down}\n") } else { String::new() };
         Ok(format!("{heading}{table}"))
     }
 }
 
 fn push_queue_limits(table: &mut Table, queue: &QueueSnapshot, vocabulary: Vocabulary) {
-    let in_flight: usize = queue.classes.iter().map(|(_, requests)| requests.in_flight).sum();
-    let waiting: usize = queue.classes.iter().map(|(_, requests)| requests.waiting).sum();
+    let in_flight: usize = queue.classes.iter().map(|class| class.requests.in_flight).sum();
+    let waiting: usize = queue.classes.iter().map(|class| class.requests.waiting).sum();
     let limits = &queue.limits;
-    let first_attempts = FIRST_ATTEMPTS.word(vocabulary);
+    let first_attempts = FIRST_ATTEMPTS.text(vocabulary);
     let retries = limits.retry_percent.map(|percent| format!("{percent}% of {first_attempts}"));
     let mut push = |name: Term, in_use: String, limit: String| {
-        table.push([name.word(vocabulary).into(), in_use, limit]);
+        table.push([name.text(vocabulary).into(), in_use, limit]);
     };
     push(IN_FLIGHT, in_flight.to_string(), limits.max_in_flight.to_string());
     push(QUEUED, waiting.to_string(), limits.max_waiting.to_string());
--- a/server/src/admin/socket.rs
+++ b/server/src/admin/socket.rs
@@ -176,7 +176,7 @@
 
 /// Finds a page by its name, and the vocabulary that the name selects.
 fn find_page(name: &str) -> Option<(&'static Page, Vocabulary)> {
-    let named = |vocabulary| move |page: &&Page| page.name.word(vocabulary) == name;
+    let named = |vocabulary| move |page: &&Page| page.name.text(vocabulary) == name;
     let found = |vocabulary| PAGES.iter().find(named(vocabulary)).map(|page| (page, vocabulary));
     found(Vocabulary::Earlier).or_else(|| found(Vocabulary::Standard))
 }
--- a/server/src/admin/table.rs
+++ b/server/src/admin/table.rs
@@ -16,7 +16,7 @@
 impl Table {
     /// Creates a table without rows, whose titles are in `vocabulary`.
     pub fn new(titles: &[Term], vocabulary: Vocabulary) -> Table {
-        Table { rows: vec![titles.iter().map(|title| title.word(vocabulary).to_string()).collect()] }
+        Table { rows: vec![titles.iter().map(|title| title.text(vocabulary).to_string()).collect()] }
     }
 
     /// Appends a row. Control characters are replaced, because a client could forge a row by a line feed in a name.
--- a/server/src/cli/cached_list.rs
+++ b/server/src/cli/cached_list.rs
@@ -5,7 +5,9 @@
 use crate::exit_status::{ExitStatus, Failure};
 use crate::messages::endpoint_list::cache_times;
 use crate::runtime::terms::{Term, Vocabulary};
-use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport, LoadedCache};
+use endpoint_cache::{
+    CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport, LoadedCache, LoadedList,
+};
 use recovery::staleness::{verification_level, VerificationLevel, LEVELS};
 use routing::time::Timestamp;
 use std::path::Path;
@@ -40,7 +42,7 @@
     for error in &loaded.errors {
         print_error(&error.to_string());
     }
-    let Some((list, file)) = &loaded.list else {
+    let Some(LoadedList { list, file }) = &loaded.list else {
         return Err(Failure::new(ExitStatus::DataError, no_list(path, vocabulary)));
     };
     if json {
@@ -60,9 +62,9 @@
     let loaded = load(path)?;
     let mut problems: Vec<String> = loaded.errors.iter().map(|error| error.to_string()).collect();
     match &loaded.list {
-        Some((list, file)) => {
+        Some(LoadedList { list, file }) => {
             let (generation, endpoints) = (list.generation, list.endpoints.len());
-            let (complete, noun) = (COMPLETE.word(vocabulary), ENDPOINTS.word(vocabulary));
+            let (complete, noun) = (COMPLETE.text(vocabulary), ENDPOINTS.text(vocabulary));
             print(&format!("{}: {complete}, generation {generation}, {endpoints} {noun}", file.display()));
         }
         None => problems.push(no_list(path, vocabulary)),
@@ -75,7 +77,7 @@
 }
 
 fn no_list(path: &Path, vocabulary: Vocabulary) -> String {
-    format!("{}: {}", path.display(), NO_LIST.word(vocabulary))
+    format!("{}: {}", path.display(), NO_LIST.text(vocabulary))
 }
 
 /// Loads a state directory, or one file.
@@ -88,7 +90,7 @@
     }
     let mut loaded = LoadedCache::default();
     match CacheDirectory::read_file(path) {
-        Ok(list) => loaded.list = list.map(|list| (list, path.to_path_buf())),
+        Ok(list) => loaded.list = list.map(|list| LoadedList { list, file: path.to_path_buf() }),
         Err(error) => loaded.errors.push(error),
     }
     Ok(loaded)
@@ -102,7 +104,7 @@
 fn format_list(list: &CachedEndpointList, file: &Path, now: Timestamp, vocabulary: Vocabulary) -> String {
     let mut lines = heading(list, file, now, vocabulary);
     lines.push(String::new());
-    let (endpoint, reported) = (ENDPOINT.word(vocabulary), REPORTED.word(vocabulary));
+    let (endpoint, reported) = (ENDPOINT.text(vocabulary), REPORTED.text(vocabulary));
     lines.push(endpoint_line(endpoint, "group", "address", "health", "listed", reported));
     for endpoint in &list.endpoints {
         let group = endpoint.block.to_string();
@@ -118,7 +120,7 @@
     let age_s = (now - times.confirmed).as_secs_f64();
     let identified_by_address = if level.identifies_by_address { "yes" } else { "no" };
     let levels: Vec<&str> = LEVELS.iter().map(|level| level.staleness.name()).collect();
-    let word = |term: Term| term.word(vocabulary);
+    let word = |term: Term| term.text(vocabulary);
     let line = |title: &str, text: &str| format!("{title:<TITLE_WIDTH$}{text}");
     let age = format!("{age_s:.1} s since discovery {}: {}", word(CONFIRMED), level.staleness.name());
     vec![
@@ -135,8 +137,8 @@
 fn verification(level: &VerificationLevel, vocabulary: Vocabulary) -> String {
     let (queries, claims) = (level.max_queries, level.claims_required);
     let members = if level.accounting_suffices { ACCOUNTED_FOR } else { FOLLOWED };
-    let (endpoints, of_its_own) = (AT_A_TIME.word(vocabulary), CLAIMS.word(vocabulary));
-    let members = members.word(vocabulary);
+    let (endpoints, of_its_own) = (AT_A_TIME.text(vocabulary), CLAIMS.text(vocabulary));
+    let members = members.text(vocabulary);
     format!("{queries} {endpoints}; a primary after {claims} {of_its_own} and {members}")
 }
 
@@ -153,7 +155,7 @@
 }
 
 fn format_report(report: Option<CachedReport>, vocabulary: Vocabulary) -> String {
-    let Some(report) = report else { return NO_REPORT.word(vocabulary).into() };
+    let Some(report) = report else { return NO_REPORT.text(vocabulary).into() };
     let role = if report.primary { "primary" } else { "replica" };
     let position = report.position_ms.map(|ms| format!(" at {ms}"));
     let timeline = report.timeline.map(|timeline| format!(", timeline {timeline}"));
--- a/server/src/runtime/terms.rs
+++ b/server/src/runtime/terms.rs
@@ -31,7 +31,7 @@
     }
 
     /// The term in a vocabulary.
-    pub fn word(self, vocabulary: Vocabulary) -> &'static str {
+    pub fn text(self, vocabulary: Vocabulary) -> &'static str {
         match vocabulary {
             Vocabulary::Earlier => self.earlier,
             Vocabulary::Standard => self.standard,
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -13,7 +13,7 @@
 use server::messages::control::{ConfirmAttempt, ControlMessage, IncomingRequest};
 use server::messages::endpoint_list::{ListedEndpoint, ListedHealth};
 use server::messages::request::{ClientRequest, RequestIdentity, RequestSession, RequestText};
-use server::messages::response::{Response, ResponseChannel, ResponseTicket};
+use server::messages::response::{RequestResponse, Response, ResponseChannel, ResponseTicket};
 use server::protocol::sqlstate::SqlState;
 use server::runtime::clock::{Clock, Timers};
 use server::runtime::metrics::Metrics;
@@ -145,7 +145,7 @@
     }
 
     /// Waits for `count` responses and returns them ordered by request.
-    fn responses(&self, count: usize) -> Vec<(RequestId, Response)> {
+    fn responses(&self, count: usize) -> Vec<RequestResponse> {
         let give_up_at = Instant::now() + WAIT_TIMEOUT;
         let mut responses = Vec::new();
         while responses.len() < count {
@@ -153,7 +153,7 @@
             assert!(Instant::now() < give_up_at, "a request is lost: {responses:?}");
             std::thread::sleep(Duration::from_millis(1));
         }
-        responses.sort_by_key(|(request, _): &(RequestId, Response)| *request);
+        responses.sort_by_key(|answered: &RequestResponse| answered.request);
         responses
     }
 
@@ -161,9 +161,9 @@
     fn response_to(&self, request: RequestId) -> Response {
         let mut responses = self.responses(1);
         assert_eq!(responses.len(), 1, "a request whose client has disconnected got a response");
-        let (answered, response) = responses.remove(0);
-        assert_eq!(answered, request);
-        response
+        let answered = responses.remove(0);
+        assert_eq!(answered.request, request);
+        answered.response
     }
 }
 
@@ -181,7 +181,8 @@
     let attempt = AttemptId { request: 1, number: 0, endpoint: 99 };
     let (reply, _confirmed) = channel();
     fixture.send(ControlMessage::Confirm(ConfirmAttempt { attempt, reply }));
-    assert_eq!(fixture.responses(2), [(1, Response::Aborted), (2, Response::Aborted)]);
+    let aborted = [1, 2].map(|request| RequestResponse { request, response: Response::Aborted });
+    assert_eq!(fixture.responses(2), aborted);
     fixture.write(3, 200);
     let response = fixture.response_to(3);
     let is_given_up = matches!(response, Response::Rejected { .. } | Response::Aborted);
