--- a/test-servers/src/lib.rs
+++ b/test-servers/src/lib.rs
@@ -8,6 +8,7 @@
 //! - [`daemon`]: the router daemon as a child process
 //! - [`settings`]: bootstrap settings for all of them
 //! - [`single_endpoint`]: a cluster of one endpoint
+//! - [`random`]: random choices that are reproducible by their seed
 //! - [`restart`]: runs that start with discovery down and a cached list that may be outdated
 //! - [`sessions`]: runs of sessions during kills of instances, replication lag and a failover
 //! - [`wire`]: PostgreSQL protocol messages
@@ -21,6 +22,7 @@
 pub mod daemon;
 pub mod discovery;
 pub mod endpoint;
+pub mod random;
 pub mod restart;
 pub mod sessions;
 pub mod settings;
--- a/test-servers/src/restart/client_loop.rs
+++ b/test-servers/src/restart/client_loop.rs
@@ -2,6 +2,7 @@
 
 use crate::client::{Answer, Client, Kind, RequestRecord};
 use crate::lock;
+use crate::random::{choose, one_in, JitteredMs};
 use routing::rng::Mwc;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,11 +13,11 @@
 const READ_TIMEOUT_MS: i64 = 400;
 const WRITE_TIMEOUT_MS: i64 = 600;
 /// On average one in this many requests is preceded by a pipeline of reads.
-const PIPELINE_EVERY: usize = 40;
+const REQUESTS_PER_PIPELINE: usize = 40;
 /// Reads in a pipeline: enough to overload an endpoint in slow start that is treated as warm.
 const PIPELINE_LENGTH: usize = 32;
 /// On average one in this many requests is a write.
-const WRITE_EVERY: usize = 3;
+const REQUESTS_PER_WRITE: usize = 3;
 const RECONNECT_DELAY: Duration = Duration::from_millis(2);
 /// Pause after a rejection without a Retry-After time.
 const DEFAULT_RETRY_AFTER_MS: i64 = 20;
@@ -24,9 +25,8 @@
 /// load.
 const MIN_RETRY_PAUSE_MS: i64 = 5;
 const MAX_RETRY_PAUSE_MS: i64 = 60;
-/// Pause between two requests: a fixed part, and the exclusive bound of a random one.
-const MIN_PAUSE_MS: i64 = 4;
-const PAUSE_JITTER_MS: usize = 8;
+/// Pause between two requests.
+const REQUEST_PAUSE: JitteredMs = JitteredMs { min_ms: 4, jitter_ms: 8 };
 
 /// State shared by all clients of a run.
 pub struct ClientRun {
@@ -89,10 +89,10 @@
 
     fn next_request(&mut self, client: &mut Client) -> RequestRecord {
         self.serial += 1;
-        let kind = if self.rng.below(WRITE_EVERY) == 0 { Kind::Write } else { Kind::Read };
-        let group = self.run.groups[self.rng.below(self.run.groups.len())];
+        let kind = if one_in(&mut self.rng, REQUESTS_PER_WRITE) { Kind::Write } else { Kind::Read };
+        let group = choose(&mut self.rng, &self.run.groups);
         let id = format!("{:04x}{:012x}", self.index, self.serial);
-        if self.rng.below(PIPELINE_EVERY) == 0 {
+        if one_in(&mut self.rng, REQUESTS_PER_PIPELINE) {
             // The load of a page that is opened.
             let ids: Vec<String> = (0..PIPELINE_LENGTH).map(|member| format!("{id}b{member}")).collect();
             let records = client.pipeline(&ids, group, Kind::Read, READ_TIMEOUT_MS);
@@ -114,7 +114,7 @@
                 let wait_ms = retry_after_ms.unwrap_or(DEFAULT_RETRY_AFTER_MS);
                 wait_ms.clamp(MIN_RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS)
             }
-            _ => MIN_PAUSE_MS + self.rng.below(PAUSE_JITTER_MS) as i64,
+            _ => REQUEST_PAUSE.draw(&mut self.rng),
         };
         Duration::from_millis(pause_ms as u64)
     }
--- a/test-servers/src/restart/faults.rs
+++ b/test-servers/src/restart/faults.rs
@@ -3,13 +3,14 @@
 use super::plan::Fault;
 use crate::cluster::{ClusterState, EndpointIndex, OldPrimary, Reachability, BOUND_MS};
 use crate::endpoint::free_address;
+use crate::random::JitteredMs;
 use routing::rng::Mwc;
 use std::net::SocketAddr;
 
-/// Minimum time from a failover to the start of the instances.
-const FAILOVER_AGO_MS: i64 = 5_000;
-/// Exclusive bound of a random time added to that.
-const FAILOVER_JITTER_MS: usize = 3_000;
+/// Time from a failover to the start of the instances: longer than any lag, so that replicas have followed it.
+const FAILOVER_AGO: JitteredMs = JitteredMs { min_ms: 5_000, jitter_ms: 3_000 };
+/// Multiple of the bound on staleness by which lagging replicas lag: clearly stale.
+const LAG_MULTIPLE: i64 = 2;
 /// Time before the failover at which a replica on the old primary's branch stopped.
 const STOPPED_BEFORE_MS: i64 = 100;
 
@@ -41,7 +42,7 @@
     rng: &mut Mwc,
 ) {
     let members = GroupMembers::starting_at(first);
-    let at_ms = now_ms - FAILOVER_AGO_MS - rng.below(FAILOVER_JITTER_MS) as i64;
+    let at_ms = now_ms - FAILOVER_AGO.draw(rng);
     match fault {
         Fault::None => {}
         Fault::OldPrimaryIsolated => state.promote(members.successor, OldPrimary::Isolated, at_ms),
@@ -73,8 +74,8 @@
         }
         Fault::ReplicaSilent => state.endpoints[members.replica].process.reachability = Reachability::Silent,
         Fault::ReplicasLag => {
-            state.endpoints[members.successor].replication.lag_ms = BOUND_MS * 2;
-            state.endpoints[members.replica].replication.lag_ms = BOUND_MS * 2;
+            state.endpoints[members.successor].replication.lag_ms = BOUND_MS * LAG_MULTIPLE;
+            state.endpoints[members.replica].replication.lag_ms = BOUND_MS * LAG_MULTIPLE;
         }
         Fault::NoPrimary => {
             remove_primary(state, &members, at_ms);
--- a/test-servers/src/restart/plan.rs
+++ b/test-servers/src/restart/plan.rs
@@ -1,6 +1,6 @@
 //! Plans of runs, drawn at random from a seed.
 
-use routing::rng::Mwc;
+use crate::random::{choose, one_in, plan_rng};
 
 /// A fault of one group between the time of the list and the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,8 +70,10 @@
 const AGES_S: [i64; 6] = [5, 40, 600, 7_200, 172_800, -3_600];
 const GROUPS: usize = 3;
 const CLIENTS: usize = 10;
-/// Multiplier that makes the random numbers of consecutive seeds independent (64-bit golden ratio).
-const SEED_MIX: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Numbers of instances to choose from.
+const INSTANCE_COUNTS: [usize; 3] = [1, 2, 3];
+/// On average in one of this many plans all endpoints have just started, so that they are in slow start.
+const PLANS_PER_JUST_STARTED: usize = 2;
 
 /// Plan of one run.
 #[derive(Clone, Debug)]
@@ -95,12 +97,12 @@
 impl Plan {
     /// Draws a plan from a seed.
     pub fn draw(seed: u64) -> Plan {
-        let mut rng = Mwc::new(seed.wrapping_mul(SEED_MIX));
-        let faults = (0..GROUPS).map(|_| FAULTS[rng.below(FAULTS.len())]).collect();
-        let age_s = AGES_S[rng.below(AGES_S.len())];
-        let discovery_return = RETURNS[rng.below(RETURNS.len())];
-        let just_started = rng.below(2) == 0;
-        let instances = 1 + rng.below(3);
+        let mut rng = plan_rng(seed);
+        let faults = (0..GROUPS).map(|_| choose(&mut rng, &FAULTS)).collect();
+        let age_s = choose(&mut rng, &AGES_S);
+        let discovery_return = choose(&mut rng, &RETURNS);
+        let just_started = one_in(&mut rng, PLANS_PER_JUST_STARTED);
+        let instances = choose(&mut rng, &INSTANCE_COUNTS);
         Plan { seed, faults, age_s, discovery_return, just_started, clients: CLIENTS, instances }
     }
 
--- a/test-servers/src/restart/run.rs
+++ b/test-servers/src/restart/run.rs
@@ -9,6 +9,7 @@
 use crate::daemon::{Daemon, DaemonOptions};
 use crate::discovery::{Discovery, DiscoveryMode};
 use crate::endpoint::free_address;
+use crate::random::client_seed;
 use crate::settings::settings_for;
 use crate::{lock, Build};
 use endpoint_cache::{CacheDirectory, CachedEndpointList};
@@ -29,8 +30,6 @@
 /// How long discovery is still broken after its return.
 const BROKEN_RETURN: Duration = Duration::from_millis(400);
 const FLAPPING_PERIOD: Duration = Duration::from_millis(1_000);
-/// Multiplier of a plan's seed from which the seeds of its clients are numbered.
-const CLIENT_SEED_FACTOR: u64 = 31;
 
 /// Durations of the phases of a run.
 #[derive(Clone, Copy, Debug)]
@@ -155,7 +154,7 @@
 fn start_clients(plan: &Plan, instances: &[Instance], run: &Arc<ClientRun>) -> Vec<JoinHandle<FirstServed>> {
     let start = |index: usize| {
         let run = run.clone();
-        let seed = plan.seed.wrapping_mul(CLIENT_SEED_FACTOR).wrapping_add(index as u64);
+        let seed = client_seed(plan.seed, index);
         let listen = instances[index % instances.len()].listen;
         thread::spawn(move || run.run(&listen, index, seed))
     };
--- a/test-servers/src/restart/scenario.rs
+++ b/test-servers/src/restart/scenario.rs
@@ -5,6 +5,7 @@
 use crate::cluster::{unix_ms, Branch, Cluster, ClusterState, EndpointIndex, EndpointModel, Reachability};
 use crate::discovery::list_entry;
 use crate::endpoint::{serve, ServedEndpoint};
+use crate::random::{event_rng, JitteredMs};
 use crate::settings::{DRAIN_GRACE_MS, SLOW_START};
 use endpoint_cache::{CachedEndpoint, CachedReport};
 use routing::rng::Mwc;
@@ -14,8 +15,11 @@
 
 /// Time since the start of endpoints whose slow start is over.
 const LONG_AGO_MS: i64 = 3_600_000;
-/// Makes the random numbers of the cluster independent of those of the plan.
-const SEED_FOR_CLUSTER: u64 = 0x5eed;
+/// Replication lag: far below the bound on staleness, so that only faults make replicas stale.
+const REPLICATION_LAG: JitteredMs = JitteredMs { min_ms: 10, jitter_ms: 60 };
+/// Lag of a replica's position when it was reported for the cached list.
+const REPORTED_LAG_MS: i64 = 10;
+const MILLIS_PER_SECOND: i64 = 1_000;
 
 /// The endpoint lists from before and after the faults.
 pub struct ScenarioLists {
@@ -39,7 +43,7 @@
     /// Creates the cluster of a plan and applies the plan's faults.
     pub fn new(plan: &Plan) -> Scenario {
         let cluster = Arc::new(Cluster::new(SLOW_START, DRAIN_GRACE_MS));
-        let mut rng = Mwc::new(plan.seed ^ SEED_FOR_CLUSTER);
+        let mut rng = event_rng(plan.seed);
         let now_ms = unix_ms();
         let started_ms = if plan.just_started { now_ms } else { now_ms - LONG_AGO_MS };
         let groups: Vec<i64> = (1..=plan.faults.len() as i64).collect();
@@ -83,7 +87,7 @@
     let first = state.endpoints.len();
     for member in 0..GROUP_SIZE {
         let upstream = (member > 0).then_some(first);
-        let lag_ms = 10 + rng.below(60) as i64;
+        let lag_ms = REPLICATION_LAG.draw(rng);
         let mut endpoint = EndpointModel::new(format!("s-{group}-{member}"), group, upstream, lag_ms);
         endpoint.process.started_ms = started_ms;
         state.endpoints.push(endpoint);
@@ -127,9 +131,9 @@
     let endpoint = &state.endpoints[index];
     let report = CachedReport {
         primary: was_primary(index),
-        position_ms: Some(now_ms - plan.age_s.abs() * 1_000 - 10),
+        position_ms: Some(now_ms - plan.age_s.abs() * MILLIS_PER_SECOND - REPORTED_LAG_MS),
         timeline: Some(1),
-        at_ms: now_ms - plan.age_s * 1_000,
+        at_ms: now_ms - plan.age_s * MILLIS_PER_SECOND,
     };
     CachedEndpoint {
         host: endpoint.name.clone(),
--- /dev/null
+++ b/test-servers/src/sessions/plan.rs
@@ -0,0 +1,42 @@
+//! Plans of runs, drawn at random from a seed.
+
+use crate::random::{choose, plan_rng, JitteredMs};
+
+const CLIENTS: usize = 6;
+/// Numbers of instances to choose from: at least two, so that clients can move from one to another.
+const INSTANCE_COUNTS: [usize; 2] = [2, 3];
+/// Lag of the replica that is promoted by the failover: short, so that the failover loses only the end of the log.
+const SHORT_LAG: JitteredMs = JitteredMs { min_ms: 10, jitter_ms: 60 };
+/// Lag of the other replica: long enough that it often lacks what a session has observed, and below the bound on
+/// staleness, so that it may serve reads.
+const LONG_LAG: JitteredMs = JitteredMs { min_ms: 150, jitter_ms: 550 };
+/// Time from the failover until discovery lists the new primary: from none to about the pause between two kills.
+const DISCOVERY_DELAY: JitteredMs = JitteredMs { min_ms: 0, jitter_ms: 300 };
+
+/// Plan of one run.
+#[derive(Clone, Debug)]
+pub struct Plan {
+    /// The seed that it was drawn from.
+    pub seed: u64,
+    /// Number of instances.
+    pub instances: usize,
+    /// Replication lag of the two replicas of each group.
+    pub lags_ms: [i64; 2],
+    /// Number of kills of instances.
+    pub kills: usize,
+    /// Number of clients.
+    pub clients: usize,
+    /// Time from the failover until discovery lists the new primary.
+    pub discovery_delay_ms: u64,
+}
+
+impl Plan {
+    /// Draws a plan from a seed.
+    pub fn draw(seed: u64, kills: usize) -> Plan {
+        let mut rng = plan_rng(seed);
+        let lags_ms = [SHORT_LAG.draw(&mut rng), LONG_LAG.draw(&mut rng)];
+        let instances = choose(&mut rng, &INSTANCE_COUNTS);
+        let discovery_delay_ms = DISCOVERY_DELAY.draw(&mut rng) as u64;
+        Plan { seed, instances, lags_ms, kills, clients: CLIENTS, discovery_delay_ms }
+    }
+}
