--- /dev/null
+++ b/test-servers/src/cluster/mod.rs
@@ -0,0 +1,72 @@
+//! Model of a cluster: its groups, the branches of their logs, the primaries, and the executions on each endpoint.
+//!
+//! Positions are Unix milliseconds. The position of a primary is the current time. The position of a replica is that
+//! of its upstream minus the lag, or where its replication has stopped. A failover forks a new branch: what an
+//! isolated old primary writes afterwards is on an abandoned branch.
+
+mod endpoint_model;
+mod slow_start;
+mod state;
+
+pub use endpoint_model::{EndpointIndex, EndpointModel, ProcessModel, Reachability, ReplicationModel};
+pub use slow_start::SlowStartModel;
+pub use state::{Branch, ClusterState, OldPrimary};
+
+use crate::lock;
+use history_checker::{FateAnswer, History, RequestRecord};
+use std::sync::{Mutex, MutexGuard};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// Bound on staleness in the settings of the tested instances.
+pub const BOUND_MS: i64 = 800;
+/// Tolerance added to a client's timeout for the time until a busy machine schedules the client's thread.
+const SCHEDULING_SLACK_MS: i64 = 500;
+/// Tolerance added to the bound on staleness for the time that a request takes from the client to the router.
+const NETWORK_SLACK_MS: i64 = 60;
+
+/// The wall clock in Unix milliseconds.
+pub fn unix_ms() -> i64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64
+}
+
+/// A cluster shared by its endpoints.
+pub struct Cluster {
+    /// Slow start of its endpoints.
+    pub slow_start: SlowStartModel,
+    /// Grace period after the announcement of a drain within which statements may still arrive.
+    pub drain_grace_ms: i64,
+    state: Mutex<ClusterState>,
+}
+
+impl Cluster {
+    /// Creates a cluster without endpoints.
+    pub fn new(slow_start: SlowStartModel, drain_grace_ms: i64) -> Cluster {
+        Cluster { slow_start, drain_grace_ms, state: Mutex::default() }
+    }
+
+    /// Locks the state of the cluster.
+    pub fn lock(&self) -> MutexGuard<'_, ClusterState> {
+        lock(&self.state)
+    }
+
+    /// Combines the executions in the cluster with the records of clients.
+    pub fn history(
+        &self,
+        without_session: Vec<RequestRecord>,
+        sessions: Vec<Vec<RequestRecord>>,
+        fates: Vec<FateAnswer>,
+    ) -> History {
+        let state = self.lock();
+        History {
+            without_session,
+            sessions,
+            fates,
+            executions: state.executions.values().flatten().cloned().collect(),
+            forks: state.branches.keys().map(|&group| (group, state.forks(group))).collect(),
+            endpoint_violations: state.violations.clone(),
+            bound_ms: BOUND_MS,
+            scheduling_slack_ms: SCHEDULING_SLACK_MS,
+            network_slack_ms: NETWORK_SLACK_MS,
+        }
+    }
+}
