--- a/test-servers/src/bin/sessions.rs
+++ b/test-servers/src/bin/sessions.rs
@@ -4,8 +4,9 @@
 use history_checker::Verdict;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use test_servers::comparison::{builds_to_compare, print_violations, NamedBuild};
+use test_servers::each_seed;
 use test_servers::sessions::{run_plan, Outcome, Plan};
-use test_servers::{each_seed, Build};
 
 const VIOLATIONS_SHOWN: usize = 3;
 
@@ -34,33 +35,39 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let this = Build { program: &arguments.daemon, has_operator_file: true };
-    let failed = run_build("this build", &this, &arguments);
-    if let Some(before) = &arguments.before {
-        run_build("before", &Build { program: before, has_operator_file: false }, &arguments);
+    let mut failed = false;
+    for compared in builds_to_compare(&arguments.daemon, arguments.before.as_deref()) {
+        let is_broken = run_build(&compared, &arguments);
+        failed |= is_broken && compared.build.has_operator_file;
     }
     ExitCode::from(u8::from(failed))
 }
 
+/// A plan and the result of its run.
+struct Run {
+    plan: Plan,
+    outcome: Outcome,
+}
+
 /// Runs all seeds with a build and prints the results. Returns whether a guarantee was violated.
-fn run_build(name: &str, build: &Build, arguments: &Arguments) -> bool {
+fn run_build(compared: &NamedBuild, arguments: &Arguments) -> bool {
+    let NamedBuild { name, build } = compared;
     let seeds = arguments.first..arguments.first + arguments.seeds;
     let runs = each_seed(seeds, arguments.at_once, |seed| {
         let plan = Plan::draw(seed, arguments.kills);
         let outcome = run_plan(&plan, build).expect("a plan can be run here");
-        (plan, outcome)
+        Run { plan, outcome }
     });
     let (mut sum, mut broke) = (Verdict::default(), 0);
-    for (plan, outcome) in &runs {
+    for Run { plan, outcome } in &runs {
         sum.add(outcome.verdict.clone());
         if !outcome.verdict.violations.is_empty() {
             broke += 1;
             println!("  {name}: {plan:?}");
-            let shown = outcome.verdict.violations.iter().take(VIOLATIONS_SHOWN);
-            shown.for_each(|violation| println!("    {violation:?}"));
+            print_violations(&outcome.verdict, VIOLATIONS_SHOWN);
         }
     }
-    let total = |value: fn(&Outcome) -> usize| runs.iter().map(|(_, run)| value(run)).sum::<usize>();
+    let total = |value: fn(&Outcome) -> usize| runs.iter().map(|run| value(&run.outcome)).sum::<usize>();
     let (plans, broken_rules) = (runs.len(), sum.broken_rules());
     let (requests, succeeded) = (sum.requests, sum.succeeded);
     println!(
--- a/test-servers/src/bin/starts.rs
+++ b/test-servers/src/bin/starts.rs
@@ -5,12 +5,17 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
+use test_servers::comparison::{builds_to_compare, print_violations, NamedBuild};
 use test_servers::restart::{reads_per_second, run_plan, Outcome, Phases, Plan};
 use test_servers::{each_seed, Build};
 
 /// Ages of the cached list, in seconds.
 const AGES_S: [i64; 5] = [5, 60, 3_600, 86_400, 200_000];
 const DISCOVERY_DOWN: Duration = Duration::from_millis(1_500);
+/// Long enough after the return of discovery that all groups with a primary serve writes.
+const DISCOVERY_BACK: Duration = Duration::from_millis(5_500);
+/// For runs that only measure what is served while discovery is down.
+const DISCOVERY_BACK_UNUSED: Duration = Duration::from_millis(10);
 const VIOLATIONS_SHOWN: usize = 4;
 const THROUGHPUT_CLIENTS: usize = 16;
 const THROUGHPUT_DURATION: Duration = Duration::from_secs(3);
@@ -60,30 +65,32 @@
     ExitCode::SUCCESS
 }
 
-fn builds(arguments: &Arguments) -> Vec<(&'static str, Build<'_>)> {
-    let mut builds = vec![("this build", Build { program: &arguments.daemon, has_operator_file: true })];
-    if let Some(before) = &arguments.before {
-        builds.push(("before", Build { program: before, has_operator_file: false }));
-    }
-    builds
+fn builds(arguments: &Arguments) -> Vec<NamedBuild<'_>> {
+    builds_to_compare(&arguments.daemon, arguments.before.as_deref())
+}
+
+/// A plan and the result of its run.
+struct Run {
+    plan: Plan,
+    outcome: Outcome,
 }
 
 /// Runs drawn faults with each build. Fails if this build violated a rule.
 fn run_faults(arguments: &Arguments) -> ExitCode {
-    let phases = Phases { discovery_down: DISCOVERY_DOWN, discovery_back: Duration::from_millis(5_500) };
+    let phases = Phases { discovery_down: DISCOVERY_DOWN, discovery_back: DISCOVERY_BACK };
     let mut failed = false;
-    for (name, build) in builds(arguments) {
+    for NamedBuild { name, build } in builds(arguments) {
         let seeds = arguments.first..arguments.first + arguments.seeds;
         let runs = each_seed(seeds, arguments.at_once, |seed| {
             let plan = Plan::draw(seed);
             let outcome = run_plan(&plan, &build, phases).expect("a plan can be run here");
-            (plan, outcome)
+            Run { plan, outcome }
         });
-        for (plan, outcome) in &runs {
+        for Run { plan, outcome } in &runs {
             print_failure(plan, outcome, build.has_operator_file, arguments.logs);
         }
         print_summary(name, &runs);
-        let broke = runs.iter().any(|(_, outcome)| !outcome.verdict.violations.is_empty());
+        let broke = runs.iter().any(|run| !run.outcome.verdict.violations.is_empty());
         failed |= broke && build.has_operator_file;
     }
     ExitCode::from(u8::from(failed))
@@ -98,19 +105,18 @@
     }
     if is_broken {
         println!("  seed {}: {plan:?}", plan.seed);
-        let shown = outcome.verdict.violations.iter().take(VIOLATIONS_SHOWN);
-        shown.for_each(|violation| println!("    {violation:?}"));
+        print_violations(&outcome.verdict, VIOLATIONS_SHOWN);
     }
     if logs && (lacks_writes || is_broken) {
         outcome.log.lines().for_each(|line| println!("    | {line}"));
     }
 }
 
-fn print_summary(name: &str, runs: &[(Plan, Outcome)]) {
+fn print_summary(name: &str, runs: &[Run]) {
     let mut sum = Verdict::default();
-    runs.iter().for_each(|(_, outcome)| sum.add(outcome.verdict.clone()));
-    let count = |matches: fn(&Outcome) -> bool| runs.iter().filter(|(_, run)| matches(run)).count();
-    let total = |value: fn(&Outcome) -> usize| runs.iter().map(|(_, run)| value(run)).sum::<usize>();
+    runs.iter().for_each(|run| sum.add(run.outcome.verdict.clone()));
+    let count = |matches: fn(&Outcome) -> bool| runs.iter().filter(|run| matches(&run.outcome)).count();
+    let total = |value: fn(&Outcome) -> usize| runs.iter().map(|run| value(&run.outcome)).sum::<usize>();
     let (plans, broke) = (runs.len(), count(|run| !run.verdict.violations.is_empty()));
     let broken_rules = sum.broken_rules();
     let (requests, succeeded) = (sum.requests, sum.succeeded);
@@ -129,7 +135,7 @@
     println!("ms from the start of the process, median (worst) of {} seeds", arguments.seeds);
     println!("{:<12} {:>10} {:>20} {:>20}", "build", "age", "first read", "first write");
     for age_s in AGES_S {
-        for (name, build) in builds(arguments) {
+        for NamedBuild { name, build } in builds(arguments) {
             let (mut reads, mut writes) = (Vec::new(), Vec::new());
             for seed in arguments.first..arguments.first + arguments.seeds {
                 let outcome = run_without_faults(seed, age_s, &build);
@@ -142,7 +148,7 @@
 }
 
 fn run_without_faults(seed: u64, age_s: i64, build: &Build) -> Outcome {
-    let phases = Phases { discovery_down: DISCOVERY_DOWN, discovery_back: Duration::from_millis(10) };
+    let phases = Phases { discovery_down: DISCOVERY_DOWN, discovery_back: DISCOVERY_BACK_UNUSED };
     run_plan(&Plan::without_faults(seed, age_s), build, phases).expect("a plan can be run here")
 }
 
--- a/test-servers/src/discovery.rs
+++ b/test-servers/src/discovery.rs
@@ -57,6 +57,13 @@
     }
 }
 
+/// The list that was sent last on a connection, and the behaviour at that time.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct SentList {
+    version: i64,
+    mode: DiscoveryMode,
+}
+
 /// The next step on a connection.
 enum Next {
     /// The list has not changed since it was sent.
@@ -151,12 +158,12 @@
         }
     }
 
-    fn next(&self, sent: &mut Option<(i64, DiscoveryMode)>) -> Next {
+    fn next(&self, sent: &mut Option<SentList>) -> Next {
         let state = lock(&self.state);
         if state.is_down() {
             return Next::Down;
         }
-        let current = Some((state.version, state.mode));
+        let current = Some(SentList { version: state.version, mode: state.mode });
         if std::mem::replace(sent, current) == current {
             return Next::Nothing;
         }
--- a/test-servers/src/lib.rs
+++ b/test-servers/src/lib.rs
@@ -5,6 +5,8 @@
 //! - [`endpoint`]: a listening endpoint of a cluster
 //! - [`discovery`]: a discovery service with simulated outages and restarts
 //! - [`client`]: a client that records its requests and their answers
+//! - [`closed_loop`]: clients that send one request after another and reconnect
+//! - [`comparison`]: two builds of the daemon in one experiment
 //! - [`daemon`]: the router daemon as a child process
 //! - [`settings`]: bootstrap settings for all of them
 //! - [`single_endpoint`]: a cluster of one endpoint
@@ -18,7 +20,9 @@
 #![warn(clippy::too_many_lines)]
 
 pub mod client;
+pub mod closed_loop;
 pub mod cluster;
+pub mod comparison;
 pub mod daemon;
 pub mod discovery;
 pub mod endpoint;
@@ -44,6 +48,12 @@
     pub has_operator_file: bool,
 }
 
+/// The result of the run of a seed.
+struct SeedResult<T> {
+    seed: u64,
+    result: T,
+}
+
 /// Runs each seed once, `at_once` of them concurrently. Returns the results in the order of the seeds.
 pub fn each_seed<T: Send>(seeds: Range<u64>, at_once: usize, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let next = AtomicU64::new(seeds.start);
@@ -56,13 +66,13 @@
                     return;
                 }
                 let result = run(seed);
-                results.lock().expect("no run panicked").push((seed, result));
+                results.lock().expect("no run panicked").push(SeedResult { seed, result });
             });
         }
     });
     let mut results = results.into_inner().expect("no run panicked");
-    results.sort_by_key(|(seed, _)| *seed);
-    results.into_iter().map(|(_, result)| result).collect()
+    results.sort_by_key(|run| run.seed);
+    results.into_iter().map(|run| run.result).collect()
 }
 
 /// Locks a mutex even if a thread panicked while it held it.
--- a/test-servers/src/restart/client_loop.rs
+++ b/test-servers/src/restart/client_loop.rs
@@ -1,6 +1,7 @@
 //! The loop of one client: sends reads and writes until the run is over, and reconnects whenever its connection ends.
 
 use crate::client::{Answer, Client, Kind, RequestRecord};
+use crate::closed_loop::reconnect_until_over;
 use crate::lock;
 use crate::random::{choose, one_in, JitteredMs};
 use routing::rng::Mwc;
@@ -55,12 +56,9 @@
     pub fn run(&self, listen: &SocketAddr, index: usize, seed: u64) -> FirstServed {
         let mut client_loop =
             ClientLoop { run: self, index, rng: Mwc::new(seed), serial: 0, first: FirstServed::default() };
-        while !self.is_over() {
-            match Client::open(listen) {
-                Ok(client) => client_loop.use_connection(client),
-                Err(_) => thread::sleep(RECONNECT_DELAY),
-            }
-        }
+        reconnect_until_over(listen, &self.is_over, RECONNECT_DELAY, |client| {
+            client_loop.use_connection(client);
+        });
         client_loop.first
     }
 }
--- a/test-servers/src/restart/run.rs
+++ b/test-servers/src/restart/run.rs
@@ -10,7 +10,7 @@
 use crate::discovery::{Discovery, DiscoveryMode};
 use crate::endpoint::free_address;
 use crate::random::client_seed;
-use crate::settings::settings_for;
+use crate::settings::{settings_for, ResourceLimits};
 use crate::{lock, Build};
 use endpoint_cache::{CacheDirectory, CachedEndpointList};
 use history_checker::{check, Verdict};
@@ -23,6 +23,13 @@
 
 /// Version of the cached list.
 pub(super) const LIST_VERSION: i64 = 1_000;
+/// Limits of each instance: small, since many runs share the machine.
+pub(super) const LIMITS: ResourceLimits = ResourceLimits { descriptors: 512, memory_mb: 64 };
+/// The part of a plan's seed that is used in the seed of an instance: 32 bits, so that it stays short.
+const BOOTSTRAP_SEED_MASK: u64 = 0xffff_ffff;
+/// Smallest number of instances in the settings, also if only one is started.
+const MIN_CONFIGURED_INSTANCES: usize = 2;
+const MILLIS_PER_SECOND: i64 = 1_000;
 /// Increase of the version while discovery was down.
 const VERSIONS_WHILE_DOWN: i64 = 5;
 /// Version of the list of a discovery that was restored from a backup.
@@ -114,9 +121,10 @@
 ) -> std::io::Result<Instance> {
     let list = serde_json::json!({ "seq": LIST_VERSION, "whole": true, "hosts": scenario.lists.old });
     let bootstrap = format!(
-        r#"{{"seed":"{:x}{index}","limits":{{"sockets":512,"memory_mb":64}},"known":{list},"settings":{}}}"#,
-        plan.seed & 0xffff_ffff,
-        settings_for(plan.instances.max(2))
+        r#"{{"seed":"{:x}{index}","limits":{},"known":{list},"settings":{}}}"#,
+        plan.seed & BOOTSTRAP_SEED_MASK,
+        LIMITS.to_json(),
+        settings_for(plan.instances.max(MIN_CONFIGURED_INSTANCES))
     );
     let folder = folder.join(format!("instance-{index}"));
     let state_dir = folder.join("state");
@@ -138,7 +146,7 @@
 }
 
 fn write_cache(state_dir: &Path, plan: &Plan, scenario: &Scenario) -> std::io::Result<()> {
-    let saved_ms = unix_ms() - plan.age_s * 1_000;
+    let saved_ms = unix_ms() - plan.age_s * MILLIS_PER_SECOND;
     let mut list = CachedEndpointList {
         generation: 0,
         version: LIST_VERSION,
--- a/test-servers/src/restart/throughput.rs
+++ b/test-servers/src/restart/throughput.rs
@@ -1,9 +1,10 @@
 //! Cost of caching the endpoint list: read throughput with and without it.
 
 use super::plan::Plan;
-use super::run::LIST_VERSION;
+use super::run::{LIMITS, LIST_VERSION};
 use super::scenario::Scenario;
-use crate::client::{Answer, Client, Kind};
+use crate::client::{Answer, Kind};
+use crate::closed_loop::reconnect_until_over;
 use crate::daemon::{Daemon, DaemonOptions};
 use crate::discovery::{Discovery, DiscoveryMode};
 use crate::endpoint::free_address;
@@ -20,6 +21,10 @@
 /// Interval of new versions of the endpoint list.
 const LIST_INTERVAL: Duration = Duration::from_millis(100);
 const RETRY_DELAY: Duration = Duration::from_millis(2);
+/// Any fixed number: the cluster is the same in every measurement.
+const SEED: u64 = 1;
+/// Age of the cached list: too short to matter.
+const LIST_AGE_S: i64 = 5;
 const READ_TIMEOUT_MS: i64 = 400;
 
 /// Measures the reads served per second, with discovery up and a new version of the list every 100 ms. Each client
@@ -34,7 +39,7 @@
     duration: Duration,
 ) -> std::io::Result<f64> {
     let folder = tempfile::tempdir()?;
-    let scenario = Scenario::new(&Plan::without_faults(1, 5));
+    let scenario = Scenario::new(&Plan::without_faults(SEED, LIST_AGE_S));
     let discovery = Discovery::start(DiscoveryMode::Up, LIST_VERSION, scenario.lists.present.clone());
     let listen = free_address();
     let daemon = start_daemon(program, caches_list, folder.path(), listen, &discovery)?;
@@ -64,8 +69,7 @@
     listen: SocketAddr,
     discovery: &Discovery,
 ) -> std::io::Result<Daemon> {
-    let bootstrap =
-        format!(r#"{{"seed":"1","limits":{{"sockets":512,"memory_mb":64}},"settings":{}}}"#, settings());
+    let bootstrap = format!(r#"{{"seed":"1","limits":{},"settings":{}}}"#, LIMITS.to_json(), settings());
     let state_dir = folder.join("state");
     std::fs::create_dir(&state_dir)?;
     let operator_file =
@@ -89,8 +93,7 @@
     is_over: &AtomicBool,
 ) -> usize {
     let (mut count, mut serial) = (0, 0);
-    while !is_over.load(Ordering::Acquire) {
-        let Ok(mut client) = Client::open(listen) else { continue };
+    reconnect_until_over(listen, is_over, Duration::ZERO, |mut client| {
         while !is_over.load(Ordering::Acquire) {
             serial += 1;
             let id = format!("{index:04x}{serial:012x}");
@@ -101,6 +104,6 @@
                 _ => thread::sleep(RETRY_DELAY),
             }
         }
-    }
+    });
     count
 }
--- a/test-servers/src/settings.rs
+++ b/test-servers/src/settings.rs
@@ -3,6 +3,21 @@
 use crate::cluster::{SlowStartModel, BOUND_MS};
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
+/// Instances in a deployment whose number does not matter.
+const DEFAULT_INSTANCES: usize = 2;
+/// Resolution of clocks and positions.
+const CLOCK_RESOLUTION_MS: i64 = 5;
+/// Latency objective of every class: an answer within this time has its full value.
+const LATENCY_OBJECTIVE_MS: i64 = 400;
+/// Maximum times that clients wait for the answer to a read and to a write.
+const READ_DEADLINE_MS: i64 = 800;
+const WRITE_DEADLINE_MS: i64 = 1_000;
+/// The fraction of its value that the answer to a write after the latency objective still has.
+const LATE_WRITE_VALUE: f64 = 0.5;
+/// Maximum attempts per request.
+const MAX_ATTEMPTS: u32 = 6;
+/// Longest Retry-After time of a rejection: short, so that rejected clients return within a run.
+const MAX_RETRY_AFTER_MS: i64 = 500;
 /// Deduplication window of writes with an idempotency key.
 pub const DEDUP_WINDOW_MS: i64 = 1_500;
 /// Grace period after the announcement of a drain within which statements may still arrive.
@@ -24,34 +39,51 @@
     work_ms: 1,
 };
 
+/// Limits on the resources of an instance.
+#[derive(Clone, Copy, Debug)]
+pub struct ResourceLimits {
+    /// Number of file descriptors.
+    pub descriptors: usize,
+    /// Memory in MB.
+    pub memory_mb: usize,
+}
+
+impl ResourceLimits {
+    /// The limits section of a bootstrap file, in JSON.
+    pub fn to_json(&self) -> String {
+        format!(r#"{{"sockets":{},"memory_mb":{}}}"#, self.descriptors, self.memory_mb)
+    }
+}
+
 /// The settings section of a bootstrap file, in JSON, for a deployment of two instances.
 pub fn settings() -> String {
-    settings_for(2)
+    settings_for(DEFAULT_INSTANCES)
 }
 
 /// The settings section of a bootstrap file, in JSON, for a deployment of `instances`.
 pub fn settings_for(instances: usize) -> String {
     let ms = |ms: i64| ms * NANOS_PER_MILLI;
     format!(
-        r#"{{"nInstances":{instances},"zone":0,"azs":["a"],"resolutionNs":5000000,"membershipMode":"push",
+        r#"{{"nInstances":{instances},"zone":0,"azs":["a"],"resolutionNs":{},"membershipMode":"push",
         "classes":[{{"name":"read","aimNs":{},"deadlineNs":{},"effect":"read_like"}},
-            {{"name":"order","aimNs":{},"deadlineNs":{},"effect":"non_idempotent","lateValue":0.5}},
+            {{"name":"order","aimNs":{},"deadlineNs":{},"effect":"non_idempotent","lateValue":{LATE_WRITE_VALUE}}},
             {{"name":"deposit","aimNs":{},"deadlineNs":{},"effect":"idempotency_key","keyScope":"cell",
-                "memorySpanNs":{},"lateValue":0.5}}],
+                "memorySpanNs":{},"lateValue":{LATE_WRITE_VALUE}}}],
         "familyInfo":{{"classRead":["recent","update","update"],"guards":"off","lagAllowedNs":[{},0,0],
             "sessionMarks":"client"}},
-        "allowed":{{"maxAttempts":6,"mayCancel":true,"probes":true,"retryAfter":true,"maxRetryAfterNs":{}}},
+        "allowed":{{"maxAttempts":{MAX_ATTEMPTS},"mayCancel":true,"probes":true,"retryAfter":true,"maxRetryAfterNs":{}}},
         "report":{{"names":["x0","x1","load_share"]}},
         "rules":{{"coldFrom":{},"coldNs":{},"fallMultiple":{},"overloadForNs":{}}}}}"#,
-        ms(400),
-        ms(800),
-        ms(400),
-        ms(1_000),
-        ms(400),
-        ms(1_000),
+        ms(CLOCK_RESOLUTION_MS),
+        ms(LATENCY_OBJECTIVE_MS),
+        ms(READ_DEADLINE_MS),
+        ms(LATENCY_OBJECTIVE_MS),
+        ms(WRITE_DEADLINE_MS),
+        ms(LATENCY_OBJECTIVE_MS),
+        ms(WRITE_DEADLINE_MS),
         ms(DEDUP_WINDOW_MS),
         ms(BOUND_MS),
-        ms(500),
+        ms(MAX_RETRY_AFTER_MS),
         SLOW_START.initial_fraction,
         ms(SLOW_START.duration_ms),
         SLOW_START.overload_multiple,
--- a/test-servers/src/single_endpoint.rs
+++ b/test-servers/src/single_endpoint.rs
@@ -4,7 +4,7 @@
 use crate::daemon::{Daemon, DaemonOptions};
 use crate::discovery::{list_entry, Discovery, DiscoveryMode};
 use crate::endpoint::{serve, ServedEndpoint};
-use crate::settings::{settings, DRAIN_GRACE_MS, NO_SLOW_START};
+use crate::settings::{settings, ResourceLimits, DRAIN_GRACE_MS, NO_SLOW_START};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
         operator_file: &str,
     ) -> Daemon {
         std::fs::create_dir_all(folder.join("state")).expect("a writable folder");
-        let limits = format!(r#"{{"sockets":{descriptors},"memory_mb":{MEMORY_MB}}}"#);
+        let limits = ResourceLimits { descriptors, memory_mb: MEMORY_MB }.to_json();
         let bootstrap = format!(r#"{{"seed":"1","limits":{limits},"settings":{}}}"#, settings());
         let options = DaemonOptions {
             program,
