--- a/test-servers/src/client.rs
+++ b/test-servers/src/client.rs
@@ -25,6 +25,25 @@
 const READ: &str = "SELECT content FROM kv WHERE name = '00000000000000aa'";
 const INSERT: &str = "INSERT INTO kv (name, content) VALUES ('00000000000000aa', '\\x01') RETURNING content";
 
+/// Timeouts of a client by the kind of the request.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestTimeouts {
+    /// Timeout of reads.
+    pub read_ms: i64,
+    /// Timeout of writes.
+    pub write_ms: i64,
+}
+
+impl RequestTimeouts {
+    /// The timeout of a request in milliseconds.
+    pub fn of(&self, kind: Kind) -> i64 {
+        match kind {
+            Kind::Read => self.read_ms,
+            Kind::Write | Kind::KeyedWrite => self.write_ms,
+        }
+    }
+}
+
 /// A client connection.
 pub struct Client {
     stream: TcpStream,
--- a/test-servers/src/restart/client_loop.rs
+++ b/test-servers/src/restart/client_loop.rs
@@ -1,6 +1,6 @@
 //! The loop of one client: sends reads and writes until the run is over, and reconnects whenever its connection ends.
 
-use crate::client::{Answer, Client, Kind, RequestRecord};
+use crate::client::{Answer, Client, Kind, RequestRecord, RequestTimeouts};
 use crate::closed_loop::reconnect_until_over;
 use crate::lock;
 use crate::random::{choose, one_in, JitteredMs};
@@ -11,8 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const READ_TIMEOUT_MS: i64 = 400;
-const WRITE_TIMEOUT_MS: i64 = 600;
+const TIMEOUTS: RequestTimeouts = RequestTimeouts { read_ms: 400, write_ms: 600 };
 /// On average one in this many requests is preceded by a pipeline of reads.
 const REQUESTS_PER_PIPELINE: usize = 40;
 /// Reads in a pipeline: enough to overload an endpoint in slow start that is treated as warm.
@@ -93,11 +92,10 @@
         if one_in(&mut self.rng, REQUESTS_PER_PIPELINE) {
             // The load of a page that is opened.
             let ids: Vec<String> = (0..PIPELINE_LENGTH).map(|member| format!("{id}b{member}")).collect();
-            let records = client.pipeline(&ids, group, Kind::Read, READ_TIMEOUT_MS);
+            let records = client.pipeline(&ids, group, Kind::Read, TIMEOUTS.read_ms);
             lock(&self.run.records).extend(records);
         }
-        let timeout_ms = if kind == Kind::Read { READ_TIMEOUT_MS } else { WRITE_TIMEOUT_MS };
-        let record = client.request(&id, group, kind, timeout_ms);
+        let record = client.request(&id, group, kind, TIMEOUTS.of(kind));
         if matches!(record.answer, Answer::Value(_)) {
             let elapsed_ms = self.run.started.elapsed().as_secs_f64() * 1e3;
             let first = if kind == Kind::Write { &mut self.first.write_ms } else { &mut self.first.read_ms };
--- a/test-servers/src/restart/plan.rs
+++ b/test-servers/src/restart/plan.rs
@@ -70,6 +70,7 @@
 const AGES_S: [i64; 6] = [5, 40, 600, 7_200, 172_800, -3_600];
 const GROUPS: usize = 3;
 const CLIENTS: usize = 10;
+const MILLIS_PER_SECOND: i64 = 1_000;
 /// Numbers of instances to choose from.
 const INSTANCE_COUNTS: [usize; 3] = [1, 2, 3];
 /// On average in one of this many plans all endpoints have just started, so that they are in slow start.
@@ -106,6 +107,11 @@
         Plan { seed, faults, age_s, discovery_return, just_started, clients: CLIENTS, instances }
     }
 
+    /// Age of the cached list in milliseconds.
+    pub fn age_ms(&self) -> i64 {
+        self.age_s * MILLIS_PER_SECOND
+    }
+
     /// A plan without faults.
     pub fn without_faults(seed: u64, age_s: i64) -> Plan {
         Plan {
--- a/test-servers/src/restart/run.rs
+++ b/test-servers/src/restart/run.rs
@@ -29,7 +29,6 @@
 const BOOTSTRAP_SEED_MASK: u64 = 0xffff_ffff;
 /// Smallest number of instances in the settings, also if only one is started.
 const MIN_CONFIGURED_INSTANCES: usize = 2;
-const MILLIS_PER_SECOND: i64 = 1_000;
 /// Increase of the version while discovery was down.
 const VERSIONS_WHILE_DOWN: i64 = 5;
 /// Version of the list of a discovery that was restored from a backup.
@@ -146,7 +145,7 @@
 }
 
 fn write_cache(state_dir: &Path, plan: &Plan, scenario: &Scenario) -> std::io::Result<()> {
-    let saved_ms = unix_ms() - plan.age_s * MILLIS_PER_SECOND;
+    let saved_ms = unix_ms() - plan.age_ms();
     let mut list = CachedEndpointList {
         generation: 0,
         version: LIST_VERSION,
--- a/test-servers/src/restart/scenario.rs
+++ b/test-servers/src/restart/scenario.rs
@@ -19,7 +19,6 @@
 const REPLICATION_LAG: JitteredMs = JitteredMs { min_ms: 10, jitter_ms: 60 };
 /// Lag of a replica's position when it was reported for the cached list.
 const REPORTED_LAG_MS: i64 = 10;
-const MILLIS_PER_SECOND: i64 = 1_000;
 
 /// The endpoint lists from before and after the faults.
 pub struct ScenarioLists {
@@ -131,9 +130,9 @@
     let endpoint = &state.endpoints[index];
     let report = CachedReport {
         primary: was_primary(index),
-        position_ms: Some(now_ms - plan.age_s.abs() * MILLIS_PER_SECOND - REPORTED_LAG_MS),
+        position_ms: Some(now_ms - plan.age_ms().abs() - REPORTED_LAG_MS),
         timeline: Some(1),
-        at_ms: now_ms - plan.age_s * MILLIS_PER_SECOND,
+        at_ms: now_ms - plan.age_ms(),
     };
     CachedEndpoint {
         host: endpoint.name.clone(),
--- a/test-servers/src/sessions/client.rs
+++ b/test-servers/src/sessions/client.rs
@@ -1,7 +1,7 @@
 //! A client with one session, which it carries from instance to instance, and its writes in doubt.
 
 use super::deployment::GROUPS;
-use crate::client::{Answer, Client, Kind, RequestRecord};
+use crate::client::{Answer, Client, Kind, RequestRecord, RequestTimeouts};
 use crate::cluster::unix_ms;
 use crate::lock;
 use crate::random::{choose, one_in, JitteredMs};
@@ -19,8 +19,7 @@
 const REQUEST_PAUSE: JitteredMs = JitteredMs { min_ms: 2, jitter_ms: 10 };
 /// Kinds of requests in the proportions in which they are drawn.
 const KINDS: [Kind; 5] = [Kind::Read, Kind::Read, Kind::Read, Kind::Write, Kind::KeyedWrite];
-const READ_TIMEOUT_MS: i64 = 400;
-const WRITE_TIMEOUT_MS: i64 = 700;
+const TIMEOUTS: RequestTimeouts = RequestTimeouts { read_ms: 400, write_ms: 700 };
 const RECONNECT_DELAY: Duration = Duration::from_millis(3);
 /// Maximum number of attempts of a client to reconnect to a killed instance.
 const MAX_RECONNECTS: usize = 400;
@@ -71,6 +70,7 @@
 }
 
 impl Session {
+    /// Creates a client that has no session yet. If `has_token` is false, it never uses one.
     pub fn new(seed: u64, index: usize, has_token: bool, shared: Arc<RunState>) -> Session {
         Session {
             shared,
@@ -132,8 +132,7 @@
     }
 
     fn request(&mut self, connection: &mut Connection, id: &str, group: i64, kind: Kind) -> Answer {
-        let timeout_ms = if kind == Kind::Read { READ_TIMEOUT_MS } else { WRITE_TIMEOUT_MS };
-        let mut record = connection.client.request(id, group, kind, timeout_ms);
+        let mut record = connection.client.request(id, group, kind, TIMEOUTS.of(kind));
         let killed_ms = lock(&self.shared.killed_ms[connection.instance]);
         record.cut_off = killed_ms.iter().any(|&at_ms| at_ms >= connection.opened_ms);
         drop(killed_ms);
--- a/test-servers/src/sessions/deployment.rs
+++ b/test-servers/src/sessions/deployment.rs
@@ -38,6 +38,7 @@
 }
 
 impl<'a> Deployment<'a> {
+    /// Starts the endpoints and discovery, which lists them.
     pub fn new(plan: &'a Plan, build: &'a Build<'a>) -> std::io::Result<Deployment<'a>> {
         let cluster = Arc::new(Cluster::new(NO_SLOW_START, DRAIN_GRACE_MS));
         for group in GROUPS {
@@ -69,6 +70,7 @@
         self.discovery.set_list(version, (0..state.endpoints.len()).map(entry).collect());
     }
 
+    /// Starts an instance, which finds the state that an earlier one of this index left.
     pub fn start_instance(&self, index: usize) -> std::io::Result<Daemon> {
         let folder = self.folder.path().join(format!("instance-{index}"));
         let state_dir = folder.join("state");
@@ -90,6 +92,7 @@
         })
     }
 
+    /// Starts a thread for each client of the plan.
     pub fn start_clients(&self) -> Vec<JoinHandle<Session>> {
         let start = |index: usize| {
             let seed = client_seed(self.plan.seed, index);
