--- a/test-servers/src/restart/run.rs
+++ b/test-servers/src/restart/run.rs
@@ -9,7 +9,8 @@
 use crate::daemon::{Daemon, DaemonOptions};
 use crate::discovery::{Discovery, DiscoveryMode};
 use crate::endpoint::free_address;
-use crate::settings::settings_for;
+use crate::random::client_seed;
+use crate::settings::{settings_for, ResourceLimits};
 use crate::{lock, Build};
 use endpoint_cache::{CacheDirectory, CachedEndpointList};
 use history_checker::{check, Verdict};
@@ -22,6 +23,12 @@
 
 /// Version of the cached list.
 pub(super) const LIST_VERSION: i64 = 1_000;
+/// Limits of each instance: small, since many runs share the machine.
+pub(super) const LIMITS: ResourceLimits = ResourceLimits { descriptors: 512, memory_mb: 64 };
+/// The part of a plan's seed that is used in the seed of an instance: 32 bits, so that it stays short.
+const BOOTSTRAP_SEED_MASK: u64 = 0xffff_ffff;
+/// Smallest number of instances in the settings, also if only one is started.
+const MIN_CONFIGURED_INSTANCES: usize = 2;
 /// Increase of the version while discovery was down.
 const VERSIONS_WHILE_DOWN: i64 = 5;
 /// Version of the list of a discovery that was restored from a backup.
@@ -29,8 +36,6 @@
 /// How long discovery is still broken after its return.
 const BROKEN_RETURN: Duration = Duration::from_millis(400);
 const FLAPPING_PERIOD: Duration = Duration::from_millis(1_000);
-/// Multiplier of a plan's seed from which the seeds of its clients are numbered.
-const CLIENT_SEED_FACTOR: u64 = 31;
 
 /// Durations of the phases of a run.
 #[derive(Clone, Copy, Debug)]
@@ -115,9 +120,10 @@
 ) -> std::io::Result<Instance> {
     let list = serde_json::json!({ "seq": LIST_VERSION, "whole": true, "hosts": scenario.lists.old });
     let bootstrap = format!(
-        r#"{{"seed":"{:x}{index}","limits":{{"sockets":512,"memory_mb":64}},"known":{list},"settings":{}}}"#,
-        plan.seed & 0xffff_ffff,
-        settings_for(plan.instances.max(2))
+        r#"{{"seed":"{:x}{index}","limits":{},"known":{list},"settings":{}}}"#,
+        plan.seed & BOOTSTRAP_SEED_MASK,
+        LIMITS.to_json(),
+        settings_for(plan.instances.max(MIN_CONFIGURED_INSTANCES))
     );
     let folder = folder.join(format!("instance-{index}"));
     let state_dir = folder.join("state");
@@ -139,7 +145,7 @@
 }
 
 fn write_cache(state_dir: &Path, plan: &Plan, scenario: &Scenario) -> std::io::Result<()> {
-    let saved_ms = unix_ms() - plan.age_s * 1_000;
+    let saved_ms = unix_ms() - plan.age_ms();
     let mut list = CachedEndpointList {
         generation: 0,
         version: LIST_VERSION,
@@ -155,7 +161,7 @@
 fn start_clients(plan: &Plan, instances: &[Instance], run: &Arc<ClientRun>) -> Vec<JoinHandle<FirstServed>> {
     let start = |index: usize| {
         let run = run.clone();
-        let seed = plan.seed.wrapping_mul(CLIENT_SEED_FACTOR).wrapping_add(index as u64);
+        let seed = client_seed(plan.seed, index);
         let listen = instances[index % instances.len()].listen;
         thread::spawn(move || run.run(&listen, index, seed))
     };
