--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -13,11 +13,6 @@
 /// The fraction of its concurrency limit from which an endpoint is under pressure, so that a prompt answer
 /// shows that the limit may be raised.
 const PRESSURE_SHARE: f64 = 0.5;
-/// Factors by which an answer that took longer or less long moves the estimate of a method's quick latency.
-/// Longer answers move it by less, so it settles where about three in ten answers are quicker.
-const SLOWER_ANSWER_FACTOR: f64 = 1.02;
-const QUICKER_ANSWER_FACTOR: f64 = 0.95;
-
 impl RoutingPolicy {
     /// Starts an attempt of a waiting request at an endpoint.
     pub(super) fn start_attempt(&mut self, id: RequestId, index: EndpointIndex) {
@@ -85,9 +80,7 @@
             return;
         };
         if end.outcome == AttemptOutcome::Succeeded {
-            let quick = &mut self.quick_latency[request.method];
-            let is_slower = end.elapsed.as_secs_f64() > *quick;
-            *quick *= if is_slower { SLOWER_ANSWER_FACTOR } else { QUICKER_ANSWER_FACTOR };
+            adapt_quick_latency(&mut self.quick_latency[request.method], end.elapsed);
         } else {
             request.attempts.record_failure(end);
             if !end.outcome.proves_not_executed() {
@@ -111,3 +104,14 @@
         }
     }
 }
+
+/// Factors by which an answer that took longer or less long moves the estimate of a method's quick latency.
+/// Longer answers move it by less, so it settles where about three in ten answers are quicker.
+const SLOWER_ANSWER_FACTOR: f64 = 1.02;
+const QUICKER_ANSWER_FACTOR: f64 = 0.95;
+
+/// Adapts the estimate of a method's quick latency, in seconds, to the latency of an answer.
+fn adapt_quick_latency(quick_latency: &mut f64, elapsed: TimeDelta) {
+    let is_slower = elapsed.as_secs_f64() > *quick_latency;
+    *quick_latency *= if is_slower { SLOWER_ANSWER_FACTOR } else { QUICKER_ANSWER_FACTOR };
+}
--- a/routing/src/policy/compiled_settings.rs
+++ b/routing/src/policy/compiled_settings.rs
@@ -4,27 +4,8 @@
 use crate::time::TimeDelta;
 use crate::{Access, Idempotency, MethodIndex, MethodSettings, RoutingSettings};
 
-/// Attempts of all instances together that an endpoint may have in flight before its answers have adapted the
-/// limit.
-const INITIAL_CONCURRENCY: f64 = 16.0;
-/// Divisor of [`INITIAL_CONCURRENCY`]: the largest initial limit of one instance, and the smallest limit of
-/// all instances together.
-const CONCURRENCY_DIVISOR: f64 = 4.0;
-/// The tightest latency objective if there are no methods.
-const DEFAULT_OBJECTIVE: TimeDelta = TimeDelta::from_millis(100);
 /// Divisor of a method's latency objective: its quick latency before any answer has shown it.
 const INITIAL_LATENCY_DIVISOR: f64 = 4.0;
-/// Final answers are given this many clock steps before their deadline.
-const ANSWER_MARGIN_STEPS: i64 = 2;
-/// Divisor of the time within which the endpoint list must be polled, so that one failed poll leaves time for
-/// another.
-const LIST_POLL_DIVISOR: i64 = 2;
-/// Divisor of the tightest latency objective: the tick interval.
-const TICK_DIVISOR: i64 = 8;
-/// Divisor of the tightest bound on staleness: the age from which a reported position is queried again.
-const REPORT_AGE_DIVISOR: i64 = 4;
-/// Factor of the tightest latency objective: what takes the place of the bound if no method has one.
-const UNBOUNDED_STALENESS_FACTOR: i64 = 4;
 
 impl MethodPolicy {
     fn new(method: &MethodSettings, margin: TimeDelta, tightest_bound: Option<TimeDelta>) -> MethodPolicy {
@@ -51,37 +32,72 @@
 }
 
 impl CompiledSettings {
-    /// Derives the policy of each method, the tick interval, the report age and the concurrency limits from
-    /// `settings`.
+    /// Derives the policy of each method, the times and the concurrency limits from `settings`.
     pub fn new(settings: &RoutingSettings) -> CompiledSettings {
         let methods = &settings.methods;
-        let tightest_objective = methods.iter().map(|method| method.latency_objective).min();
-        let tightest_objective = tightest_objective.unwrap_or(DEFAULT_OBJECTIVE);
         let tightest_bound = methods.iter().filter_map(MethodSettings::staleness_bound).min();
-        let staleness = tightest_bound.unwrap_or(tightest_objective * UNBOUNDED_STALENESS_FACTOR);
-        let answer_margin = settings.clock_resolution * ANSWER_MARGIN_STEPS;
+        let times = derive_times(settings, tightest_bound);
+        let method = |method| MethodPolicy::new(method, times.answer_margin, tightest_bound);
         let instance_share = 1.0 / f64::from(settings.instances.max(1));
         CompiledSettings {
-            methods: methods.iter().map(|m| MethodPolicy::new(m, answer_margin, tightest_bound)).collect(),
+            methods: methods.iter().map(method).collect(),
             retry_order: retry_order(methods),
-            times: DerivedTimes {
-                list_poll_interval: settings.list_poll_within.map(|within| within / LIST_POLL_DIVISOR),
-                answer_margin,
-                tick_interval: (tightest_objective / TICK_DIVISOR).max(settings.clock_resolution),
-                max_report_age: staleness / REPORT_AGE_DIVISOR,
-                tightest_objective,
-            },
+            times,
             instance_share,
-            concurrency: ConcurrencyBounds {
-                initial_limit: (INITIAL_CONCURRENCY * instance_share)
-                    .min(INITIAL_CONCURRENCY / CONCURRENCY_DIVISOR),
-                min_limit: INITIAL_CONCURRENCY / CONCURRENCY_DIVISOR * instance_share,
-            },
+            concurrency: concurrency_bounds(instance_share),
             settings: settings.clone(),
         }
     }
 }
 
+/// The tightest latency objective if there are no methods.
+const DEFAULT_OBJECTIVE: TimeDelta = TimeDelta::from_millis(100);
+
+/// The shortest latency objective of all methods.
+fn tightest_objective(methods: &[MethodSettings]) -> TimeDelta {
+    methods.iter().map(|method| method.latency_objective).min().unwrap_or(DEFAULT_OBJECTIVE)
+}
+
+/// Final answers are given this many clock steps before their deadline.
+const ANSWER_MARGIN_STEPS: i64 = 2;
+/// Divisor of the time within which the endpoint list must be polled, so that one failed poll leaves time for
+/// another.
+const LIST_POLL_DIVISOR: i64 = 2;
+/// Divisor of the tightest latency objective: the tick interval.
+const TICK_DIVISOR: i64 = 8;
+/// Divisor of the tightest bound on staleness: the age from which a reported position is queried again.
+const REPORT_AGE_DIVISOR: i64 = 4;
+/// Factor of the tightest latency objective: what takes the place of the bound if no method has one.
+const UNBOUNDED_STALENESS_FACTOR: i64 = 4;
+
+/// Derives the time spans from the settings and the tightest bound on staleness, if any method has one.
+fn derive_times(settings: &RoutingSettings, tightest_bound: Option<TimeDelta>) -> DerivedTimes {
+    let tightest_objective = tightest_objective(&settings.methods);
+    let staleness = tightest_bound.unwrap_or(tightest_objective * UNBOUNDED_STALENESS_FACTOR);
+    DerivedTimes {
+        list_poll_interval: settings.list_poll_within.map(|within| within / LIST_POLL_DIVISOR),
+        answer_margin: settings.clock_resolution * ANSWER_MARGIN_STEPS,
+        tick_interval: (tightest_objective / TICK_DIVISOR).max(settings.clock_resolution),
+        max_report_age: staleness / REPORT_AGE_DIVISOR,
+        tightest_objective,
+    }
+}
+
+/// Attempts of all instances together that an endpoint may have in flight before its answers have adapted the
+/// limit.
+const INITIAL_CONCURRENCY: f64 = 16.0;
+/// Divisor of [`INITIAL_CONCURRENCY`]: the largest initial limit of one instance, and the smallest limit of
+/// all instances together.
+const CONCURRENCY_DIVISOR: f64 = 4.0;
+
+/// Derives the bounds of concurrency limits from this instance's share of the traffic.
+fn concurrency_bounds(instance_share: f64) -> ConcurrencyBounds {
+    ConcurrencyBounds {
+        initial_limit: (INITIAL_CONCURRENCY * instance_share).min(INITIAL_CONCURRENCY / CONCURRENCY_DIVISOR),
+        min_limit: INITIAL_CONCURRENCY / CONCURRENCY_DIVISOR * instance_share,
+    }
+}
+
 /// Methods in the order in which waiting requests are retried: writes, strong reads, the others, each by
 /// objective.
 fn retry_order(methods: &[MethodSettings]) -> Vec<MethodIndex> {
--- a/routing/src/policy/concurrency_limit.rs
+++ b/routing/src/policy/concurrency_limit.rs
@@ -1,7 +1,6 @@
-//! How many attempts an endpoint may have in flight: an adaptive concurrency limit, and slow start after a
-//! restart.
+//! How many attempts an endpoint may have in flight: an adaptive concurrency limit.
 
-use crate::state::endpoint::{Endpoint, EndpointCapacity};
+use crate::state::endpoint::EndpointCapacity;
 use crate::time::Timestamp;
 use crate::{AttemptEnd, AttemptOutcome, EndpointIndex, MethodIndex, RoutingPolicy};
 
@@ -9,23 +8,11 @@
 const SATURATED_LOAD: f64 = 0.9;
 /// The factor by which a late answer reduces a limit.
 const LIMIT_REDUCTION: f64 = 0.8;
-/// Divisor of the load that the settings allow in slow start: the rest is a margin for random bursts.
-const SLOW_START_MARGIN: f64 = 3.0;
-/// The shortest work, in seconds, that the slow-start limit reckons with.
-const MIN_WORK: f64 = 1e-3;
-/// Divisor of the work that overloads an endpoint in slow start: work up to the quotient is light. The margin
-/// covers a heavy tail of latencies.
-const LIGHT_WORK_DIVISOR: f64 = 4.0;
-/// The fraction of a core that each instance's share of work at an endpoint in slow start is reckoned from at
-/// least.
-const MIN_BUSY_CORES: f64 = 0.5;
 /// Divisor of the tightest latency objective: outstanding work at which an endpoint still takes another
 /// attempt.
 const BURST_TOLERANCE_DIVISOR: f64 = 4.0;
 /// Divisor of a limit below 2: the most that one answer raises it by.
 const MAX_RAISE_DIVISOR: f64 = 4.0;
-/// Factor of the age from which a position is queried again: a load report older than that is ignored.
-const LOAD_REPORT_AGE_FACTOR: i64 = 4;
 
 impl EndpointCapacity {
     /// Whether another attempt is within `limit`. A limit below 1 is a rate: another attempt is accepted once
@@ -75,36 +62,6 @@
         endpoint.capacity.accepts(limit, if tolerant { tolerance } else { 0.0 }, self.now)
     }
 
-    /// The concurrency limit of an endpoint in slow start; infinite for others. With few instances it is this
-    /// instance's share of the work that may be queued at one core during the overload window, as a number of
-    /// attempts. With many instances it is a rate: the slow-start fraction times the work done for this
-    /// instance at the mean warm endpoint, reckoned from at least this instance's share of half a core.
-    fn slow_start_limit(&self, endpoint: &Endpoint) -> f64 {
-        let Some(fraction) = self.slow_start_fraction(endpoint) else { return f64::INFINITY };
-        let (settings, share) = (&self.settings.settings, self.settings.instance_share);
-        let (multiple, window) = (settings.overload_multiple, settings.overload_window.as_secs_f64());
-        let light = self.quick_latency.iter().copied().filter(|&latency| self.is_light(latency, fraction));
-        let heaviest = light.fold(MIN_WORK, f64::max);
-        let attempts = fraction * (multiple - 1.0) * window * share / heaviest / SLOW_START_MARGIN;
-        if attempts >= 1.0 {
-            return attempts;
-        }
-        let busy_cores = self.mean_warm_work() / window / SLOW_START_MARGIN;
-        fraction * multiple * busy_cores.max(share * MIN_BUSY_CORES)
-    }
-
-    /// Whether work of this latency, in seconds, is short enough for an endpoint at this slow-start fraction.
-    fn is_light(&self, quick_latency: f64, fraction: f64) -> bool {
-        let settings = &self.settings.settings;
-        let overloading = fraction * settings.overload_multiple * settings.overload_window.as_secs_f64();
-        quick_latency <= overloading / LIGHT_WORK_DIVISOR
-    }
-
-    /// The time from which load reports are recent enough to be used.
-    pub(super) fn load_reports_since(&self) -> Timestamp {
-        self.now - self.settings.times.max_report_age * LOAD_REPORT_AGE_FACTOR
-    }
-
     /// Adapts the endpoint's limit and health to how an attempt ended.
     pub(crate) fn update_endpoint_load(&mut self, end: &AttemptEnd) {
         let (now, started_at) = (self.now, self.now - end.elapsed);
--- a/routing/src/policy/endpoint_state.rs
+++ b/routing/src/policy/endpoint_state.rs
@@ -5,16 +5,10 @@
 use crate::{Action, EndpointIndex, EndpointRecord, EndpointReport, EndpointStatus};
 use crate::{GroupIndex, Role, RoutingPolicy};
 
-/// A failed poll of the endpoint list is repeated after 16 to 31 of so many parts of the poll interval.
-const RETRY_PARTS: i64 = 64;
-const MIN_RETRY_PARTS: i64 = 16;
-const RETRY_JITTER_PARTS: usize = 16;
 /// Factor of the poll interval: an open watch is renewed after this time, in case it was lost unnoticed.
 const WATCH_RENEWAL_FACTOR: i64 = 4;
-/// The work that an instance reckons to be outstanding at an endpoint that has just started is random: fewer
-/// than so many parts of the tightest latency objective, of as many parts as the divisor says.
-const START_JITTER_PARTS: usize = 64;
-const START_JITTER_DIVISOR: f64 = 256.0;
+/// Factor of the age from which a position is queried again: a load report older than that is ignored.
+const LOAD_REPORT_AGE_FACTOR: i64 = 4;
 
 impl RoutingPolicy {
     /// Polls the endpoint list if that is due.
@@ -27,6 +21,10 @@
 
     /// Schedules the next poll after a failed one. The jitter keeps many instances from polling in step.
     pub(crate) fn postpone_list_poll(&mut self) {
+        // The poll is repeated after 16 to 31 of 64 parts of the poll interval.
+        const RETRY_PARTS: i64 = 64;
+        const MIN_RETRY_PARTS: i64 = 16;
+        const RETRY_JITTER_PARTS: usize = 16;
         let jitter = self.rng.below(RETRY_JITTER_PARTS) as i64;
         let delay = self
             .settings
@@ -64,7 +62,10 @@
         if record.started_at > listing.started_at {
             listing.started_at = record.started_at;
             capacity.work.last_attempt_at = self.now;
-            // The jitter spreads the first attempts of all instances at a starting endpoint.
+            // The jitter spreads the first attempts of all instances at a starting endpoint: work of up to a
+            // quarter of the tightest objective is reckoned to be outstanding.
+            const START_JITTER_PARTS: usize = 64;
+            const START_JITTER_DIVISOR: f64 = 256.0;
             let jitter = self.rng.below(START_JITTER_PARTS) as f64 / START_JITTER_DIVISOR;
             capacity.work.at_last_attempt = jitter * self.settings.times.tightest_objective.as_secs_f64();
         }
@@ -75,6 +76,11 @@
         }
     }
 
+    /// The time from which load reports are recent enough to be used.
+    pub(super) fn load_reports_since(&self) -> Timestamp {
+        self.now - self.settings.times.max_report_age * LOAD_REPORT_AGE_FACTOR
+    }
+
     /// Applies a report of an endpoint. A position proves freshness however late the report arrives; a role
     /// is valid as of the time that it was reported for, which for a primary is its position.
     pub(crate) fn apply_report(&mut self, index: EndpointIndex, report: EndpointReport, is_answer: bool) {
--- a/routing/src/policy/mod.rs
+++ b/routing/src/policy/mod.rs
@@ -8,7 +8,9 @@
 mod attempts;
 mod compiled_settings;
 mod concurrency_limit;
+mod ejection;
 mod endpoint_state;
 mod health_checks;
 mod replica_selection;
 mod request_lifecycle;
+mod slow_start;
