--- a/test-servers/src/cluster/mod.rs
+++ b/test-servers/src/cluster/mod.rs
@@ -5,6 +5,7 @@
 //! isolated old primary writes afterwards is on an abandoned branch.
 
 mod endpoint_model;
+mod load;
 mod slow_start;
 mod state;
 
--- a/test-servers/src/cluster/slow_start.rs
+++ b/test-servers/src/cluster/slow_start.rs
@@ -1,8 +1,5 @@
 //! Model of the load on endpoints: their slow start after a start, their service times, and their overload.
 
-use super::endpoint_model::EndpointIndex;
-use super::state::ClusterState;
-use history_checker::Rule;
 use std::time::Duration;
 
 const MICROS_PER_MILLI: i64 = 1_000;
@@ -34,7 +31,12 @@
 impl EndpointLoad {
     /// Records the arrival of a statement. Returns whether the work within the window overloads an endpoint that has
     /// `fraction` of its capacity; the window then starts anew.
-    fn is_overloaded_by(&mut self, now_ms: i64, model: &SlowStartModel, fraction: Option<f64>) -> bool {
+    pub(super) fn is_overloaded_by(
+        &mut self,
+        now_ms: i64,
+        model: &SlowStartModel,
+        fraction: Option<f64>,
+    ) -> bool {
         self.arrivals_ms.retain(|at_ms| now_ms - at_ms < model.window_ms);
         self.arrivals_ms.push(now_ms);
         let Some(fraction) = fraction else { return false };
@@ -47,7 +49,7 @@
     }
 
     /// Adds a statement to the work of the single core. Returns the time until the statement is done.
-    fn add_work(&mut self, now_ms: i64, work_us: i64) -> Duration {
+    pub(super) fn add_work(&mut self, now_ms: i64, work_us: i64) -> Duration {
         let now_us = now_ms * MICROS_PER_MILLI;
         self.busy_until_us = self.busy_until_us.max(now_us) + work_us;
         Duration::from_micros((self.busy_until_us - now_us).max(0) as u64)
@@ -56,31 +58,14 @@
 
 impl SlowStartModel {
     /// Fraction of its capacity that an endpoint has `age_ms` after its start; `None` if it has its full capacity.
-    fn fraction_at(&self, age_ms: i64) -> Option<f64> {
+    pub(super) fn fraction_at(&self, age_ms: i64) -> Option<f64> {
         let progress = age_ms as f64 / self.duration_ms as f64;
         let fraction = self.initial_fraction + (1.0 - self.initial_fraction) * progress;
         (age_ms < self.duration_ms).then_some(fraction)
     }
 
     /// Service time of one statement in microseconds at a fraction of the capacity.
-    fn work_us(&self, fraction: Option<f64>) -> i64 {
+    pub(super) fn work_us(&self, fraction: Option<f64>) -> i64 {
         (self.work_ms as f64 * MICROS_PER_MILLI as f64 / fraction.unwrap_or(1.0)) as i64
     }
 }
-
-impl ClusterState {
-    /// Accepts a statement at an endpoint and returns the time until it is done. The single core of an endpoint works
-    /// on statements one after the other, more slowly during slow start. Overload during slow start is reported as a
-    /// violation.
-    pub fn accept_work(&mut self, index: EndpointIndex, now_ms: i64, model: &SlowStartModel) -> Duration {
-        let age_ms = now_ms - self.endpoints[index].process.started_ms;
-        let fraction = model.fraction_at(age_ms);
-        let load = self.loads.entry(index).or_default();
-        let is_overloaded = load.is_overloaded_by(now_ms, model, fraction);
-        let service_time = load.add_work(now_ms, model.work_us(fraction));
-        if is_overloaded {
-            self.report(index, Rule::SlowStart, format!("was overloaded {age_ms} ms after its start"));
-        }
-        service_time
-    }
-}
--- a/test-servers/src/sessions/client.rs
+++ b/test-servers/src/sessions/client.rs
@@ -1,6 +1,6 @@
 //! A client with one session, which it carries from instance to instance, and its writes in doubt.
 
-use super::deployment::GROUPS;
+use super::plan::GROUPS;
 use crate::client::{Answer, Client, Kind, RequestRecord, RequestTimeouts};
 use crate::cluster::unix_ms;
 use crate::lock;
--- a/test-servers/src/sessions/deployment.rs
+++ b/test-servers/src/sessions/deployment.rs
@@ -1,7 +1,7 @@
 //! The deployment of a run: a cluster with discovery, instances of the router on it, their kills, and the failover.
 
 use super::client::{RunState, Session};
-use super::plan::Plan;
+use super::plan::{Plan, GROUPS};
 use crate::cluster::{unix_ms, Branch, Cluster, EndpointIndex, EndpointModel, OldPrimary};
 use crate::daemon::{Daemon, DaemonOptions};
 use crate::discovery::{list_entry, Discovery, DiscoveryMode};
@@ -15,7 +15,6 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-pub(super) const GROUPS: [i64; 2] = [1, 2];
 /// Number of endpoints per group.
 const GROUP_SIZE: usize = 3;
 /// Content of the session key file of all instances.
