--- a/server/src/cli/cached_list.rs
+++ b/server/src/cli/cached_list.rs
@@ -120,17 +120,17 @@
     let age_s = (now - times.confirmed).as_secs_f64();
     let identified_by_address = if level.identifies_by_address { "yes" } else { "no" };
     let levels: Vec<&str> = LEVELS.iter().map(|level| level.staleness.name()).collect();
-    let word = |term: Term| term.text(vocabulary);
+    let text = |term: Term| term.text(vocabulary);
     let line = |title: &str, text: &str| format!("{title:<TITLE_WIDTH$}{text}");
-    let age = format!("{age_s:.1} s since discovery {}: {}", word(CONFIRMED), level.staleness.name());
+    let age = format!("{age_s:.1} s since discovery {}: {}", text(CONFIRMED), level.staleness.name());
     vec![
         line("file", &file.display().to_string()),
         line("generation", &list.generation.to_string()),
-        line("version", &format!("{}{}", list.version, word(VERSION_OF))),
+        line("version", &format!("{}{}", list.version, text(VERSION_OF))),
         line("age", &age),
-        line(word(VERIFICATION), &verification(level, vocabulary)),
-        line("", &format!("{}: {identified_by_address}", word(WITHOUT_IDENTITY))),
-        line(word(LEVELS_TITLE), &levels.join(", ")),
+        line(text(VERIFICATION), &verification(level, vocabulary)),
+        line("", &format!("{}: {identified_by_address}", text(WITHOUT_IDENTITY))),
+        line(text(LEVELS_TITLE), &levels.join(", ")),
     ]
 }
 
--- a/test-servers/src/cluster/mod.rs
+++ b/test-servers/src/cluster/mod.rs
@@ -4,11 +4,13 @@
 //! of its upstream minus the lag, or where its replication has stopped. A failover forks a new branch: what an
 //! isolated old primary writes afterwards is on an abandoned branch.
 
+mod answer_gate;
 mod endpoint_model;
 mod load;
 mod slow_start;
 mod state;
 
+pub use answer_gate::AnswerGate;
 pub use endpoint_model::{EndpointIndex, EndpointModel, ProcessModel, Reachability, ReplicationModel};
 pub use slow_start::SlowStartModel;
 pub use state::{Branch, ClusterState, OldPrimary};
@@ -36,13 +38,15 @@
     pub slow_start: SlowStartModel,
     /// Grace period after the announcement of a drain within which statements may still arrive.
     pub drain_grace_ms: i64,
+    /// Gate for the answers to statements.
+    pub answers: AnswerGate,
     state: Mutex<ClusterState>,
 }
 
 impl Cluster {
     /// Creates a cluster without endpoints.
     pub fn new(slow_start: SlowStartModel, drain_grace_ms: i64) -> Cluster {
-        Cluster { slow_start, drain_grace_ms, state: Mutex::default() }
+        Cluster { slow_start, drain_grace_ms, answers: AnswerGate::default(), state: Mutex::default() }
     }
 
     /// Locks the state of the cluster.
