--- a/admission/src/concurrency_limiter/fair_queue.rs
+++ b/admission/src/concurrency_limiter/fair_queue.rs
@@ -189,11 +189,6 @@
         self.flows.get(&address)
     }
 
-    /// Number of remembered clients.
-    pub fn flows(&self) -> usize {
-        self.flows.len()
-    }
-
     /// Clients that have requests.
     pub fn busy_flows(&self) -> impl Iterator<Item = (ClientAddress, &Flow)> {
         let busy = self.flows.iter().filter(|(_, flow)| flow.idle_since.is_none());
--- a/admission/src/concurrency_limiter/views.rs
+++ b/admission/src/concurrency_limiter/views.rs
@@ -1,6 +1,5 @@
 //! Read-only views of the limiter for metrics and the admin socket.
 
-use super::fair_queue::ClassQueue;
 use super::types::{ClassRequests, ClientKey, ClientRequests, RequestCounts, ShedCount};
 use super::ConcurrencyLimiter;
 use std::cmp::Reverse;
@@ -29,11 +28,6 @@
         clients
     }
 
-    /// Number of clients with remembered state, active or idle.
-    pub fn remembered_clients(&self) -> usize {
-        self.queues.values().map(ClassQueue::flows).sum()
-    }
-
     /// Numbers of requests shed since the start, by class and reason.
     pub fn shed_counts(&self) -> impl Iterator<Item = ShedCount> + '_ {
         self.shed.iter()
--- a/admission/src/reason_counts.rs
+++ b/admission/src/reason_counts.rs
@@ -1,14 +1,14 @@
-//! Counts of turned-away connections or requests, by client class and reason.
+//! Counts of rejected connections or requests, by client class and reason.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How often connections or requests of one class were turned away for one reason.
+/// How often connections or requests of one class were rejected for one reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReasonCount<Reason> {
     /// Name of the class.
     pub class: Arc<str>,
-    /// Why they were turned away.
+    /// Why they were rejected.
     pub reason: Reason,
     /// Their number since the start.
     pub count: u64,
--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -141,7 +141,7 @@
             Answer::Rejected(_) | Answer::Aborted | Answer::Missing => false,
         };
         if is_wrong {
-            let detail = format!("told {:?}, ran {points:?}", fate.answer);
+            let detail = format!("reported {:?}, executed at {points:?}", fate.answer);
             self.verdict.report(Rule::FateCorrect, &fate.id, detail);
         }
     }
--- a/history-checker/src/session_checker.rs
+++ b/history-checker/src/session_checker.rs
@@ -58,11 +58,11 @@
         let forks = self.history.forks_of(record.group);
         let newest = LogPoint::newest(forks);
         if view.observed.iter().all(|seen| includes(forks, newest, *seen)) {
-            let detail = "was told of a loss that is none".into();
+            let detail = "was reported a loss that did not happen".into();
             self.verdict.report(Rule::LossReported, &record.id, detail);
         }
         if self.execution_count(&record.id) > 0 {
-            let detail = "ran although a loss was told instead".into();
+            let detail = "was executed although a loss was reported instead".into();
             self.verdict.report(Rule::AtMostOnce, &record.id, detail);
         }
     }
--- a/write-journal/src/record_state.rs
+++ b/write-journal/src/record_state.rs
@@ -10,7 +10,7 @@
     Pending,
     /// The write was executed, at this commit time in Unix milliseconds if the endpoint reported it.
     Executed(Option<i64>),
-    /// No attempt was executed. The client has not been told that the write will never be, and may send it again.
+    /// No attempt was executed. Its fate was not yet reported as never, so the client may retry it.
     NotExecuted,
     /// The write was not executed and will never be sent by this instance.
     Barred,
@@ -33,7 +33,7 @@
     Executed(Option<i64>),
     /// All attempts are proved not to have been executed, and no further ones will be sent.
     NotExecuted,
-    /// The client is told that the write will never be executed: no attempt may be sent from now on.
+    /// The fate never is reported to the client: no attempt may be sent from now on.
     Bar,
 }
 
