--- a/server/src/clients/session_tokens.rs
+++ b/server/src/clients/session_tokens.rs
@@ -1,7 +1,7 @@
 //! Sessions that clients carry as authenticated tokens: opening and issuing tokens, and this instance's cache of
 //! session positions.
 
-use crate::messages::response::{Response, SessionEvidence};
+use crate::messages::response::{Response, SessionUpdate};
 use crate::protocol::sqlstate::SqlState;
 use crate::runtime::clock::NANOS_PER_SECOND;
 use routing::rng::Mwc;
@@ -143,7 +143,7 @@
         match response {
             // A lost position is kept until `Response::SessionLost` has reported the loss to the client.
             Response::Value {
-                evidence: SessionEvidence { position: Some(position), session_lost: false },
+                session_update: SessionUpdate { position: Some(position), session_lost: false },
                 ..
             } => {
                 session.positions.advance(group, *position);
--- a/server/src/control/response_check.rs
+++ b/server/src/control/response_check.rs
@@ -3,7 +3,7 @@
 
 use crate::control::active_request::ActiveRequest;
 use crate::messages::control::AttemptReport;
-use crate::messages::response::{Response, SessionEvidence};
+use crate::messages::response::{Response, SessionUpdate};
 use routing::time::{TimeDelta, Timestamp};
 use sessions::epochs::{EpochHistory, PositionStatus};
 use sessions::positions::LogPosition;
@@ -37,6 +37,6 @@
         epoch: report.reports.epoch.map_or(0, |epoch| epoch.number),
         position: position.unwrap_or(now),
     };
-    let evidence = SessionEvidence { position: Some(position), session_lost };
-    Response::Value { messages: report.value, evidence }
+    let session_update = SessionUpdate { position: Some(position), session_lost };
+    Response::Value { messages: report.value, session_update }
 }
--- a/server/src/messages/response.rs
+++ b/server/src/messages/response.rs
@@ -14,7 +14,7 @@
 
 /// What a value proves to its session about the group's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SessionEvidence {
+pub struct SessionUpdate {
     /// The position that the value reflects.
     pub position: Option<LogPosition>,
     /// The position that the session had seen before is lost. The session's next request is answered with that.
@@ -29,7 +29,7 @@
         /// The messages.
         messages: Vec<u8>,
         /// What the value proves to the session.
-        evidence: SessionEvidence,
+        session_update: SessionUpdate,
     },
     /// The position that the session has seen is lost; the request was not executed.
     SessionLost {
