--- a/server/src/admin/request_page.rs
+++ b/server/src/admin/request_page.rs
@@ -67,12 +67,12 @@
 fn request_state(request: &RequestSnapshot, now: Timestamp, vocabulary: Vocabulary) -> String {
     let state = match &request.in_flight {
         Some(attempt) => {
-            let time = format_delta(now - attempt.since);
+            let time = format_delta(now - attempt.started_at);
             format!("{} {} for {time}", IN_FLIGHT.text(vocabulary), attempt.endpoint)
         }
         None => NO_ATTEMPT.text(vocabulary).to_string(),
     };
-    if request.closed {
+    if request.is_closed {
         format!("answered, still {state}")
     } else {
         state
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -10,7 +10,7 @@
 use crate::messages::endpoint_list::ListedEndpoint;
 use crate::messages::response::Response;
 use crate::messages::snapshot::{
-    EndpointRow, InFlightAt, RequestSnapshot, ServerSnapshot, MAX_CLIENTS, MAX_REQUESTS,
+    EndpointRow, AttemptSnapshot, RequestSnapshot, ServerSnapshot, MAX_CLIENTS, MAX_REQUESTS,
 };
 use crate::runtime::clock::NANOS_PER_MICRO;
 use crate::runtime::metrics::Metrics;
@@ -246,16 +246,16 @@
 
     /// A snapshot of one request.
     fn request_snapshot(&self, request: RequestId, active: &ActiveRequest) -> RequestSnapshot {
-        let in_flight = active.in_flight().map(|location| InFlightAt {
+        let in_flight = active.in_flight().map(|location| AttemptSnapshot {
             endpoint: self.endpoints.id(location.endpoint).clone(),
-            since: location.since,
+            started_at: location.since,
         });
         RequestSnapshot {
             identity: active.identity.clone(),
             received_at: active.response.received_at,
             attempts: active.attempt.as_ref().map_or(0, |attempt| attempt.number + 1),
             in_flight,
-            closed: !self.requests.is_open(request),
+            is_closed: !self.requests.is_open(request),
         }
     }
 }
--- a/server/src/messages/snapshot.rs
+++ b/server/src/messages/snapshot.rs
@@ -14,11 +14,11 @@
 
 /// The endpoint at which a request's attempt is in flight.
 #[derive(Debug)]
-pub struct InFlightAt {
+pub struct AttemptSnapshot {
     /// The name of the endpoint.
     pub endpoint: String,
     /// When the attempt was started.
-    pub since: Timestamp,
+    pub started_at: Timestamp,
 }
 
 /// The state of one request.
@@ -31,9 +31,9 @@
     /// The number of attempts started.
     pub attempts: u32,
     /// Where the latest attempt is in flight; `None` if the request waits.
-    pub in_flight: Option<InFlightAt>,
+    pub in_flight: Option<AttemptSnapshot>,
     /// The request was answered or its client has disconnected, but its latest attempt has not ended.
-    pub closed: bool,
+    pub is_closed: bool,
 }
 
 /// The state of one endpoint.
--- a/server/tests/operator_pages/fixture.rs
+++ b/server/tests/operator_pages/fixture.rs
@@ -15,7 +15,7 @@
 use server::messages::control::ControlMessage;
 use server::messages::request::RequestIdentity;
 use server::messages::snapshot::{
-    EndpointRow, InFlightAt, QueueSnapshot, RequestSnapshot, ServerSnapshot, WaitingRequest,
+    EndpointRow, AttemptSnapshot, QueueSnapshot, RequestSnapshot, ServerSnapshot, WaitingRequest,
 };
 use server::runtime::clock::{Clock, Timers};
 use server::runtime::metrics::install_recorder;
@@ -121,13 +121,13 @@
 }
 
 fn request_snapshots() -> Vec<RequestSnapshot> {
-    let attempt = || InFlightAt { endpoint: "s-0".into(), since: Timestamp(NOW.0 - 3_000_000) };
-    let request = |id: &str, in_flight, closed| RequestSnapshot {
+    let attempt = || AttemptSnapshot { endpoint: "s-0".into(), started_at: Timestamp(NOW.0 - 3_000_000) };
+    let request = |id: &str, in_flight, is_closed| RequestSnapshot {
         identity: RequestIdentity { id: id.into(), method: 0, group: 4 },
         received_at: Timestamp(NOW.0 - 5_000_000),
         attempts: 2,
         in_flight,
-        closed,
+        is_closed,
     };
     vec![
         request("a1", Some(attempt()), false),
