--- a/server/src/admin/endpoint_page.rs
+++ b/server/src/admin/endpoint_page.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::table::{cell_or_empty, format_delta, Table, EMPTY_CELL};
 use crate::admin::view::{AdminView, PageError};
-use crate::messages::snapshot::EndpointRow;
+use crate::messages::snapshot::ListedEndpointSnapshot;
 use crate::runtime::terms::{Term, Vocabulary};
 use routing::EndpointSnapshot;
 
@@ -40,7 +40,7 @@
     }
 }
 
-fn cells(row: &EndpointRow, vocabulary: Vocabulary) -> [String; COLUMNS.len()] {
+fn cells(row: &ListedEndpointSnapshot, vocabulary: Vocabulary) -> [String; COLUMNS.len()] {
     let mut cells = [EMPTY_CELL; COLUMNS.len()].map(String::from);
     cells[0] = row.name.clone();
     cells[1] = cell_or_empty(row.addr);
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -10,7 +10,7 @@
 use crate::messages::endpoint_list::ListedEndpoint;
 use crate::messages::response::Response;
 use crate::messages::snapshot::{
-    EndpointRow, AttemptSnapshot, RequestSnapshot, ServerSnapshot, MAX_CLIENTS, MAX_REQUESTS,
+    ListedEndpointSnapshot, AttemptSnapshot, RequestSnapshot, ServerSnapshot, MAX_CLIENTS, MAX_REQUESTS,
 };
 use crate::runtime::clock::NANOS_PER_MICRO;
 use crate::runtime::metrics::Metrics;
@@ -229,7 +229,7 @@
         let mut requests: Vec<RequestSnapshot> = requests.collect();
         requests.sort_by(|a, b| (a.received_at, &a.identity.id).cmp(&(b.received_at, &b.identity.id)));
         requests.truncate(MAX_REQUESTS);
-        let endpoints = (0..self.listed.len()).map(|endpoint| EndpointRow {
+        let endpoints = (0..self.listed.len()).map(|endpoint| ListedEndpointSnapshot {
             name: self.endpoints.id(endpoint).clone(),
             addr: self.addr(endpoint),
             state: self.policy.endpoint_snapshot(now, endpoint),
--- a/server/src/messages/snapshot.rs
+++ b/server/src/messages/snapshot.rs
@@ -38,7 +38,7 @@
 
 /// The state of one endpoint.
 #[derive(Debug)]
-pub struct EndpointRow {
+pub struct ListedEndpointSnapshot {
     /// The name of the endpoint.
     pub name: String,
     /// The address, if it is known.
@@ -81,7 +81,7 @@
     /// The oldest requests, at most [`MAX_REQUESTS`].
     pub requests: Vec<RequestSnapshot>,
     /// The endpoints.
-    pub endpoints: Vec<EndpointRow>,
+    pub endpoints: Vec<ListedEndpointSnapshot>,
     /// The number of groups.
     pub groups: usize,
     /// The request queue, if requests are limited.
--- a/server/tests/operator_pages/fixture.rs
+++ b/server/tests/operator_pages/fixture.rs
@@ -15,7 +15,7 @@
 use server::messages::control::ControlMessage;
 use server::messages::request::RequestIdentity;
 use server::messages::snapshot::{
-    EndpointRow, AttemptSnapshot, QueueSnapshot, RequestSnapshot, ServerSnapshot, WaitingRequest,
+    ListedEndpointSnapshot, AttemptSnapshot, QueueSnapshot, RequestSnapshot, ServerSnapshot, WaitingRequest,
 };
 use server::runtime::clock::{Clock, Timers};
 use server::runtime::metrics::install_recorder;
@@ -136,7 +136,7 @@
     ]
 }
 
-fn endpoint_rows() -> Vec<EndpointRow> {
+fn endpoint_rows() -> Vec<ListedEndpointSnapshot> {
     let endpoint = EndpointSnapshot {
         serving: true,
         primary: true,
@@ -153,7 +153,7 @@
     };
     let closed = EndpointSnapshot { serving: false, ..cold };
     let rows = [("s-0", Some(endpoint)), ("s-1", Some(cold)), ("s-2", Some(closed)), ("s-3", None)];
-    let row = |(name, state): (&str, _)| EndpointRow {
+    let row = |(name, state): (&str, _)| ListedEndpointSnapshot {
         name: name.into(),
         addr: Some(([127, 0, 0, 1], 5432).into()),
         state,
