--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -4,7 +4,7 @@
 use crate::control::recovery_options::RecoveryOptions;
 use crate::control::request_queue::{QueuedRequest, RequestQueue};
 use crate::control::router_state::{RouterSetup, RouterState};
-use crate::endpoints::dispatcher::AttemptDispatcher;
+use crate::endpoints::dispatcher::EndpointDispatcher;
 use crate::log;
 use crate::messages::control::{ControlMessage, QueueLimits};
 use crate::messages::endpoint_list::ListedEndpoint;
@@ -33,7 +33,7 @@
     /// The configuration of the router.
     pub config: RouterConfig,
     /// Starts attempts, health checks and discovery queries.
-    pub dispatcher: AttemptDispatcher,
+    pub dispatcher: EndpointDispatcher,
     /// The messages to handle.
     pub messages: Receiver<ControlMessage>,
     /// The options of primary discovery, if the endpoint list is cached.
@@ -43,7 +43,7 @@
 /// The state of the control loop.
 pub struct ControlLoop {
     pub(super) config: RouterConfig,
-    pub(super) dispatcher: AttemptDispatcher,
+    pub(super) dispatcher: EndpointDispatcher,
     messages: Receiver<ControlMessage>,
     /// The latest endpoint list by name, from which a new router state is restored.
     pub(super) listed: BTreeMap<String, ListedEndpoint>,
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -4,7 +4,7 @@
 use crate::control::deadlines::Deadlines;
 use crate::control::recovery_options::RecoveryOptions;
 use crate::control::request_queue::RequestQueue;
-use crate::endpoints::dispatcher::AttemptDispatcher;
+use crate::endpoints::dispatcher::EndpointDispatcher;
 use crate::log;
 use crate::messages::control::QueueLimits;
 use crate::messages::endpoint_list::ListedEndpoint;
@@ -78,7 +78,7 @@
     /// The settings of the routing policy.
     pub settings: &'a RoutingSettings,
     /// Provides the clock, the write journal and the counters.
-    pub dispatcher: &'a AttemptDispatcher,
+    pub dispatcher: &'a EndpointDispatcher,
     /// The options of primary discovery, if the endpoint list is cached.
     pub recovery: Option<&'a RecoveryOptions>,
     /// The limits on requests, if there are any.
--- a/server/src/endpoints/dispatcher.rs
+++ b/server/src/endpoints/dispatcher.rs
@@ -16,7 +16,7 @@
 
 /// Starts attempts, health checks and discovery queries with the resources that they share.
 #[derive(Clone)]
-pub struct AttemptDispatcher {
+pub struct EndpointDispatcher {
     /// The connections to endpoints.
     pub pool: Arc<ConnectionPool>,
     /// The channel to the control loop, for reports.
@@ -29,7 +29,7 @@
     pub metrics: Arc<Metrics>,
 }
 
-impl AttemptDispatcher {
+impl EndpointDispatcher {
     /// The timers of the process.
     pub fn timers(&self) -> &Arc<Timers> {
         &self.pool.timers
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -10,7 +10,7 @@
 use crate::control::control_loop::{ControlLoop, ControlSetup, RouterConfig};
 use crate::control::recovery_options::RecoveryOptions;
 use crate::discovery::watch::{DiscoveryTarget, DiscoveryWatch, WatchProgress};
-use crate::endpoints::dispatcher::AttemptDispatcher;
+use crate::endpoints::dispatcher::EndpointDispatcher;
 use crate::endpoints::pool::ConnectionPool;
 use crate::exit_status::{ExitStatus, Failure};
 use crate::log;
@@ -169,7 +169,7 @@
         let closed_after = TimeDelta(allowed.conn_idle_ns);
         let pool =
             Arc::new(ConnectionPool::new(timers.clone(), resources.clone(), connect_timeout, closed_after));
-        let dispatcher = AttemptDispatcher {
+        let dispatcher = EndpointDispatcher {
             pool: pool.clone(),
             control: self.control.clone(),
             health_check_timeout: connect_timeout,
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -8,7 +8,7 @@
 use routing::time::TimeDelta;
 use routing::{AttemptId, MethodIndex, RequestId};
 use server::control::control_loop::{ControlLoop, ControlSetup, RouterConfig};
-use server::endpoints::dispatcher::AttemptDispatcher;
+use server::endpoints::dispatcher::EndpointDispatcher;
 use server::endpoints::pool::ConnectionPool;
 use server::messages::control::{ConfirmAttempt, ControlMessage, IncomingRequest};
 use server::messages::endpoint_list::{ListedEndpoint, ListedHealth};
@@ -60,7 +60,7 @@
     let resources = ResourceLimits::new(64, 1 << 20, false);
     let pool = Arc::new(ConnectionPool::new(timers.clone(), resources.clone(), SECOND, SECOND * 30));
     let (control, messages) = channel();
-    let dispatcher = AttemptDispatcher {
+    let dispatcher = EndpointDispatcher {
         pool,
         control: control.clone(),
         health_check_timeout: SECOND,
