--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -20,7 +20,7 @@
 use thiserror::Error;
 
 /// The address of discovery. It can be changed at any time, which interrupts the present watch.
-pub struct DiscoveryTarget(Mutex<Target>);
+pub struct DiscoveryAddress(Mutex<Target>);
 
 /// One address of discovery.
 #[derive(Clone)]
@@ -30,10 +30,10 @@
     changed: Arc<CancellationToken>,
 }
 
-impl DiscoveryTarget {
+impl DiscoveryAddress {
     /// Creates a target with an address.
-    pub fn new(addr: SocketAddr) -> DiscoveryTarget {
-        DiscoveryTarget(Mutex::new(Target { addr, changed: Arc::default() }))
+    pub fn new(addr: SocketAddr) -> DiscoveryAddress {
+        DiscoveryAddress(Mutex::new(Target { addr, changed: Arc::default() }))
     }
 
     fn lock(&self) -> MutexGuard<'_, Target> {
@@ -89,7 +89,7 @@
 /// The watch on discovery, with everything that it needs.
 pub struct DiscoveryWatch {
     /// The address of discovery.
-    pub target: Arc<DiscoveryTarget>,
+    pub target: Arc<DiscoveryAddress>,
     /// The timers of the process.
     pub timers: Arc<Timers>,
     /// The limits on descriptors.
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -9,7 +9,7 @@
 use crate::clients::session_tokens::SessionTokens;
 use crate::control::control_loop::{ControlLoop, ControlSetup, RouterConfig};
 use crate::control::recovery_options::RecoveryOptions;
-use crate::discovery::watch::{DiscoveryTarget, DiscoveryWatch, WatchProgress};
+use crate::discovery::watch::{DiscoveryAddress, DiscoveryWatch, WatchProgress};
 use crate::endpoints::dispatcher::EndpointDispatcher;
 use crate::endpoints::pool::ConnectionPool;
 use crate::exit_status::{ExitStatus, Failure};
@@ -68,7 +68,7 @@
 /// A running server.
 pub struct Server {
     pub(super) configuration: Configuration,
-    pub(super) discovery_target: Arc<DiscoveryTarget>,
+    pub(super) discovery_target: Arc<DiscoveryAddress>,
     pub(super) endpoint_cache: Option<Arc<EndpointCacheWriter>>,
     pub(super) session_tokens: Option<Arc<SessionTokens>>,
     pub(super) admission: Option<Arc<AdmissionControl>>,
@@ -210,11 +210,11 @@
     }
 
     /// Starts the watch on discovery.
-    fn start_discovery(&self, incarnation: IncarnationTracker) -> Result<Arc<DiscoveryTarget>, Failure> {
+    fn start_discovery(&self, incarnation: IncarnationTracker) -> Result<Arc<DiscoveryAddress>, Failure> {
         let bootstrap = &self.configuration.bootstrap;
         let config = &bootstrap.config;
         let from_local_agent = config.membership_mode == LOCAL_AGENT_MODE;
-        let target = Arc::new(DiscoveryTarget::new(bootstrap.discovery));
+        let target = Arc::new(DiscoveryAddress::new(bootstrap.discovery));
         let watch = DiscoveryWatch {
             target: target.clone(),
             timers: self.foundation.timers.clone(),
