--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -4,7 +4,7 @@
 use crate::control::control_loop::ControlLoop;
 use crate::control::response_check::{checked_response, is_session_lost};
 use crate::control::router_state::RouterState;
-use crate::messages::control::{AttemptReport, ConfirmAttempt, HealthCheckEnd};
+use crate::messages::control::{AttemptReport, AttemptConfirmation, HealthCheckEnd};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::messages::response::Response;
 use crate::protocol::sqlstate::{ClientError, SqlState};
@@ -21,7 +21,7 @@
 
 impl ControlLoop {
     /// Replies whether an attempt may still be sent.
-    pub(super) fn on_confirm(&mut self, now: Timestamp, confirm: &ConfirmAttempt) {
+    pub(super) fn on_confirm_attempt(&mut self, now: Timestamp, confirm: &AttemptConfirmation) {
         let AttemptId { request, number, endpoint } = confirm.attempt;
         let is_confirmed = self.state.requests.is_open(request)
             && self.state.policy.confirm_attempt(now, request, number, endpoint);
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -159,7 +159,7 @@
                 self.on_request(now, QueuedRequest { incoming, received_at: now });
             }
             ControlMessage::ClientGone { request } => self.on_client_gone(now, request),
-            ControlMessage::Confirm(confirm) => self.on_confirm(now, &confirm),
+            ControlMessage::ConfirmAttempt(confirm) => self.on_confirm_attempt(now, &confirm),
             ControlMessage::EpochReported { request, epoch } => self.on_epoch_reported(request, epoch),
             ControlMessage::AttemptEnded(report) => self.on_attempt_ended(now, *report),
             ControlMessage::HealthCheckEnded(end) => self.on_health_check_ended(now, end),
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -5,7 +5,7 @@
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
 use crate::endpoints::query::{send, HEALTH_STATEMENT};
-use crate::messages::control::{AttemptJob, AttemptReport, ConfirmAttempt, ControlMessage};
+use crate::messages::control::{AttemptJob, AttemptReport, AttemptConfirmation, ControlMessage};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::protocol::framing::LENGTH_BYTES;
 use crate::runtime::clock::NANOS_PER_MILLI;
@@ -140,8 +140,8 @@
     /// Asks the control loop whether the attempt may still be sent.
     fn confirm(&self) -> bool {
         let (reply, confirmed) = channel();
-        let question = ConfirmAttempt { attempt: self.job.attempt, reply };
-        let asked = self.control.send(ControlMessage::Confirm(question));
+        let question = AttemptConfirmation { attempt: self.job.attempt, reply };
+        let asked = self.control.send(ControlMessage::ConfirmAttempt(question));
         asked.is_ok() && confirmed.recv().unwrap_or(false)
     }
 
--- a/server/src/messages/control.rs
+++ b/server/src/messages/control.rs
@@ -28,7 +28,7 @@
 }
 
 /// A question whether an attempt may still be sent, asked right before the send.
-pub struct ConfirmAttempt {
+pub struct AttemptConfirmation {
     /// The attempt.
     pub attempt: AttemptId,
     /// Receives true if the attempt may be sent.
@@ -86,7 +86,7 @@
         request: RequestId,
     },
     /// An attempt is about to be sent.
-    Confirm(ConfirmAttempt),
+    ConfirmAttempt(AttemptConfirmation),
     /// An endpoint has reported its epoch before an attempt is sent.
     EpochReported {
         /// The request of the attempt.
--- a/server/tests/attempts.rs
+++ b/server/tests/attempts.rs
@@ -136,7 +136,7 @@
         let mut is_first = true;
         loop {
             match self.messages.recv().expect("the attempt is still running") {
-                ControlMessage::Confirm(question) => {
+                ControlMessage::ConfirmAttempt(question) => {
                     if std::mem::take(&mut is_first) {
                         before_sending();
                     }
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -10,7 +10,7 @@
 use server::control::control_loop::{ControlLoop, ControlSetup, RouterConfig};
 use server::endpoints::dispatcher::EndpointDispatcher;
 use server::endpoints::pool::ConnectionPool;
-use server::messages::control::{ConfirmAttempt, ControlMessage, IncomingRequest};
+use server::messages::control::{AttemptConfirmation, ControlMessage, IncomingRequest};
 use server::messages::endpoint_list::{ListedEndpoint, ListedHealth};
 use server::messages::request::{ClientRequest, RequestIdentity, RequestSession, RequestText};
 use server::messages::response::{RequestResponse, Response, ResponseChannel, ResponseTicket};
@@ -180,7 +180,7 @@
     // The policy panics on an endpoint that it does not know: its table has no such row.
     let attempt = AttemptId { request: 1, number: 0, endpoint: 99 };
     let (reply, _confirmed) = channel();
-    fixture.send(ControlMessage::Confirm(ConfirmAttempt { attempt, reply }));
+    fixture.send(ControlMessage::ConfirmAttempt(AttemptConfirmation { attempt, reply }));
     let aborted = [1, 2].map(|request| RequestResponse { request, response: Response::Aborted });
     assert_eq!(fixture.responses(2), aborted);
     fixture.write(3, 200);
