--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -169,7 +169,7 @@
             ControlMessage::EndpointListFailed => self.state.report(now, Event::EndpointListFailed),
             ControlMessage::QueryFate(query) => self.on_fate_query(query),
             ControlMessage::CachedList(list) => self.on_cached_list(now, &list),
-            ControlMessage::QueryEnded(end) => self.on_query_ended(now, end),
+            ControlMessage::RoleQueryEnded(end) => self.on_role_query_ended(now, end),
             ControlMessage::SetQueueLimits(limits) => self.on_queue_limits(now, limits),
             // Sending fails if the requester has given up.
             ControlMessage::Snapshot { reply } => _ = reply.send(self.state.snapshot(now)),
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -2,8 +2,8 @@
 
 use crate::control::control_loop::ControlLoop;
 use crate::control::router_state::RouterState;
-use crate::endpoints::health_check::DiscoveryQuery;
-use crate::messages::control::{ConnectError, QueryAnswer, QueryEnd};
+use crate::endpoints::health_check::RoleQuery;
+use crate::messages::control::{ConnectError, EndpointQueryAnswer, RoleQueryEnd};
 use crate::messages::endpoint_list::ListedEndpoint;
 use crate::runtime::clock::NANOS_PER_MILLI;
 use endpoint_cache::CachedEndpointList;
@@ -47,11 +47,11 @@
     }
 
     /// Handles the end of a discovery query. Its load report counts as a health check too.
-    pub(super) fn on_query_ended(&mut self, now: Timestamp, end: QueryEnd) {
-        let QueryEnd { endpoint, queried_at, answer } = end;
+    pub(super) fn on_role_query_ended(&mut self, now: Timestamp, end: RoleQueryEnd) {
+        let RoleQueryEnd { endpoint, queried_at, answer } = end;
         let answered_report = match answer {
-            Ok(QueryAnswer { outcome: AttemptOutcome::Succeeded, report, identity }) => {
-                self.on_query_answered(now, endpoint, queried_at, report, identity.as_deref());
+            Ok(EndpointQueryAnswer { outcome: AttemptOutcome::Succeeded, report, identity }) => {
+                self.on_role_query_answered(now, endpoint, queried_at, report, identity.as_deref());
                 Some(report)
             }
             answer => {
@@ -72,7 +72,7 @@
     }
 
     /// Reports the answer to a discovery query to primary discovery.
-    fn on_query_answered(
+    fn on_role_query_answered(
         &mut self,
         now: Timestamp,
         endpoint: EndpointIndex,
@@ -125,7 +125,7 @@
     pub(super) fn perform_discovery_actions(&mut self, now: Timestamp) {
         for action in std::mem::take(&mut self.state.discovery_actions) {
             match action {
-                Action::Query { endpoint } => self.query(now, endpoint),
+                Action::Query { endpoint } => self.start_role_query(now, endpoint),
                 Action::Admit { endpoint } => self.admit_endpoint(now, endpoint),
                 Action::Withdraw { endpoint } => self.withdraw_endpoint(now, endpoint),
                 Action::SetEligibility { group, eligibility } => {
@@ -136,11 +136,11 @@
     }
 
     /// Starts a discovery query; it fails at once if the endpoint has no address.
-    fn query(&mut self, now: Timestamp, endpoint: EndpointIndex) {
+    fn start_role_query(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         match self.state.addr(endpoint) {
             Some(addr) => {
                 let with_identity = self.queries_identity();
-                self.dispatcher.query(DiscoveryQuery { endpoint, addr, with_identity });
+                self.dispatcher.query_role(RoleQuery { endpoint, addr, with_identity });
             }
             None => {
                 let failure = QueryFailure::NoAnswer;
@@ -237,7 +237,7 @@
 
 /// The failure of a discovery query that has no usable answer. A query that was not sent, or was rejected for lack of
 /// capacity, tells nothing about the endpoint.
-fn query_failure(answer: &Result<QueryAnswer, ConnectError>) -> QueryFailure {
+fn query_failure(answer: &Result<EndpointQueryAnswer, ConnectError>) -> QueryFailure {
     match answer {
         Err(ConnectError { refused: true, .. }) => QueryFailure::Refused,
         Err(ConnectError { outcome: AttemptOutcome::NotSent | AttemptOutcome::Rejected, .. }) => {
--- a/server/src/endpoints/dispatcher.rs
+++ b/server/src/endpoints/dispatcher.rs
@@ -1,7 +1,7 @@
 //! Starts attempts, health checks and discovery queries, each in its own coroutine.
 
 use crate::endpoints::attempt::run_attempt;
-use crate::endpoints::health_check::{check_health, query_for_discovery, DiscoveryQuery};
+use crate::endpoints::health_check::{check_health, query_role, RoleQuery};
 use crate::endpoints::pool::ConnectionPool;
 use crate::messages::control::{AttemptJob, ControlMessage};
 use crate::runtime::clock::Timers;
@@ -48,8 +48,8 @@
     }
 
     /// Starts a query of primary discovery.
-    pub fn query(&self, query: DiscoveryQuery) {
+    pub fn query_role(&self, query: RoleQuery) {
         let this = self.clone();
-        spawn(move || query_for_discovery(&this.pool, this.control, &query, this.health_check_timeout));
+        spawn(move || query_role(&this.pool, this.control, &query, this.health_check_timeout));
     }
 }
--- a/server/src/endpoints/health_check.rs
+++ b/server/src/endpoints/health_check.rs
@@ -6,7 +6,7 @@
 use crate::endpoints::load_report;
 use crate::endpoints::pool::ConnectionPool;
 use crate::endpoints::query::{query, QueryResult, HEALTH_STATEMENT};
-use crate::messages::control::{ConnectError, ControlMessage, HealthCheckEnd, QueryAnswer, QueryEnd};
+use crate::messages::control::{ConnectError, ControlMessage, HealthCheckEnd, EndpointQueryAnswer, RoleQueryEnd};
 use crate::runtime::cancellation::CancellationToken;
 use may::sync::mpsc::Sender;
 use routing::time::{TimeDelta, Timestamp};
@@ -45,7 +45,7 @@
 
 /// A query of primary discovery.
 #[derive(Clone, Copy, Debug)]
-pub struct DiscoveryQuery {
+pub struct RoleQuery {
     /// The endpoint to query.
     pub endpoint: EndpointIndex,
     /// The endpoint's address.
@@ -55,20 +55,20 @@
 }
 
 /// Queries an endpoint for primary discovery and reports the answer to the control loop.
-pub fn query_for_discovery(
+pub fn query_role(
     pool: &ConnectionPool,
     control: Sender<ControlMessage>,
-    query: &DiscoveryQuery,
+    query: &RoleQuery,
     timeout: TimeDelta,
 ) {
     let queried_at = pool.timers.now();
     let answer = Err(AttemptOutcome::ConnectionLost.into());
-    let DiscoveryQuery { endpoint, addr, with_identity } = *query;
-    let if_lost = QueryEnd { endpoint, queried_at, answer };
-    let guard = CompletionGuard::new(control, if_lost, ControlMessage::QueryEnded);
+    let RoleQuery { endpoint, addr, with_identity } = *query;
+    let if_lost = RoleQueryEnd { endpoint, queried_at, answer };
+    let guard = CompletionGuard::new(control, if_lost, ControlMessage::RoleQueryEnded);
     let queries = EndpointQueries { pool, addr, deadline: queried_at + timeout };
     let answer = if with_identity { queries.identity_and_health() } else { queries.health() };
-    guard.complete(QueryEnd { endpoint, queried_at, answer });
+    guard.complete(RoleQueryEnd { endpoint, queried_at, answer });
 }
 
 /// Queries to one endpoint, with a common deadline.
@@ -93,10 +93,10 @@
     ///
     /// # Errors
     /// As for [`EndpointQueries::query`].
-    fn health(&self) -> Result<QueryAnswer, ConnectError> {
+    fn health(&self) -> Result<EndpointQueryAnswer, ConnectError> {
         let result = self.query(HEALTH_STATEMENT)?;
         let report = std::str::from_utf8(&result.column).map(load_report::parse).unwrap_or_default();
-        Ok(QueryAnswer { outcome: result.outcome, report, identity: None })
+        Ok(EndpointQueryAnswer { outcome: result.outcome, report, identity: None })
     }
 
     /// Queries the endpoint's identity. An identity that is not UTF-8 becomes empty, which matches no endpoint's
@@ -113,8 +113,8 @@
     ///
     /// # Errors
     /// As for [`EndpointQueries::query`].
-    fn identity_and_health(&self) -> Result<QueryAnswer, ConnectError> {
+    fn identity_and_health(&self) -> Result<EndpointQueryAnswer, ConnectError> {
         let identity = self.identity()?;
-        Ok(QueryAnswer { identity: Some(identity), ..self.health()? })
+        Ok(EndpointQueryAnswer { identity: Some(identity), ..self.health()? })
     }
 }
--- a/server/src/messages/control.rs
+++ b/server/src/messages/control.rs
@@ -58,13 +58,13 @@
 }
 
 /// The end of a query of primary discovery.
-pub struct QueryEnd {
+pub struct RoleQueryEnd {
     /// The endpoint.
     pub endpoint: EndpointIndex,
     /// When the query was sent.
     pub queried_at: Timestamp,
     /// The endpoint's answer, or why there is none.
-    pub answer: Result<QueryAnswer, ConnectError>,
+    pub answer: Result<EndpointQueryAnswer, ConnectError>,
 }
 
 /// The limits on requests, and the client classes that share them.
@@ -112,7 +112,7 @@
     /// The list that was cached before the start.
     CachedList(CachedEndpointList),
     /// A query of primary discovery has ended.
-    QueryEnded(QueryEnd),
+    RoleQueryEnded(RoleQueryEnd),
     /// The limits on requests have changed; `None` removes them.
     SetQueueLimits(Option<QueueLimits>),
     /// The admin socket requests a snapshot.
@@ -129,7 +129,7 @@
 
 /// An endpoint's answer to a health check or a query of primary discovery.
 #[derive(Clone, Debug)]
-pub struct QueryAnswer {
+pub struct EndpointQueryAnswer {
     /// The outcome.
     pub outcome: AttemptOutcome,
     /// The endpoint's load report.
