--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -166,7 +166,7 @@
             ControlMessage::EndpointList { complete, endpoints } => {
                 self.on_endpoint_list(now, complete, endpoints);
             }
-            ControlMessage::EndpointListFailed => self.state.report(now, Event::EndpointListFailed),
+            ControlMessage::DiscoveryWatchEnded => self.state.report(now, Event::EndpointListFailed),
             ControlMessage::QueryFate(query) => self.on_fate_query(query),
             ControlMessage::CachedList(list) => self.on_cached_list(now, &list),
             ControlMessage::RoleQueryEnded(end) => self.on_role_query_ended(now, end),
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -117,7 +117,7 @@
             }
             if !target_changed {
                 log!(WARN, discovery = target.addr, reason = end; "discovery watch ended");
-                let _ = self.control.send(ControlMessage::EndpointListFailed);
+                let _ = self.control.send(ControlMessage::DiscoveryWatchEnded);
                 self.pause(&target);
             }
         }
--- a/server/src/messages/control.rs
+++ b/server/src/messages/control.rs
@@ -106,7 +106,7 @@
         endpoints: Vec<ListedEndpoint>,
     },
     /// The watch on discovery has ended.
-    EndpointListFailed,
+    DiscoveryWatchEnded,
     /// A client queries the fate of a write.
     QueryFate(FateQuery),
     /// The list that was cached before the start.
