--- a/server/src/control/actions.rs
+++ b/server/src/control/actions.rs
@@ -3,7 +3,7 @@
 use crate::control::active_request::{Location, StartedAttempt};
 use crate::control::control_loop::ControlLoop;
 use crate::log;
-use crate::messages::control::{AttemptJob, AttemptReport, AttemptTimes};
+use crate::messages::control::{AttemptJob, AttemptResult, AttemptTimes};
 use crate::messages::response::Response;
 use crate::runtime::cancellation::CancellationToken;
 use routing::time::{TimeDelta, Timestamp};
@@ -18,14 +18,14 @@
             for action in std::mem::take(&mut self.state.actions) {
                 self.perform(now, action, &mut not_sent);
             }
-            for report in not_sent {
-                self.on_attempt_not_sent(now, report);
+            for result in not_sent {
+                self.on_attempt_not_sent(now, result);
             }
         }
     }
 
-    /// Performs one action. The report of an attempt that cannot be started is appended to `not_sent`.
-    fn perform(&mut self, now: Timestamp, action: Action, not_sent: &mut Vec<AttemptReport>) {
+    /// Performs one action. The result of an attempt that cannot be started is appended to `not_sent`.
+    fn perform(&mut self, now: Timestamp, action: Action, not_sent: &mut Vec<AttemptResult>) {
         match action {
             Action::StartAttempt { request, endpoint, timeout } => {
                 not_sent.extend(self.start_attempt(now, request, endpoint, timeout));
@@ -44,14 +44,14 @@
         }
     }
 
-    /// Starts an attempt; returns its report if it cannot be started because the endpoint has no address.
+    /// Starts an attempt; returns its result if it cannot be started because the endpoint has no address.
     fn start_attempt(
         &mut self,
         now: Timestamp,
         request: RequestId,
         endpoint: EndpointIndex,
         timeout: TimeDelta,
-    ) -> Option<AttemptReport> {
+    ) -> Option<AttemptResult> {
         let state = &mut self.state;
         let number = state.requests.start_attempt(request);
         state.trace(request, "attempt", now);
@@ -65,7 +65,7 @@
         });
         let attempt = AttemptId { request, number, endpoint };
         let Some(addr) = addr else {
-            return Some(AttemptReport::not_sent(attempt, now));
+            return Some(AttemptResult::not_sent(attempt, now));
         };
         self.dispatcher.start_attempt(AttemptJob {
             attempt,
@@ -78,8 +78,8 @@
     }
 
     /// Ends an attempt that could not be started.
-    fn on_attempt_not_sent(&mut self, now: Timestamp, report: AttemptReport) {
-        self.state.end_attempt(now, report, self.config.settings.max_retry_after);
+    fn on_attempt_not_sent(&mut self, now: Timestamp, result: AttemptResult) {
+        self.state.end_attempt(now, result, self.config.settings.max_retry_after);
     }
 
     /// Rejects a request. A duplicate of a request that may have been executed is aborted instead, because a
--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -4,7 +4,7 @@
 use crate::control::control_loop::ControlLoop;
 use crate::control::response_check::{checked_response, is_session_lost};
 use crate::control::router_state::RouterState;
-use crate::messages::control::{AttemptReport, AttemptConfirmation, HealthCheckEnd};
+use crate::messages::control::{AttemptResult, AttemptConfirmation, HealthCheckEnd};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::messages::response::Response;
 use crate::protocol::sqlstate::{ClientError, SqlState};
@@ -36,10 +36,10 @@
     }
 
     /// Handles the end of an attempt, and reports the endpoint's role to primary discovery.
-    pub(super) fn on_attempt_ended(&mut self, now: Timestamp, report: AttemptReport) {
-        let (endpoint, queried_at) = (report.attempt.endpoint, report.started_at);
-        let answer_report = report.reports.answer;
-        self.state.end_attempt(now, report, self.config.settings.max_retry_after);
+    pub(super) fn on_attempt_ended(&mut self, now: Timestamp, result: AttemptResult) {
+        let (endpoint, queried_at) = (result.attempt.endpoint, result.started_at);
+        let answer_report = result.metadata.answer_report;
+        self.state.end_attempt(now, result, self.config.settings.max_retry_after);
         self.observe_report(now, endpoint, queried_at, answer_report);
     }
 
@@ -65,18 +65,18 @@
     pub(super) fn end_attempt(
         &mut self,
         now: Timestamp,
-        report: AttemptReport,
+        result: AttemptResult,
         retry_after: Option<TimeDelta>,
     ) {
-        let Some(active) = self.requests.get_mut(report.attempt.request) else { return };
+        let Some(active) = self.requests.get_mut(result.attempt.request) else { return };
         active.leave_endpoint();
-        record_outcome(active, &report, self.journal.as_deref());
-        if report.journal_verdict == Some(JournalVerdict::IdInUse) {
+        record_outcome(active, &result, self.journal.as_deref());
+        if result.journal_verdict == Some(JournalVerdict::IdInUse) {
             active.answer(&self.metrics, now, Response::Error(ID_RECORDED));
         }
-        let mut end = attempt_end(active, &report, now);
-        if report.outcome == AttemptOutcome::Succeeded {
-            self.handle_answer(now, report, retry_after);
+        let mut end = attempt_end(active, &result, now);
+        if result.outcome == AttemptOutcome::Succeeded {
+            self.handle_answer(now, result, retry_after);
         }
         self.metrics.attempt_ended(end.outcome, end.elapsed);
         let request = end.attempt.request;
@@ -91,13 +91,13 @@
 
     /// Handles the answer of an attempt that succeeded: records its epoch, and answers the request if that is still
     /// open.
-    fn handle_answer(&mut self, now: Timestamp, report: AttemptReport, retry_after: Option<TimeDelta>) {
-        let Some(active) = self.requests.get_mut(report.attempt.request) else { return };
-        if let Some(epoch) = report.reports.epoch {
+    fn handle_answer(&mut self, now: Timestamp, result: AttemptResult, retry_after: Option<TimeDelta>) {
+        let Some(active) = self.requests.get_mut(result.attempt.request) else { return };
+        if let Some(epoch) = result.metadata.epoch {
             self.epochs.record(active.identity.group, epoch);
         }
         if active.response.ticket.is_some() {
-            let response = checked_response(&self.epochs, active, report, now, retry_after);
+            let response = checked_response(&self.epochs, active, result, now, retry_after);
             active.answer(&self.metrics, now, response);
         }
     }
@@ -131,15 +131,15 @@
 }
 
 /// The routing policy's view of the end of an attempt, for a request that is still open.
-fn attempt_end(active: &ActiveRequest, report: &AttemptReport, now: Timestamp) -> AttemptEnd {
+fn attempt_end(active: &ActiveRequest, result: &AttemptResult, now: Timestamp) -> AttemptEnd {
     AttemptEnd {
-        attempt: report.attempt,
-        outcome: report.outcome,
-        elapsed: now - report.started_at,
+        attempt: result.attempt,
+        outcome: result.outcome,
+        elapsed: now - result.started_at,
         request_closed: false,
         write_session: active.write_session(),
-        answer_report: report.reports.answer,
-        load_report: report.reports.load,
+        answer_report: result.metadata.answer_report,
+        load_report: result.metadata.load_report,
     }
 }
 
@@ -147,15 +147,15 @@
 ///
 /// The commit position is recorded only if no earlier attempt may have been executed: otherwise the answer may be to a
 /// duplicate, and its position is not that of the commit.
-fn record_outcome(active: &mut ActiveRequest, report: &AttemptReport, journal: Option<&WriteJournal>) {
+fn record_outcome(active: &mut ActiveRequest, result: &AttemptResult, journal: Option<&WriteJournal>) {
     let execution = &mut active.execution;
-    execution.is_duplicate |= report.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
+    execution.is_duplicate |= result.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
     let is_first = !execution.is_duplicate && !execution.may_have_run;
-    execution.recorded |= report.journal_verdict.is_some_and(JournalVerdict::allows_sending);
-    execution.may_have_run |= execution.is_duplicate || !report.outcome.proves_not_executed();
+    execution.recorded |= result.journal_verdict.is_some_and(JournalVerdict::allows_sending);
+    execution.may_have_run |= execution.is_duplicate || !result.outcome.proves_not_executed();
     let Some(journal) = journal.filter(|_| execution.recorded) else { return };
-    if report.outcome == AttemptOutcome::Succeeded {
-        let commit = report.reports.answer.position.filter(|_| is_first);
+    if result.outcome == AttemptOutcome::Succeeded {
+        let commit = result.metadata.answer_report.position.filter(|_| is_first);
         let commit_ms = commit.map(|position| position.0 / NANOS_PER_MILLI);
         journal.record_end(&active.identity.id, RecordEvent::Executed(commit_ms));
     }
--- a/server/src/control/response_check.rs
+++ b/server/src/control/response_check.rs
@@ -2,7 +2,7 @@
 //! in the answer take precedence over earlier reports of the endpoint.
 
 use crate::control::active_request::ActiveRequest;
-use crate::messages::control::AttemptReport;
+use crate::messages::control::AttemptResult;
 use crate::messages::response::{Response, SessionUpdate};
 use routing::time::{TimeDelta, Timestamp};
 use sessions::epochs::{EpochHistory, PositionStatus};
@@ -19,13 +19,13 @@
 pub fn checked_response(
     epochs: &EpochHistory,
     request: &ActiveRequest,
-    report: AttemptReport,
+    result: AttemptResult,
     now: Timestamp,
     retry_after: Option<TimeDelta>,
 ) -> Response {
     let session_lost = is_session_lost(epochs, request);
-    let position = report.reports.answer.position;
-    let shows = |seen| epochs.shows(request.identity.group, seen, report.reports.epoch, position);
+    let position = result.metadata.answer_report.position;
+    let shows = |seen| epochs.shows(request.identity.group, seen, result.metadata.epoch, position);
     if request.is_read && session_lost {
         return Response::SessionLost { restart_position: epochs.restart_position(request.identity.group) };
     }
@@ -34,9 +34,9 @@
     }
     // Without a reported position, the value may reflect everything up to now.
     let position = LogPosition {
-        epoch: report.reports.epoch.map_or(0, |epoch| epoch.number),
+        epoch: result.metadata.epoch.map_or(0, |epoch| epoch.number),
         position: position.unwrap_or(now),
     };
     let session_update = SessionUpdate { position: Some(position), session_lost };
-    Response::Value { messages: report.value, session_update }
+    Response::Value { messages: result.value, session_update }
 }
--- a/server/src/endpoints/answer.rs
+++ b/server/src/endpoints/answer.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
 use crate::endpoints::response_parser::ResponseParser;
-use crate::messages::control::AnswerReports;
+use crate::messages::control::AnswerMetadata;
 use routing::{AttemptOutcome, Role};
 
 /// The answer to one query, and the connection if it can be reused.
@@ -12,7 +12,7 @@
     /// The messages of the value; empty unless the attempt succeeded.
     pub value: Vec<u8>,
     /// What the answer reported about the endpoint.
-    pub reports: AnswerReports,
+    pub metadata: AnswerMetadata,
     /// The connection, if it can be reused.
     pub connection: Option<PeerConnection>,
 }
@@ -20,7 +20,7 @@
 impl Answer {
     /// The result of an attempt that received no answer.
     pub fn without_value(outcome: AttemptOutcome) -> Answer {
-        Answer { outcome, value: Vec::new(), reports: AnswerReports::default(), connection: None }
+        Answer { outcome, value: Vec::new(), metadata: AnswerMetadata::default(), connection: None }
     }
 }
 
@@ -41,10 +41,10 @@
     let is_reusable = parser.frees_connection(&connection.buffer);
     let buffer = connection.take_buffer();
     let value = if outcome == AttemptOutcome::Succeeded { parser.value(buffer) } else { Vec::new() };
-    let reports = parser.reports();
-    let is_primary = reports.answer.role == Some(Role::Primary);
-    connection.epoch_confirmed |= is_primary && reports.epoch.is_some();
-    Answer { outcome, value, reports, connection: is_reusable.then_some(connection) }
+    let metadata = parser.metadata();
+    let is_primary = metadata.answer_report.role == Some(Role::Primary);
+    connection.epoch_confirmed |= is_primary && metadata.epoch.is_some();
+    Answer { outcome, value, metadata, connection: is_reusable.then_some(connection) }
 }
 
 /// The outcome of an attempt whose answer is incomplete. The request was sent, so it may have been executed.
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -5,7 +5,7 @@
 use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
 use crate::endpoints::query::{send, HEALTH_STATEMENT};
-use crate::messages::control::{AttemptJob, AttemptReport, AttemptConfirmation, ControlMessage};
+use crate::messages::control::{AttemptJob, AttemptResult, AttemptConfirmation, ControlMessage};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::protocol::framing::LENGTH_BYTES;
 use crate::runtime::clock::NANOS_PER_MILLI;
@@ -25,15 +25,15 @@
 ) {
     let started_at = job.times.started_at;
     // An attempt that ends in a panic may have run.
-    let not_sent = AttemptReport::not_sent(job.attempt, started_at);
-    let if_lost = AttemptReport { outcome: AttemptOutcome::ConnectionLost, ..not_sent };
+    let not_sent = AttemptResult::not_sent(job.attempt, started_at);
+    let if_lost = AttemptResult { outcome: AttemptOutcome::ConnectionLost, ..not_sent };
     let guard =
-        CompletionGuard::new(control, if_lost, |report| ControlMessage::AttemptEnded(Box::new(report)));
+        CompletionGuard::new(control, if_lost, |result| ControlMessage::AttemptEnded(Box::new(result)));
     let mut attempt = Attempt { pool, journal, control: guard.control(), job, journal_verdict: None };
-    let Answer { outcome, value, reports, connection } = attempt.run();
+    let Answer { outcome, value, metadata, connection } = attempt.run();
     let journal_verdict = attempt.journal_verdict;
     let attempt = job.attempt;
-    guard.complete(AttemptReport { attempt, started_at, outcome, value, reports, journal_verdict });
+    guard.complete(AttemptResult { attempt, started_at, outcome, value, metadata, journal_verdict });
     if let Some(connection) = connection {
         pool.return_used(job.addr, connection);
     }
@@ -154,7 +154,7 @@
     fn query_epoch(&self, mut connection: PeerConnection) -> Result<PeerConnection, IoStop> {
         send(&mut connection, HEALTH_STATEMENT, self.limits())?;
         let answer = read_answer(connection, self.limits());
-        if let Some(epoch) = answer.reports.epoch {
+        if let Some(epoch) = answer.metadata.epoch {
             let message = ControlMessage::EpochReported { request: self.job.attempt.request, epoch };
             let _ = self.control.send(message);
         }
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -2,7 +2,7 @@
 //! a message that the grammar does not allow at its position makes the whole answer invalid.
 
 use crate::endpoints::load_report::{self, plain_number};
-use crate::messages::control::AnswerReports;
+use crate::messages::control::AnswerMetadata;
 use crate::protocol::decode;
 use crate::protocol::framing::{frame, HEADER_BYTES, LENGTH_BYTES, MAX_VALUE_BYTES};
 use crate::protocol::sqlstate::endpoint as sqlstate;
@@ -127,7 +127,7 @@
     asynchronous_bytes: usize,
     /// The outcome by the ErrorResponse, if there was one.
     error: Option<AttemptOutcome>,
-    reports: AnswerReports,
+    metadata: AnswerMetadata,
 }
 
 impl ResponseParser {
@@ -198,13 +198,13 @@
             return decode::is_error(body).then_some(self.state);
         }
         match decode::parameter(body)? {
-            ("recovery", "off") => self.reports.answer.role = Some(Role::Primary),
-            ("recovery", "on") => self.reports.answer.role = Some(Role::Replica),
+            ("recovery", "off") => self.metadata.answer_report.role = Some(Role::Primary),
+            ("recovery", "on") => self.metadata.answer_report.role = Some(Role::Replica),
             ("lsn_ms", millis) => {
-                self.reports.answer.position = plain_number(millis).and_then(clock::from_unix_ms);
+                self.metadata.answer_report.position = plain_number(millis).and_then(clock::from_unix_ms);
             }
-            ("health", fields) => self.reports.load = load_report::parse(fields),
-            ("epoch", text) => self.reports.epoch = parse_epoch(text),
+            ("health", fields) => self.metadata.load_report = load_report::parse(fields),
+            ("epoch", text) => self.metadata.epoch = parse_epoch(text),
             _ => {}
         }
         Some(self.state)
@@ -227,11 +227,11 @@
     }
 
     /// What the answer reported about its endpoint; empty if the answer is invalid.
-    pub fn reports(&self) -> AnswerReports {
+    pub fn metadata(&self) -> AnswerMetadata {
         if self.state == State::Invalid {
-            AnswerReports::default()
+            AnswerMetadata::default()
         } else {
-            self.reports
+            self.metadata
         }
     }
 
--- a/server/src/messages/control.rs
+++ b/server/src/messages/control.rs
@@ -95,7 +95,7 @@
         epoch: Epoch,
     },
     /// An attempt has ended.
-    AttemptEnded(Box<AttemptReport>),
+    AttemptEnded(Box<AttemptResult>),
     /// A health check has ended.
     HealthCheckEnded(HealthCheckEnd),
     /// Discovery has sent an endpoint list, or changes to it.
@@ -188,17 +188,17 @@
 
 /// What an answer reports about its endpoint, apart from the value.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct AnswerReports {
+pub struct AnswerMetadata {
     /// The role and position of the endpoint when it answered.
-    pub answer: EndpointReport,
+    pub answer_report: EndpointReport,
     /// The load report that the answer carried, which may be older.
-    pub load: EndpointReport,
+    pub load_report: EndpointReport,
     /// The epoch of the log that the endpoint answered from.
     pub epoch: Option<Epoch>,
 }
 
 /// The end of an attempt.
-pub struct AttemptReport {
+pub struct AttemptResult {
     /// The attempt.
     pub attempt: AttemptId,
     /// When the attempt was started.
@@ -208,20 +208,20 @@
     /// The messages of the value; empty unless the attempt succeeded.
     pub value: Vec<u8>,
     /// What the answer reports about its endpoint.
-    pub reports: AnswerReports,
+    pub metadata: AnswerMetadata,
     /// The verdict of the write journal, if it was asked. An attempt that it allows is not necessarily sent.
     pub journal_verdict: Option<JournalVerdict>,
 }
 
-impl AttemptReport {
+impl AttemptResult {
     /// The report of an attempt that was not sent.
-    pub fn not_sent(attempt: AttemptId, started_at: Timestamp) -> AttemptReport {
-        AttemptReport {
+    pub fn not_sent(attempt: AttemptId, started_at: Timestamp) -> AttemptResult {
+        AttemptResult {
             attempt,
             started_at,
             outcome: AttemptOutcome::NotSent,
             value: Vec::new(),
-            reports: AnswerReports::default(),
+            metadata: AnswerMetadata::default(),
             journal_verdict: None,
         }
     }
--- a/server/tests/attempts.rs
+++ b/server/tests/attempts.rs
@@ -13,7 +13,7 @@
 use routing::{AttemptId, AttemptOutcome};
 use server::endpoints::attempt::run_attempt;
 use server::endpoints::pool::ConnectionPool;
-use server::messages::control::{AttemptJob, AttemptReport, AttemptTimes, ControlMessage, OutgoingRequest};
+use server::messages::control::{AttemptJob, AttemptResult, AttemptTimes, ControlMessage, OutgoingRequest};
 use server::messages::request::RequestText;
 use server::protocol::decode::only_row;
 use server::runtime::cancellation::CancellationToken;
@@ -116,7 +116,7 @@
     }
 
     /// Makes one attempt and calls `before_sending` when it asks for confirmation.
-    fn attempt(&self, endpoint: &Endpoint, before_sending: impl Fn()) -> AttemptReport {
+    fn attempt(&self, endpoint: &Endpoint, before_sending: impl Fn()) -> AttemptResult {
         self.cancellable_attempt(Arc::default(), endpoint, before_sending)
     }
 
@@ -125,7 +125,7 @@
         cancellation: Arc<CancellationToken>,
         endpoint: &Endpoint,
         before_sending: impl Fn(),
-    ) -> AttemptReport {
+    ) -> AttemptResult {
         let job = self.job(cancellation, endpoint);
         let (pool, control) = (self.pool.clone(), self.control.clone());
         let (done, is_done) = std::sync::mpsc::channel();
@@ -142,11 +142,11 @@
                     }
                     question.reply.send(true).expect("the attempt waits");
                 }
-                ControlMessage::AttemptEnded(report) => {
+                ControlMessage::AttemptEnded(result) => {
                     is_done
                         .recv_timeout(Duration::from_secs(5))
                         .expect("the connection is returned to the pool");
-                    return *report;
+                    return *result;
                 }
                 _ => panic!("an attempt sends no other message"),
             }
@@ -195,13 +195,13 @@
     assert_eq!((first.outcome, only_row(&first.value)), (AttemptOutcome::Succeeded, Some(&[1][..])));
     // Waits for the answer to the empty query.
     thread::sleep(LOOPBACK_DELAY);
-    let report = fixture.attempt(&endpoint, || {
+    let result = fixture.attempt(&endpoint, || {
         before_second(endpoint.first_connection.lock().expect("no panic").as_mut().expect("a connection"));
         thread::sleep(LOOPBACK_DELAY);
     });
     let executed_on = endpoint.executed_on.lock().expect("no panic").clone();
-    let value = only_row(&report.value).unwrap_or_default().to_vec();
-    SecondAttempt { outcome: report.outcome, value, executed_on }
+    let value = only_row(&result.value).unwrap_or_default().to_vec();
+    SecondAttempt { outcome: result.outcome, value, executed_on }
 }
 
 #[test]
@@ -232,9 +232,9 @@
     let (fixture, endpoint) = (Fixture::new(), Endpoint::start());
     let cancellation = Arc::new(CancellationToken::default());
     cancellation.cancel();
-    let report = fixture
+    let result = fixture
         .cancellable_attempt(cancellation, &endpoint, || panic!("a cancelled attempt asks for confirmation"));
-    assert_eq!(report.outcome, AttemptOutcome::NotSent);
+    assert_eq!(result.outcome, AttemptOutcome::NotSent);
     thread::sleep(LOOPBACK_DELAY);
     assert!(!endpoint.has_connection(), "a connection was opened for a cancelled attempt");
 }
--- a/server/tests/endpoint_responses.rs
+++ b/server/tests/endpoint_responses.rs
@@ -88,7 +88,7 @@
         prop_assert_eq!(parser.frees_connection(&with_surplus), surplus.is_empty());
         prop_assert_eq!(&parser.value(bytes.clone()), &forwarded, "forwarded unchanged");
         prop_assert_eq!(only_row(&forwarded), Some(&value[..]));
-        let report = parser.reports().answer;
+        let report = parser.metadata().answer_report;
         prop_assert_eq!(report.role, Some(Role::Replica));
         prop_assert_eq!(report.position, Some(POSITION));
     }
@@ -112,7 +112,7 @@
             prop_assert!(only_row(&value).is_some() && tags(&value) == "TDC", "the value is not one complete row of one column");
         }
         if outcome == Some(AttemptOutcome::Failed) && !parser.frees_connection(&bytes) {
-            prop_assert!(parser.reports().answer.position.is_none(), "a corrupted answer reported a position");
+            prop_assert!(parser.metadata().answer_report.position.is_none(), "a corrupted answer reported a position");
         }
     }
 }
