--- a/server/src/clients/connection.rs
+++ b/server/src/clients/connection.rs
@@ -291,7 +291,7 @@
     fn collect_responses(&mut self) {
         let now = self.context.timers.now();
         let tokens = self.context.session_tokens.clone();
-        for RequestResponse { request, response } in self.channel.take() {
+        for RequestResponse { request, response } in self.channel.take_responses() {
             let session = self.session.as_mut();
             // Tokens are issued in the order in which responses arrive, which may differ from the order of the
             // queries. So a token may cover later responses too, but always covers its own.
--- a/server/src/messages/response.rs
+++ b/server/src/messages/response.rs
@@ -81,7 +81,7 @@
     }
 
     /// Takes the responses that were sent since the last call.
-    pub fn take(&self) -> Vec<RequestResponse> {
+    pub fn take_responses(&self) -> Vec<RequestResponse> {
         std::mem::take(&mut *self.lock())
     }
 
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -149,7 +149,7 @@
         let give_up_at = Instant::now() + WAIT_TIMEOUT;
         let mut responses = Vec::new();
         while responses.len() < count {
-            responses.extend(self.channel.take());
+            responses.extend(self.channel.take_responses());
             assert!(Instant::now() < give_up_at, "a request is lost: {responses:?}");
             std::thread::sleep(Duration::from_millis(1));
         }
