--- a/server/src/control/active_request.rs
+++ b/server/src/control/active_request.rs
@@ -137,7 +137,7 @@
     /// Whether the endpoint's epoch must be known before an attempt is sent: for a write of a session that has seen
     /// an epoch, because the write must be appended to a log that contains the session's position.
     fn needs_epoch(&self) -> bool {
-        !self.is_read && self.session.seen.is_some_and(|seen| seen.epoch > 0)
+        !self.is_read && self.session.seen_position.is_some_and(|seen| seen.epoch > 0)
     }
 }
 
--- a/server/src/control/request_handling.rs
+++ b/server/src/control/request_handling.rs
@@ -124,7 +124,7 @@
             return Err(Response::Rejected { retry_after: settings.max_retry_after });
         }
         let group = self.groups.get(&identity.group).ok_or(Response::Error(UNKNOWN_GROUP))?;
-        let seen_position = match session.seen.map(|seen| self.epochs.status(identity.group, seen)) {
+        let seen_position = match session.seen_position.map(|seen| self.epochs.status(identity.group, seen)) {
             Some(PositionStatus::Lost) => {
                 let restart_position = self.epochs.restart_position(identity.group);
                 return Err(Response::SessionLost { restart_position });
@@ -141,7 +141,7 @@
             method: identity.method,
             group,
             session: session.number,
-            last_write: session.last_write,
+            last_write: session.since_last_write,
             seen_position,
             received_at,
             deadline: incoming.header.deadline,
--- a/server/src/control/response_check.rs
+++ b/server/src/control/response_check.rs
@@ -11,7 +11,7 @@
 /// Whether the position that a request's session has seen is lost, by the epochs reported until now.
 pub fn is_session_lost(epochs: &EpochHistory, request: &ActiveRequest) -> bool {
     let status = |seen| epochs.status(request.identity.group, seen);
-    request.session.seen.is_some_and(|seen| status(seen) == PositionStatus::Lost)
+    request.session.seen_position.is_some_and(|seen| status(seen) == PositionStatus::Lost)
 }
 
 /// The response for a value that an endpoint has answered. A read is rejected if its session has seen a position that
@@ -29,7 +29,7 @@
     if request.is_read && session_lost {
         return Response::SessionLost { restart_position: epochs.restart_position(request.identity.group) };
     }
-    if request.is_read && !request.session.seen.is_none_or(shows) {
+    if request.is_read && !request.session.seen_position.is_none_or(shows) {
         return Response::Rejected { retry_after };
     }
     // Without a reported position, the value may reflect everything up to now.
--- a/server/src/messages/request.rs
+++ b/server/src/messages/request.rs
@@ -59,10 +59,10 @@
     /// The number of the session, if the request has one.
     pub number: Option<u64>,
     /// The time since the session's last write was committed, if the client has specified it.
-    pub last_write: Option<TimeDelta>,
+    pub since_last_write: Option<TimeDelta>,
     /// The position in the group's log that the session has seen, if the client carries a token. A read must be
     /// served from a log that contains it.
-    pub seen: Option<LogPosition>,
+    pub seen_position: Option<LogPosition>,
 }
 
 /// A client's request whose header was checked.
@@ -107,8 +107,8 @@
             identity: RequestIdentity { id: header.id.into(), method: method.index, group: header.group },
             session: RequestSession {
                 number: header.key.filter(|_| method.has_session).map(session_number),
-                last_write: last_write(now, header.after_ms)?,
-                seen: None,
+                since_last_write: since_last_write(now, header.after_ms)?,
+                seen_position: None,
             },
             deadline: now + timeout,
             client_retry: header.is_retry,
@@ -124,7 +124,7 @@
 /// # Errors
 /// The position is out of range. It is not ignored, because reads of the session would then have no bound on
 /// staleness.
-fn last_write(now: Timestamp, after_ms: Option<i64>) -> Result<Option<TimeDelta>, ClientError> {
+fn since_last_write(now: Timestamp, after_ms: Option<i64>) -> Result<Option<TimeDelta>, ClientError> {
     match after_ms.unwrap_or(0) {
         0 => Ok(None),
         millis if (1..MAX_POSITION_MS).contains(&millis) => {
