--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -157,6 +157,6 @@
     if result.outcome == AttemptOutcome::Succeeded {
         let commit = result.metadata.answer_report.position.filter(|_| is_first);
         let commit_ms = commit.map(|position| position.0 / NANOS_PER_MILLI);
-        journal.record_end(&active.identity.id, RecordEvent::Executed(commit_ms));
+        journal.record_outcome(&active.identity.id, RecordEvent::Executed(commit_ms));
     }
 }
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -204,7 +204,7 @@
         if let Some(journal) =
             self.journal.as_ref().filter(|_| active.execution.recorded && !active.execution.may_have_run)
         {
-            journal.record_end(&active.identity.id, RecordEvent::NotExecuted);
+            journal.record_outcome(&active.identity.id, RecordEvent::NotExecuted);
         }
         self.deadlines.remove_abort_time(active.response.abort_at, request);
         if self.queue.is_some() {
--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -25,7 +25,7 @@
 
 /// Why the journal cannot be used.
 #[derive(Debug, Error)]
-pub enum OpenError {
+pub enum JournalStartError {
     /// The journal's files cannot be opened.
     #[error(transparent)]
     Journal(#[from] JournalError),
@@ -73,7 +73,7 @@
         durability: Durability,
         retention: Retention,
         random_id: u64,
-    ) -> Result<Arc<WriteJournal>, OpenError> {
+    ) -> Result<Arc<WriteJournal>, JournalStartError> {
         let journal = Journal::open(path, durability, retention, random_id)?;
         let (jobs, received) = mpsc::channel();
         let origin = Mutex::new(journal.origin());
@@ -111,7 +111,7 @@
     }
 
     /// Records the outcome of a write, without waiting for it.
-    pub fn record_end(&self, id: &str, event: RecordEvent) {
+    pub fn record_outcome(&self, id: &str, event: RecordEvent) {
         let operation = Operation::Record { id: id.to_string(), event, deduplication: None };
         self.submit(operation, |_| ());
     }
--- a/server/tests/journal_batches.rs
+++ b/server/tests/journal_batches.rs
@@ -17,7 +17,7 @@
     let (replies, replied) = channel();
     for index in 0..queries {
         // Writing these takes long enough for a queue to form.
-        journal.record_end(&format!("written-{index}"), RecordEvent::NotExecuted);
+        journal.record_outcome(&format!("written-{index}"), RecordEvent::NotExecuted);
         let replies = replies.clone();
         journal.query_fate(format!("unknown-{index}"), None, false, move |fate| _ = replies.send(fate));
     }
