--- a/server/src/endpoints/answer.rs
+++ b/server/src/endpoints/answer.rs
@@ -38,7 +38,7 @@
             break parser.outcome(incomplete_outcome(stop));
         }
     };
-    let is_reusable = parser.frees_connection(&connection.buffer);
+    let is_reusable = parser.leaves_connection_reusable(&connection.buffer);
     let buffer = connection.take_buffer();
     let value = if outcome == AttemptOutcome::Succeeded { parser.value(buffer) } else { Vec::new() };
     let metadata = parser.metadata();
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -35,7 +35,7 @@
     let attempt = job.attempt;
     guard.complete(AttemptResult { attempt, started_at, outcome, value, metadata, journal_verdict });
     if let Some(connection) = connection {
-        pool.return_used(job.addr, connection);
+        pool.return_after_answer(job.addr, connection);
     }
 }
 
--- a/server/src/endpoints/load_report.rs
+++ b/server/src/endpoints/load_report.rs
@@ -15,7 +15,7 @@
     let mut report = EndpointReport::default();
     for pair in fields.split(',') {
         let (name, value) = pair.split_once('=')?;
-        match (name.trim(), plain_number(value.trim())?) {
+        match (name.trim(), parse_unsigned_decimal(value.trim())?) {
             ("x0", value) => report.position = Some(clock::from_unix_s(value)?),
             ("x1", 1.0) => report.role = Some(Role::Primary),
             ("x1", 0.0) => report.role = Some(Role::Replica),
@@ -28,7 +28,7 @@
 }
 
 /// Parses a decimal number without sign and exponent; `nan` and `inf` are not numbers either.
-pub fn plain_number(text: &str) -> Option<f64> {
+pub fn parse_unsigned_decimal(text: &str) -> Option<f64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     text.parse().ok().filter(|_| is_plain)
 }
--- a/server/src/endpoints/pool.rs
+++ b/server/src/endpoints/pool.rs
@@ -59,7 +59,7 @@
         };
         match verification.parse(&self.connection.buffer) {
             None if age < pool.connect_timeout => Reusability::Verifying,
-            Some(AttemptOutcome::Succeeded) if verification.frees_connection(&self.connection.buffer) => {
+            Some(AttemptOutcome::Succeeded) if verification.leaves_connection_reusable(&self.connection.buffer) => {
                 self.connection.take_buffer();
                 self.verification = None;
                 Reusability::Now
@@ -207,7 +207,7 @@
     }
 
     /// Returns a connection to the pool whose answer was read completely, and starts its verification.
-    pub fn return_used(&self, addr: SocketAddr, mut connection: PeerConnection) {
+    pub fn return_after_answer(&self, addr: SocketAddr, mut connection: PeerConnection) {
         let mut empty_query = Vec::new();
         encode::query(&mut empty_query, "");
         if connection.try_write(&empty_query) {
@@ -271,7 +271,7 @@
     loop {
         match parser.parse(&connection.buffer) {
             None => connection.read(limits).map_err(outcome)?,
-            Some(AttemptOutcome::Succeeded) if parser.frees_connection(&connection.buffer) => return Ok(()),
+            Some(AttemptOutcome::Succeeded) if parser.leaves_connection_reusable(&connection.buffer) => return Ok(()),
             Some(AttemptOutcome::Rejected) => return Err(AttemptOutcome::Rejected.into()),
             Some(_) => return Err(AttemptOutcome::Unreachable.into()),
         }
--- a/server/src/endpoints/query.rs
+++ b/server/src/endpoints/query.rs
@@ -42,7 +42,7 @@
         }
         let answer = read_answer(connection, limits);
         if let Some(connection) = answer.connection {
-            pool.return_used(addr, connection);
+            pool.return_after_answer(addr, connection);
         }
         let column = decode::only_row(&answer.value).unwrap_or_default().to_vec();
         return Ok(QueryResult { outcome: answer.outcome, column });
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -1,7 +1,7 @@
 //! Parsing of an endpoint's answer, before any of it is forwarded to the client. An endpoint may send anything, so
 //! a message that the grammar does not allow at its position makes the whole answer invalid.
 
-use crate::endpoints::load_report::{self, plain_number};
+use crate::endpoints::load_report::{self, parse_unsigned_decimal};
 use crate::messages::control::AnswerMetadata;
 use crate::protocol::decode;
 use crate::protocol::framing::{frame, HEADER_BYTES, LENGTH_BYTES, MAX_VALUE_BYTES};
@@ -201,7 +201,7 @@
             ("recovery", "off") => self.metadata.answer_report.role = Some(Role::Primary),
             ("recovery", "on") => self.metadata.answer_report.role = Some(Role::Replica),
             ("lsn_ms", millis) => {
-                self.metadata.answer_report.position = plain_number(millis).and_then(clock::from_unix_ms);
+                self.metadata.answer_report.position = parse_unsigned_decimal(millis).and_then(clock::from_unix_ms);
             }
             ("health", fields) => self.metadata.load_report = load_report::parse(fields),
             ("epoch", text) => self.metadata.epoch = parse_epoch(text),
@@ -222,7 +222,7 @@
     }
 
     /// Whether the connection can be reused: the answer is complete, and no bytes follow it.
-    pub fn frees_connection(&self, buffer: &[u8]) -> bool {
+    pub fn leaves_connection_reusable(&self, buffer: &[u8]) -> bool {
         self.state == State::Done && self.at == buffer.len()
     }
 
@@ -261,7 +261,7 @@
 /// Without a position, as in `3`, the beginning is unknown.
 fn parse_epoch(text: &str) -> Option<Epoch> {
     let (number, began) = match text.split_once('@') {
-        Some((number, millis)) => (number, Some(plain_number(millis).and_then(clock::from_unix_ms)?)),
+        Some((number, millis)) => (number, Some(parse_unsigned_decimal(millis).and_then(clock::from_unix_ms)?)),
         None => (text, None),
     };
     let is_digits = number.bytes().all(|byte| byte.is_ascii_digit());
--- a/server/tests/endpoint_responses.rs
+++ b/server/tests/endpoint_responses.rs
@@ -83,9 +83,9 @@
         let (outcome, end) = parse_in_parts(&mut parser, &bytes, cuts);
         prop_assert_eq!(outcome, Some(AttemptOutcome::Succeeded));
         prop_assert_eq!(end, bytes.len(), "the outcome is known at the last byte and not before");
-        prop_assert!(parser.frees_connection(&bytes));
+        prop_assert!(parser.leaves_connection_reusable(&bytes));
         let with_surplus = [&bytes[..], &surplus].concat();
-        prop_assert_eq!(parser.frees_connection(&with_surplus), surplus.is_empty());
+        prop_assert_eq!(parser.leaves_connection_reusable(&with_surplus), surplus.is_empty());
         prop_assert_eq!(&parser.value(bytes.clone()), &forwarded, "forwarded unchanged");
         prop_assert_eq!(only_row(&forwarded), Some(&value[..]));
         let report = parser.metadata().answer_report;
@@ -111,7 +111,7 @@
             let value = parser.value(bytes.clone());
             prop_assert!(only_row(&value).is_some() && tags(&value) == "TDC", "the value is not one complete row of one column");
         }
-        if outcome == Some(AttemptOutcome::Failed) && !parser.frees_connection(&bytes) {
+        if outcome == Some(AttemptOutcome::Failed) && !parser.leaves_connection_reusable(&bytes) {
             prop_assert!(parser.metadata().answer_report.position.is_none(), "a corrupted answer reported a position");
         }
     }
@@ -121,7 +121,7 @@
 fn outcome_of(messages: &[&[u8]]) -> (AttemptOutcome, bool) {
     let (mut parser, bytes) = (ResponseParser::default(), messages.concat());
     let outcome = parser.parse(&bytes).unwrap_or_else(|| parser.outcome(AttemptOutcome::ConnectionLost));
-    (outcome, parser.frees_connection(&bytes))
+    (outcome, parser.leaves_connection_reusable(&bytes))
 }
 
 fn error(code: &str) -> Vec<u8> {
@@ -177,8 +177,8 @@
         (&[&message(b'S', &vec![b'x'; 9000])], Failed, false, "parameters without end"),
         (&[ready], Failed, false, "an end with nothing before it"),
     ];
-    for (messages, outcome, frees_connection, row) in rows {
-        assert_eq!(outcome_of(messages), (outcome, frees_connection), "{row}");
+    for (messages, outcome, leaves_connection_reusable, row) in rows {
+        assert_eq!(outcome_of(messages), (outcome, leaves_connection_reusable), "{row}");
     }
     assert_error_code_outcomes(ready);
 }
