--- a/server/src/discovery/stream.rs
+++ b/server/src/discovery/stream.rs
@@ -41,10 +41,10 @@
     ListTooLong,
     /// The body contains something other than JSON objects.
     #[error("event is not a list")]
-    NotAList,
+    NotAnObject,
     /// The response ended within a list.
     #[error("response ended within a list")]
-    CutOff,
+    TruncatedList,
 }
 
 /// The progress of the search for the end of a JSON object.
@@ -175,12 +175,12 @@
     }
 
     /// Whether the head is complete.
-    pub fn has_begun(&self) -> bool {
+    pub fn is_head_complete(&self) -> bool {
         self.head_complete
     }
 
     /// Whether the response is complete.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.ended
     }
 
@@ -198,7 +198,7 @@
         self.text.drain(..self.consumed);
         self.scanner.at -= std::mem::take(&mut self.consumed);
         if self.ended && self.scanner.depth > 0 {
-            return Err(StreamError::CutOff);
+            return Err(StreamError::TruncatedList);
         }
         Ok(None)
     }
@@ -218,7 +218,7 @@
                 }
             }
             b' ' | b'\t' | b'\r' => self.consumed = self.scanner.at,
-            _ => return Err(StreamError::NotAList),
+            _ => return Err(StreamError::NotAnObject),
         }
         Ok(None)
     }
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -186,14 +186,14 @@
             connection.read(limits)?;
             stream.feed(&connection.buffer)?;
             connection.buffer.clear();
-            if stream.has_begun() {
+            if stream.is_head_complete() {
                 deadline = self.progress.schedule.next_event_due();
             }
             while let Some(event) = stream.next_event()? {
                 deadline = self.progress.schedule.event_received(self.timers.now());
                 self.handle_event(&event)?;
             }
-            if stream.has_ended() {
+            if stream.is_complete() {
                 return Ok(());
             }
         }
--- a/server/tests/discovery_stream.rs
+++ b/server/tests/discovery_stream.rs
@@ -57,7 +57,7 @@
             }
             rest = behind;
         }
-        prop_assert!(stream.has_ended());
+        prop_assert!(stream.is_complete());
         let event = |object: Option<String>| {
             object.map_or(WatchEvent::Unchanged, |text| WatchEvent::List(text.into_bytes()))
         };
@@ -80,7 +80,7 @@
         let without_length = event_behind("HTTP/1.1 200 OK\r\n\r\n".into());
         assert_eq!(without_length, if is_complete { complete.clone() } else { Ok(None) }, "{end} bytes");
         let with_length = event_behind(format!("HTTP/1.1 200 OK\r\nContent-Length: {end}\r\n\r\n"));
-        let cut_off = Err(StreamError::CutOff);
+        let cut_off = Err(StreamError::TruncatedList);
         assert_eq!(with_length, if is_complete { complete } else { cut_off }, "{end} bytes");
     }
 }
@@ -90,7 +90,7 @@
     for text in ["[1]", "x", "\"\"", "} {", "4"] {
         let mut stream = WatchStream::default();
         stream.feed(format!("HTTP/1.1 200 OK\r\n\r\n{text}").as_bytes()).expect("a valid response");
-        assert_eq!(stream.next_event(), Err(StreamError::NotAList), "{text}");
+        assert_eq!(stream.next_event(), Err(StreamError::NotAnObject), "{text}");
     }
 }
 
