--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! The watch on discovery, which is reopened whenever it ends, at the address that is configured then.
 
 use crate::discovery::stream::{StreamError, WatchEvent, WatchStream};
-use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
+use crate::endpoints::connection::{IoLimits, IoError, PeerConnection};
 use crate::log;
 use crate::messages::control::ControlMessage;
 use crate::messages::endpoint_list::EndpointListUpdate;
@@ -61,9 +61,9 @@
     #[error("no connection")]
     NoConnection,
     #[error("request not sent: {0}")]
-    RequestNotSent(IoStop),
+    RequestNotSent(IoError),
     #[error("{0}")]
-    Io(#[from] IoStop),
+    Io(#[from] IoError),
     #[error("{0}")]
     Stream(#[from] StreamError),
     #[error("unreadable list")]
--- a/server/src/endpoints/answer.rs
+++ b/server/src/endpoints/answer.rs
@@ -1,6 +1,6 @@
 //! Reading of an endpoint's answer to its end.
 
-use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
+use crate::endpoints::connection::{IoLimits, IoError, PeerConnection};
 use crate::endpoints::response_parser::ResponseParser;
 use crate::messages::control::AnswerMetadata;
 use routing::{AttemptOutcome, Role};
@@ -48,10 +48,10 @@
 }
 
 /// The outcome of an attempt whose answer is incomplete. The request was sent, so it may have been executed.
-fn incomplete_outcome(stop: IoStop) -> AttemptOutcome {
+fn incomplete_outcome(stop: IoError) -> AttemptOutcome {
     match stop {
-        IoStop::ConnectionLost => AttemptOutcome::ConnectionLost,
-        IoStop::TimedOut => AttemptOutcome::TimedOut,
-        IoStop::Cancelled => AttemptOutcome::Cancelled,
+        IoError::ConnectionLost => AttemptOutcome::ConnectionLost,
+        IoError::TimedOut => AttemptOutcome::TimedOut,
+        IoError::Cancelled => AttemptOutcome::Cancelled,
     }
 }
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoints::answer::{read_answer, Answer};
 use crate::endpoints::completion_guard::CompletionGuard;
-use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
+use crate::endpoints::connection::{IoLimits, IoError, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
 use crate::endpoints::query::{send, HEALTH_STATEMENT};
 use crate::messages::control::{AttemptJob, AttemptResult, AttemptConfirmation, ControlMessage};
@@ -105,7 +105,7 @@
         }
         // Bytes that arrive before the request was sent cannot belong to its answer, but would be parsed as part of it.
         if !connection.is_open_without_data() {
-            return unsent(IoStop::ConnectionLost, is_reused);
+            return unsent(IoError::ConnectionLost, is_reused);
         }
         match self.send(&mut connection) {
             Ok(()) => Step::Ended(Box::new(read_answer(connection, self.limits()))),
@@ -114,7 +114,7 @@
     }
 
     /// Sends the request, with its timeout replaced by the time that remains until the deadline.
-    fn send(&self, connection: &mut PeerConnection) -> Result<(), IoStop> {
+    fn send(&self, connection: &mut PeerConnection) -> Result<(), IoError> {
         let text = &self.job.outgoing.text;
         let remaining = self.job.times.deadline - self.pool.timers.now();
         let timeout_ms = (remaining.0 / NANOS_PER_MILLI).max(MIN_TIMEOUT_MS).to_string();
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     /// The connection cannot be used any more.
-    fn query_epoch(&self, mut connection: PeerConnection) -> Result<PeerConnection, IoStop> {
+    fn query_epoch(&self, mut connection: PeerConnection) -> Result<PeerConnection, IoError> {
         send(&mut connection, HEALTH_STATEMENT, self.limits())?;
         let answer = read_answer(connection, self.limits());
         if let Some(epoch) = answer.metadata.epoch {
@@ -159,19 +159,19 @@
             let _ = self.control.send(message);
         }
         answer.connection.ok_or(match answer.outcome {
-            AttemptOutcome::TimedOut => IoStop::TimedOut,
-            AttemptOutcome::Cancelled => IoStop::Cancelled,
-            _ => IoStop::ConnectionLost,
+            AttemptOutcome::TimedOut => IoError::TimedOut,
+            AttemptOutcome::Cancelled => IoError::Cancelled,
+            _ => IoError::ConnectionLost,
         })
     }
 }
 
 /// The result of an attempt whose last byte was not sent, so that it was not executed.
-fn unsent(stop: IoStop, is_reused: bool) -> Step {
+fn unsent(stop: IoError, is_reused: bool) -> Step {
     match stop {
         // The endpoint closed the connection while it was idle in the pool.
-        IoStop::ConnectionLost if is_reused => Step::TryAnotherConnection,
-        IoStop::ConnectionLost => Step::ended(AttemptOutcome::Unreachable),
-        IoStop::TimedOut | IoStop::Cancelled => Step::ended(AttemptOutcome::NotSent),
+        IoError::ConnectionLost if is_reused => Step::TryAnotherConnection,
+        IoError::ConnectionLost => Step::ended(AttemptOutcome::Unreachable),
+        IoError::TimedOut | IoError::Cancelled => Step::ended(AttemptOutcome::NotSent),
     }
 }
--- a/server/src/endpoints/connection.rs
+++ b/server/src/endpoints/connection.rs
@@ -29,7 +29,7 @@
 
 /// Why a read or a write has failed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum IoStop {
+pub enum IoError {
     /// The peer closed the connection, or it is broken.
     #[error("connection lost")]
     ConnectionLost,
@@ -105,12 +105,12 @@
     ///
     /// # Errors
     /// The deadline has passed, or the operation was cancelled.
-    fn wait(&self, limits: IoLimits) -> Result<(), IoStop> {
+    fn wait(&self, limits: IoLimits) -> Result<(), IoError> {
         if limits.cancellation.is_cancelled() {
-            return Err(IoStop::Cancelled);
+            return Err(IoError::Cancelled);
         }
         if self.timers.now() >= limits.deadline {
-            return Err(IoStop::TimedOut);
+            return Err(IoError::TimedOut);
         }
         self.stream.wait_io();
         Ok(())
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// The connection was lost, timed out or cancelled before any byte arrived, or buffer memory is used up.
-    pub fn read(&mut self, limits: IoLimits) -> Result<(), IoStop> {
+    pub fn read(&mut self, limits: IoLimits) -> Result<(), IoError> {
         loop {
             let length_before = self.buffer.len();
             let result = self.stream.inner().take(READ_BYTES).read_to_end(&mut self.buffer);
@@ -133,7 +133,7 @@
                     self.burst_bytes = 0;
                     self.wait(limits)?;
                 }
-                Ok(_) | Err(_) => return Err(IoStop::ConnectionLost),
+                Ok(_) | Err(_) => return Err(IoError::ConnectionLost),
             }
         }
     }
@@ -142,11 +142,11 @@
     ///
     /// # Errors
     /// Buffer memory is used up, and the buffer is larger than [`SMALL_BUFFER_BYTES`].
-    fn account_read(&mut self, bytes: usize) -> Result<(), IoStop> {
+    fn account_read(&mut self, bytes: usize) -> Result<(), IoError> {
         self.charge.set(self.buffer.len());
         if self.buffer.len() > SMALL_BUFFER_BYTES && self.descriptor.is_memory_critical() {
             log!(WARN, buffered = self.buffer.len(), reason = "buffer memory used up"; "long answer cut off");
-            return Err(IoStop::ConnectionLost);
+            return Err(IoError::ConnectionLost);
         }
         self.burst_bytes += bytes;
         if self.burst_bytes >= MAX_BURST_BYTES {
@@ -166,16 +166,16 @@
     ///
     /// # Errors
     /// The connection was lost, timed out or cancelled before the last byte was sent.
-    pub fn write(&mut self, parts: &[&[u8]], limits: IoLimits) -> Result<(), IoStop> {
+    pub fn write(&mut self, parts: &[&[u8]], limits: IoLimits) -> Result<(), IoError> {
         let total: usize = parts.iter().map(|part| part.len()).sum();
         let mut written = 0;
         while written < total {
             match self.stream.inner().write_vectored(&unwritten(parts, written)) {
-                Ok(0) => return Err(IoStop::ConnectionLost),
+                Ok(0) => return Err(IoError::ConnectionLost),
                 Ok(bytes) => written += bytes,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.wait(limits)?,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Err(IoStop::ConnectionLost),
+                Err(_) => return Err(IoError::ConnectionLost),
             }
         }
         Ok(())
--- a/server/src/endpoints/pool.rs
+++ b/server/src/endpoints/pool.rs
@@ -5,7 +5,7 @@
 //! which the endpoint answers at once and without effect, is sent on every returned connection. The connection is
 //! reused only once exactly that answer has arrived: extra bytes of the answer before would precede it.
 
-use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
+use crate::endpoints::connection::{IoLimits, IoError, PeerConnection};
 use crate::endpoints::response_parser::ResponseParser;
 use crate::log;
 use crate::messages::control::ConnectError;
@@ -262,9 +262,9 @@
     timed_out: AttemptOutcome,
 ) -> Result<(), ConnectError> {
     let outcome = |stop| match stop {
-        IoStop::TimedOut => timed_out,
-        IoStop::Cancelled => AttemptOutcome::NotSent,
-        IoStop::ConnectionLost => AttemptOutcome::Unreachable,
+        IoError::TimedOut => timed_out,
+        IoError::Cancelled => AttemptOutcome::NotSent,
+        IoError::ConnectionLost => AttemptOutcome::Unreachable,
     };
     connection.write(&[&encode::startup_message()], limits).map_err(outcome)?;
     let mut parser = ResponseParser::for_startup();
--- a/server/src/endpoints/query.rs
+++ b/server/src/endpoints/query.rs
@@ -1,7 +1,7 @@
 //! Queries that the server itself sends to endpoints: one statement, whose result is one column of one row.
 
 use crate::endpoints::answer::read_answer;
-use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
+use crate::endpoints::connection::{IoLimits, IoError, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
 use crate::messages::control::ConnectError;
 use crate::protocol::{decode, encode};
@@ -37,7 +37,7 @@
         match send(&mut connection, statement, limits) {
             Ok(()) => {}
             // The endpoint closed the connection while it was idle in the pool.
-            Err(IoStop::ConnectionLost) if is_reused => continue,
+            Err(IoError::ConnectionLost) if is_reused => continue,
             Err(_) => return Err(AttemptOutcome::Unreachable.into()),
         }
         let answer = read_answer(connection, limits);
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// The connection was lost, timed out or cancelled before the last byte was sent.
-pub fn send(connection: &mut PeerConnection, statement: &str, limits: IoLimits) -> Result<(), IoStop> {
+pub fn send(connection: &mut PeerConnection, statement: &str, limits: IoLimits) -> Result<(), IoError> {
     let mut message = Vec::new();
     encode::query(&mut message, statement);
     connection.write(&[&message], limits)
