--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -100,7 +100,7 @@
     fn reset(&mut self) {
         self.config.seed = self.config.seed.wrapping_add(1);
         self.list_was_confirmed =
-            self.state.discovery.as_ref().is_some_and(PrimaryDiscovery::is_list_confirmed);
+            self.state.primary_discovery.as_ref().is_some_and(PrimaryDiscovery::is_list_confirmed);
         self.state = RouterState::new(RouterSetup {
             seed: self.config.seed,
             settings: &self.config.settings,
@@ -131,7 +131,7 @@
         let mut next = Some(first);
         while let Some(message) = next {
             self.handle_message(now, message);
-            self.perform_discovery_actions(now);
+            self.perform_primary_discovery_actions(now);
             next = self.messages.try_recv().ok();
         }
         self.perform_actions(now);
@@ -175,7 +175,7 @@
             ControlMessage::Snapshot { reply } => _ = reply.send(self.state.snapshot(now)),
             ControlMessage::WakeUp { at } => {
                 self.wake_up = self.wake_up.filter(|set| *set != at);
-                self.state.report_to_discovery(now, primary_discovery::Event::Tick);
+                self.state.report_to_primary_discovery(now, primary_discovery::Event::Tick);
             }
         }
     }
@@ -206,7 +206,7 @@
     /// trigger the deadline.
     fn schedule_wake_up(&mut self, now: Timestamp) {
         let state = &self.state;
-        let discovery = state.discovery.as_ref().and_then(|discovery| discovery.due(now));
+        let discovery = state.primary_discovery.as_ref().and_then(|discovery| discovery.due(now));
         let queue = state.queue.as_ref().and_then(RequestQueue::due);
         let due = state.deadlines.due().into_iter().chain(queue).chain(discovery).min();
         let Some(due) = due.filter(|due| self.wake_up.is_none_or(|set| *due < set)) else { return };
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -31,8 +31,8 @@
         complete: bool,
         endpoints: Vec<ListedEndpoint>,
     ) {
-        self.state.report_list_to_discovery(complete, &endpoints, now);
-        self.perform_discovery_actions(now);
+        self.state.report_list_to_primary_discovery(complete, &endpoints, now);
+        self.perform_primary_discovery_actions(now);
         if complete {
             self.listed.clear();
         }
@@ -56,11 +56,11 @@
             }
             answer => {
                 let failure = query_failure(&answer);
-                self.state.report_to_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
+                self.state.report_to_primary_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
                 None
             }
         };
-        self.perform_discovery_actions(now);
+        self.perform_primary_discovery_actions(now);
         // If the identity does not match, another endpoint has answered at this address.
         let is_identified = self.recovering(endpoint).is_some_and(RecoveringEndpoint::is_identified);
         if let Some(report) = answered_report.filter(|_| is_identified) {
@@ -85,7 +85,7 @@
             parse_identity(identity.filter(|_| self.queries_identity()), name);
         let report = RoleReport::new(report, timeline);
         let event = DiscoveryEvent::Answered { endpoint, queried_at, identity, report };
-        self.state.report_to_discovery(now, event);
+        self.state.report_to_primary_discovery(now, event);
     }
 
     /// Whether endpoints are queried for their identity.
@@ -95,7 +95,7 @@
 
     /// The state of an endpoint in primary discovery.
     fn recovering(&self, endpoint: EndpointIndex) -> Option<&RecoveringEndpoint> {
-        self.state.discovery.as_ref()?.endpoint(endpoint)
+        self.state.primary_discovery.as_ref()?.endpoint(endpoint)
     }
 
     /// Passes a report that an endpoint sent with an answer or health check to primary discovery and the cache.
@@ -106,9 +106,9 @@
         queried_at: Timestamp,
         report: EndpointReport,
     ) {
-        if report.role.is_some() && self.state.discovery.is_some() {
+        if report.role.is_some() && self.state.primary_discovery.is_some() {
             let event = DiscoveryEvent::Observed { endpoint, queried_at, report };
-            self.state.report_to_discovery(now, event);
+            self.state.report_to_primary_discovery(now, event);
             self.cache_report(endpoint);
         }
     }
@@ -122,8 +122,8 @@
     }
 
     /// Performs the pending actions of primary discovery, in order.
-    pub(super) fn perform_discovery_actions(&mut self, now: Timestamp) {
-        for action in std::mem::take(&mut self.state.discovery_actions) {
+    pub(super) fn perform_primary_discovery_actions(&mut self, now: Timestamp) {
+        for action in std::mem::take(&mut self.state.primary_discovery_actions) {
             match action {
                 Action::Query { endpoint } => self.start_role_query(now, endpoint),
                 Action::Admit { endpoint } => self.admit_endpoint(now, endpoint),
@@ -144,7 +144,7 @@
             }
             None => {
                 let failure = QueryFailure::NoAnswer;
-                self.state.report_to_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
+                self.state.report_to_primary_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
             }
         }
     }
@@ -190,12 +190,12 @@
             .into_iter()
             .map(|(group, minimum)| GroupMinimum { group: self.groups.intern(group), minimum })
             .collect();
-        self.report_to_discovery(now, DiscoveryEvent::CachedList { members, minimum_positions });
+        self.report_to_primary_discovery(now, DiscoveryEvent::CachedList { members, minimum_positions });
     }
 
     /// Reports a list from discovery to primary discovery, which happens before the routing policy is notified.
-    fn report_list_to_discovery(&mut self, complete: bool, endpoints: &[ListedEndpoint], now: Timestamp) {
-        if self.discovery.is_none() || (complete && endpoints.is_empty()) {
+    fn report_list_to_primary_discovery(&mut self, complete: bool, endpoints: &[ListedEndpoint], now: Timestamp) {
+        if self.primary_discovery.is_none() || (complete && endpoints.is_empty()) {
             return;
         }
         let (mut members, mut removed) = (Vec::with_capacity(endpoints.len()), Vec::new());
@@ -208,7 +208,7 @@
                 self.not_admitted.remove(&member.endpoint);
             }
         }
-        self.report_to_discovery(now, DiscoveryEvent::Listed { complete, members, removed });
+        self.report_to_primary_discovery(now, DiscoveryEvent::Listed { complete, members, removed });
     }
 
     /// Reports a list from discovery to the routing policy. Returns the addresses whose idle connections are outdated,
--- a/server/src/control/request_handling.rs
+++ b/server/src/control/request_handling.rs
@@ -102,7 +102,7 @@
         self.requests.insert(request, active);
         self.deadlines.set_abort_time(abort_at, request);
         let waiting = primary_discovery::Event::RequestWaiting { group: arrival.group };
-        self.report_to_discovery(now, waiting);
+        self.report_to_primary_discovery(now, waiting);
         self.report(now, Event::RequestArrived(arrival));
         true
     }
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -64,9 +64,9 @@
     /// The counters of the process.
     pub metrics: Arc<Metrics>,
     /// Primary discovery, if the endpoint list is cached.
-    pub discovery: Option<PrimaryDiscovery>,
+    pub primary_discovery: Option<PrimaryDiscovery>,
     /// Actions of primary discovery that were not performed yet.
-    pub discovery_actions: Vec<primary_discovery::Action>,
+    pub primary_discovery_actions: Vec<primary_discovery::Action>,
     /// List entries of endpoints that primary discovery has not admitted, or has withdrawn.
     pub not_admitted: BTreeMap<EndpointIndex, ListedEndpoint>,
 }
@@ -91,7 +91,7 @@
         let RouterSetup { seed, settings, dispatcher, recovery, queue_limits } = setup;
         let mut actions = Vec::new();
         let policy = RoutingPolicy::new(seed, settings, dispatcher.timers().now(), &mut actions);
-        let discovery = recovery.map(|options| {
+        let primary_discovery = recovery.map(|options| {
             PrimaryDiscovery::new(DiscoverySettings {
                 cache_times: options.cache_times,
                 may_query: settings.may_check_health,
@@ -112,8 +112,8 @@
             epochs: EpochHistory::default(),
             journal: dispatcher.journal.clone(),
             metrics: dispatcher.metrics.clone(),
-            discovery,
-            discovery_actions: Vec::new(),
+            primary_discovery,
+            primary_discovery_actions: Vec::new(),
             not_admitted: BTreeMap::new(),
         }
     }
@@ -124,9 +124,9 @@
     }
 
     /// Reports an event to primary discovery.
-    pub fn report_to_discovery(&mut self, now: Timestamp, event: primary_discovery::Event) {
-        if let Some(discovery) = &mut self.discovery {
-            discovery.on_event(now, event, &mut self.discovery_actions);
+    pub fn report_to_primary_discovery(&mut self, now: Timestamp, event: primary_discovery::Event) {
+        if let Some(discovery) = &mut self.primary_discovery {
+            discovery.on_event(now, event, &mut self.primary_discovery_actions);
         }
     }
 
