--- a/server/src/control/actions.rs
+++ b/server/src/control/actions.rs
@@ -1,6 +1,6 @@
 //! Performs the actions of the routing policy, in order.
 
-use crate::control::active_request::{Location, StartedAttempt};
+use crate::control::active_request::{AttemptLocation, StartedAttempt};
 use crate::control::control_loop::ControlLoop;
 use crate::log;
 use crate::messages::control::{AttemptJob, AttemptResult, AttemptTimes};
@@ -32,7 +32,7 @@
             }
             Action::Reject { request, retry_after } => self.reject(now, request, retry_after),
             Action::Abort { request } => {
-                self.state.trace(request, "abort", now);
+                self.state.log_decision(request, "abort", now);
                 self.state.answer(now, request, Response::Aborted);
             }
             Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
@@ -54,14 +54,14 @@
     ) -> Option<AttemptResult> {
         let state = &mut self.state;
         let number = state.requests.start_attempt(request);
-        state.trace(request, "attempt", now);
+        state.log_decision(request, "attempt", now);
         let addr = state.addr(endpoint);
         let active = state.requests.get_mut(request)?;
         let cancellation = Arc::new(CancellationToken::default());
         active.attempt = Some(StartedAttempt {
             number,
             cancellation: cancellation.clone(),
-            in_flight: Some(Location { endpoint, since: now }),
+            in_flight: Some(AttemptLocation { endpoint, started_at: now }),
         });
         let attempt = AttemptId { request, number, endpoint };
         let Some(addr) = addr else {
@@ -88,10 +88,10 @@
         let is_duplicate =
             self.state.requests.get(request).is_some_and(|active| active.execution.is_duplicate);
         if is_duplicate {
-            self.state.trace(request, "abort", now);
+            self.state.log_decision(request, "abort", now);
             self.state.answer(now, request, Response::Aborted);
         } else {
-            self.state.trace(request, "reject", now);
+            self.state.log_decision(request, "reject", now);
             self.state.answer(now, request, Response::Rejected { retry_after });
         }
     }
--- a/server/src/control/active_request.rs
+++ b/server/src/control/active_request.rs
@@ -12,11 +12,11 @@
 use write_journal::record_state::{Deduplication, RecordEvent};
 
 /// The endpoint at which an attempt is in flight.
-pub struct Location {
+pub struct AttemptLocation {
     /// The endpoint.
     pub endpoint: EndpointIndex,
     /// When the attempt was started.
-    pub since: Timestamp,
+    pub started_at: Timestamp,
 }
 
 /// A request's latest attempt.
@@ -26,7 +26,7 @@
     /// Cancels the attempt.
     pub cancellation: Arc<CancellationToken>,
     /// Where the attempt is in flight; `None` once it has ended.
-    pub in_flight: Option<Location>,
+    pub in_flight: Option<AttemptLocation>,
 }
 
 /// Whether a request may have been executed, and whether the write journal has recorded it.
@@ -114,14 +114,14 @@
     }
 
     /// Records that the latest attempt has ended.
-    pub fn leave_endpoint(&mut self) {
+    pub fn end_attempt(&mut self) {
         if let Some(attempt) = &mut self.attempt {
             attempt.in_flight = None;
         }
     }
 
     /// Where the latest attempt is, if it is in flight.
-    pub fn in_flight(&self) -> Option<&Location> {
+    pub fn in_flight(&self) -> Option<&AttemptLocation> {
         self.attempt.as_ref()?.in_flight.as_ref()
     }
 
--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -2,7 +2,7 @@
 
 use crate::control::active_request::ActiveRequest;
 use crate::control::control_loop::ControlLoop;
-use crate::control::response_check::{checked_response, is_session_lost};
+use crate::control::response_check::{response_for_value, is_session_lost};
 use crate::control::router_state::RouterState;
 use crate::messages::control::{AttemptResult, AttemptConfirmation, HealthCheckEnd};
 use crate::messages::journal_entry::JournalVerdict;
@@ -40,7 +40,7 @@
         let (endpoint, queried_at) = (result.attempt.endpoint, result.started_at);
         let answer_report = result.metadata.answer_report;
         self.state.end_attempt(now, result, self.config.settings.max_retry_after);
-        self.observe_report(now, endpoint, queried_at, answer_report);
+        self.record_endpoint_report(now, endpoint, queried_at, answer_report);
     }
 
     /// Handles the end of a health check, and reports the endpoint's role to primary discovery.
@@ -55,7 +55,7 @@
         }
         self.state.metrics.health_check_ended(outcome);
         self.state.report(now, Event::HealthCheckEnded { endpoint, outcome, elapsed, report });
-        self.observe_report(now, endpoint, now - elapsed, report);
+        self.record_endpoint_report(now, endpoint, now - elapsed, report);
     }
 }
 
@@ -69,7 +69,7 @@
         retry_after: Option<TimeDelta>,
     ) {
         let Some(active) = self.requests.get_mut(result.attempt.request) else { return };
-        active.leave_endpoint();
+        active.end_attempt();
         record_outcome(active, &result, self.journal.as_deref());
         if result.journal_verdict == Some(JournalVerdict::IdInUse) {
             active.answer(&self.metrics, now, Response::Error(ID_RECORDED));
@@ -83,10 +83,10 @@
         let is_closed = |active: &ActiveRequest| active.response.ticket.is_none();
         end.request_closed = self.requests.get(request).is_none_or(is_closed);
         let request_closed = end.request_closed;
-        self.trace_attempt_end(&end);
+        self.log_attempt_end(&end);
         self.report(now, Event::AttemptEnded(end));
         let removed = self.requests.end_attempt(request, request_closed);
-        self.finish(request, removed);
+        self.release(request, removed);
     }
 
     /// Handles the answer of an attempt that succeeded: records its epoch, and answers the request if that is still
@@ -97,13 +97,13 @@
             self.epochs.record(active.identity.group, epoch);
         }
         if active.response.ticket.is_some() {
-            let response = checked_response(&self.epochs, active, result, now, retry_after);
+            let response = response_for_value(&self.epochs, active, result, now, retry_after);
             active.answer(&self.metrics, now, response);
         }
     }
 
     /// Writes a debug line for the end of an attempt.
-    fn trace_attempt_end(&self, end: &AttemptEnd) {
+    fn log_attempt_end(&self, end: &AttemptEnd) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -48,9 +48,9 @@
     /// The latest endpoint list by name, from which a new router state is restored.
     pub(super) listed: BTreeMap<String, ListedEndpoint>,
     /// The earliest scheduled wake-up whose message was not received yet.
-    pub(super) wake_up: Option<Timestamp>,
+    pub(super) pending_wake_up: Option<Timestamp>,
     /// The router state was replaced and must be restored from the list.
-    needs_list: bool,
+    must_restore_list: bool,
     /// Discovery had confirmed the list when the router state was replaced.
     list_was_confirmed: bool,
     pub(super) recovery: Option<RecoveryOptions>,
@@ -74,8 +74,8 @@
             dispatcher,
             messages,
             listed: BTreeMap::new(),
-            wake_up: None,
-            needs_list: false,
+            pending_wake_up: None,
+            must_restore_list: false,
             list_was_confirmed: false,
             recovery,
             queue_limits: None,
@@ -91,13 +91,13 @@
         loop {
             if catch_unwind(AssertUnwindSafe(|| self.handle_batch())).is_err() {
                 log!(WARN; "routing policy panicked, restarting it from the endpoint list");
-                self.reset();
+                self.replace_state();
             }
         }
     }
 
     /// Replaces the router state after a panic.
-    fn reset(&mut self) {
+    fn replace_state(&mut self) {
         self.config.seed = self.config.seed.wrapping_add(1);
         self.list_was_confirmed =
             self.state.primary_discovery.as_ref().is_some_and(PrimaryDiscovery::is_list_confirmed);
@@ -108,9 +108,9 @@
             recovery: self.recovery.as_ref(),
             queue_limits: self.queue_limits.clone(),
         });
-        self.needs_list = true;
+        self.must_restore_list = true;
         // The pending wake-up's message may have been lost with the batch.
-        self.wake_up = None;
+        self.pending_wake_up = None;
         let at = self.dispatcher.timers().now();
         let _ = self.dispatcher.control.send(ControlMessage::WakeUp { at });
     }
@@ -119,7 +119,7 @@
     fn handle_batch(&mut self) {
         let Ok(first) = self.messages.recv() else { return };
         let now = self.dispatcher.timers().now();
-        if std::mem::take(&mut self.needs_list) {
+        if std::mem::take(&mut self.must_restore_list) {
             self.restore_list(now);
         }
         self.state.fire_deadlines(now);
@@ -174,7 +174,7 @@
             // Sending fails if the requester has given up.
             ControlMessage::Snapshot { reply } => _ = reply.send(self.state.snapshot(now)),
             ControlMessage::WakeUp { at } => {
-                self.wake_up = self.wake_up.filter(|set| *set != at);
+                self.pending_wake_up = self.pending_wake_up.filter(|set| *set != at);
                 self.state.report_to_primary_discovery(now, primary_discovery::Event::Tick);
             }
         }
@@ -209,8 +209,8 @@
         let discovery = state.primary_discovery.as_ref().and_then(|discovery| discovery.due(now));
         let queue = state.queue.as_ref().and_then(RequestQueue::due);
         let due = state.deadlines.due().into_iter().chain(queue).chain(discovery).min();
-        let Some(due) = due.filter(|due| self.wake_up.is_none_or(|set| *due < set)) else { return };
-        self.wake_up = Some(due);
+        let Some(due) = due.filter(|due| self.pending_wake_up.is_none_or(|set| *due < set)) else { return };
+        self.pending_wake_up = Some(due);
         let control = self.dispatcher.control.clone();
         self.dispatcher.timers().call_at(due, move || {
             let _ = control.send(ControlMessage::WakeUp { at: due });
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -62,7 +62,7 @@
         };
         self.perform_primary_discovery_actions(now);
         // If the identity does not match, another endpoint has answered at this address.
-        let is_identified = self.recovering(endpoint).is_some_and(RecoveringEndpoint::is_identified);
+        let is_identified = self.recovering_endpoint(endpoint).is_some_and(RecoveringEndpoint::is_identified);
         if let Some(report) = answered_report.filter(|_| is_identified) {
             let outcome = AttemptOutcome::Succeeded;
             let elapsed = now - queried_at;
@@ -94,12 +94,12 @@
     }
 
     /// The state of an endpoint in primary discovery.
-    fn recovering(&self, endpoint: EndpointIndex) -> Option<&RecoveringEndpoint> {
+    fn recovering_endpoint(&self, endpoint: EndpointIndex) -> Option<&RecoveringEndpoint> {
         self.state.primary_discovery.as_ref()?.endpoint(endpoint)
     }
 
     /// Passes a report that an endpoint sent with an answer or health check to primary discovery and the cache.
-    pub(super) fn observe_report(
+    pub(super) fn record_endpoint_report(
         &mut self,
         now: Timestamp,
         endpoint: EndpointIndex,
@@ -116,7 +116,7 @@
     /// Saves an endpoint's latest report with the cached endpoint list.
     fn cache_report(&self, endpoint: EndpointIndex) {
         let cache = self.recovery.as_ref().and_then(|options| options.cache.as_ref());
-        if let (Some(cache), Some(recovering)) = (cache, self.recovering(endpoint)) {
+        if let (Some(cache), Some(recovering)) = (cache, self.recovering_endpoint(endpoint)) {
             cache.reported(self.state.endpoints.id(endpoint), recovering.report);
         }
     }
@@ -153,7 +153,7 @@
     /// because it is unknown when the endpoint was started.
     fn admit_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.state.not_admitted.remove(&endpoint) else { return };
-        let record = self.state.record(&listed, &self.config.zones);
+        let record = self.state.endpoint_record(&listed, &self.config.zones);
         let record = EndpointRecord { started_at: Some(now), start_presumed: true, primary: false, ..record };
         self.state.report(now, Event::EndpointList { complete: false, records: vec![record] });
     }
@@ -161,7 +161,7 @@
     /// Withdraws an endpoint from the routing policy, as if it were draining.
     fn withdraw_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.listed.get(self.state.endpoints.id(endpoint)) else { return };
-        let record = self.state.record(listed, &self.config.zones);
+        let record = self.state.endpoint_record(listed, &self.config.zones);
         let record = EndpointRecord { status: EndpointStatus::Draining, ..record };
         self.state.not_admitted.insert(endpoint, listed.clone());
         self.state.report(now, Event::EndpointList { complete: false, records: vec![record] });
@@ -182,7 +182,7 @@
     ) {
         let mut members = Vec::with_capacity(endpoints.len());
         for listed in endpoints {
-            let member = self.member(&listed);
+            let member = self.register_endpoint(&listed);
             members.push(member);
             self.not_admitted.insert(member.endpoint, listed);
         }
@@ -200,7 +200,7 @@
         }
         let (mut members, mut removed) = (Vec::with_capacity(endpoints.len()), Vec::new());
         for listed in endpoints {
-            let member = self.member(listed);
+            let member = self.register_endpoint(listed);
             if listed.status() == EndpointStatus::Removed {
                 removed.push(member.endpoint);
             } else {
@@ -222,13 +222,13 @@
     ) -> Vec<SocketAddr> {
         let (mut records, mut outdated) = (Vec::with_capacity(endpoints.len()), Vec::new());
         for listed in endpoints {
-            let endpoint = self.member(listed).endpoint;
+            let endpoint = self.register_endpoint(listed).endpoint;
             let started_at = &mut self.listed[endpoint].started_at;
             if listed.status() != EndpointStatus::Serving || *started_at != listed.started_at() {
                 outdated.extend(listed.socket_addr());
             }
             *started_at = listed.started_at();
-            records.push(self.record(listed, zones));
+            records.push(self.endpoint_record(listed, zones));
         }
         self.report(now, Event::EndpointList { complete, records });
         outdated
--- a/server/src/control/response_check.rs
+++ b/server/src/control/response_check.rs
@@ -16,7 +16,7 @@
 
 /// The response for a value that an endpoint has answered. A read is rejected if its session has seen a position that
 /// this endpoint's log does not contain.
-pub fn checked_response(
+pub fn response_for_value(
     epochs: &EpochHistory,
     request: &ActiveRequest,
     result: AttemptResult,
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -155,7 +155,7 @@
     }
 
     /// Stores an endpoint's address, and returns the endpoint's index and group for primary discovery.
-    pub fn member(&mut self, listed: &ListedEndpoint) -> Member {
+    pub fn register_endpoint(&mut self, listed: &ListedEndpoint) -> Member {
         let endpoint = self.endpoints.intern(listed.name.clone());
         if self.listed.len() <= endpoint {
             self.listed.resize(endpoint + 1, ListedState::default());
@@ -165,7 +165,7 @@
     }
 
     /// The routing policy's view of a list entry.
-    pub fn record(&mut self, listed: &ListedEndpoint, zones: &[String]) -> EndpointRecord {
+    pub fn endpoint_record(&mut self, listed: &ListedEndpoint, zones: &[String]) -> EndpointRecord {
         EndpointRecord {
             endpoint: self.endpoints.intern(listed.name.clone()),
             group: self.groups.intern(listed.group),
@@ -193,12 +193,12 @@
     /// Closes a request that was answered, or whose client has disconnected.
     pub fn close(&mut self, request: RequestId) {
         let removed = self.requests.close(request);
-        self.finish(request, removed);
+        self.release(request, removed);
     }
 
     /// Releases what a request held, once it was removed: its id, its abort time and its slot of the queue's limits.
     /// A recorded request that was certainly not executed is marked so in the journal.
-    pub fn finish(&mut self, request: RequestId, removed: Option<ActiveRequest>) {
+    pub fn release(&mut self, request: RequestId, removed: Option<ActiveRequest>) {
         let Some(active) = removed else { return };
         self.ids.remove(&active.identity.id);
         if let Some(journal) =
@@ -213,7 +213,7 @@
     }
 
     /// Writes a debug line for a decision on a request.
-    pub fn trace(&self, request: RequestId, decision: &str, now: Timestamp) {
+    pub fn log_decision(&self, request: RequestId, decision: &str, now: Timestamp) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
@@ -248,7 +248,7 @@
     fn request_snapshot(&self, request: RequestId, active: &ActiveRequest) -> RequestSnapshot {
         let in_flight = active.in_flight().map(|location| AttemptSnapshot {
             endpoint: self.endpoints.id(location.endpoint).clone(),
-            started_at: location.since,
+            started_at: location.started_at,
         });
         RequestSnapshot {
             identity: active.identity.clone(),
