--- a/server/src/clients/requests.rs
+++ b/server/src/clients/requests.rs
@@ -155,7 +155,8 @@
             return self.responses.push_ready(encode_response(response, None));
         }
         if let (Some(tokens), Some(session)) = (&self.context.session_tokens, &mut self.session) {
-            header.session.seen_position = tokens.seen(self.context.timers.now(), session, header.identity.group);
+            header.session.seen_position =
+                tokens.seen(self.context.timers.now(), session, header.identity.group);
         }
         header.client.clone_from(&self.client);
         let request = self.next_request_id();
--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -2,9 +2,9 @@
 
 use crate::control::active_request::ActiveRequest;
 use crate::control::control_loop::ControlLoop;
-use crate::control::response_check::{response_for_value, is_session_lost};
+use crate::control::response_check::{is_session_lost, response_for_value};
 use crate::control::router_state::RouterState;
-use crate::messages::control::{AttemptResult, AttemptConfirmation, HealthCheckEnd};
+use crate::messages::control::{AttemptConfirmation, AttemptResult, HealthCheckEnd};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::messages::response::Response;
 use crate::protocol::sqlstate::{ClientError, SqlState};
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -194,7 +194,12 @@
     }
 
     /// Reports a list from discovery to primary discovery, which happens before the routing policy is notified.
-    fn report_list_to_primary_discovery(&mut self, complete: bool, endpoints: &[ListedEndpoint], now: Timestamp) {
+    fn report_list_to_primary_discovery(
+        &mut self,
+        complete: bool,
+        endpoints: &[ListedEndpoint],
+        now: Timestamp,
+    ) {
         if self.primary_discovery.is_none() || (complete && endpoints.is_empty()) {
             return;
         }
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -10,7 +10,7 @@
 use crate::messages::endpoint_list::ListedEndpoint;
 use crate::messages::response::Response;
 use crate::messages::snapshot::{
-    ListedEndpointSnapshot, AttemptSnapshot, RequestSnapshot, ServerSnapshot, MAX_CLIENTS, MAX_REQUESTS,
+    AttemptSnapshot, ListedEndpointSnapshot, RequestSnapshot, ServerSnapshot, MAX_CLIENTS, MAX_REQUESTS,
 };
 use crate::runtime::clock::NANOS_PER_MICRO;
 use crate::runtime::metrics::Metrics;
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! The watch on discovery, which is reopened whenever it ends, at the address that is configured then.
 
 use crate::discovery::stream::{StreamError, WatchEvent, WatchStream};
-use crate::endpoints::connection::{IoLimits, IoError, PeerConnection};
+use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::log;
 use crate::messages::control::ControlMessage;
 use crate::messages::endpoint_list::EndpointListUpdate;
--- a/server/src/endpoints/answer.rs
+++ b/server/src/endpoints/answer.rs
@@ -1,6 +1,6 @@
 //! Reading of an endpoint's answer to its end.
 
-use crate::endpoints::connection::{IoLimits, IoError, PeerConnection};
+use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::endpoints::response_parser::ResponseParser;
 use crate::messages::control::AnswerMetadata;
 use routing::{AttemptOutcome, Role};
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -2,10 +2,10 @@
 
 use crate::endpoints::answer::{read_answer, Answer};
 use crate::endpoints::completion_guard::CompletionGuard;
-use crate::endpoints::connection::{IoLimits, IoError, PeerConnection};
+use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
 use crate::endpoints::query::{send, HEALTH_STATEMENT};
-use crate::messages::control::{AttemptJob, AttemptResult, AttemptConfirmation, ControlMessage};
+use crate::messages::control::{AttemptConfirmation, AttemptJob, AttemptResult, ControlMessage};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::protocol::framing::LENGTH_BYTES;
 use crate::runtime::clock::NANOS_PER_MILLI;
--- a/server/src/endpoints/health_check.rs
+++ b/server/src/endpoints/health_check.rs
@@ -6,7 +6,9 @@
 use crate::endpoints::load_report;
 use crate::endpoints::pool::ConnectionPool;
 use crate::endpoints::query::{query, QueryResult, HEALTH_STATEMENT};
-use crate::messages::control::{ConnectError, ControlMessage, HealthCheckEnd, EndpointQueryAnswer, RoleQueryEnd};
+use crate::messages::control::{
+    ConnectError, ControlMessage, EndpointQueryAnswer, HealthCheckEnd, RoleQueryEnd,
+};
 use crate::runtime::cancellation::CancellationToken;
 use may::sync::mpsc::Sender;
 use routing::time::{TimeDelta, Timestamp};
--- a/server/src/endpoints/pool.rs
+++ b/server/src/endpoints/pool.rs
@@ -5,7 +5,7 @@
 //! which the endpoint answers at once and without effect, is sent on every returned connection. The connection is
 //! reused only once exactly that answer has arrived: extra bytes of the answer before would precede it.
 
-use crate::endpoints::connection::{IoLimits, IoError, PeerConnection};
+use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::endpoints::response_parser::ResponseParser;
 use crate::log;
 use crate::messages::control::ConnectError;
@@ -59,7 +59,9 @@
         };
         match verification.parse(&self.connection.buffer) {
             None if age < pool.connect_timeout => Reusability::Verifying,
-            Some(AttemptOutcome::Succeeded) if verification.leaves_connection_reusable(&self.connection.buffer) => {
+            Some(AttemptOutcome::Succeeded)
+                if verification.leaves_connection_reusable(&self.connection.buffer) =>
+            {
                 self.connection.take_buffer();
                 self.verification = None;
                 Reusability::Now
@@ -271,7 +273,9 @@
     loop {
         match parser.parse(&connection.buffer) {
             None => connection.read(limits).map_err(outcome)?,
-            Some(AttemptOutcome::Succeeded) if parser.leaves_connection_reusable(&connection.buffer) => return Ok(()),
+            Some(AttemptOutcome::Succeeded) if parser.leaves_connection_reusable(&connection.buffer) => {
+                return Ok(())
+            }
             Some(AttemptOutcome::Rejected) => return Err(AttemptOutcome::Rejected.into()),
             Some(_) => return Err(AttemptOutcome::Unreachable.into()),
         }
--- a/server/src/endpoints/query.rs
+++ b/server/src/endpoints/query.rs
@@ -1,7 +1,7 @@
 //! Queries that the server itself sends to endpoints: one statement, whose result is one column of one row.
 
 use crate::endpoints::answer::read_answer;
-use crate::endpoints::connection::{IoLimits, IoError, PeerConnection};
+use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
 use crate::messages::control::ConnectError;
 use crate::protocol::{decode, encode};
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -201,7 +201,8 @@
             ("recovery", "off") => self.metadata.answer_report.role = Some(Role::Primary),
             ("recovery", "on") => self.metadata.answer_report.role = Some(Role::Replica),
             ("lsn_ms", millis) => {
-                self.metadata.answer_report.position = parse_unsigned_decimal(millis).and_then(clock::from_unix_ms);
+                self.metadata.answer_report.position =
+                    parse_unsigned_decimal(millis).and_then(clock::from_unix_ms);
             }
             ("health", fields) => self.metadata.load_report = load_report::parse(fields),
             ("epoch", text) => self.metadata.epoch = parse_epoch(text),
@@ -261,7 +262,9 @@
 /// Without a position, as in `3`, the beginning is unknown.
 fn parse_epoch(text: &str) -> Option<Epoch> {
     let (number, began) = match text.split_once('@') {
-        Some((number, millis)) => (number, Some(parse_unsigned_decimal(millis).and_then(clock::from_unix_ms)?)),
+        Some((number, millis)) => {
+            (number, Some(parse_unsigned_decimal(millis).and_then(clock::from_unix_ms)?))
+        }
         None => (text, None),
     };
     let is_digits = number.bytes().all(|byte| byte.is_ascii_digit());
--- a/server/tests/operator_pages/fixture.rs
+++ b/server/tests/operator_pages/fixture.rs
@@ -15,7 +15,7 @@
 use server::messages::control::ControlMessage;
 use server::messages::request::RequestIdentity;
 use server::messages::snapshot::{
-    ListedEndpointSnapshot, AttemptSnapshot, QueueSnapshot, RequestSnapshot, ServerSnapshot, WaitingRequest,
+    AttemptSnapshot, ListedEndpointSnapshot, QueueSnapshot, RequestSnapshot, ServerSnapshot, WaitingRequest,
 };
 use server::runtime::clock::{Clock, Timers};
 use server::runtime::metrics::install_recorder;
