--- a/server/src/control/actions.rs
+++ b/server/src/control/actions.rs
@@ -1,9 +1,9 @@
 //! Performs the actions of the routing policy, in order.
 
-use crate::control::active_request::{Location, StartedAttempt};
+use crate::control::active_request::{AttemptLocation, StartedAttempt};
 use crate::control::control_loop::ControlLoop;
 use crate::log;
-use crate::messages::control::{AttemptJob, AttemptReport, AttemptTimes};
+use crate::messages::control::{AttemptJob, AttemptResult, AttemptTimes};
 use crate::messages::response::Response;
 use crate::runtime::cancellation::CancellationToken;
 use routing::time::{TimeDelta, Timestamp};
@@ -18,21 +18,21 @@
             for action in std::mem::take(&mut self.state.actions) {
                 self.perform(now, action, &mut not_sent);
             }
-            for report in not_sent {
-                self.on_attempt_not_sent(now, report);
+            for result in not_sent {
+                self.on_attempt_not_sent(now, result);
             }
         }
     }
 
-    /// Performs one action. The report of an attempt that cannot be started is appended to `not_sent`.
-    fn perform(&mut self, now: Timestamp, action: Action, not_sent: &mut Vec<AttemptReport>) {
+    /// Performs one action. The result of an attempt that cannot be started is appended to `not_sent`.
+    fn perform(&mut self, now: Timestamp, action: Action, not_sent: &mut Vec<AttemptResult>) {
         match action {
             Action::StartAttempt { request, endpoint, timeout } => {
                 not_sent.extend(self.start_attempt(now, request, endpoint, timeout));
             }
             Action::Reject { request, retry_after } => self.reject(now, request, retry_after),
             Action::Abort { request } => {
-                self.state.trace(request, "abort", now);
+                self.state.log_decision(request, "abort", now);
                 self.state.answer(now, request, Response::Aborted);
             }
             Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
@@ -44,28 +44,28 @@
         }
     }
 
-    /// Starts an attempt; returns its report if it cannot be started because the endpoint has no address.
+    /// Starts an attempt; returns its result if it cannot be started because the endpoint has no address.
     fn start_attempt(
         &mut self,
         now: Timestamp,
         request: RequestId,
         endpoint: EndpointIndex,
         timeout: TimeDelta,
-    ) -> Option<AttemptReport> {
+    ) -> Option<AttemptResult> {
         let state = &mut self.state;
         let number = state.requests.start_attempt(request);
-        state.trace(request, "attempt", now);
+        state.log_decision(request, "attempt", now);
         let addr = state.addr(endpoint);
         let active = state.requests.get_mut(request)?;
         let cancellation = Arc::new(CancellationToken::default());
         active.attempt = Some(StartedAttempt {
             number,
             cancellation: cancellation.clone(),
-            in_flight: Some(Location { endpoint, since: now }),
+            in_flight: Some(AttemptLocation { endpoint, started_at: now }),
         });
         let attempt = AttemptId { request, number, endpoint };
         let Some(addr) = addr else {
-            return Some(AttemptReport::not_sent(attempt, now));
+            return Some(AttemptResult::not_sent(attempt, now));
         };
         self.dispatcher.start_attempt(AttemptJob {
             attempt,
@@ -78,8 +78,8 @@
     }
 
     /// Ends an attempt that could not be started.
-    fn on_attempt_not_sent(&mut self, now: Timestamp, report: AttemptReport) {
-        self.state.end_attempt(now, report, self.config.settings.max_retry_after);
+    fn on_attempt_not_sent(&mut self, now: Timestamp, result: AttemptResult) {
+        self.state.end_attempt(now, result, self.config.settings.max_retry_after);
     }
 
     /// Rejects a request. A duplicate of a request that may have been executed is aborted instead, because a
@@ -88,10 +88,10 @@
         let is_duplicate =
             self.state.requests.get(request).is_some_and(|active| active.execution.is_duplicate);
         if is_duplicate {
-            self.state.trace(request, "abort", now);
+            self.state.log_decision(request, "abort", now);
             self.state.answer(now, request, Response::Aborted);
         } else {
-            self.state.trace(request, "reject", now);
+            self.state.log_decision(request, "reject", now);
             self.state.answer(now, request, Response::Rejected { retry_after });
         }
     }
--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -2,9 +2,9 @@
 
 use crate::control::active_request::ActiveRequest;
 use crate::control::control_loop::ControlLoop;
-use crate::control::response_check::{checked_response, is_session_lost};
+use crate::control::response_check::{is_session_lost, response_for_value};
 use crate::control::router_state::RouterState;
-use crate::messages::control::{AttemptReport, ConfirmAttempt, HealthCheckEnd};
+use crate::messages::control::{AttemptConfirmation, AttemptResult, HealthCheckEnd};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::messages::response::Response;
 use crate::protocol::sqlstate::{ClientError, SqlState};
@@ -21,7 +21,7 @@
 
 impl ControlLoop {
     /// Replies whether an attempt may still be sent.
-    pub(super) fn on_confirm(&mut self, now: Timestamp, confirm: &ConfirmAttempt) {
+    pub(super) fn on_confirm_attempt(&mut self, now: Timestamp, confirm: &AttemptConfirmation) {
         let AttemptId { request, number, endpoint } = confirm.attempt;
         let is_confirmed = self.state.requests.is_open(request)
             && self.state.policy.confirm_attempt(now, request, number, endpoint);
@@ -36,11 +36,11 @@
     }
 
     /// Handles the end of an attempt, and reports the endpoint's role to primary discovery.
-    pub(super) fn on_attempt_ended(&mut self, now: Timestamp, report: AttemptReport) {
-        let (endpoint, queried_at) = (report.attempt.endpoint, report.started_at);
-        let answer_report = report.reports.answer;
-        self.state.end_attempt(now, report, self.config.settings.max_retry_after);
-        self.observe_report(now, endpoint, queried_at, answer_report);
+    pub(super) fn on_attempt_ended(&mut self, now: Timestamp, result: AttemptResult) {
+        let (endpoint, queried_at) = (result.attempt.endpoint, result.started_at);
+        let answer_report = result.metadata.answer_report;
+        self.state.end_attempt(now, result, self.config.settings.max_retry_after);
+        self.record_endpoint_report(now, endpoint, queried_at, answer_report);
     }
 
     /// Handles the end of a health check, and reports the endpoint's role to primary discovery.
@@ -55,7 +55,7 @@
         }
         self.state.metrics.health_check_ended(outcome);
         self.state.report(now, Event::HealthCheckEnded { endpoint, outcome, elapsed, report });
-        self.observe_report(now, endpoint, now - elapsed, report);
+        self.record_endpoint_report(now, endpoint, now - elapsed, report);
     }
 }
 
@@ -65,45 +65,45 @@
     pub(super) fn end_attempt(
         &mut self,
         now: Timestamp,
-        report: AttemptReport,
+        result: AttemptResult,
         retry_after: Option<TimeDelta>,
     ) {
-        let Some(active) = self.requests.get_mut(report.attempt.request) else { return };
-        active.leave_endpoint();
-        record_outcome(active, &report, self.journal.as_deref());
-        if report.journal_verdict == Some(JournalVerdict::IdInUse) {
+        let Some(active) = self.requests.get_mut(result.attempt.request) else { return };
+        active.end_attempt();
+        record_outcome(active, &result, self.journal.as_deref());
+        if result.journal_verdict == Some(JournalVerdict::IdInUse) {
             active.answer(&self.metrics, now, Response::Error(ID_RECORDED));
         }
-        let mut end = attempt_end(active, &report, now);
-        if report.outcome == AttemptOutcome::Succeeded {
-            self.handle_answer(now, report, retry_after);
+        let mut end = attempt_end(active, &result, now);
+        if result.outcome == AttemptOutcome::Succeeded {
+            self.handle_answer(now, result, retry_after);
         }
         self.metrics.attempt_ended(end.outcome, end.elapsed);
         let request = end.attempt.request;
         let is_closed = |active: &ActiveRequest| active.response.ticket.is_none();
         end.request_closed = self.requests.get(request).is_none_or(is_closed);
         let request_closed = end.request_closed;
-        self.trace_attempt_end(&end);
+        self.log_attempt_end(&end);
         self.report(now, Event::AttemptEnded(end));
         let removed = self.requests.end_attempt(request, request_closed);
-        self.finish(request, removed);
+        self.release(request, removed);
     }
 
     /// Handles the answer of an attempt that succeeded: records its epoch, and answers the request if that is still
     /// open.
-    fn handle_answer(&mut self, now: Timestamp, report: AttemptReport, retry_after: Option<TimeDelta>) {
-        let Some(active) = self.requests.get_mut(report.attempt.request) else { return };
-        if let Some(epoch) = report.reports.epoch {
+    fn handle_answer(&mut self, now: Timestamp, result: AttemptResult, retry_after: Option<TimeDelta>) {
+        let Some(active) = self.requests.get_mut(result.attempt.request) else { return };
+        if let Some(epoch) = result.metadata.epoch {
             self.epochs.record(active.identity.group, epoch);
         }
         if active.response.ticket.is_some() {
-            let response = checked_response(&self.epochs, active, report, now, retry_after);
+            let response = response_for_value(&self.epochs, active, result, now, retry_after);
             active.answer(&self.metrics, now, response);
         }
     }
 
     /// Writes a debug line for the end of an attempt.
-    fn trace_attempt_end(&self, end: &AttemptEnd) {
+    fn log_attempt_end(&self, end: &AttemptEnd) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
@@ -131,15 +131,15 @@
 }
 
 /// The routing policy's view of the end of an attempt, for a request that is still open.
-fn attempt_end(active: &ActiveRequest, report: &AttemptReport, now: Timestamp) -> AttemptEnd {
+fn attempt_end(active: &ActiveRequest, result: &AttemptResult, now: Timestamp) -> AttemptEnd {
     AttemptEnd {
-        attempt: report.attempt,
-        outcome: report.outcome,
-        elapsed: now - report.started_at,
+        attempt: result.attempt,
+        outcome: result.outcome,
+        elapsed: now - result.started_at,
         request_closed: false,
         write_session: active.write_session(),
-        answer_report: report.reports.answer,
-        load_report: report.reports.load,
+        answer_report: result.metadata.answer_report,
+        load_report: result.metadata.load_report,
     }
 }
 
@@ -147,16 +147,16 @@
 ///
 /// The commit position is recorded only if no earlier attempt may have been executed: otherwise the answer may be to a
 /// duplicate, and its position is not that of the commit.
-fn record_outcome(active: &mut ActiveRequest, report: &AttemptReport, journal: Option<&WriteJournal>) {
+fn record_outcome(active: &mut ActiveRequest, result: &AttemptResult, journal: Option<&WriteJournal>) {
     let execution = &mut active.execution;
-    execution.is_duplicate |= report.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
+    execution.is_duplicate |= result.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
     let is_first = !execution.is_duplicate && !execution.may_have_run;
-    execution.recorded |= report.journal_verdict.is_some_and(JournalVerdict::allows_sending);
-    execution.may_have_run |= execution.is_duplicate || !report.outcome.proves_not_executed();
+    execution.recorded |= result.journal_verdict.is_some_and(JournalVerdict::allows_sending);
+    execution.may_have_run |= execution.is_duplicate || !result.outcome.proves_not_executed();
     let Some(journal) = journal.filter(|_| execution.recorded) else { return };
-    if report.outcome == AttemptOutcome::Succeeded {
-        let commit = report.reports.answer.position.filter(|_| is_first);
+    if result.outcome == AttemptOutcome::Succeeded {
+        let commit = result.metadata.answer_report.position.filter(|_| is_first);
         let commit_ms = commit.map(|position| position.0 / NANOS_PER_MILLI);
-        journal.record_end(&active.identity.id, RecordEvent::Executed(commit_ms));
+        journal.record_outcome(&active.identity.id, RecordEvent::Executed(commit_ms));
     }
 }
--- a/server/src/endpoints/pool.rs
+++ b/server/src/endpoints/pool.rs
@@ -5,7 +5,7 @@
 //! which the endpoint answers at once and without effect, is sent on every returned connection. The connection is
 //! reused only once exactly that answer has arrived: extra bytes of the answer before would precede it.
 
-use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
+use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::endpoints::response_parser::ResponseParser;
 use crate::log;
 use crate::messages::control::ConnectError;
@@ -59,7 +59,9 @@
         };
         match verification.parse(&self.connection.buffer) {
             None if age < pool.connect_timeout => Reusability::Verifying,
-            Some(AttemptOutcome::Succeeded) if verification.frees_connection(&self.connection.buffer) => {
+            Some(AttemptOutcome::Succeeded)
+                if verification.leaves_connection_reusable(&self.connection.buffer) =>
+            {
                 self.connection.take_buffer();
                 self.verification = None;
                 Reusability::Now
@@ -207,7 +209,7 @@
     }
 
     /// Returns a connection to the pool whose answer was read completely, and starts its verification.
-    pub fn return_used(&self, addr: SocketAddr, mut connection: PeerConnection) {
+    pub fn return_after_answer(&self, addr: SocketAddr, mut connection: PeerConnection) {
         let mut empty_query = Vec::new();
         encode::query(&mut empty_query, "");
         if connection.try_write(&empty_query) {
@@ -262,16 +264,18 @@
     timed_out: AttemptOutcome,
 ) -> Result<(), ConnectError> {
     let outcome = |stop| match stop {
-        IoStop::TimedOut => timed_out,
-        IoStop::Cancelled => AttemptOutcome::NotSent,
-        IoStop::ConnectionLost => AttemptOutcome::Unreachable,
+        IoError::TimedOut => timed_out,
+        IoError::Cancelled => AttemptOutcome::NotSent,
+        IoError::ConnectionLost => AttemptOutcome::Unreachable,
     };
     connection.write(&[&encode::startup_message()], limits).map_err(outcome)?;
     let mut parser = ResponseParser::for_startup();
     loop {
         match parser.parse(&connection.buffer) {
             None => connection.read(limits).map_err(outcome)?,
-            Some(AttemptOutcome::Succeeded) if parser.frees_connection(&connection.buffer) => return Ok(()),
+            Some(AttemptOutcome::Succeeded) if parser.leaves_connection_reusable(&connection.buffer) => {
+                return Ok(())
+            }
             Some(AttemptOutcome::Rejected) => return Err(AttemptOutcome::Rejected.into()),
             Some(_) => return Err(AttemptOutcome::Unreachable.into()),
         }
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -1,8 +1,8 @@
 //! Parsing of an endpoint's answer, before any of it is forwarded to the client. An endpoint may send anything, so
 //! a message that the grammar does not allow at its position makes the whole answer invalid.
 
-use crate::endpoints::load_report::{self, plain_number};
-use crate::messages::control::AnswerReports;
+use crate::endpoints::load_report::{self, parse_unsigned_decimal};
+use crate::messages::control::AnswerMetadata;
 use crate::protocol::decode;
 use crate::protocol::framing::{frame, HEADER_BYTES, LENGTH_BYTES, MAX_VALUE_BYTES};
 use crate::protocol::sqlstate::endpoint as sqlstate;
@@ -127,7 +127,7 @@
     asynchronous_bytes: usize,
     /// The outcome by the ErrorResponse, if there was one.
     error: Option<AttemptOutcome>,
-    reports: AnswerReports,
+    metadata: AnswerMetadata,
 }
 
 impl ResponseParser {
@@ -198,13 +198,14 @@
             return decode::is_error(body).then_some(self.state);
         }
         match decode::parameter(body)? {
-            ("recovery", "off") => self.reports.answer.role = Some(Role::Primary),
-            ("recovery", "on") => self.reports.answer.role = Some(Role::Replica),
+            ("recovery", "off") => self.metadata.answer_report.role = Some(Role::Primary),
+            ("recovery", "on") => self.metadata.answer_report.role = Some(Role::Replica),
             ("lsn_ms", millis) => {
-                self.reports.answer.position = plain_number(millis).and_then(clock::from_unix_ms);
+                self.metadata.answer_report.position =
+                    parse_unsigned_decimal(millis).and_then(clock::from_unix_ms);
             }
-            ("health", fields) => self.reports.load = load_report::parse(fields),
-            ("epoch", text) => self.reports.epoch = parse_epoch(text),
+            ("health", fields) => self.metadata.load_report = load_report::parse(fields),
+            ("epoch", text) => self.metadata.epoch = parse_epoch(text),
             _ => {}
         }
         Some(self.state)
@@ -222,16 +223,16 @@
     }
 
     /// Whether the connection can be reused: the answer is complete, and no bytes follow it.
-    pub fn frees_connection(&self, buffer: &[u8]) -> bool {
+    pub fn leaves_connection_reusable(&self, buffer: &[u8]) -> bool {
         self.state == State::Done && self.at == buffer.len()
     }
 
     /// What the answer reported about its endpoint; empty if the answer is invalid.
-    pub fn reports(&self) -> AnswerReports {
+    pub fn metadata(&self) -> AnswerMetadata {
         if self.state == State::Invalid {
-            AnswerReports::default()
+            AnswerMetadata::default()
         } else {
-            self.reports
+            self.metadata
         }
     }
 
@@ -261,7 +262,9 @@
 /// Without a position, as in `3`, the beginning is unknown.
 fn parse_epoch(text: &str) -> Option<Epoch> {
     let (number, began) = match text.split_once('@') {
-        Some((number, millis)) => (number, Some(plain_number(millis).and_then(clock::from_unix_ms)?)),
+        Some((number, millis)) => {
+            (number, Some(parse_unsigned_decimal(millis).and_then(clock::from_unix_ms)?))
+        }
         None => (text, None),
     };
     let is_digits = number.bytes().all(|byte| byte.is_ascii_digit());
