--- a/server/src/clients/acceptor.rs
+++ b/server/src/clients/acceptor.rs
@@ -8,7 +8,7 @@
 use crate::endpoints::connection::BURST_PAUSE;
 use crate::log;
 use crate::runtime::clock::Timers;
-use crate::runtime::descriptors::{accept_error, ReserveDescriptor};
+use crate::runtime::descriptors::{classify_accept_error, ReserveDescriptor};
 use crate::runtime::resource_limits::{ClientDescriptor, Descriptor, DescriptorClass};
 use crate::runtime::tasks::spawn;
 use admission::accept_backoff::{AcceptBackoff, AcceptStep};
@@ -118,7 +118,7 @@
             }
             Err(error) => {
                 log!(WARN, reason = error; "connection not accepted");
-                recover(queue, backoff.failed(accept_error(&error)));
+                recover(queue, backoff.failed(classify_accept_error(&error)));
             }
         }
     }
@@ -159,7 +159,7 @@
 /// close resets the connection and the client may lose the error message.
 fn decide_admission(context: &ClientContext, accepted: &AcceptedConnection) -> Option<DecidedConnection> {
     let admission = context.admission.as_ref();
-    let permit = admission.map(|admission| admission.arrive(accepted.client_address)).transpose();
+    let permit = admission.map(|admission| admission.admit_or_enqueue(accepted.client_address)).transpose();
     let permit = match permit {
         Ok(permit) => permit,
         Err(rejection) => {
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// The connection was displaced from the handshake queue, or its client class is at its limit.
-    pub fn identify(&mut self, user: &str) -> Result<(), Rejection> {
+    pub fn admit_with_user(&mut self, user: &str) -> Result<(), Rejection> {
         let PermitState::Handshake(id) = self.state else { return Ok(()) };
         self.state = PermitState::Released;
         let was_waiting = self.control.lock().leave_handshake(id);
@@ -175,7 +175,7 @@
     ///
     /// # Errors
     /// The client's class or the handshake queue is at its limit.
-    pub fn arrive(self: &Arc<Self>, client_address: IpAddr) -> Result<ConnectionPermit, Rejection> {
+    pub fn admit_or_enqueue(self: &Arc<Self>, client_address: IpAddr) -> Result<ConnectionPermit, Rejection> {
         let permit = |state| ConnectionPermit { control: self.clone(), client_address, state };
         let mut state = self.lock();
         if !state.limiter.needs_user() {
--- a/server/src/clients/closing.rs
+++ b/server/src/clients/closing.rs
@@ -49,7 +49,7 @@
         self.wake_at(started_at + timeout);
         let mut progress =
             AcknowledgementProgress { min_unacknowledged: usize::MAX, last_progress_at: started_at };
-        while !self.socket.has_ended() {
+        while !self.socket.is_closed_by_client() {
             let now = self.context.timers.now();
             if now >= started_at + timeout || self.channel.is_close_requested() {
                 if self.may_close(&mut progress, now) {
--- a/server/src/clients/connection_limits.rs
+++ b/server/src/clients/connection_limits.rs
@@ -36,7 +36,7 @@
 
     /// Whether the client has closed the connection while requests are pending.
     pub fn has_client_disconnected(&self) -> bool {
-        self.responses.pending().next().is_some() && self.socket.has_ended()
+        self.responses.pending().next().is_some() && self.socket.is_closed_by_client()
     }
 
     /// Whether the client's next message, or the rest of one, has not arrived within [`CLIENT_TIMEOUT`].
--- a/server/src/clients/requests.rs
+++ b/server/src/clients/requests.rs
@@ -49,18 +49,18 @@
                 self.handle_query(body);
             }
             FrontendMessage::Sync => self.push(encode::ready_for_query),
-            FrontendMessage::Unsupported { standalone } => self.reject_unsupported(standalone),
+            FrontendMessage::Unsupported { is_function_call } => self.reject_unsupported(is_function_call),
             FrontendMessage::CancelRequest | FrontendMessage::Terminate => self.input_closed = true,
             FrontendMessage::Invalid(error) => self.fail(error.code, error.message),
         }
     }
 
     /// Answers a message of the extended protocol, or a function call, with an error.
-    fn reject_unsupported(&mut self, standalone: bool) {
+    fn reject_unsupported(&mut self, is_function_call: bool) {
         self.push(|out| {
             let code = SqlState::FEATURE_NOT_SUPPORTED;
             encode::error_response(out, Severity::Error, code, ONLY_SIMPLE_QUERIES, None);
-            if standalone {
+            if is_function_call {
                 encode::ready_for_query(out);
             }
         });
@@ -69,7 +69,7 @@
     /// Handles a StartupMessage: admits the client, opens its session and sends the greeting.
     fn start_session(&mut self, minor_version: u16, parameters: &StartupParameters) {
         if let Some(permit) = &mut self.permit {
-            if let Err(rejection) = permit.identify(&parameters.user) {
+            if let Err(rejection) = permit.admit_with_user(&parameters.user) {
                 return self.reject_with(&rejection);
             }
             let client = permit.client();
--- a/server/src/clients/socket.rs
+++ b/server/src/clients/socket.rs
@@ -152,7 +152,7 @@
     }
 
     /// Whether the client has closed the connection, even if bytes that it sent before are still unread.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_closed_by_client(&self) -> bool {
         self.poll(libc::POLLRDHUP) & (libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR) != 0
     }
 
--- a/server/src/endpoints/connection.rs
+++ b/server/src/endpoints/connection.rs
@@ -98,7 +98,7 @@
     pub fn arm(&self, limits: IoLimits) {
         let waker = self.stream.waker();
         self.timers.call_at(limits.deadline, move || waker.wakeup());
-        limits.cancellation.wake_socket(self.stream.waker());
+        limits.cancellation.register_socket(self.stream.waker());
     }
 
     /// Waits for an event of the socket, the deadline or the cancellation.
--- a/server/src/endpoints/load_report.rs
+++ b/server/src/endpoints/load_report.rs
@@ -16,7 +16,7 @@
     for pair in fields.split(',') {
         let (name, value) = pair.split_once('=')?;
         match (name.trim(), plain_number(value.trim())?) {
-            ("x0", value) => report.position = Some(clock::from_unix_s(value)?),
+            ("x0", value) => report.position = Some(clock::timestamp_from_unix_s(value)?),
             ("x1", 1.0) => report.role = Some(Role::Primary),
             ("x1", 0.0) => report.role = Some(Role::Replica),
             ("x1", _) => return None,
--- a/server/src/endpoints/query.rs
+++ b/server/src/endpoints/query.rs
@@ -44,7 +44,7 @@
         if let Some(connection) = answer.connection {
             pool.return_used(addr, connection);
         }
-        let column = decode::only_row(&answer.value).unwrap_or_default().to_vec();
+        let column = decode::first_row_value(&answer.value).unwrap_or_default().to_vec();
         return Ok(QueryResult { outcome: answer.outcome, column });
     }
 }
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -4,7 +4,7 @@
 use crate::endpoints::load_report::{self, plain_number};
 use crate::messages::control::AnswerReports;
 use crate::protocol::decode;
-use crate::protocol::framing::{frame, HEADER_BYTES, LENGTH_BYTES, MAX_VALUE_BYTES};
+use crate::protocol::framing::{parse_frame, HEADER_BYTES, LENGTH_BYTES, MAX_VALUE_BYTES};
 use crate::protocol::sqlstate::endpoint as sqlstate;
 use crate::runtime::clock;
 use routing::{AttemptOutcome, Role};
@@ -83,7 +83,7 @@
         |body| body == AUTHENTICATION_OK,
         State::Authenticated,
     ),
-    rule(State::ExpectAuthentication, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    rule(State::ExpectAuthentication, b'E', MAX_SHORT_BYTES, decode::is_valid_error, State::Failed),
     rule(
         State::Authenticated,
         b'K',
@@ -92,13 +92,13 @@
         State::Authenticated,
     ),
     rule(State::Authenticated, b'Z', READY_BYTES, is_ready, State::Done),
-    rule(State::Authenticated, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    rule(State::Authenticated, b'E', MAX_SHORT_BYTES, decode::is_valid_error, State::Failed),
     rule(State::ExpectDescription, b'T', MAX_SHORT_BYTES, decode::describes_one_column, State::ExpectRow),
-    rule(State::ExpectDescription, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    rule(State::ExpectDescription, b'E', MAX_SHORT_BYTES, decode::is_valid_error, State::Failed),
     rule(State::ExpectRow, b'D', MAX_VALUE_BYTES, has_one_column, State::ExpectCompletion),
-    rule(State::ExpectRow, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
-    rule(State::ExpectCompletion, b'C', MAX_SHORT_BYTES, decode::is_text, State::Complete),
-    rule(State::ExpectCompletion, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    rule(State::ExpectRow, b'E', MAX_SHORT_BYTES, decode::is_valid_error, State::Failed),
+    rule(State::ExpectCompletion, b'C', MAX_SHORT_BYTES, decode::is_printable_string, State::Complete),
+    rule(State::ExpectCompletion, b'E', MAX_SHORT_BYTES, decode::is_valid_error, State::Failed),
     rule(State::Complete, b'Z', READY_BYTES, is_ready, State::Done),
     rule(State::Failed, b'Z', READY_BYTES, is_ready, State::Done),
     rule(State::ExpectEmptyResponse, b'I', LENGTH_BYTES, <[u8]>::is_empty, State::Complete),
@@ -106,7 +106,7 @@
 
 /// Whether a body is a DataRow with exactly one column that is not null.
 fn has_one_column(body: &[u8]) -> bool {
-    decode::only_column(body).is_some()
+    decode::single_column_value(body).is_some()
 }
 
 /// The bytes of asynchronous messages (ParameterStatus, NoticeResponse) in one answer. They are allowed at any
@@ -160,7 +160,7 @@
             None => 0,
         };
         let start = self.at;
-        let next = match frame(buffer, start, max_bytes) {
+        let next = match parse_frame(buffer, start, max_bytes) {
             Ok(None) if max_bytes > 0 => return None,
             Ok(Some(frame)) => {
                 self.at = frame.body.end;
@@ -195,13 +195,13 @@
     /// Handles a NoticeResponse or ParameterStatus; returns the next state, or `None` if the message is malformed.
     fn handle_asynchronous(&mut self, tag: u8, body: &[u8]) -> Option<State> {
         if tag == b'N' {
-            return decode::is_error(body).then_some(self.state);
+            return decode::is_valid_error(body).then_some(self.state);
         }
-        match decode::parameter(body)? {
+        match decode::parse_parameter_status(body)? {
             ("recovery", "off") => self.reports.answer.role = Some(Role::Primary),
             ("recovery", "on") => self.reports.answer.role = Some(Role::Replica),
             ("lsn_ms", millis) => {
-                self.reports.answer.position = plain_number(millis).and_then(clock::from_unix_ms);
+                self.reports.answer.position = plain_number(millis).and_then(clock::timestamp_from_unix_ms);
             }
             ("health", fields) => self.reports.load = load_report::parse(fields),
             ("epoch", text) => self.reports.epoch = parse_epoch(text),
@@ -261,7 +261,9 @@
 /// Without a position, as in `3`, the beginning is unknown.
 fn parse_epoch(text: &str) -> Option<Epoch> {
     let (number, began) = match text.split_once('@') {
-        Some((number, millis)) => (number, Some(plain_number(millis).and_then(clock::from_unix_ms)?)),
+        Some((number, millis)) => {
+            (number, Some(plain_number(millis).and_then(clock::timestamp_from_unix_ms)?))
+        }
         None => (text, None),
     };
     let is_digits = number.bytes().all(|byte| byte.is_ascii_digit());
--- a/server/src/messages/endpoint_list.rs
+++ b/server/src/messages/endpoint_list.rs
@@ -129,7 +129,7 @@
 
     /// When the endpoint's process was last started, if it is known.
     pub fn started_at(&self) -> Option<Timestamp> {
-        clock::from_unix_ms(self.born_ms)
+        clock::timestamp_from_unix_ms(self.born_ms)
     }
 }
 
--- a/server/src/protocol/decode.rs
+++ b/server/src/protocol/decode.rs
@@ -1,7 +1,7 @@
 //! Decoding and validation of message bodies.
 
 use crate::protocol::encode::SESSION_PARAMETER;
-use crate::protocol::framing::{frame, MAX_VALUE_BYTES};
+use crate::protocol::framing::{parse_frame, MAX_VALUE_BYTES};
 
 /// Bytes of the numbers that follow a column's name in a RowDescription: table, column, type, size, modifier and
 /// format.
@@ -51,7 +51,7 @@
 
 /// Whether a body is a valid ErrorResponse or NoticeResponse: UTF-8 fields, a SQLSTATE among them, and a closing
 /// zero byte.
-pub fn is_error(body: &[u8]) -> bool {
+pub fn is_valid_error(body: &[u8]) -> bool {
     let Some(fields) = body.strip_suffix(&[0, 0]) else { return false };
     let is_text = |field: &[u8]| !field.is_empty() && std::str::from_utf8(field).is_ok();
     let code = error_field(body, b'C').unwrap_or_default();
@@ -61,13 +61,13 @@
 }
 
 /// Whether a body is one non-empty string of printable ASCII with its closing zero byte.
-pub fn is_text(body: &[u8]) -> bool {
+pub fn is_printable_string(body: &[u8]) -> bool {
     let is_printable = |text: &[u8]| text.iter().all(|byte| byte.is_ascii_graphic() || *byte == b' ');
     body.strip_suffix(&[0]).is_some_and(|text| !text.is_empty() && is_printable(text))
 }
 
 /// The name and the value of a ParameterStatus; `None` if the body is malformed.
-pub fn parameter(body: &[u8]) -> Option<(&str, &str)> {
+pub fn parse_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     let (name, value) = std::str::from_utf8(body.strip_suffix(&[0])?).ok()?.split_once('\0')?;
     (!name.is_empty() && !value.contains('\0')).then_some((name, value))
 }
@@ -80,19 +80,19 @@
 }
 
 /// The value of a DataRow's only column; `None` if there is not exactly one column, or it is null.
-pub fn only_column(body: &[u8]) -> Option<&[u8]> {
+pub fn single_column_value(body: &[u8]) -> Option<&[u8]> {
     let length = u32::from_be_bytes(body.get(COLUMN_COUNT_BYTES..FIRST_VALUE_AT)?.try_into().ok()?);
     let value = &body[FIRST_VALUE_AT..];
     (body[..COLUMN_COUNT_BYTES] == ONE_COLUMN && value.len() == length as usize).then_some(value)
 }
 
 /// The value of the only column of the first DataRow in a sequence of complete messages.
-pub fn only_row(messages: &[u8]) -> Option<&[u8]> {
+pub fn first_row_value(messages: &[u8]) -> Option<&[u8]> {
     let mut at = 0;
     loop {
-        let frame = frame(messages, at, MAX_VALUE_BYTES).ok()??;
+        let frame = parse_frame(messages, at, MAX_VALUE_BYTES).ok()??;
         if frame.tag == b'D' {
-            return only_column(&messages[frame.body]);
+            return single_column_value(&messages[frame.body]);
         }
         at = frame.body.end;
     }
--- a/server/src/protocol/encode.rs
+++ b/server/src/protocol/encode.rs
@@ -158,11 +158,17 @@
     reason: &str,
     detail: Option<&str>,
 ) {
-    error_fields(out, severity, code.as_str(), reason, detail);
+    error_response_with_code(out, severity, code.as_str(), reason, detail);
 }
 
 /// Appends an ErrorResponse with any code, as an endpoint may send it.
-pub fn error_fields(out: &mut Vec<u8>, severity: Severity, code: &str, reason: &str, detail: Option<&str>) {
+pub fn error_response_with_code(
+    out: &mut Vec<u8>,
+    severity: Severity,
+    code: &str,
+    reason: &str,
+    detail: Option<&str>,
+) {
     let severity = severity.as_str();
     message(out, b'E', |out| {
         for (field, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', reason)] {
--- a/server/src/protocol/framing.rs
+++ b/server/src/protocol/framing.rs
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 /// The message's length is invalid, or greater than `max_bytes`.
-pub fn frame(bytes: &[u8], from: usize, max_bytes: usize) -> Result<Option<Frame>, FrameError> {
+pub fn parse_frame(bytes: &[u8], from: usize, max_bytes: usize) -> Result<Option<Frame>, FrameError> {
     let Some(header) = bytes.get(from..from + HEADER_BYTES) else { return Ok(None) };
     let Some(length) = read_u32(&header[1..]) else { return Ok(None) };
     let length = length as usize;
@@ -88,7 +88,7 @@
     /// CancelRequest.
     Cancel,
     /// StartupMessage of another major version of the protocol.
-    OtherVersion,
+    UnsupportedVersion,
 }
 
 /// A packet before the session has started. It has no tag.
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 /// The packet's length is invalid or too great.
-pub fn startup_packet(bytes: &[u8]) -> Result<Option<StartupPacket>, FrameError> {
+pub fn parse_startup_packet(bytes: &[u8]) -> Result<Option<StartupPacket>, FrameError> {
     let (Some(length), Some(kind)) = (read_u32(bytes), bytes.get(LENGTH_BYTES..).and_then(read_u32)) else {
         return Ok(None);
     };
@@ -124,7 +124,7 @@
         version if version >> MINOR_VERSION_BITS == MAJOR_VERSION => {
             StartupKind::Session { minor_version: version as u16 }
         }
-        _ => StartupKind::OtherVersion,
+        _ => StartupKind::UnsupportedVersion,
     };
     Ok(Some(StartupPacket { kind, length }))
 }
--- a/server/src/protocol/frontend_codec.rs
+++ b/server/src/protocol/frontend_codec.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::decode::{startup_parameters, StartupParameters};
 use crate::protocol::framing::{
-    frame, startup_packet, FrameError, StartupKind, HEADER_BYTES, LENGTH_BYTES, MAX_QUERY_BYTES,
+    parse_frame, parse_startup_packet, FrameError, StartupKind, HEADER_BYTES, LENGTH_BYTES, MAX_QUERY_BYTES,
     STARTUP_HEADER_BYTES,
 };
 use crate::protocol::sqlstate::{ClientError, SqlState};
@@ -31,7 +31,7 @@
     /// A message of the extended protocol, or a function call.
     Unsupported {
         /// The message is a function call, which is not followed by a Sync.
-        standalone: bool,
+        is_function_call: bool,
     },
     /// Terminate.
     Terminate,
@@ -103,13 +103,13 @@
     /// # Errors
     /// The packet's length is invalid or too great.
     fn next_startup_message(&mut self) -> Result<Option<FrontendMessage>, FrameError> {
-        let Some(packet) = startup_packet(&self.bytes[self.at..])? else { return Ok(None) };
+        let Some(packet) = parse_startup_packet(&self.bytes[self.at..])? else { return Ok(None) };
         let body = self.at + STARTUP_HEADER_BYTES..self.at + packet.length;
         self.at += packet.length;
         Ok(Some(match packet.kind {
             StartupKind::Encryption => FrontendMessage::EncryptionRequest,
             StartupKind::Cancel => FrontendMessage::CancelRequest,
-            StartupKind::OtherVersion => {
+            StartupKind::UnsupportedVersion => {
                 let message = "only version 3 of the protocol is spoken";
                 FrontendMessage::Invalid(ClientError::new(SqlState::FEATURE_NOT_SUPPORTED, message))
             }
@@ -126,7 +126,7 @@
     /// # Errors
     /// The message's length or tag is invalid, or it is too long.
     fn next_tagged_message(&mut self) -> Result<Option<FrontendMessage>, FrameError> {
-        while let Some(frame) = frame(&self.bytes, self.at, MAX_QUERY_BYTES)? {
+        while let Some(frame) = parse_frame(&self.bytes, self.at, MAX_QUERY_BYTES)? {
             self.at = frame.body.end;
             let skipping = self.phase == Phase::SkippingToSync;
             let message = match frame.tag {
@@ -136,10 +136,10 @@
                     FrontendMessage::Sync
                 }
                 b'Q' if !skipping => FrontendMessage::Query(self.bytes[frame.body].to_vec()),
-                b'F' if !skipping => FrontendMessage::Unsupported { standalone: true },
+                b'F' if !skipping => FrontendMessage::Unsupported { is_function_call: true },
                 b'P' | b'B' | b'D' | b'E' | b'C' | b'H' if !skipping => {
                     self.phase = Phase::SkippingToSync;
-                    FrontendMessage::Unsupported { standalone: false }
+                    FrontendMessage::Unsupported { is_function_call: false }
                 }
                 // Skipped messages, and data of a COPY that was never started.
                 b'Q' | b'F' | b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'd' | b'c' | b'f' => continue,
--- a/server/src/runtime/cancellation.rs
+++ b/server/src/runtime/cancellation.rs
@@ -39,12 +39,12 @@
     }
 
     /// Registers the calling coroutine, which is about to park, to be woken up on cancellation.
-    pub fn wake_current_coroutine(&self) {
+    pub fn register_current_coroutine(&self) {
         *self.lock() = Some(Waiter::Coroutine(may::coroutine::current()));
     }
 
     /// Registers the coroutine that waits for a socket to be woken up on cancellation.
-    pub fn wake_socket(&self, waker: WaitIoWaker) {
+    pub fn register_socket(&self, waker: WaitIoWaker) {
         *self.lock() = Some(Waiter::Socket(waker));
     }
 }
--- a/server/src/runtime/clock.rs
+++ b/server/src/runtime/clock.rs
@@ -43,19 +43,19 @@
 }
 
 /// The present wall-clock time in Unix milliseconds.
-pub fn wall_ms() -> i64 {
+pub fn unix_time_ms() -> i64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64
 }
 
 /// Converts Unix milliseconds, as the wire protocol carries them; `None` if the value is out of range.
-pub fn from_unix_ms(millis: f64) -> Option<Timestamp> {
+pub fn timestamp_from_unix_ms(millis: f64) -> Option<Timestamp> {
     let is_time = millis.is_finite() && millis > 0.0 && millis < MAX_UNIX_MS;
     is_time.then(|| Timestamp((millis as i64) * NANOS_PER_MILLI))
 }
 
 /// Converts Unix seconds, as load reports carry them, rounded to milliseconds; `None` if the value is out of range.
-pub fn from_unix_s(secs: f64) -> Option<Timestamp> {
-    from_unix_ms((secs * MILLIS_PER_SECOND).round())
+pub fn timestamp_from_unix_s(secs: f64) -> Option<Timestamp> {
+    timestamp_from_unix_ms((secs * MILLIS_PER_SECOND).round())
 }
 
 /// Converts a time difference to a [`Duration`]; a negative one becomes zero.
@@ -106,7 +106,7 @@
     pub fn sleep_unless_cancelled(&self, time: TimeDelta, token: &CancellationToken) {
         let until = self.now() + time;
         let coroutine = may::coroutine::current();
-        token.wake_current_coroutine();
+        token.register_current_coroutine();
         self.call_at(until, move || coroutine.unpark());
         while self.now() < until && !token.is_cancelled() {
             may::coroutine::park();
--- a/server/src/runtime/descriptors.rs
+++ b/server/src/runtime/descriptors.rs
@@ -7,7 +7,7 @@
 
 /// Raises the process's limit on descriptors to `wanted` if possible, and returns how many the process may open,
 /// `wanted` at most.
-pub fn available_descriptors(wanted: usize) -> usize {
+pub fn raise_descriptor_limit(wanted: usize) -> usize {
     match rlimit::increase_nofile_limit(wanted as u64) {
         Ok(allowed) if allowed < wanted as u64 => {
             log!(WARN, allowed = allowed, configured = wanted; "descriptor limit of the process is lower than configured");
@@ -22,7 +22,7 @@
 }
 
 /// Classifies an error of accept(2).
-pub fn accept_error(error: &Error) -> AcceptError {
+pub fn classify_accept_error(error: &Error) -> AcceptError {
     match error.raw_os_error() {
         Some(libc::EMFILE | libc::ENFILE) => AcceptError::NoDescriptor,
         Some(libc::ENOBUFS | libc::ENOMEM) => AcceptError::NoMemory,
--- a/server/src/startup/foundation.rs
+++ b/server/src/startup/foundation.rs
@@ -5,7 +5,7 @@
 use crate::exit_status::{ExitStatus, Failure};
 use crate::log;
 use crate::runtime::clock::{Clock, Timers};
-use crate::runtime::descriptors::available_descriptors;
+use crate::runtime::descriptors::raise_descriptor_limit;
 use crate::runtime::metrics::{install_recorder, Metrics};
 use crate::runtime::resource_limits::ResourceLimits;
 use crate::runtime::tasks::{stack_size, STACK_BYTES};
@@ -89,7 +89,7 @@
     let limits = &configuration.bootstrap.limits;
     let operators = &configuration.operators;
     let descriptors = if configuration.has_operator_file() {
-        available_descriptors(limits.sockets)
+        raise_descriptor_limit(limits.sockets)
     } else {
         limits.sockets
     };
--- a/server/src/storage/endpoint_cache_writer.rs
+++ b/server/src/storage/endpoint_cache_writer.rs
@@ -3,7 +3,7 @@
 
 use crate::log;
 use crate::messages::endpoint_list::{ListedEndpoint, ListedHealth};
-use crate::runtime::clock::{to_duration, wall_ms, Clock, NANOS_PER_MILLI};
+use crate::runtime::clock::{to_duration, unix_time_ms, Clock, NANOS_PER_MILLI};
 use endpoint_cache::{CacheDirectory, CacheError, CachedEndpoint, CachedEndpointList, CachedReport};
 use recovery::endpoint_state::RoleReport;
 use recovery::save_schedule::{is_worth_saving, SaveSchedule};
@@ -92,7 +92,7 @@
         }
         let mut state = self.lock();
         state.version = version;
-        state.confirmed_ms = wall_ms();
+        state.confirmed_ms = unix_time_ms();
         let mut replaced = if complete { std::mem::take(&mut state.rows) } else { BTreeMap::new() };
         for listed in endpoints {
             let known = replaced.remove(&listed.name).or_else(|| state.rows.remove(&listed.name));
@@ -109,7 +109,7 @@
     pub fn confirmed(&self) {
         let mut state = self.lock();
         if !state.rows.is_empty() {
-            state.confirmed_ms = wall_ms();
+            state.confirmed_ms = unix_time_ms();
             state.schedule.confirmed();
             drop(state);
             self.changed.notify_one();
@@ -187,7 +187,7 @@
             primary: report.role == Some(Role::Primary),
             position_ms: report.position.map(|position| position.0 / NANOS_PER_MILLI),
             timeline: report.timeline,
-            at_ms: wall_ms(),
+            at_ms: unix_time_ms(),
         };
         let endpoint = CachedEndpoint { report: Some(cached), ..CachedEndpoint::clone(&self.endpoint) };
         self.endpoint = Arc::new(endpoint);
@@ -220,7 +220,7 @@
             generation: 0,
             version: self.version,
             confirmed_ms: self.confirmed_ms,
-            saved_ms: wall_ms(),
+            saved_ms: unix_time_ms(),
             endpoints: self.endpoints.iter().map(|endpoint| CachedEndpoint::clone(endpoint)).collect(),
         }
     }
--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::log;
 use crate::messages::journal_entry::{JournalEntry, JournalVerdict};
-use crate::runtime::clock::wall_ms;
+use crate::runtime::clock::unix_time_ms;
 use may::sync::mpsc::channel;
 use std::path::Path;
 use std::sync::mpsc::{self, Receiver};
@@ -145,7 +145,7 @@
             let needs_uptime =
                 |operation: &Operation| matches!(operation, Operation::Record { deduplication: Some(_), .. });
             let uptime = operations.iter().any(needs_uptime).then(uptime).flatten();
-            let replies = journal.apply(ClockReading { wall_ms: wall_ms(), uptime }, &operations);
+            let replies = journal.apply(ClockReading { wall_ms: unix_time_ms(), uptime }, &operations);
             *lock(&self.origin) = journal.origin();
             log_transition(&replies, &mut failing);
             let mut replies = replies.unwrap_or_default().into_iter();
--- a/server/tests/attempts.rs
+++ b/server/tests/attempts.rs
@@ -15,7 +15,7 @@
 use server::endpoints::pool::ConnectionPool;
 use server::messages::control::{AttemptJob, AttemptReport, AttemptTimes, ControlMessage, OutgoingRequest};
 use server::messages::request::RequestText;
-use server::protocol::decode::only_row;
+use server::protocol::decode::first_row_value;
 use server::runtime::cancellation::CancellationToken;
 use server::runtime::clock::{Clock, Timers};
 use server::runtime::resource_limits::ResourceLimits;
@@ -192,7 +192,7 @@
 fn second_attempt(before_second: fn(&mut TcpStream)) -> SecondAttempt {
     let (fixture, endpoint) = (Fixture::new(), Endpoint::start());
     let first = fixture.attempt(&endpoint, || {});
-    assert_eq!((first.outcome, only_row(&first.value)), (AttemptOutcome::Succeeded, Some(&[1][..])));
+    assert_eq!((first.outcome, first_row_value(&first.value)), (AttemptOutcome::Succeeded, Some(&[1][..])));
     // Waits for the answer to the empty query.
     thread::sleep(LOOPBACK_DELAY);
     let report = fixture.attempt(&endpoint, || {
@@ -200,7 +200,7 @@
         thread::sleep(LOOPBACK_DELAY);
     });
     let executed_on = endpoint.executed_on.lock().expect("no panic").clone();
-    let value = only_row(&report.value).unwrap_or_default().to_vec();
+    let value = first_row_value(&report.value).unwrap_or_default().to_vec();
     SecondAttempt { outcome: report.outcome, value, executed_on }
 }
 
--- a/server/tests/client_protocol.rs
+++ b/server/tests/client_protocol.rs
@@ -159,6 +159,6 @@
 
     let extended =
         [startup_message(), message(b'P', b"\0\0\0\0"), message(b'E', b"\0\0\0\0\0"), message(b'S', b"")];
-    let unsupported = FrontendMessage::Unsupported { standalone: false };
+    let unsupported = FrontendMessage::Unsupported { is_function_call: false };
     assert_eq!(decode(&[&extended.concat()]), [startup(), unsupported, FrontendMessage::Sync]);
 }
--- a/server/tests/endpoint_responses.rs
+++ b/server/tests/endpoint_responses.rs
@@ -13,10 +13,10 @@
 use routing::{AttemptOutcome, Role};
 use server::endpoints::load_report;
 use server::endpoints::response_parser::ResponseParser;
-use server::protocol::decode::only_row;
-use server::protocol::encode::{error_fields, Severity};
-use server::protocol::framing::{frame, MAX_VALUE_BYTES};
-use server::runtime::clock::{from_unix_ms, from_unix_s};
+use server::protocol::decode::first_row_value;
+use server::protocol::encode::{error_response_with_code, Severity};
+use server::protocol::framing::{parse_frame, MAX_VALUE_BYTES};
+use server::runtime::clock::{timestamp_from_unix_ms, timestamp_from_unix_s};
 
 const POSITION: Timestamp = Timestamp(1_767_225_600_123_000_000);
 
@@ -29,7 +29,7 @@
 /// The tags of all complete messages, followed by a question mark if more bytes follow.
 fn tags(bytes: &[u8]) -> String {
     let (mut tags, mut at) = (String::new(), 0);
-    while let Ok(Some(frame)) = frame(bytes, at, MAX_VALUE_BYTES) {
+    while let Ok(Some(frame)) = parse_frame(bytes, at, MAX_VALUE_BYTES) {
         tags.push(frame.tag as char);
         at = frame.body.end;
     }
@@ -87,7 +87,7 @@
         let with_surplus = [&bytes[..], &surplus].concat();
         prop_assert_eq!(parser.frees_connection(&with_surplus), surplus.is_empty());
         prop_assert_eq!(&parser.value(bytes.clone()), &forwarded, "forwarded unchanged");
-        prop_assert_eq!(only_row(&forwarded), Some(&value[..]));
+        prop_assert_eq!(first_row_value(&forwarded), Some(&value[..]));
         let report = parser.reports().answer;
         prop_assert_eq!(report.role, Some(Role::Replica));
         prop_assert_eq!(report.position, Some(POSITION));
@@ -109,7 +109,7 @@
         prop_assert_eq!(at_once, outcome, "the outcome depends on how the answer is split");
         if parser.outcome(AttemptOutcome::ConnectionLost) == AttemptOutcome::Succeeded {
             let value = parser.value(bytes.clone());
-            prop_assert!(only_row(&value).is_some() && tags(&value) == "TDC", "the value is not one complete row of one column");
+            prop_assert!(first_row_value(&value).is_some() && tags(&value) == "TDC", "the value is not one complete row of one column");
         }
         if outcome == Some(AttemptOutcome::Failed) && !parser.frees_connection(&bytes) {
             prop_assert!(parser.reports().answer.position.is_none(), "a corrupted answer reported a position");
@@ -126,7 +126,7 @@
 
 fn error(code: &str) -> Vec<u8> {
     let mut out = Vec::new();
-    error_fields(&mut out, Severity::Error, code, "message", None);
+    error_response_with_code(&mut out, Severity::Error, code, "message", None);
     out
 }
 
@@ -185,11 +185,11 @@
 
 #[test]
 fn positions_are_converted_from_seconds_and_milliseconds() {
-    assert_eq!(from_unix_ms(1_767_225_600_123.0), Some(POSITION));
-    assert_eq!(from_unix_s(1_767_225_600.123), Some(POSITION));
+    assert_eq!(timestamp_from_unix_ms(1_767_225_600_123.0), Some(POSITION));
+    assert_eq!(timestamp_from_unix_s(1_767_225_600.123), Some(POSITION));
     assert_eq!(load_report::parse("x0=1767225600.123,x1=1,load_share=0.25").position, Some(POSITION));
     for none in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
-        assert_eq!((from_unix_ms(none), from_unix_s(none)), (None, None));
+        assert_eq!((timestamp_from_unix_ms(none), timestamp_from_unix_s(none)), (None, None));
     }
     let report = load_report::parse("x1=0,util=0.61,new=7");
     assert_eq!((report.role, report.load, report.position), (Some(Role::Replica), Some(0.61), None));
--- a/server/tests/loopback/fixture.rs
+++ b/server/tests/loopback/fixture.rs
@@ -2,7 +2,7 @@
 
 use crate::stub_endpoint::read_message;
 pub use crate::stub_endpoint::StubEndpoint;
-use server::protocol::decode::{error_field, only_column};
+use server::protocol::decode::{error_field, single_column_value};
 use server::protocol::encode::{query, startup_message};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -247,7 +247,7 @@
                 }
                 Some((b'Z', _)) => return response,
                 Some((b'D', body)) => {
-                    response = ClientResponse::Value(only_column(&body).expect("a column").to_vec());
+                    response = ClientResponse::Value(single_column_value(&body).expect("a column").to_vec());
                 }
                 Some((b'E', body)) => {
                     let field = |name| error_field(&body, name).map(str::to_string);
--- a/server/tests/loopback/stub_endpoint.rs
+++ b/server/tests/loopback/stub_endpoint.rs
@@ -1,7 +1,7 @@
 //! A stub endpoint. It supports the necessary part of the PostgreSQL protocol and answers each statement according to
 //! its key.
 
-use server::protocol::encode::{error_fields, Severity};
+use server::protocol::encode::{error_response_with_code, Severity};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -120,8 +120,8 @@
         match key {
             "silent" => return Some(()),
             "reset" => return None,
-            "full" => error_fields(&mut out, Severity::Error, "53300", "full", None),
-            "error" => error_fields(&mut out, Severity::Error, "XX000", "broken", None),
+            "full" => error_response_with_code(&mut out, Severity::Error, "53300", "full", None),
+            "error" => error_response_with_code(&mut out, Severity::Error, "XX000", "broken", None),
             "malformed" => out.extend([b'T', 127, 255, 255, 255]),
             _ => {
                 match key {
--- a/server/tests/operator_pages/fixture.rs
+++ b/server/tests/operator_pages/fixture.rs
@@ -53,8 +53,8 @@
         let recorder = install_recorder().expect("the only one");
         let resources = ResourceLimits::new(DESCRIPTORS, MEMORY, true);
         let admission = admission_control(&resources);
-        let permit = admission.arrive(IpAddr::from(CLIENT)).expect("admitted");
-        assert!(admission.arrive(IpAddr::from(CLIENT)).is_err(), "its class is full");
+        let permit = admission.admit_or_enqueue(IpAddr::from(CLIENT)).expect("admitted");
+        assert!(admission.admit_or_enqueue(IpAddr::from(CLIENT)).is_err(), "its class is full");
         count_events(&permit.client().expect("it is known by its address"), &resources);
         let view = AdminView {
             name: "front-7".into(),
