--- a/host-support/src/routing_settings.rs
+++ b/host-support/src/routing_settings.rs
@@ -49,7 +49,7 @@
         clock_resolution: TimeDelta(config.resolution_ns),
         lag_handling: lag_handling(config)?,
         clients_hold_positions: replication.session_marks == "client",
-        list_poll_within: list_poll_within(config)?,
+        max_list_poll_interval: max_list_poll_interval(config)?,
         max_attempts: config.allowed.max_attempts,
         may_cancel: config.allowed.may_cancel,
         may_check_health: config.allowed.probes,
@@ -125,7 +125,7 @@
     }
 }
 
-fn list_poll_within(config: &BootstrapConfig) -> Result<Option<TimeDelta>, SettingsError> {
+fn max_list_poll_interval(config: &BootstrapConfig) -> Result<Option<TimeDelta>, SettingsError> {
     match config.membership_mode.as_str() {
         "push" => Ok(None),
         "ask" => Ok(Some(TimeDelta(config.rules.ask_within_ns))),
--- a/routing/src/policy/compiled_settings.rs
+++ b/routing/src/policy/compiled_settings.rs
@@ -75,7 +75,7 @@
     let tightest_objective = tightest_objective(&settings.methods);
     let staleness = tightest_bound.unwrap_or(tightest_objective * UNBOUNDED_STALENESS_FACTOR);
     DerivedTimes {
-        list_poll_interval: settings.list_poll_within.map(|within| within / LIST_POLL_DIVISOR),
+        list_poll_interval: settings.max_list_poll_interval.map(|within| within / LIST_POLL_DIVISOR),
         answer_margin: settings.clock_resolution * ANSWER_MARGIN_STEPS,
         tick_interval: (tightest_objective / TICK_DIVISOR).max(settings.clock_resolution),
         max_report_age: staleness / REPORT_AGE_DIVISOR,
--- a/routing/src/settings.rs
+++ b/routing/src/settings.rs
@@ -88,8 +88,9 @@
     /// Clients send the time of their session's last write; otherwise the policy keeps the positions of sessions'
     /// writes.
     pub clients_hold_positions: bool,
-    /// If endpoint lists are polled, the time after the last poll by which a change counts as known.
-    pub list_poll_within: Option<TimeDelta>,
+    /// Maximum time between two polls of the endpoint list: a change counts as known this long after the last poll.
+    /// `None` if lists are pushed.
+    pub max_list_poll_interval: Option<TimeDelta>,
     /// Maximum attempts per request.
     pub max_attempts: u32,
     /// An attempt in flight can be cancelled.
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -34,7 +34,7 @@
             "no-probes-refuses",
             RoutingSettings { may_check_health: false, ..support::routing_settings(LagHandling::Reject) },
         ),
-        ("pushed-lists", RoutingSettings { list_poll_within: None, ..defaults() }),
+        ("pushed-lists", RoutingSettings { max_list_poll_interval: None, ..defaults() }),
         (
             "marks-remembered",
             RoutingSettings { clients_hold_positions: false, may_cancel: false, ..defaults() },
--- a/routing/tests/support/settings.rs
+++ b/routing/tests/support/settings.rs
@@ -66,7 +66,7 @@
         clock_resolution: TICK,
         lag_handling,
         clients_hold_positions: true,
-        list_poll_within: Some(ms(10_000)),
+        max_list_poll_interval: Some(ms(10_000)),
         max_attempts: 6,
         may_cancel: true,
         may_check_health: true,
