--- a/host-support/src/routing_settings.rs
+++ b/host-support/src/routing_settings.rs
@@ -48,7 +48,7 @@
         zone: config.zone,
         clock_resolution: TimeDelta(config.resolution_ns),
         lag_handling: lag_handling(config)?,
-        clients_hold_positions: replication.session_marks == "client",
+        clients_send_last_write: replication.session_marks == "client",
         max_list_poll_interval: max_list_poll_interval(config)?,
         max_attempts: config.allowed.max_attempts,
         may_cancel: config.allowed.may_cancel,
--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -96,7 +96,7 @@
     /// if its client has left. Positions are reported in whole milliseconds, so only the next one surely
     /// includes the write.
     fn record_session_write(&mut self, end: &AttemptEnd) {
-        if let (false, Some(session)) = (self.settings.settings.clients_hold_positions, end.write_session) {
+        if let (false, Some(session)) = (self.settings.settings.clients_send_last_write, end.write_session) {
             let succeeded = end.outcome == AttemptOutcome::Succeeded;
             let reported = end.answer_report.position.filter(|_| succeeded).unwrap_or(self.now).min(self.now);
             let may_have_run = !end.outcome.proves_not_executed();
--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -76,10 +76,10 @@
 
     fn new_request(&self, arrival: &RequestArrival) -> Request {
         let method = &self.settings.methods[arrival.method];
-        let clients_hold_positions = self.settings.settings.clients_hold_positions;
+        let clients_send_last_write = self.settings.settings.clients_send_last_write;
         let required = match method.access {
             Access::StrongRead => Some(self.now),
-            Access::SessionRead if clients_hold_positions => arrival.last_write.map(|ago| self.now - ago),
+            Access::SessionRead if clients_send_last_write => arrival.last_write.map(|ago| self.now - ago),
             Access::SessionRead => self.session_writes.required_position(arrival.session, self.now),
             _ => None,
         };
@@ -96,7 +96,7 @@
             session: SessionRequirement {
                 required_position: required.max(arrival.seen_position),
                 carries_position: arrival.seen_position.is_some(),
-                recorded_session: arrival.session.filter(|_| method.is_write() && !clients_hold_positions),
+                recorded_session: arrival.session.filter(|_| method.is_write() && !clients_send_last_write),
             },
             client_retry: arrival.client_retry && !method.useful_when_late,
             ..Request::default()
--- a/routing/src/settings.rs
+++ b/routing/src/settings.rs
@@ -87,7 +87,7 @@
     pub lag_handling: LagHandling,
     /// Clients send the time of their session's last write; otherwise the policy keeps the positions of sessions'
     /// writes.
-    pub clients_hold_positions: bool,
+    pub clients_send_last_write: bool,
     /// Maximum time between two polls of the endpoint list: a change counts as known this long after the last poll.
     /// `None` if lists are pushed.
     pub max_list_poll_interval: Option<TimeDelta>,
--- a/routing/tests/positions.rs
+++ b/routing/tests/positions.rs
@@ -39,7 +39,7 @@
 impl SessionRouter {
     fn new() -> SessionRouter {
         let mut routing_settings = routing_settings(LagHandling::ServeStale);
-        routing_settings.clients_hold_positions = false;
+        routing_settings.clients_send_last_write = false;
         routing_settings.methods[ANY_READ].access = Access::SessionRead;
         let (policy, actions) = policy_at_start(1, &routing_settings);
         let mut router = SessionRouter { policy, actions };
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -37,7 +37,7 @@
         ("pushed-lists", RoutingSettings { max_list_poll_interval: None, ..defaults() }),
         (
             "marks-remembered",
-            RoutingSettings { clients_hold_positions: false, may_cancel: false, ..defaults() },
+            RoutingSettings { clients_send_last_write: false, may_cancel: false, ..defaults() },
         ),
         (
             "gone-stays-open",
--- a/routing/tests/support/settings.rs
+++ b/routing/tests/support/settings.rs
@@ -65,7 +65,7 @@
         zone: 0,
         clock_resolution: TICK,
         lag_handling,
-        clients_hold_positions: true,
+        clients_send_last_write: true,
         max_list_poll_interval: Some(ms(10_000)),
         max_attempts: 6,
         may_cancel: true,
