--- a/routing/src/events.rs
+++ b/routing/src/events.rs
@@ -40,8 +40,8 @@
     pub primary: bool,
     /// When its process last started, if that was recent.
     pub started_at: Option<Timestamp>,
-    /// `started_at` is only the latest possible start; a later record replaces it.
-    pub start_presumed: bool,
+    /// Whether `started_at` is only the latest possible start time. A later record replaces such a time.
+    pub start_is_upper_bound: bool,
 }
 
 /// The role of a member in its group.
--- a/routing/src/policy/endpoint_state.rs
+++ b/routing/src/policy/endpoint_state.rs
@@ -57,8 +57,8 @@
             EndpointStatus::Removed => stays_usable,
         };
         // The start in the list replaces one that was only presumed.
-        listing.started_at = listing.started_at.filter(|_| !listing.start_presumed);
-        listing.start_presumed = record.start_presumed;
+        listing.started_at = listing.started_at.filter(|_| !listing.start_is_upper_bound);
+        listing.start_is_upper_bound = record.start_is_upper_bound;
         if record.started_at > listing.started_at {
             listing.started_at = record.started_at;
             capacity.work.last_attempt_at = self.now;
--- a/routing/src/state/endpoint.rs
+++ b/routing/src/state/endpoint.rs
@@ -21,7 +21,7 @@
     /// When its process last started, if that was recent.
     pub started_at: Option<Timestamp>,
     /// `started_at` is only the latest possible start.
-    pub start_presumed: bool,
+    pub start_is_upper_bound: bool,
 }
 
 /// Position and load reported by an endpoint.
--- a/routing/tests/primaries.rs
+++ b/routing/tests/primaries.rs
@@ -52,18 +52,18 @@
         in_flight
     };
     let after_warmup = in_flight(&mut harness);
-    let records = |harness: &Harness, start_presumed: bool| {
-        let started_at = start_presumed.then_some(harness.now);
+    let records = |harness: &Harness, start_is_upper_bound: bool| {
+        let started_at = start_is_upper_bound.then_some(harness.now);
         (0..3)
             .map(|endpoint| EndpointRecord {
                 started_at,
-                start_presumed,
+                start_is_upper_bound,
                 ..harness.entry(endpoint, EndpointStatus::Serving)
             })
             .collect()
     };
-    let start_presumed = records(&harness, true);
-    harness.report(Event::EndpointList { complete: true, records: start_presumed });
+    let start_is_upper_bound = records(&harness, true);
+    harness.report(Event::EndpointList { complete: true, records: start_is_upper_bound });
     let in_slow_start = in_flight(&mut harness);
     let known = records(&harness, false);
     harness.report(Event::EndpointList { complete: true, records: known });
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -109,7 +109,7 @@
             status,
             primary: endpoint.is_multiple_of(3),
             started_at,
-            start_presumed: self.draw(16) == 0,
+            start_is_upper_bound: self.draw(16) == 0,
         }
     }
 
--- a/routing/tests/support/events.rs
+++ b/routing/tests/support/events.rs
@@ -20,7 +20,7 @@
         status: EndpointStatus::Serving,
         primary,
         started_at: None,
-        start_presumed: false,
+        start_is_upper_bound: false,
     }
 }
 
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -163,7 +163,7 @@
             status,
             primary,
             started_at: self.started_at[endpoint],
-            start_presumed: false,
+            start_is_upper_bound: false,
         }
     }
 
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -154,7 +154,8 @@
     fn admit_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.state.not_admitted.remove(&endpoint) else { return };
         let record = self.state.record(&listed, &self.config.zones);
-        let record = EndpointRecord { started_at: Some(now), start_presumed: true, primary: false, ..record };
+        let record =
+            EndpointRecord { started_at: Some(now), start_is_upper_bound: true, primary: false, ..record };
         self.state.report(now, Event::EndpointList { complete: false, records: vec![record] });
     }
 
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -173,7 +173,7 @@
             status: listed.status(),
             primary: listed.is_primary(),
             started_at: listed.started_at(),
-            start_presumed: false,
+            start_is_upper_bound: false,
         }
     }
 
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -96,7 +96,7 @@
             },
             primary: record.is_primary == 1.0,
             started_at: (record.launched_ns > 0).then_some(Timestamp(record.launched_ns)),
-            start_presumed: false,
+            start_is_upper_bound: false,
         }
     }
 
