--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -44,9 +44,9 @@
         self.actions.push(Action::StartAttempt { request: id, endpoint: index, timeout });
     }
 
-    /// Whether the reasons for an attempt still hold right before its bytes are sent. A bound on staleness
-    /// that endpoints check themselves is not checked again.
-    pub fn confirm_attempt(
+    /// Whether an attempt may still be sent, asked right before its bytes are written. The staleness of the
+    /// endpoint is not checked again if the endpoint checks it itself.
+    pub fn may_send_attempt(
         &mut self,
         now: Timestamp,
         id: RequestId,
--- a/routing/tests/primaries.rs
+++ b/routing/tests/primaries.rs
@@ -192,10 +192,10 @@
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 1);
     let write = harness.arrive(WRITE, 0, 1.0);
     let guessed = harness.endpoint_of(write).expect("a write to one of the unknown endpoints");
-    assert!(harness.policy.confirm_attempt(harness.now, write, 0, guessed));
+    assert!(harness.policy.may_send_attempt(harness.now, write, 0, guessed));
     harness.set_eligibility(0, PrimaryEligibility::Only((guessed + 1) % 3));
     assert!(
-        !harness.policy.confirm_attempt(harness.now, write, 0, guessed),
+        !harness.policy.may_send_attempt(harness.now, write, 0, guessed),
         "only another endpoint is eligible"
     );
     harness.set_eligibility(0, PrimaryEligibility::Any);
@@ -204,7 +204,7 @@
     harness.end(other, AttemptOutcome::Succeeded, Some(true));
     assert_ne!(guessed, primary);
     assert!(
-        !harness.policy.confirm_attempt(harness.now, write, 0, guessed),
+        !harness.policy.may_send_attempt(harness.now, write, 0, guessed),
         "another endpoint is known to be the primary"
     );
     // If health checks are allowed, they find the primary, and no write is sent to a guessed one.
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -151,7 +151,7 @@
         }
         let nth = self.draw(self.attempts.len());
         let Attempt { request, number, endpoint, sent } = self.attempts.remove(nth);
-        let confirmed = self.policy.confirm_attempt(self.now, request, number, endpoint);
+        let confirmed = self.policy.may_send_attempt(self.now, request, number, endpoint);
         self.record(&format!("confirms {request} {number} {endpoint} {confirmed}"));
         // All outcomes except success.
         let outcomes = &support::OUTCOMES[1..];
--- a/routing/tests/requests.rs
+++ b/routing/tests/requests.rs
@@ -59,13 +59,13 @@
         policy.on_event(now, Event::TimerFired { tag: 0 }, &mut actions);
     }
     assert!(is_retried(&actions), "not retried within the deduplication window");
-    assert!(policy.confirm_attempt(now, 1, 1, 0));
+    assert!(policy.may_send_attempt(now, 1, 1, 0));
     assert!(
-        policy.confirm_attempt(start + dedup_window - TICK * 3, 1, 1, 0),
+        policy.may_send_attempt(start + dedup_window - TICK * 3, 1, 1, 0),
         "not confirmed while the endpoint still deduplicates it"
     );
     assert!(
-        !policy.confirm_attempt(start + dedup_window - TICK, 1, 1, 0),
+        !policy.may_send_attempt(start + dedup_window - TICK, 1, 1, 0),
         "confirmed although it may run twice after the deduplication window"
     );
 }
@@ -123,22 +123,22 @@
         harness.open_requests[&read].in_flight.expect("three fresh endpoints");
     let replica = [1, 2].into_iter().find(|&index| index != endpoint).expect("three endpoints");
     let policy = &mut harness.policy;
-    assert!(policy.confirm_attempt(sent, read, attempt, endpoint));
-    assert!(!policy.confirm_attempt(sent, read, attempt + 1, endpoint), "another attempt");
-    assert!(!policy.confirm_attempt(sent, read + 1, attempt, endpoint), "no such request");
-    assert!(policy.confirm_attempt(sent + BOUND, read, attempt, replica));
+    assert!(policy.may_send_attempt(sent, read, attempt, endpoint));
+    assert!(!policy.may_send_attempt(sent, read, attempt + 1, endpoint), "another attempt");
+    assert!(!policy.may_send_attempt(sent, read + 1, attempt, endpoint), "no such request");
+    assert!(policy.may_send_attempt(sent + BOUND, read, attempt, replica));
     assert!(
-        !policy.confirm_attempt(sent + BOUND + TICK, read, attempt, replica),
+        !policy.may_send_attempt(sent + BOUND + TICK, read, attempt, replica),
         "confirmed although the position aged past the bound meanwhile"
     );
-    assert!(policy.confirm_attempt(sent + BOUND + TICK, read, attempt, 0), "a primary is never stale");
+    assert!(policy.may_send_attempt(sent + BOUND + TICK, read, attempt, 0), "a primary is never stale");
     harness.list(0, EndpointStatus::Draining);
     assert!(
-        !harness.policy.confirm_attempt(sent, read, attempt, 0),
+        !harness.policy.may_send_attempt(sent, read, attempt, 0),
         "confirmed although the endpoint is draining"
     );
     let write = harness.arrive(WRITE, 0, 1.0);
-    assert!(!harness.policy.confirm_attempt(sent, write, 0, 0), "confirmed although the request is waiting");
+    assert!(!harness.policy.may_send_attempt(sent, write, 0, 0), "confirmed although the request is waiting");
 }
 
 #[test]
--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -24,7 +24,7 @@
     pub(super) fn on_confirm(&mut self, now: Timestamp, confirm: &ConfirmAttempt) {
         let AttemptId { request, number, endpoint } = confirm.attempt;
         let is_confirmed = self.state.requests.is_open(request)
-            && self.state.policy.confirm_attempt(now, request, number, endpoint);
+            && self.state.policy.may_send_attempt(now, request, number, endpoint);
         let _ = confirm.reply.send(is_confirmed && self.state.check_session(now, request));
     }
 
