--- a/routing/tests/primaries.rs
+++ b/routing/tests/primaries.rs
@@ -52,18 +52,18 @@
         in_flight
     };
     let after_warmup = in_flight(&mut harness);
-    let records = |harness: &Harness, start_presumed: bool| {
-        let started_at = start_presumed.then_some(harness.now);
+    let records = |harness: &Harness, start_is_upper_bound: bool| {
+        let started_at = start_is_upper_bound.then_some(harness.now);
         (0..3)
             .map(|endpoint| EndpointRecord {
                 started_at,
-                start_presumed,
+                start_is_upper_bound,
                 ..harness.entry(endpoint, EndpointStatus::Serving)
             })
             .collect()
     };
-    let start_presumed = records(&harness, true);
-    harness.report(Event::EndpointList { complete: true, records: start_presumed });
+    let start_is_upper_bound = records(&harness, true);
+    harness.report(Event::EndpointList { complete: true, records: start_is_upper_bound });
     let in_slow_start = in_flight(&mut harness);
     let known = records(&harness, false);
     harness.report(Event::EndpointList { complete: true, records: known });
@@ -192,10 +192,10 @@
     let mut harness = Harness::without_health_checks(LagHandling::ServeStale, 1, 1);
     let write = harness.arrive(WRITE, 0, 1.0);
     let guessed = harness.endpoint_of(write).expect("a write to one of the unknown endpoints");
-    assert!(harness.policy.confirm_attempt(harness.now, write, 0, guessed));
+    assert!(harness.policy.may_send_attempt(harness.now, write, 0, guessed));
     harness.set_eligibility(0, PrimaryEligibility::Only((guessed + 1) % 3));
     assert!(
-        !harness.policy.confirm_attempt(harness.now, write, 0, guessed),
+        !harness.policy.may_send_attempt(harness.now, write, 0, guessed),
         "only another endpoint is eligible"
     );
     harness.set_eligibility(0, PrimaryEligibility::Any);
@@ -204,7 +204,7 @@
     harness.end(other, AttemptOutcome::Succeeded, Some(true));
     assert_ne!(guessed, primary);
     assert!(
-        !harness.policy.confirm_attempt(harness.now, write, 0, guessed),
+        !harness.policy.may_send_attempt(harness.now, write, 0, guessed),
         "another endpoint is known to be the primary"
     );
     // If health checks are allowed, they find the primary, and no write is sent to a guessed one.
