--- a/endpoint-cache/examples/sizes.rs
+++ b/endpoint-cache/examples/sizes.rs
@@ -24,12 +24,12 @@
     let report =
         CachedReport { primary: false, position_ms: Some(1_790_000_000_000), timeline: Some(7), at_ms: 1 };
     CachedEndpoint {
-        host: format!("s-{nth:08x}"),
-        dial: format!("10.1.{}.{}:6543", nth / 250, nth % 250),
-        site: "a".into(),
-        block: nth as i64 / 3,
+        name: format!("s-{nth:08x}"),
+        address: format!("10.1.{}.{}:6543", nth / 250, nth % 250),
+        zone: "a".into(),
+        group: nth as i64 / 3,
         health: "SERVING".into(),
-        born_ms: 1_790_000_000_000.0,
+        started_ms: 1_790_000_000_000.0,
         recovery: "on".into(),
         report: Some(report),
     }
--- a/endpoint-cache/src/cached_list.rs
+++ b/endpoint-cache/src/cached_list.rs
@@ -19,23 +19,26 @@
     pub endpoints: Vec<CachedEndpoint>,
 }
 
-/// A cached endpoint, with field names as in discovery's format.
+/// A cached endpoint. The file has its fields under the names of discovery's format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CachedEndpoint {
     /// Name of the endpoint.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub name: String,
     /// Address of the endpoint.
-    pub dial: String,
+    #[serde(rename = "dial")]
+    pub address: String,
     /// Zone of the endpoint.
-    #[serde(default)]
-    pub site: String,
+    #[serde(default, rename = "site")]
+    pub zone: String,
     /// Number of its group.
-    pub block: i64,
+    #[serde(rename = "block")]
+    pub group: i64,
     /// Health status in the list, which decides whether it may be used.
     pub health: String,
     /// Time of its last start in Unix milliseconds; 0 if unknown.
-    #[serde(default)]
-    pub born_ms: f64,
+    #[serde(default, rename = "born_ms")]
+    pub started_ms: f64,
     /// Role in the list: `off` for the primary, `on` for a replica.
     #[serde(default)]
     pub recovery: String,
--- a/endpoint-cache/tests/crashes.rs
+++ b/endpoint-cache/tests/crashes.rs
@@ -10,9 +10,9 @@
 /// A list of so many endpoints.
 fn list(endpoints: usize, version: i64) -> CachedEndpointList {
     let endpoint = |nth| CachedEndpoint {
-        host: format!("s-{nth}"),
-        dial: "127.0.0.1:6543".into(),
-        block: 3,
+        name: format!("s-{nth}"),
+        address: "127.0.0.1:6543".into(),
+        group: 3,
         health: "SERVING".into(),
         ..CachedEndpoint::default()
     };
--- a/endpoint-cache/tests/earlier_build.rs
+++ b/endpoint-cache/tests/earlier_build.rs
@@ -18,8 +18,8 @@
     assert_eq!((list.generation, list.version), (2, 42));
     assert_eq!((list.confirmed_ms, list.saved_ms), (1_790_000_100_000, 1_790_000_100_500));
     let [primary, replica] = &list.endpoints[..] else { panic!("{:?}", list.endpoints) };
-    assert_eq!((primary.host.as_str(), primary.dial.as_str()), ("p-1", "127.0.0.1:6001"));
-    assert_eq!((primary.site.as_str(), primary.block, primary.born_ms), ("a", 3, 1_790_000_000_000.0));
+    assert_eq!((primary.name.as_str(), primary.address.as_str()), ("p-1", "127.0.0.1:6001"));
+    assert_eq!((primary.zone.as_str(), primary.group, primary.started_ms), ("a", 3, 1_790_000_000_000.0));
     assert_eq!((primary.health.as_str(), primary.recovery.as_str()), ("SERVING", "off"));
     let report = CachedReport {
         primary: true,
--- a/server/src/cli/cached_list.rs
+++ b/server/src/cli/cached_list.rs
@@ -107,9 +107,9 @@
     let (endpoint, reported) = (ENDPOINT.text(vocabulary), REPORTED.text(vocabulary));
     lines.push(endpoint_line(endpoint, "group", "address", "health", "listed", reported));
     for endpoint in &list.endpoints {
-        let group = endpoint.block.to_string();
+        let group = endpoint.group.to_string();
         let (role, report) = (listed_role(endpoint), format_report(endpoint.report, vocabulary));
-        lines.push(endpoint_line(&endpoint.host, &group, &endpoint.dial, &endpoint.health, role, &report));
+        lines.push(endpoint_line(&endpoint.name, &group, &endpoint.address, &endpoint.health, role, &report));
     }
     lines.join("\n")
 }
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -272,7 +272,7 @@
 fn minimum_positions(list: &CachedEndpointList) -> BTreeMap<i64, MinimumPosition> {
     let mut minimums: BTreeMap<i64, MinimumPosition> = BTreeMap::new();
     for endpoint in &list.endpoints {
-        let minimum = minimums.entry(endpoint.block).or_default();
+        let minimum = minimums.entry(endpoint.group).or_default();
         let Some(report) = endpoint.report else { continue };
         let position = report.position_ms.map(|millis| Timestamp(millis.saturating_mul(NANOS_PER_MILLI)));
         if report.timeline > minimum.timeline {
--- a/server/src/messages/endpoint_list.rs
+++ b/server/src/messages/endpoint_list.rs
@@ -81,12 +81,12 @@
 impl From<&ListedEndpoint> for CachedEndpoint {
     fn from(listed: &ListedEndpoint) -> CachedEndpoint {
         CachedEndpoint {
-            host: listed.name.clone(),
-            dial: listed.address.clone(),
-            site: listed.zone.clone(),
-            block: listed.group,
+            name: listed.name.clone(),
+            address: listed.address.clone(),
+            zone: listed.zone.clone(),
+            group: listed.group,
             health: listed.health.as_str().to_string(),
-            born_ms: listed.born_ms,
+            started_ms: listed.born_ms,
             recovery: listed.recovery.clone(),
             report: None,
         }
@@ -96,12 +96,12 @@
 impl From<&CachedEndpoint> for ListedEndpoint {
     fn from(cached: &CachedEndpoint) -> ListedEndpoint {
         ListedEndpoint {
-            name: cached.host.clone(),
-            address: cached.dial.clone(),
-            zone: cached.site.clone(),
-            group: cached.block,
+            name: cached.name.clone(),
+            address: cached.address.clone(),
+            zone: cached.zone.clone(),
+            group: cached.group,
             health: ListedHealth::parse(&cached.health),
-            born_ms: cached.born_ms,
+            born_ms: cached.started_ms,
             recovery: cached.recovery.clone(),
         }
     }
--- a/server/src/storage/endpoint_cache_writer.rs
+++ b/server/src/storage/endpoint_cache_writer.rs
@@ -55,7 +55,7 @@
         min_interval: Duration,
     ) -> std::io::Result<Arc<EndpointCacheWriter>> {
         let row = |endpoint: &CachedEndpoint| {
-            (endpoint.host.clone(), Row { endpoint: Arc::new(endpoint.clone()), report: None })
+            (endpoint.name.clone(), Row { endpoint: Arc::new(endpoint.clone()), report: None })
         };
         let state = State {
             version: cached.map_or(0, |list| list.version),
@@ -175,7 +175,7 @@
     /// Creates the row of a listed endpoint. The saved report of a known row is kept if the address is the same.
     fn new(listed: &ListedEndpoint, known: Option<Row>) -> Row {
         let report = known.as_ref().and_then(|row| row.report);
-        let at_same_address = known.filter(|row| row.endpoint.dial == listed.address);
+        let at_same_address = known.filter(|row| row.endpoint.address == listed.address);
         let cached_report = at_same_address.and_then(|row| row.endpoint.report);
         let endpoint = CachedEndpoint { report: cached_report, ..CachedEndpoint::from(listed) };
         Row { endpoint: Arc::new(endpoint), report }
--- a/server/tests/operator_pages/cached_list.rs
+++ b/server/tests/operator_pages/cached_list.rs
@@ -68,9 +68,9 @@
 
 fn endpoint(name: &str, recovery: &str, report: Option<CachedReport>) -> CachedEndpoint {
     CachedEndpoint {
-        host: name.into(),
-        dial: "10.0.0.1:5432".into(),
-        block: 4,
+        name: name.into(),
+        address: "10.0.0.1:5432".into(),
+        group: 4,
         health: "SERVING".into(),
         recovery: recovery.into(),
         report,
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -135,8 +135,8 @@
     let daemon = fixture.start(&fixture.operator_file());
     let entries = fixture.wait_for_cached(is_verified).endpoints;
     let hosts = entries.iter().enumerate().map(|(index, endpoint)| {
-        let dial = endpoint.dial.parse().expect("an address");
-        list_entry(&endpoint.host, &dial, 1, index == 0, "SERVING", 0)
+        let address = endpoint.address.parse().expect("an address");
+        list_entry(&endpoint.name, &address, 1, index == 0, "SERVING", 0)
     });
     fixture.discovery.set_list(2, hosts.collect());
     fixture.discovery.set_mode(DiscoveryMode::Up);
@@ -195,9 +195,9 @@
     fixture.discovery.set_mode(DiscoveryMode::Down);
     let unused_address = free_address().to_string();
     cached.endpoints.extend((0..9_998).map(|index| CachedEndpoint {
-        host: format!("a-{index:05}"),
-        dial: unused_address.clone(),
-        block: 2 + index / 3,
+        name: format!("a-{index:05}"),
+        address: unused_address.clone(),
+        group: 2 + index / 3,
         health: "SERVING".into(),
         ..CachedEndpoint::default()
     }));
@@ -214,7 +214,7 @@
 /// Creates list entries of cached endpoints, all as serving replicas.
 fn replica_entries(endpoints: &[CachedEndpoint]) -> Vec<serde_json::Value> {
     let entry = |endpoint: &CachedEndpoint| {
-        list_entry(&endpoint.host, &endpoint.dial.parse().expect("one"), 1, false, "SERVING", 0)
+        list_entry(&endpoint.name, &endpoint.address.parse().expect("one"), 1, false, "SERVING", 0)
     };
     endpoints.iter().map(entry).collect()
 }
@@ -236,7 +236,7 @@
 /// Saves an endpoint list with version 41 and one endpoint in the state directory `state`, confirmed two hours ago.
 fn save_old_list(state: &Path) {
     let (mut dir, _) = CacheDirectory::open(state).expect("it opens");
-    let endpoints = vec![CachedEndpoint { host: "s-1".into(), block: 4, ..CachedEndpoint::default() }];
+    let endpoints = vec![CachedEndpoint { name: "s-1".into(), group: 4, ..CachedEndpoint::default() }];
     let mut cached = CachedEndpointList {
         version: 41,
         confirmed_ms: unix_ms() - 7_200_000,
--- a/test-servers/src/restart/scenario.rs
+++ b/test-servers/src/restart/scenario.rs
@@ -135,12 +135,12 @@
         at_ms: now_ms - plan.age_ms(),
     };
     CachedEndpoint {
-        host: endpoint.name.clone(),
-        dial: address.to_string(),
-        site: "a".into(),
-        block: endpoint.group,
+        name: endpoint.name.clone(),
+        address: address.to_string(),
+        zone: "a".into(),
+        group: endpoint.group,
         health: "SERVING".into(),
-        born_ms: 0.0,
+        started_ms: 0.0,
         recovery: if was_primary(index) { "off" } else { "on" }.into(),
         report: Some(report),
     }
