--- a/recovery/src/primary_discovery/events.rs
+++ b/recovery/src/primary_discovery/events.rs
@@ -40,14 +40,14 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The cached list was loaded. Discovery has not confirmed it since this start.
-    CachedList {
+    CachedListLoaded {
         /// The listed endpoints.
         members: Vec<Member>,
         /// Lower bounds on the timelines and positions of groups, as saved with the list.
         minimum_positions: Vec<GroupMinimum>,
     },
     /// Discovery has provided a complete list or a set of changes.
-    Listed {
+    ListReceived {
         /// The list is complete.
         complete: bool,
         /// Listed endpoints.
@@ -56,7 +56,7 @@
         removed: Vec<EndpointIndex>,
     },
     /// A query was answered.
-    Answered {
+    QueryAnswered {
         /// The queried endpoint.
         endpoint: EndpointIndex,
         /// When the query was sent.
@@ -67,14 +67,14 @@
         report: RoleReport,
     },
     /// A query failed.
-    Failed {
+    QueryFailed {
         /// The queried endpoint.
         endpoint: EndpointIndex,
         /// Why the query failed.
         failure: QueryFailure,
     },
     /// The response to a request or a health check contained a report.
-    Observed {
+    ReportReceived {
         /// The endpoint that responded.
         endpoint: EndpointIndex,
         /// When the request or health check was sent.
@@ -94,7 +94,7 @@
 /// An action for the host to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Query an endpoint, and report the result as exactly one `Answered` or `Failed`.
+    /// Query an endpoint, and report the result as exactly one `QueryAnswered` or `QueryFailed`.
     Query {
         /// The endpoint to query.
         endpoint: EndpointIndex,
--- a/recovery/src/primary_discovery/mod.rs
+++ b/recovery/src/primary_discovery/mod.rs
@@ -121,16 +121,18 @@
     /// must be carried out.
     pub fn on_event(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::CachedList { members, minimum_positions } => {
-                self.on_cached_list(now, &members, minimum_positions);
+            Event::CachedListLoaded { members, minimum_positions } => {
+                self.on_cached_list_loaded(now, &members, minimum_positions);
             }
-            Event::Listed { complete, members, removed } => self.on_listed(now, complete, &members, removed),
-            Event::Answered { endpoint, queried_at, identity, report } => {
-                self.on_answered(now, endpoint, queried_at, identity, report);
+            Event::ListReceived { complete, members, removed } => {
+                self.on_list_received(now, complete, &members, removed);
             }
-            Event::Failed { endpoint, failure } => self.on_failed(now, endpoint, failure),
-            Event::Observed { endpoint, queried_at, report } => {
-                self.on_observed(now, endpoint, queried_at, report);
+            Event::QueryAnswered { endpoint, queried_at, identity, report } => {
+                self.on_query_answered(now, endpoint, queried_at, identity, report);
+            }
+            Event::QueryFailed { endpoint, failure } => self.on_query_failed(now, endpoint, failure),
+            Event::ReportReceived { endpoint, queried_at, report } => {
+                self.on_report_received(now, endpoint, queried_at, report);
             }
             Event::RequestWaiting { group } => self.on_request_waiting(now, group),
             Event::Tick => {}
@@ -139,7 +141,12 @@
         actions.append(&mut self.actions);
     }
 
-    fn on_cached_list(&mut self, now: Timestamp, members: &[Member], minimum_positions: Vec<GroupMinimum>) {
+    fn on_cached_list_loaded(
+        &mut self,
+        now: Timestamp,
+        members: &[Member],
+        minimum_positions: Vec<GroupMinimum>,
+    ) {
         for member in members {
             self.add_member(now, *member);
         }
@@ -179,7 +186,13 @@
         self.schedule_query(index, now);
     }
 
-    fn on_listed(&mut self, now: Timestamp, complete: bool, members: &[Member], removed: Vec<EndpointIndex>) {
+    fn on_list_received(
+        &mut self,
+        now: Timestamp,
+        complete: bool,
+        members: &[Member],
+        removed: Vec<EndpointIndex>,
+    ) {
         // Changes apply to an earlier complete list and do not confirm the list by themselves.
         self.list_confirmed |= complete;
         let mut removed: BTreeSet<EndpointIndex> = removed.into_iter().collect();
@@ -211,7 +224,7 @@
         known.filter(|index| !listed.contains(index)).collect()
     }
 
-    fn on_answered(
+    fn on_query_answered(
         &mut self,
         now: Timestamp,
         index: EndpointIndex,
@@ -242,7 +255,7 @@
         self.schedule_next_query(index, now);
     }
 
-    fn on_failed(&mut self, now: Timestamp, index: EndpointIndex, failure: QueryFailure) {
+    fn on_query_failed(&mut self, now: Timestamp, index: EndpointIndex, failure: QueryFailure) {
         if !self.end_query(index) {
             return;
         }
@@ -261,7 +274,7 @@
         self.schedule_next_query(index, now);
     }
 
-    fn on_observed(
+    fn on_report_received(
         &mut self,
         now: Timestamp,
         index: EndpointIndex,
--- a/recovery/tests/primary_verification.rs
+++ b/recovery/tests/primary_verification.rs
@@ -127,7 +127,7 @@
 fn a_report_below_the_cached_minimum_position_is_no_evidence() {
     let mut fixture = Fixture::new(1, FRESH);
     let minimum = MinimumPosition { timeline: Some(3), position: Some(at(START - 5_000)) };
-    fixture.handle(Event::CachedList {
+    fixture.handle(Event::CachedListLoaded {
         members: Vec::new(),
         minimum_positions: vec![GroupMinimum { group: 0, minimum }],
     });
@@ -146,6 +146,6 @@
     fixture.answer_in_order([primary(START, 1), replica(START - 10, 1), replica(START - 10, 1)]);
     let report = EndpointReport { role: Some(Role::Replica), position: Some(at(fixture.now)), load: None };
     let queried_at = at(fixture.now);
-    fixture.handle(Event::Observed { endpoint: 0, queried_at, report });
+    fixture.handle(Event::ReportReceived { endpoint: 0, queried_at, report });
     assert_eq!(fixture.eligibility(0), NoMember);
 }
--- a/recovery/tests/support/mod.rs
+++ b/recovery/tests/support/mod.rs
@@ -79,7 +79,7 @@
             eligibility: BTreeMap::new(),
         };
         let members = members(0..groups * GROUP_SIZE);
-        fixture.handle(Event::CachedList { members, minimum_positions: Vec::new() });
+        fixture.handle(Event::CachedListLoaded { members, minimum_positions: Vec::new() });
         fixture
     }
 
@@ -140,7 +140,7 @@
         if is_open {
             let queried_at = at(self.now);
             self.now += 1;
-            self.handle(Event::Answered { endpoint, queried_at, identity, report });
+            self.handle(Event::QueryAnswered { endpoint, queried_at, identity, report });
         }
         is_open
     }
@@ -152,7 +152,7 @@
             self.queries.remove(&endpoint);
             let (queried_at, report) = (at(self.now), report(endpoint, self.now));
             let identity = Identity::Confirmed;
-            self.handle(Event::Answered { endpoint, queried_at, identity, report });
+            self.handle(Event::QueryAnswered { endpoint, queried_at, identity, report });
         }
         queried
     }
@@ -168,14 +168,14 @@
     pub fn fail_open_query(&mut self, endpoint: usize, failure: QueryFailure) -> bool {
         let is_open = self.queries.remove(&endpoint);
         if is_open {
-            self.handle(Event::Failed { endpoint, failure });
+            self.handle(Event::QueryFailed { endpoint, failure });
         }
         is_open
     }
 
     /// Discovery sends a complete list of these endpoints.
     pub fn confirm_list(&mut self, endpoints: impl IntoIterator<Item = usize>) {
-        self.handle(Event::Listed { complete: true, members: members(endpoints), removed: Vec::new() });
+        self.handle(Event::ListReceived { complete: true, members: members(endpoints), removed: Vec::new() });
     }
 
     /// Which endpoint of the group may serve as its primary.
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -56,7 +56,7 @@
             }
             answer => {
                 let failure = query_failure(&answer);
-                self.state.report_to_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
+                self.state.report_to_discovery(now, DiscoveryEvent::QueryFailed { endpoint, failure });
                 None
             }
         };
@@ -84,7 +84,7 @@
         let IdentityReport { identity, timeline } =
             parse_identity(identity.filter(|_| self.queries_identity()), name);
         let report = RoleReport::new(report, timeline);
-        let event = DiscoveryEvent::Answered { endpoint, queried_at, identity, report };
+        let event = DiscoveryEvent::QueryAnswered { endpoint, queried_at, identity, report };
         self.state.report_to_discovery(now, event);
     }
 
@@ -107,7 +107,7 @@
         report: EndpointReport,
     ) {
         if report.role.is_some() && self.state.discovery.is_some() {
-            let event = DiscoveryEvent::Observed { endpoint, queried_at, report };
+            let event = DiscoveryEvent::ReportReceived { endpoint, queried_at, report };
             self.state.report_to_discovery(now, event);
             self.cache_report(endpoint);
         }
@@ -144,7 +144,7 @@
             }
             None => {
                 let failure = QueryFailure::NoAnswer;
-                self.state.report_to_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
+                self.state.report_to_discovery(now, DiscoveryEvent::QueryFailed { endpoint, failure });
             }
         }
     }
@@ -190,7 +190,7 @@
             .into_iter()
             .map(|(group, minimum)| GroupMinimum { group: self.groups.intern(group), minimum })
             .collect();
-        self.report_to_discovery(now, DiscoveryEvent::CachedList { members, minimum_positions });
+        self.report_to_discovery(now, DiscoveryEvent::CachedListLoaded { members, minimum_positions });
     }
 
     /// Reports a list from discovery to primary discovery, which happens before the routing policy is notified.
@@ -208,7 +208,7 @@
                 self.not_admitted.remove(&member.endpoint);
             }
         }
-        self.report_to_discovery(now, DiscoveryEvent::Listed { complete, members, removed });
+        self.report_to_discovery(now, DiscoveryEvent::ListReceived { complete, members, removed });
     }
 
     /// Reports a list from discovery to the routing policy. Returns the addresses whose idle connections are outdated,
