--- a/recovery/src/primary_verification.rs
+++ b/recovery/src/primary_verification.rs
@@ -76,7 +76,7 @@
         && evidence.has_claimed_often_enough(claimant)
         && (evidence.list_confirmed
             || evidence.is_followed_by_majority(claimant)
-            || (evidence.level.accounting_suffices && evidence.all_accounted_for()));
+            || (evidence.level.accepts_without_majority && evidence.all_accounted_for()));
     if verified {
         Verification::Verified(claimant)
     } else {
--- a/recovery/src/staleness.rs
+++ b/recovery/src/staleness.rs
@@ -43,7 +43,7 @@
     pub identifies_by_address: bool,
     /// A primary is verified if every other member has answered or refused the connection. Otherwise a majority of
     /// members must follow it.
-    pub accounting_suffices: bool,
+    pub accepts_without_majority: bool,
 }
 
 const SECOND: TimeDelta = TimeDelta::from_millis(1_000);
@@ -52,14 +52,14 @@
 const DAY: TimeDelta = TimeDelta(HOUR.0 * 24);
 
 /// All levels, by ascending age.
-pub const LEVELS: [VerificationLevel; 4] = [
+pub const VERIFICATION_LEVELS: [VerificationLevel; 4] = [
     VerificationLevel {
         staleness: Staleness::Fresh,
         max_age: MINUTE,
         max_queries: 64,
         claims_required: 1,
         identifies_by_address: true,
-        accounting_suffices: true,
+        accepts_without_majority: true,
     },
     VerificationLevel {
         staleness: Staleness::Recent,
@@ -67,7 +67,7 @@
         max_queries: 32,
         claims_required: 2,
         identifies_by_address: false,
-        accounting_suffices: false,
+        accepts_without_majority: false,
     },
     VerificationLevel {
         staleness: Staleness::Old,
@@ -75,7 +75,7 @@
         max_queries: 16,
         claims_required: 2,
         identifies_by_address: false,
-        accounting_suffices: false,
+        accepts_without_majority: false,
     },
     VerificationLevel {
         staleness: Staleness::Unknown,
@@ -83,7 +83,7 @@
         max_queries: 8,
         claims_required: 3,
         identifies_by_address: false,
-        accounting_suffices: false,
+        accepts_without_majority: false,
     },
 ];
 
@@ -107,7 +107,7 @@
     now: Timestamp,
     latest_report: Option<Timestamp>,
 ) -> &'static VerificationLevel {
-    let lowest = &LEVELS[LEVELS.len() - 1];
+    let lowest = &VERIFICATION_LEVELS[VERIFICATION_LEVELS.len() - 1];
     let Some(times) = times else { return lowest };
     let from_future = times.confirmed.max(times.saved) > now + MAX_CLOCK_SKEW;
     let clock_set_back = times.saved + MAX_CLOCK_SKEW < times.confirmed;
@@ -115,5 +115,5 @@
         return lowest;
     }
     let age = now.max(latest_report.unwrap_or(now)) - times.confirmed;
-    LEVELS.iter().find(|level| age <= level.max_age).unwrap_or(lowest)
+    VERIFICATION_LEVELS.iter().find(|level| age <= level.max_age).unwrap_or(lowest)
 }
--- a/server/src/cli/cached_list.rs
+++ b/server/src/cli/cached_list.rs
@@ -8,7 +8,7 @@
 use endpoint_cache::{
     CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport, LoadedCache, LoadedList,
 };
-use recovery::staleness::{verification_level, VerificationLevel, LEVELS};
+use recovery::staleness::{verification_level, VerificationLevel, VERIFICATION_LEVELS};
 use routing::time::Timestamp;
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -119,7 +119,7 @@
     let level = verification_level(Some(times), now, None);
     let age_s = (now - times.confirmed).as_secs_f64();
     let identified_by_address = if level.identifies_by_address { "yes" } else { "no" };
-    let levels: Vec<&str> = LEVELS.iter().map(|level| level.staleness.name()).collect();
+    let levels: Vec<&str> = VERIFICATION_LEVELS.iter().map(|level| level.staleness.name()).collect();
     let text = |term: Term| term.text(vocabulary);
     let line = |title: &str, text: &str| format!("{title:<TITLE_WIDTH$}{text}");
     let age = format!("{age_s:.1} s since discovery {}: {}", text(CONFIRMED), level.staleness.name());
@@ -136,7 +136,7 @@
 
 fn verification(level: &VerificationLevel, vocabulary: Vocabulary) -> String {
     let (queries, claims) = (level.max_queries, level.claims_required);
-    let members = if level.accounting_suffices { ACCOUNTED_FOR } else { FOLLOWED };
+    let members = if level.accepts_without_majority { ACCOUNTED_FOR } else { FOLLOWED };
     let (endpoints, of_its_own) = (AT_A_TIME.text(vocabulary), CLAIMS.text(vocabulary));
     let members = members.text(vocabulary);
     format!("{queries} {endpoints}; a primary after {claims} {of_its_own} and {members}")
