--- a/recovery/src/discovery_incarnation.rs
+++ b/recovery/src/discovery_incarnation.rs
@@ -22,12 +22,12 @@
     /// Discard the list: it is outdated or cannot be used.
     Ignore,
     /// The list may be of another incarnation: poll again on a new watch.
-    Suspect,
+    AwaitConfirmation,
 }
 
 /// Properties of a list received from discovery.
 #[derive(Clone, Copy, Debug)]
-pub struct OfferedList {
+pub struct ReceivedList {
     /// Version of the list.
     pub version: i64,
     /// The list is complete, not a set of changes.
@@ -38,7 +38,7 @@
 
 /// The earlier list of a possible new incarnation.
 #[derive(Clone, Copy, Debug)]
-struct Suspected {
+struct CandidateIncarnation {
     version: i64,
     first_seen: Timestamp,
 }
@@ -48,14 +48,14 @@
 pub struct IncarnationTracker {
     /// Version of the last accepted list.
     version: i64,
-    suspected: Option<Suspected>,
+    candidate: Option<CandidateIncarnation>,
     /// No list from discovery has been accepted since this start.
     unconfirmed: bool,
 }
 
 /// A list that `matches` accepts, received at the given time, gets this decision.
 struct Rule {
-    matches: fn(&IncarnationTracker, &OfferedList, Timestamp) -> bool,
+    matches: fn(&IncarnationTracker, &ReceivedList, Timestamp) -> bool,
     decision: ListDecision,
 }
 
@@ -73,16 +73,16 @@
     },
     Rule { matches: |_, list, _| !list.complete || list.empty, decision: ListDecision::Ignore },
     Rule {
-        matches: |tracker, list, now| tracker.confirms_suspicion(list, now),
+        matches: |tracker, list, now| tracker.confirms_candidate(list, now),
         decision: ListDecision::Accept,
     },
-    Rule { matches: |_, _, _| true, decision: ListDecision::Suspect },
+    Rule { matches: |_, _, _| true, decision: ListDecision::AwaitConfirmation },
 ];
 
 impl IncarnationTracker {
     /// Starts with a list of this version. `cached` means that discovery has not confirmed it since this start.
     pub fn new(version: i64, cached: bool) -> IncarnationTracker {
-        IncarnationTracker { version, suspected: None, unconfirmed: cached }
+        IncarnationTracker { version, candidate: None, unconfirmed: cached }
     }
 
     /// Version of the last accepted list.
@@ -92,27 +92,27 @@
 
     /// When to poll again to confirm a possible new incarnation: the earliest time at which a second list counts.
     pub fn poll_again_at(&self) -> Option<Timestamp> {
-        self.suspected.map(|suspected| suspected.first_seen + CONFIRMATION_INTERVAL)
+        self.candidate.map(|candidate| candidate.first_seen + CONFIRMATION_INTERVAL)
     }
 
-    fn confirms_suspicion(&self, list: &OfferedList, now: Timestamp) -> bool {
-        self.suspected.is_some_and(|suspected| {
-            let late_enough = now >= suspected.first_seen + CONFIRMATION_INTERVAL;
-            list.version >= suspected.version && late_enough
+    fn confirms_candidate(&self, list: &ReceivedList, now: Timestamp) -> bool {
+        self.candidate.is_some_and(|candidate| {
+            let late_enough = now >= candidate.first_seen + CONFIRMATION_INTERVAL;
+            list.version >= candidate.version && late_enough
         })
     }
 
     /// Decides on a list received at `now`.
-    pub fn offer(&mut self, now: Timestamp, list: OfferedList) -> ListDecision {
+    pub fn decide(&mut self, now: Timestamp, list: ReceivedList) -> ListDecision {
         let rule = RULES.iter().find(|rule| (rule.matches)(self, &list, now));
         let decision = rule.map_or(ListDecision::Ignore, |rule| rule.decision);
         match decision {
             ListDecision::Accept => *self = IncarnationTracker::new(list.version, false),
-            ListDecision::Suspect => {
+            ListDecision::AwaitConfirmation => {
                 // The interval starts with the first list, and again with any list of a lower version.
-                let earlier = self.suspected.filter(|suspected| list.version >= suspected.version);
-                let first = Suspected { version: list.version, first_seen: now };
-                self.suspected = earlier.or(Some(first));
+                let earlier = self.candidate.filter(|candidate| list.version >= candidate.version);
+                let first = CandidateIncarnation { version: list.version, first_seen: now };
+                self.candidate = earlier.or(Some(first));
             }
             ListDecision::Ignore => {}
         }
--- a/recovery/tests/cached_list.rs
+++ b/recovery/tests/cached_list.rs
@@ -3,7 +3,9 @@
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
 
-use recovery::discovery_incarnation::{IncarnationTracker, ListDecision, OfferedList, CONFIRMATION_INTERVAL};
+use recovery::discovery_incarnation::{
+    IncarnationTracker, ListDecision, ReceivedList, CONFIRMATION_INTERVAL,
+};
 use recovery::save_schedule::{is_worth_saving, SaveSchedule};
 use recovery::staleness::{verification_level, CacheTimes, Staleness};
 use routing::time::TimeDelta;
@@ -36,33 +38,33 @@
 fn another_incarnation_is_accepted_once_confirmed_and_an_old_copy_is_not() {
     let mut tracker = IncarnationTracker::new(40, true);
     assert_eq!(
-        tracker.offer(at(0), OfferedList { empty: true, ..complete_list(50) }),
+        tracker.decide(at(0), ReceivedList { empty: true, ..complete_list(50) }),
         ListDecision::Ignore,
         "an incarnation that lost all endpoints"
     );
-    assert_eq!(tracker.offer(at(0), complete_list(41)), ListDecision::Accept);
+    assert_eq!(tracker.decide(at(0), complete_list(41)), ListDecision::Accept);
     // An old copy, then the current incarnation again: the suspicion is dropped.
-    assert_eq!(tracker.offer(at(100), complete_list(5)), ListDecision::Suspect);
-    assert_eq!(tracker.offer(at(200), complete_list(42)), ListDecision::Accept);
-    assert_eq!(tracker.offer(at(9_000), complete_list(5)), ListDecision::Suspect);
+    assert_eq!(tracker.decide(at(100), complete_list(5)), ListDecision::AwaitConfirmation);
+    assert_eq!(tracker.decide(at(200), complete_list(42)), ListDecision::Accept);
+    assert_eq!(tracker.decide(at(9_000), complete_list(5)), ListDecision::AwaitConfirmation);
     assert_eq!(tracker.poll_again_at(), Some(at(9_000) + CONFIRMATION_INTERVAL));
-    assert_eq!(tracker.offer(at(9_100), complete_list(5)), ListDecision::Suspect, "too soon");
+    assert_eq!(tracker.decide(at(9_100), complete_list(5)), ListDecision::AwaitConfirmation, "too soon");
     assert_eq!(
-        tracker.offer(at(9_200), OfferedList { complete: false, ..complete_list(6) }),
+        tracker.decide(at(9_200), ReceivedList { complete: false, ..complete_list(6) }),
         ListDecision::Ignore
     );
     assert_eq!(
-        tracker.offer(at(9_000) + CONFIRMATION_INTERVAL, complete_list(4)),
-        ListDecision::Suspect,
+        tracker.decide(at(9_000) + CONFIRMATION_INTERVAL, complete_list(4)),
+        ListDecision::AwaitConfirmation,
         "older than the version that it offered before"
     );
     assert_eq!(
-        tracker.offer(at(9_000) + CONFIRMATION_INTERVAL + CONFIRMATION_INTERVAL, complete_list(4)),
+        tracker.decide(at(9_000) + CONFIRMATION_INTERVAL + CONFIRMATION_INTERVAL, complete_list(4)),
         ListDecision::Accept
     );
     assert_eq!(tracker.version(), 4);
     assert_eq!(
-        tracker.offer(at(20_000), OfferedList { empty: true, ..complete_list(9) }),
+        tracker.decide(at(20_000), ReceivedList { empty: true, ..complete_list(9) }),
         ListDecision::Accept,
         "the accepted incarnation may list no endpoints"
     );
--- a/recovery/tests/support/mod.rs
+++ b/recovery/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! A primary discovery with what its host would know of it: open queries, admitted endpoints, eligibility by group.
 
-use recovery::discovery_incarnation::OfferedList;
+use recovery::discovery_incarnation::ReceivedList;
 use recovery::endpoint_state::RoleReport;
 use recovery::primary_discovery::{
     Action, DiscoverySettings, Event, Identity, Member, PrimaryDiscovery, QueryFailure,
@@ -40,8 +40,8 @@
 }
 
 /// A complete list of this version with endpoints in it.
-pub fn complete_list(version: i64) -> OfferedList {
-    OfferedList { version, complete: true, empty: false }
+pub fn complete_list(version: i64) -> ReceivedList {
+    ReceivedList { version, complete: true, empty: false }
 }
 
 /// A primary discovery under test, and the state that its actions lead to in its host.
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -11,7 +11,7 @@
 use crate::storage::endpoint_cache_writer::EndpointCacheWriter;
 use may::sync::mpsc::Sender;
 use recovery::discovery_incarnation::{
-    IncarnationTracker, ListDecision, OfferedList, MAX_PAUSE_WITHOUT_LIST,
+    IncarnationTracker, ListDecision, ReceivedList, MAX_PAUSE_WITHOUT_LIST,
 };
 use recovery::watch_schedule::{WatchSchedule, JITTER_RANGE, OPEN_TIMEOUT};
 use routing::rng::Mwc;
@@ -225,13 +225,13 @@
             WatchEnd::UnreadableList
         })?;
         let version_before = self.progress.incarnation.version();
-        let offered =
-            OfferedList { version: list.version, complete: list.complete, empty: list.endpoints.is_empty() };
-        match self.progress.incarnation.offer(self.timers.now(), offered) {
+        let received =
+            ReceivedList { version: list.version, complete: list.complete, empty: list.endpoints.is_empty() };
+        match self.progress.incarnation.decide(self.timers.now(), received) {
             ListDecision::Accept => {}
-            ListDecision::Ignore if offered.complete && offered.empty => return Err(WatchEnd::EmptyList),
+            ListDecision::Ignore if received.complete && received.empty => return Err(WatchEnd::EmptyList),
             ListDecision::Ignore => return Ok(()),
-            ListDecision::Suspect => return Err(WatchEnd::OlderList),
+            ListDecision::AwaitConfirmation => return Err(WatchEnd::OlderList),
         }
         if self.progress.incarnation.version() < version_before {
             log!(
