--- a/recovery/src/primary_discovery/mod.rs
+++ b/recovery/src/primary_discovery/mod.rs
@@ -295,7 +295,7 @@
         let Some(endpoint) = self.endpoints.get_mut(index) else { return false };
         let was_in_flight = std::mem::take(&mut endpoint.query_in_flight);
         if was_in_flight {
-            self.queries.ended();
+            self.queries.query_ended();
         }
         was_in_flight
     }
--- a/recovery/src/primary_discovery/queries.rs
+++ b/recovery/src/primary_discovery/queries.rs
@@ -79,10 +79,10 @@
         }
         let max_in_flight = self.max_in_flight(now);
         self.queries.refresh_burst(now);
-        while let Some(index) = self.queries.next(now, max_in_flight) {
+        while let Some(index) = self.queries.next_due(now, max_in_flight) {
             self.unschedule_query(index);
             if !std::mem::replace(&mut self.endpoints[index].query_in_flight, true) {
-                self.queries.started();
+                self.queries.query_started();
                 self.actions.push(Action::Query { endpoint: index });
             }
         }
--- a/recovery/src/query_schedule.rs
+++ b/recovery/src/query_schedule.rs
@@ -63,7 +63,7 @@
     }
 
     /// The next endpoint to query now, with at most `max_in_flight` concurrent queries.
-    pub fn next(&self, now: Timestamp, max_in_flight: usize) -> Option<EndpointIndex> {
+    pub fn next_due(&self, now: Timestamp, max_in_flight: usize) -> Option<EndpointIndex> {
         if self.in_flight >= max_in_flight || self.started_in_burst >= max_in_flight {
             return None;
         }
@@ -72,13 +72,13 @@
     }
 
     /// Records the start of a query.
-    pub fn started(&mut self) {
+    pub fn query_started(&mut self) {
         self.in_flight += 1;
         self.started_in_burst += 1;
     }
 
     /// Records the end of a query.
-    pub fn ended(&mut self) {
+    pub fn query_ended(&mut self) {
         self.in_flight -= 1;
     }
 }
--- a/recovery/src/save_schedule.rs
+++ b/recovery/src/save_schedule.rs
@@ -48,17 +48,17 @@
     }
 
     /// Records a change of the list or of an endpoint's report.
-    pub fn changed(&mut self, now: Timestamp) {
+    pub fn record_change(&mut self, now: Timestamp) {
         self.changed_at = self.changed_at.or(Some(now));
     }
 
     /// Records that discovery has confirmed the unchanged list.
-    pub fn confirmed(&mut self) {
+    pub fn record_confirmation(&mut self) {
         self.confirmed = true;
     }
 
     /// When the next save is due, if there is anything to save.
-    pub fn due(&self) -> Option<Timestamp> {
+    pub fn next_save_due(&self) -> Option<Timestamp> {
         let wanted = match self.changed_at {
             Some(at) => at + SETTLE_TIME,
             None if self.confirmed => self.saved_at + CONFIRMATION_INTERVAL,
@@ -78,18 +78,18 @@
     }
 
     /// Records the start of a save, which covers all changes so far.
-    pub fn started(&mut self, now: Timestamp) {
+    pub fn save_started(&mut self, now: Timestamp) {
         self.changed_at = None;
         self.confirmed = false;
         self.saved_at = now;
     }
 
     /// Records the end of a save. A failed save is scheduled again.
-    pub fn ended(&mut self, now: Timestamp, succeeded: bool) {
+    pub fn save_ended(&mut self, now: Timestamp, succeeded: bool) {
         self.failures = if succeeded { 0 } else { self.failures.saturating_add(1) };
         self.saved_at = now;
         if !succeeded {
-            self.changed(now);
+            self.record_change(now);
         }
     }
 }
--- a/recovery/src/watch_schedule.rs
+++ b/recovery/src/watch_schedule.rs
@@ -52,14 +52,14 @@
     }
 
     /// Records the request of a watch. Returns the time by which its response must have started.
-    pub fn requested(&mut self, now: Timestamp) -> Timestamp {
+    pub fn watch_requested(&mut self, now: Timestamp) -> Timestamp {
         self.requested_at = now;
         self.last_event_at = None;
-        self.answer_due()
+        self.response_due()
     }
 
     /// The time by which the response must have started.
-    pub fn answer_due(&self) -> Timestamp {
+    pub fn response_due(&self) -> Timestamp {
         self.requested_at + if self.from_local_agent { OPEN_TIMEOUT } else { MAX_SILENCE }
     }
 
@@ -81,7 +81,7 @@
 
     /// Records the end of a watch. Returns the pause before the next request, with a `jitter` of less than
     /// [`JITTER_RANGE`], limited to `max_pause` if set. The backoff starts over after a healthy watch.
-    pub fn ended(&mut self, jitter: usize, max_pause: Option<TimeDelta>) -> TimeDelta {
+    pub fn watch_ended(&mut self, jitter: usize, max_pause: Option<TimeDelta>) -> TimeDelta {
         let last_event_at = self.last_event_at.take();
         if last_event_at.is_some_and(|at| at - self.requested_at >= HEALTHY_AFTER) {
             self.reset_backoff();
--- a/recovery/tests/cached_list.rs
+++ b/recovery/tests/cached_list.rs
@@ -74,22 +74,22 @@
 fn saves_follow_changes_and_back_off_on_a_failing_disk() {
     let gap = TimeDelta::from_millis(1_000);
     let mut schedule = SaveSchedule::new(gap);
-    assert_eq!(schedule.due(), None);
-    schedule.changed(at(START));
-    schedule.changed(at(START + 100));
-    let due = schedule.due().expect("a save is due after a change");
+    assert_eq!(schedule.next_save_due(), None);
+    schedule.record_change(at(START));
+    schedule.record_change(at(START + 100));
+    let due = schedule.next_save_due().expect("a save is due after a change");
     assert!(due >= at(START) && due <= at(START + 200), "shortly after the first of several changes");
-    schedule.started(due);
-    schedule.ended(due, true);
-    schedule.changed(due);
-    assert_eq!(schedule.due(), Some(due + gap));
+    schedule.save_started(due);
+    schedule.save_ended(due, true);
+    schedule.record_change(due);
+    assert_eq!(schedule.next_save_due(), Some(due + gap));
     let (mut now, mut pauses) = (due, Vec::new());
     for _ in 0..12 {
-        let next = schedule.due().expect("a failed save is retried");
+        let next = schedule.next_save_due().expect("a failed save is retried");
         pauses.push(next - now);
         now = next;
-        schedule.started(now);
-        schedule.ended(now, false);
+        schedule.save_started(now);
+        schedule.save_ended(now, false);
     }
     assert!(pauses.windows(2).all(|two| two[0] <= two[1]), "{pauses:?}");
     assert_eq!(pauses.last(), Some(&TimeDelta::from_millis(60_000)));
--- a/recovery/tests/watch_schedule.rs
+++ b/recovery/tests/watch_schedule.rs
@@ -53,11 +53,11 @@
         let mut schedule = WatchSchedule::new(true, grace.map(ms));
         let mut now = Timestamp(1_000_000_000_000);
         for (jitter, duration_ms) in earlier_watches {
-            schedule.requested(now);
+            schedule.watch_requested(now);
             now = now + ms(duration_ms);
-            now = now + schedule.ended(jitter, None);
+            now = now + schedule.watch_ended(jitter, None);
         }
-        schedule.requested(now);
+        schedule.watch_requested(now);
         let mut due = schedule.next_event_due();
         for _ in 0..heartbeats {
             now = now + HEARTBEAT_INTERVAL;
@@ -65,14 +65,14 @@
             due = schedule.event_received(now);
         }
         let silent_since = now + ms(silent_after_ms);
-        now = due + schedule.ended(jitter, None);
+        now = due + schedule.watch_ended(jitter, None);
         for (failure, jitter) in failures {
             now = match failure {
                 OpenFailure::Refused => now,
                 OpenFailure::ConnectTimeout => now + OPEN_TIMEOUT,
-                OpenFailure::ResponseTimeout => schedule.requested(now),
+                OpenFailure::ResponseTimeout => schedule.watch_requested(now),
             };
-            now = now + schedule.ended(jitter, None);
+            now = now + schedule.watch_ended(jitter, None);
         }
         prop_assert!(now < silent_since + REPORTED_AFTER, "{:?} after it fell silent", now - silent_since);
     }
@@ -88,8 +88,8 @@
         let mut from_service = WatchSchedule::new(false, Some(ms(grace)));
         let mut last = TimeDelta::ZERO;
         for jitter in jitters {
-            prop_assert!(from_agent.ended(jitter, None) <= ms(grace) / 2);
-            let backoff = from_service.ended(0, None);
+            prop_assert!(from_agent.watch_ended(jitter, None) <= ms(grace) / 2);
+            let backoff = from_service.watch_ended(0, None);
             prop_assert!(backoff >= last && backoff <= MAX_BACKOFF);
             last = backoff;
         }
@@ -106,21 +106,21 @@
     let (mut schedule, now) = watch_on_service();
     let backoffs: Vec<TimeDelta> = (0..8)
         .map(|_| {
-            schedule.requested(now);
+            schedule.watch_requested(now);
             schedule.event_received(now);
-            schedule.ended(31, None)
+            schedule.watch_ended(31, None)
         })
         .collect();
     assert!(backoffs[7] > ms(1_500), "{backoffs:?}");
     schedule.reset_backoff();
-    assert!(schedule.ended(31, None) <= ms(50), "an event, or another address, resets the backoff");
+    assert!(schedule.watch_ended(31, None) <= ms(50), "an event, or another address, resets the backoff");
 }
 
 #[test]
 fn a_watch_that_was_open_resets_the_backoff_once() {
     let (mut schedule, now) = watch_on_service();
-    schedule.requested(now);
+    schedule.watch_requested(now);
     schedule.event_received(now + HEARTBEAT_INTERVAL);
-    let backoffs: Vec<TimeDelta> = (0..8).map(|_| schedule.ended(31, None)).collect();
+    let backoffs: Vec<TimeDelta> = (0..8).map(|_| schedule.watch_ended(31, None)).collect();
     assert!(backoffs[0] <= ms(50) && backoffs[7] > ms(1_500), "{backoffs:?}");
 }
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -131,7 +131,7 @@
             _ => {
                 let jitter = self.rng.below(JITTER_RANGE);
                 let max_pause = self.progress.needs_complete_list.then_some(MAX_PAUSE_WITHOUT_LIST);
-                self.progress.schedule.ended(jitter, max_pause)
+                self.progress.schedule.watch_ended(jitter, max_pause)
             }
         };
         self.timers.sleep_unless_cancelled(pause, &target.changed);
@@ -154,7 +154,7 @@
         let deadline = self.timers.now() + OPEN_TIMEOUT;
         let connection = PeerConnection::connect(&self.timers, &target.addr, deadline, descriptor);
         let mut connection = connection.map_err(|_| WatchEnd::NoConnection)?;
-        let deadline = self.progress.schedule.requested(self.timers.now());
+        let deadline = self.progress.schedule.watch_requested(self.timers.now());
         let limits = IoLimits { deadline, cancellation: &target.changed };
         connection.arm(limits);
         let request = self.request(target.addr);
@@ -179,7 +179,7 @@
     /// The connection or the response failed, or a list was not accepted.
     fn follow(&mut self, mut connection: PeerConnection, target: &Target) -> Result<(), WatchEnd> {
         let mut stream = WatchStream::default();
-        let mut deadline = self.progress.schedule.answer_due();
+        let mut deadline = self.progress.schedule.response_due();
         loop {
             let limits = IoLimits { deadline, cancellation: &target.changed };
             connection.arm(limits);
--- a/server/src/storage/endpoint_cache_writer.rs
+++ b/server/src/storage/endpoint_cache_writer.rs
@@ -100,7 +100,7 @@
                 state.rows.insert(listed.name.clone(), Row::new(listed, known));
             }
         }
-        state.schedule.changed(self.clock.now());
+        state.schedule.record_change(self.clock.now());
         drop(state);
         self.changed.notify_one();
     }
@@ -110,7 +110,7 @@
         let mut state = self.lock();
         if !state.rows.is_empty() {
             state.confirmed_ms = wall_ms();
-            state.schedule.confirmed();
+            state.schedule.record_confirmation();
             drop(state);
             self.changed.notify_one();
         }
@@ -124,7 +124,7 @@
             return;
         }
         row.set_report(report);
-        state.schedule.changed(self.clock.now());
+        state.schedule.record_change(self.clock.now());
         drop(state);
         self.changed.notify_one();
     }
@@ -135,7 +135,7 @@
         let mut state = self.lock();
         loop {
             let now = self.clock.now();
-            let due = state.schedule.due();
+            let due = state.schedule.next_save_due();
             let save_now = due.is_some_and(|due| due <= now || state.stopping);
             if !save_now && state.stopping {
                 return self.stopped.notify_all();
@@ -146,14 +146,14 @@
                 state = waited.unwrap_or_else(|poisoned| poisoned.into_inner()).0;
                 continue;
             }
-            state.schedule.started(now);
+            state.schedule.save_started(now);
             let pending = state.pending_save();
             drop(state);
             let mut list = pending.into_list();
             let saved = directory.save(&mut list);
             log_transition(&saved, &mut failing);
             state = self.lock();
-            state.schedule.ended(self.clock.now(), saved.is_ok());
+            state.schedule.save_ended(self.clock.now(), saved.is_ok());
             if state.stopping {
                 return self.stopped.notify_all();
             }
@@ -165,7 +165,7 @@
         let mut state = self.lock();
         state.stopping = true;
         self.changed.notify_all();
-        if state.schedule.due().is_some() {
+        if state.schedule.next_save_due().is_some() {
             drop(self.stopped.wait_timeout(state, timeout));
         }
     }
