--- a/server/src/clients/session_tokens.rs
+++ b/server/src/clients/session_tokens.rs
@@ -8,7 +8,7 @@
 use routing::time::{TimeDelta, Timestamp};
 use sessions::positions::{GroupNumber, LogPosition, SessionPositions};
 use sessions::session_cache::{SessionCache, MAX_SESSIONS};
-use sessions::token::{lifetime_s, KeyFileError, Keys, SessionId, Token, TokenError};
+use sessions::token::{lifetime_s, KeyFileError, SessionId, Token, TokenError, TokenKeys};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard};
 use thiserror::Error;
@@ -58,15 +58,15 @@
 ///
 /// # Errors
 /// The file cannot be read, or holds an invalid line.
-pub fn read_keys(path: &Path) -> Result<Keys, ReadKeysError> {
+pub fn read_keys(path: &Path) -> Result<TokenKeys, ReadKeysError> {
     let text = std::fs::read_to_string(path);
     let text = text.map_err(|error| ReadKeysError::Io { path: path.to_path_buf(), error })?;
-    Keys::parse(&text).map_err(|error| ReadKeysError::Keys { path: path.to_path_buf(), error })
+    TokenKeys::parse(&text).map_err(|error| ReadKeysError::Keys { path: path.to_path_buf(), error })
 }
 
 /// The keys of session tokens, and the cache of session positions.
 pub struct SessionTokens {
-    keys: Mutex<Keys>,
+    keys: Mutex<TokenKeys>,
     lifetime: TimeDelta,
     cache: Mutex<SessionCache>,
     ids: Mutex<Mwc>,
@@ -83,7 +83,7 @@
 
 impl SessionTokens {
     /// Creates a set of session tokens that are valid for `lifetime`; `seed` is for session ids.
-    pub fn new(keys: Keys, lifetime: TimeDelta, seed: u64) -> SessionTokens {
+    pub fn new(keys: TokenKeys, lifetime: TimeDelta, seed: u64) -> SessionTokens {
         SessionTokens {
             keys: Mutex::new(keys),
             lifetime,
@@ -93,7 +93,7 @@
     }
 
     /// Replaces the keys.
-    pub fn set_keys(&self, keys: Keys) {
+    pub fn set_keys(&self, keys: TokenKeys) {
         *lock(&self.keys) = keys;
     }
 
@@ -107,7 +107,7 @@
             let session = self.new_session_id();
             return Ok(ClientSession { session, audience, positions: SessionPositions::default() });
         }
-        let token = lock(&self.keys).open(token, &audience, unix_seconds(now))?;
+        let token = lock(&self.keys).verify(token, &audience, unix_seconds(now))?;
         Ok(ClientSession { session: token.session, audience, positions: token.positions })
     }
 
@@ -168,6 +168,6 @@
             expires: issued + lifetime_s(self.lifetime),
             positions: session.positions.clone(),
         };
-        lock(&self.keys).seal(&token, &session.audience)
+        lock(&self.keys).issue(&token, &session.audience)
     }
 }
--- a/server/src/startup/configuration.rs
+++ b/server/src/startup/configuration.rs
@@ -6,7 +6,7 @@
 use crate::config::operator_file;
 use crate::exit_status::{ExitStatus, Failure};
 use operator_config::OperatorSettings;
-use sessions::token::Keys;
+use sessions::token::TokenKeys;
 use std::path::{Path, PathBuf};
 
 /// The configuration of a start.
@@ -18,7 +18,7 @@
     /// The settings of the operators' file.
     pub operators: OperatorSettings,
     /// The keys of session tokens, if a key file is configured.
-    pub session_keys: Option<Keys>,
+    pub session_keys: Option<TokenKeys>,
 }
 
 /// Reads the bootstrap file whose path is in the environment.
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 /// The fault of the file, as a line that starts with the keyword `session-keys`.
-pub fn read_session_keys(path: &Path) -> Result<Keys, String> {
+pub fn read_session_keys(path: &Path) -> Result<TokenKeys, String> {
     read_keys(path).map_err(|error| format!("session-keys: {error}"))
 }
 
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -57,7 +57,7 @@
 /// The longest token in bytes: all positions and a lower bound.
 const MAX_BYTES: usize = HEADER_BYTES + (MAX_POSITIONS + 1) * MAX_POSITION_BYTES + MAC_BYTES;
 /// The longest token in base64, in characters.
-pub const MAX_TEXT_BYTES: usize = MAX_BYTES.div_ceil(3) * 4;
+pub const MAX_TOKEN_CHARS: usize = MAX_BYTES.div_ceil(3) * 4;
 /// Tolerance in seconds for clock differences between instances.
 const MAX_CLOCK_SKEW_S: i64 = 5;
 /// Exclusive upper bound of positions in Unix milliseconds: their nanoseconds must fit into 64 bits.
@@ -141,21 +141,21 @@
 
 /// Authentication keys by id. Tokens are issued with the key of the highest id and accepted with any of them.
 #[derive(Clone, Default)]
-pub struct Keys(BTreeMap<u8, Vec<u8>>);
+pub struct TokenKeys(BTreeMap<u8, Vec<u8>>);
 
-impl fmt::Debug for Keys {
+impl fmt::Debug for TokenKeys {
     /// Shows the ids only, never the keys.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_set().entries(self.0.keys()).finish()
     }
 }
 
-impl Keys {
+impl TokenKeys {
     /// Parses a key file: lines of an id (0 to 255) and at least 32 hex digits; `#` begins a comment.
     ///
     /// # Errors
     /// The first invalid line, or that the file contains no key.
-    pub fn parse(text: &str) -> Result<Keys, KeyFileError> {
+    pub fn parse(text: &str) -> Result<TokenKeys, KeyFileError> {
         let mut keys = BTreeMap::new();
         for (index, line) in text.lines().enumerate() {
             let line = line.split('#').next().unwrap_or_default().trim();
@@ -171,7 +171,7 @@
         if keys.is_empty() {
             return Err(KeyFileError::Empty);
         }
-        Ok(Keys(keys))
+        Ok(TokenKeys(keys))
     }
 
     /// The authentication code over a token's bytes and its audience. The audience is prefixed by its length, so that
@@ -186,10 +186,10 @@
     }
 
     /// Issues a token that only `audience`, the client it is given to, can use. Returns `None` if there is no key.
-    pub fn seal(&self, token: &Token, audience: &str) -> Option<String> {
+    pub fn issue(&self, token: &Token, audience: &str) -> Option<String> {
         let (id, key) = self.0.last_key_value()?;
         let mut bytes = encode_body(token, *id);
-        let mac = Keys::mac(key, &bytes, audience).finalize().into_bytes();
+        let mac = TokenKeys::mac(key, &bytes, audience).finalize().into_bytes();
         bytes.extend(&mac[..MAC_BYTES]);
         Some(URL_SAFE_NO_PAD.encode(bytes))
     }
@@ -198,8 +198,8 @@
     ///
     /// # Errors
     /// Why the token is rejected.
-    pub fn open(&self, text: &str, audience: &str, now: i64) -> Result<Token, TokenError> {
-        if text.len() > MAX_TEXT_BYTES {
+    pub fn verify(&self, text: &str, audience: &str, now: i64) -> Result<Token, TokenError> {
+        if text.len() > MAX_TOKEN_CHARS {
             return Err(TokenError::Malformed);
         }
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Malformed)?;
@@ -211,7 +211,7 @@
             return Err(TokenError::UnknownFormat);
         }
         let key = self.0.get(&body[KEY_ID_AT]).ok_or(TokenError::UnknownKey)?;
-        let authentic = Keys::mac(key, body, audience).verify_truncated_left(mac);
+        let authentic = TokenKeys::mac(key, body, audience).verify_truncated_left(mac);
         authentic.map_err(|_| TokenError::Unauthenticated)?;
         let token = decode_body(body).ok_or(TokenError::Malformed)?;
         if token.issued > now + MAX_CLOCK_SKEW_S {
--- a/sessions/tests/earlier_build.rs
+++ b/sessions/tests/earlier_build.rs
@@ -3,7 +3,7 @@
 
 use routing::time::Timestamp;
 use sessions::positions::LogPosition;
-use sessions::token::{Keys, TokenError};
+use sessions::token::{TokenError, TokenKeys};
 
 const KEYS: &str = include_str!("data/keys");
 const TOKEN: &str = include_str!("data/token");
@@ -13,8 +13,8 @@
 
 #[test]
 fn a_token_of_an_earlier_build_opens_and_is_sealed_to_the_same_bytes() {
-    let keys = Keys::parse(KEYS).expect("valid keys");
-    let token = keys.open(TOKEN, AUDIENCE, NOW_S).expect("a valid token");
+    let keys = TokenKeys::parse(KEYS).expect("valid keys");
+    let token = keys.verify(TOKEN, AUDIENCE, NOW_S).expect("a valid token");
     assert_eq!(&token.session, b"sixteen bytes ok");
     assert_eq!((token.issued, token.expires), (1_790_000_000, 1_790_003_600));
     let ms = |ms: i64| Timestamp(ms * 1_000_000);
@@ -24,7 +24,7 @@
         token.positions.lower_bound(),
         Some(LogPosition { epoch: 0, position: ms(1_789_999_999_000) })
     );
-    assert_eq!(keys.seal(&token, AUDIENCE).as_deref(), Some(TOKEN), "the same bytes");
-    assert_eq!(keys.open(TOKEN, "3:bob/kv", NOW_S), Err(TokenError::Unauthenticated));
-    assert_eq!(keys.open(TOKEN, AUDIENCE, 1_790_003_600), Err(TokenError::Expired));
+    assert_eq!(keys.issue(&token, AUDIENCE).as_deref(), Some(TOKEN), "the same bytes");
+    assert_eq!(keys.verify(TOKEN, "3:bob/kv", NOW_S), Err(TokenError::Unauthenticated));
+    assert_eq!(keys.verify(TOKEN, AUDIENCE, 1_790_003_600), Err(TokenError::Expired));
 }
--- a/sessions/tests/guarantees.rs
+++ b/sessions/tests/guarantees.rs
@@ -8,7 +8,7 @@
 use sessions::epochs::{Epoch, EpochHistory, PositionStatus};
 use sessions::positions::{LogPosition, SessionPositions, MAX_POSITIONS};
 use sessions::session_cache::SessionCache;
-use sessions::token::{Keys, Token, TokenError, MAX_TEXT_BYTES};
+use sessions::token::{Token, TokenError, TokenKeys, MAX_TOKEN_CHARS};
 
 /// The time of issue of the tokens, in Unix seconds.
 const NOW: i64 = 1_790_000_000;
@@ -24,8 +24,8 @@
     LogPosition { epoch, position: at(ms) }
 }
 
-fn keys(text: &str) -> Keys {
-    Keys::parse(text).expect("valid keys")
+fn keys(text: &str) -> TokenKeys {
+    TokenKeys::parse(text).expect("valid keys")
 }
 
 /// A key file.
@@ -144,30 +144,30 @@
 fn tokens_open_for_their_audience_in_their_time_under_any_known_key() {
     let (old, both) = (keys(FIRST), keys(BOTH));
     let presented = token(&[(3, position(1, NOW * 1_000)), (9, position(0, 5))]);
-    let text = old.seal(&presented, AUDIENCE).expect("a token that fits");
-    assert!(text.len() <= MAX_TEXT_BYTES);
-    assert_eq!(both.open(&text, AUDIENCE, NOW), Ok(presented.clone()), "a key was added meanwhile");
-    let newer = both.seal(&presented, AUDIENCE).expect("a token that fits");
-    assert_eq!(old.open(&newer, AUDIENCE, NOW), Err(TokenError::UnknownKey));
+    let text = old.issue(&presented, AUDIENCE).expect("a token that fits");
+    assert!(text.len() <= MAX_TOKEN_CHARS);
+    assert_eq!(both.verify(&text, AUDIENCE, NOW), Ok(presented.clone()), "a key was added meanwhile");
+    let newer = both.issue(&presented, AUDIENCE).expect("a token that fits");
+    assert_eq!(old.verify(&newer, AUDIENCE, NOW), Err(TokenError::UnknownKey));
     for other_audience in ["desk/bookingss", "des/kbookings"] {
-        assert_eq!(both.open(&text, other_audience, NOW), Err(TokenError::Unauthenticated));
+        assert_eq!(both.verify(&text, other_audience, NOW), Err(TokenError::Unauthenticated));
     }
-    assert_eq!(both.open(&text, AUDIENCE, NOW + 3_600), Err(TokenError::Expired));
-    assert_eq!(both.open(&text, AUDIENCE, NOW - 60), Err(TokenError::FromFuture));
+    assert_eq!(both.verify(&text, AUDIENCE, NOW + 3_600), Err(TokenError::Expired));
+    assert_eq!(both.verify(&text, AUDIENCE, NOW - 60), Err(TokenError::FromFuture));
     println!("a token with positions of 2 groups has {} characters", text.len());
 }
 
 #[test]
 fn malformed_and_truncated_tokens_are_rejected() {
     let both = keys(BOTH);
-    let oversized = "A".repeat(MAX_TEXT_BYTES + 1);
+    let oversized = "A".repeat(MAX_TOKEN_CHARS + 1);
     for malformed in ["", "new", "AAAA", "%%%", &oversized] {
-        assert_eq!(both.open(malformed, AUDIENCE, NOW), Err(TokenError::Malformed), "{malformed}");
+        assert_eq!(both.verify(malformed, AUDIENCE, NOW), Err(TokenError::Malformed), "{malformed}");
     }
     let positions = [(3, position(1, NOW * 1_000)), (9, position(0, 5))];
-    let text = keys(FIRST).seal(&token(&positions), AUDIENCE).expect("a token that fits");
+    let text = keys(FIRST).issue(&token(&positions), AUDIENCE).expect("a token that fits");
     for length in 0..text.len() {
-        assert!(both.open(&text[..length], AUDIENCE, NOW).is_err(), "cut to {length} characters");
+        assert!(both.verify(&text[..length], AUDIENCE, NOW).is_err(), "cut to {length} characters");
     }
 }
 
@@ -175,8 +175,8 @@
 fn positions_between_milliseconds_are_rounded_up_in_a_token() {
     let keys = keys(BOTH);
     let between = LogPosition { epoch: 1, position: Timestamp(1_500_000) };
-    let text = keys.seal(&token(&[(3, between)]), "a/b").expect("a token that fits");
-    let opened = keys.open(&text, "a/b", NOW).expect("a valid token");
+    let text = keys.issue(&token(&[(3, between)]), "a/b").expect("a token that fits");
+    let opened = keys.verify(&text, "a/b", NOW).expect("a valid token");
     assert!(opened.positions.get(3) >= Some(between), "never less than was seen");
 }
 
@@ -192,7 +192,7 @@
         ("1 000102030405060708090a0b0c0d0e0f\n1 ffeeddccbbaa99887766554433221100", "2: the id stands twice"),
         ("1", "1: an id and a key are wanted"),
     ] {
-        let error = Keys::parse(text).map(|_| ()).map_err(|error| error.to_string());
+        let error = TokenKeys::parse(text).map(|_| ()).map_err(|error| error.to_string());
         assert_eq!(error, Err(expected.to_string()), "{text}");
     }
     assert_eq!(format!("{:?}", keys(BOTH)), "{1, 2}");
@@ -362,14 +362,14 @@
         let seen: Vec<_> = seen.iter().map(|(group, epoch, ms)| (*group, position(*epoch, *ms))).collect();
         let presented = token(&seen);
         let keys = keys(BOTH);
-        let text = keys.seal(&presented, "a/b").expect("a token that fits");
-        prop_assert!(text.len() <= MAX_TEXT_BYTES);
-        prop_assert_eq!(keys.open(&text, "a/b", NOW), Ok(presented));
+        let text = keys.issue(&presented, "a/b").expect("a token that fits");
+        prop_assert!(text.len() <= MAX_TOKEN_CHARS);
+        prop_assert_eq!(keys.verify(&text, "a/b", NOW), Ok(presented));
         let mut bytes = text.into_bytes();
         let nth = changed_byte.index(bytes.len());
         bytes[nth] ^= change;
         if let Ok(changed) = String::from_utf8(bytes) {
-            prop_assert!(keys.open(&changed, "a/b", NOW).is_err());
+            prop_assert!(keys.verify(&changed, "a/b", NOW).is_err());
         }
     }
 
