--- a/server/src/control/request_handling.rs
+++ b/server/src/control/request_handling.rs
@@ -124,7 +124,7 @@
             return Err(Response::Rejected { retry_after: settings.max_retry_after });
         }
         let group = self.groups.get(&identity.group).ok_or(Response::Error(UNKNOWN_GROUP))?;
-        let seen_position = match session.seen.map(|seen| self.epochs.status(identity.group, seen)) {
+        let seen_position = match session.seen.map(|seen| self.epochs.position_status(identity.group, seen)) {
             Some(PositionStatus::Lost) => {
                 let restart_position = self.epochs.restart_position(identity.group);
                 return Err(Response::SessionLost { restart_position });
--- a/server/src/control/response_check.rs
+++ b/server/src/control/response_check.rs
@@ -10,7 +10,7 @@
 
 /// Whether the position that a request's session has seen is lost, by the epochs reported until now.
 pub fn is_session_lost(epochs: &EpochHistory, request: &ActiveRequest) -> bool {
-    let status = |seen| epochs.status(request.identity.group, seen);
+    let status = |seen| epochs.position_status(request.identity.group, seen);
     request.session.seen.is_some_and(|seen| status(seen) == PositionStatus::Lost)
 }
 
@@ -25,11 +25,12 @@
 ) -> Response {
     let session_lost = is_session_lost(epochs, request);
     let position = report.reports.answer.position;
-    let shows = |seen| epochs.shows(request.identity.group, seen, report.reports.epoch, position);
+    let includes =
+        |seen| epochs.answer_includes(request.identity.group, seen, report.reports.epoch, position);
     if request.is_read && session_lost {
         return Response::SessionLost { restart_position: epochs.restart_position(request.identity.group) };
     }
-    if request.is_read && !request.session.seen.is_none_or(shows) {
+    if request.is_read && !request.session.seen.is_none_or(includes) {
         return Response::Rejected { retry_after };
     }
     // Without a reported position, the value may reflect everything up to now.
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -257,14 +257,14 @@
     }
 }
 
-/// Parses an epoch such as `3@1790000000123`: its number and the position at which it began, in Unix milliseconds.
-/// Without a position, as in `3`, the beginning is unknown.
+/// Parses an epoch such as `3@1790000000123`: its number and its start position in Unix milliseconds.
+/// Without a position, as in `3`, the start position is unknown.
 fn parse_epoch(text: &str) -> Option<Epoch> {
-    let (number, began) = match text.split_once('@') {
+    let (number, start_position) = match text.split_once('@') {
         Some((number, millis)) => (number, Some(plain_number(millis).and_then(clock::from_unix_ms)?)),
         None => (text, None),
     };
     let is_digits = number.bytes().all(|byte| byte.is_ascii_digit());
     let number = number.parse().ok().filter(|_| is_digits)?;
-    Some(Epoch { number, began })
+    Some(Epoch { number, start_position })
 }
--- a/sessions/src/epochs.rs
+++ b/sessions/src/epochs.rs
@@ -14,7 +14,7 @@
     /// Number of the epoch (PostgreSQL's timeline ID); 0 means none was reported.
     pub number: u32,
     /// Position at which it forked from the previous epoch, if reported.
-    pub began: Option<Timestamp>,
+    pub start_position: Option<Timestamp>,
 }
 
 /// Whether a group's log contains a position.
@@ -41,14 +41,14 @@
 impl EpochHistory {
     /// Records the epoch that an endpoint of the group has reported.
     pub fn record(&mut self, group: GroupNumber, epoch: Epoch) {
-        let Epoch { number, began } = epoch;
+        let Epoch { number, start_position } = epoch;
         if number == 0 {
             return;
         }
         let known = self.groups.entry(group).or_default();
-        let start = known.entry(number).or_insert(began);
+        let start = known.entry(number).or_insert(start_position);
         // Of conflicting reports the earlier start is used: a lost position is never taken for one on the log.
-        *start = match (*start, began) {
+        *start = match (*start, start_position) {
             (Some(before), Some(now)) => Some(before.min(now)),
             (before, now) => before.or(now),
         };
@@ -58,7 +58,7 @@
     }
 
     /// Whether the group's log contains a position, as far as its epochs are known.
-    pub fn status(&self, group: GroupNumber, seen: LogPosition) -> PositionStatus {
+    pub fn position_status(&self, group: GroupNumber, seen: LogPosition) -> PositionStatus {
         let Some(known) = self.groups.get(&group) else { return PositionStatus::OnLog(seen.position) };
         let latest = known.last_key_value().map_or(0, |(number, _)| *number);
         // A position without an epoch cannot be assigned to a branch of the log.
@@ -78,20 +78,20 @@
     /// Position at which a session continues after it was notified of a loss: the start of the latest epoch.
     pub fn restart_position(&self, group: GroupNumber) -> LogPosition {
         let latest = self.groups.get(&group).and_then(|known| known.last_key_value());
-        let (epoch, began) = latest.map_or((0, None), |(number, began)| (*number, *began));
-        LogPosition { epoch, position: began.unwrap_or(Timestamp(0)) }
+        let (epoch, start) = latest.map_or((0, None), |(number, start)| (*number, *start));
+        LogPosition { epoch, position: start.unwrap_or(Timestamp(0)) }
     }
 
     /// Whether an answer from an endpoint at this epoch and position includes everything that the session has
     /// observed. The epoch in the answer must be recorded before this call: it may be the first evidence of a loss.
-    pub fn shows(
+    pub fn answer_includes(
         &self,
         group: GroupNumber,
         seen: LogPosition,
         epoch: Option<Epoch>,
         position: Option<Timestamp>,
     ) -> bool {
-        if self.status(group, seen) == PositionStatus::Lost {
+        if self.position_status(group, seen) == PositionStatus::Lost {
             return false;
         }
         let Some(position) = position else { return true };
@@ -112,6 +112,6 @@
 /// Whether an epoch later than `number` forked before `position`. Epochs without a reported start are not evidence of
 /// a fork.
 fn forked_before(known: &Epochs, number: u32, position: Timestamp) -> bool {
-    let mut later_starts = known.range(number + 1..).filter_map(|(_, began)| *began);
-    later_starts.any(|began| began < position)
+    let mut later_starts = known.range(number + 1..).filter_map(|(_, start)| *start);
+    later_starts.any(|start| start < position)
 }
--- a/sessions/tests/guarantees.rs
+++ b/sessions/tests/guarantees.rs
@@ -71,23 +71,31 @@
 #[test]
 fn a_position_beyond_a_fork_is_lost_and_one_before_it_is_not() {
     let mut epochs = EpochHistory::default();
-    assert_eq!(epochs.status(1, position(4, 900)), PositionStatus::OnLog(at(900)), "nothing is known");
-    epochs.record(1, Epoch { number: 4, began: Some(at(100)) });
-    assert_eq!(epochs.status(1, position(4, 900)), PositionStatus::OnLog(at(900)));
-    assert_eq!(epochs.status(1, position(5, 900)), PositionStatus::UnknownEpoch(at(900)));
-    epochs.record(1, Epoch { number: 5, began: Some(at(800)) });
-    assert_eq!(epochs.status(1, position(4, 801)), PositionStatus::Lost);
-    assert_eq!(epochs.status(1, position(4, 800)), PositionStatus::OnLog(at(800)));
     assert_eq!(
-        epochs.status(1, position(0, 900)),
+        epochs.position_status(1, position(4, 900)),
+        PositionStatus::OnLog(at(900)),
+        "nothing is known"
+    );
+    epochs.record(1, Epoch { number: 4, start_position: Some(at(100)) });
+    assert_eq!(epochs.position_status(1, position(4, 900)), PositionStatus::OnLog(at(900)));
+    assert_eq!(epochs.position_status(1, position(5, 900)), PositionStatus::UnknownEpoch(at(900)));
+    epochs.record(1, Epoch { number: 5, start_position: Some(at(800)) });
+    assert_eq!(epochs.position_status(1, position(4, 801)), PositionStatus::Lost);
+    assert_eq!(epochs.position_status(1, position(4, 800)), PositionStatus::OnLog(at(800)));
+    assert_eq!(
+        epochs.position_status(1, position(0, 900)),
         PositionStatus::OnLog(at(900)),
         "it was reported without an epoch"
     );
     // Two epochs later the first fork still counts.
-    epochs.record(1, Epoch { number: 6, began: Some(at(2_000)) });
-    assert_eq!(epochs.status(1, position(4, 850)), PositionStatus::Lost);
-    assert_eq!(epochs.status(1, position(5, 1_900)), PositionStatus::OnLog(at(1_900)));
-    assert_eq!(epochs.status(2, position(4, 9)), PositionStatus::OnLog(at(9)), "another group has its own");
+    epochs.record(1, Epoch { number: 6, start_position: Some(at(2_000)) });
+    assert_eq!(epochs.position_status(1, position(4, 850)), PositionStatus::Lost);
+    assert_eq!(epochs.position_status(1, position(5, 1_900)), PositionStatus::OnLog(at(1_900)));
+    assert_eq!(
+        epochs.position_status(2, position(4, 9)),
+        PositionStatus::OnLog(at(9)),
+        "another group has its own"
+    );
 }
 
 #[test]
@@ -99,17 +107,17 @@
     presented.advance(2, position(1, 700));
     here.merge(now, session, &mut presented);
     elsewhere.merge(now, session, &mut presented);
-    for (number, began) in [(2, 500), (3, 600)] {
-        epochs.record(1, Epoch { number, began: Some(at(began)) });
+    for (number, start_ms) in [(2, 500), (3, 600)] {
+        epochs.record(1, Epoch { number, start_position: Some(at(start_ms)) });
     }
-    assert_eq!(epochs.status(1, presented.get(1).expect("seen")), PositionStatus::Lost);
+    assert_eq!(epochs.position_status(1, presented.get(1).expect("seen")), PositionStatus::Lost);
     let mut before = presented.clone();
     presented.remove(1);
     presented.advance(1, epochs.restart_position(1));
     here.remove_position(&session, 1);
     // A client that missed the report presents its old position, and the loss is reported again.
     here.merge(now, session, &mut before);
-    assert_eq!(epochs.status(1, before.get(1).expect("seen")), PositionStatus::Lost);
+    assert_eq!(epochs.position_status(1, before.get(1).expect("seen")), PositionStatus::Lost);
     for instance in [&mut here, &mut elsewhere] {
         instance.merge(now, session, &mut presented);
         assert_eq!(
@@ -117,7 +125,7 @@
             Some(position(3, 600)),
             "after the report it continues from where the new log began"
         );
-        assert_eq!(epochs.status(1, position(3, 600)), PositionStatus::OnLog(at(600)));
+        assert_eq!(epochs.position_status(1, position(3, 600)), PositionStatus::OnLog(at(600)));
         assert_eq!(presented.get(2), Some(position(1, 700)), "another group is unchanged");
     }
 }
@@ -125,19 +133,22 @@
 #[test]
 fn an_answer_from_an_abandoned_log_is_not_shown() {
     let mut epochs = EpochHistory::default();
-    epochs.record(1, Epoch { number: 5, began: Some(at(800)) });
-    let epoch = |number| Some(Epoch { number, began: None });
+    epochs.record(1, Epoch { number: 5, start_position: Some(at(800)) });
+    let epoch = |number| Some(Epoch { number, start_position: None });
     let seen = position(4, 700);
-    assert!(epochs.shows(1, seen, epoch(5), Some(at(900))));
-    assert!(epochs.shows(1, seen, epoch(4), Some(at(750))), "before the fork: common to both logs");
-    assert!(!epochs.shows(1, seen, epoch(4), Some(at(900))), "beyond the fork: on the abandoned log");
-    assert!(!epochs.shows(1, position(5, 900), epoch(4), Some(at(950))));
+    assert!(epochs.answer_includes(1, seen, epoch(5), Some(at(900))));
+    assert!(epochs.answer_includes(1, seen, epoch(4), Some(at(750))), "before the fork: common to both logs");
+    assert!(
+        !epochs.answer_includes(1, seen, epoch(4), Some(at(900))),
+        "beyond the fork: on the abandoned log"
+    );
+    assert!(!epochs.answer_includes(1, position(5, 900), epoch(4), Some(at(950))));
     assert!(
-        !epochs.shows(2, position(5, 900), epoch(4), Some(at(950))),
+        !epochs.answer_includes(2, position(5, 900), epoch(4), Some(at(950))),
         "without a known fork the epoch number alone counts"
     );
-    assert!(!epochs.shows(1, seen, epoch(5), Some(at(699))), "before the position that was seen");
-    assert!(epochs.shows(1, seen, None, Some(at(700))), "an endpoint that reports no epoch");
+    assert!(!epochs.answer_includes(1, seen, epoch(5), Some(at(699))), "before the position that was seen");
+    assert!(epochs.answer_includes(1, seen, None, Some(at(700))), "an endpoint that reports no epoch");
 }
 
 #[test]
@@ -321,16 +332,16 @@
         let (instance, answer) = (&mut self.instances[instance], self.endpoints[endpoint]);
         let session = &mut self.sessions[session];
         let seen = session.positions.get(GROUP);
-        if seen.is_some_and(|seen| instance.status(GROUP, seen) == PositionStatus::Lost) {
+        if seen.is_some_and(|seen| instance.position_status(GROUP, seen) == PositionStatus::Lost) {
             session.positions.remove(GROUP);
             session.positions.advance(GROUP, instance.restart_position(GROUP));
             session.shown = None;
             return Ok(());
         }
-        let began = self.epoch_starts.get(answer.epoch as usize - 1).map(|began| at(*began));
-        let epoch = Epoch { number: answer.epoch, began };
+        let start_position = self.epoch_starts.get(answer.epoch as usize - 1).map(|start_ms| at(*start_ms));
+        let epoch = Epoch { number: answer.epoch, start_position };
         instance.record(GROUP, epoch);
-        if seen.is_none_or(|seen| instance.shows(GROUP, seen, Some(epoch), Some(at(answer.ms)))) {
+        if seen.is_none_or(|seen| instance.answer_includes(GROUP, seen, Some(epoch), Some(at(answer.ms)))) {
             check_shown(&self.epoch_starts, session.shown, answer)?;
             session.positions.advance(GROUP, position(answer.epoch, answer.ms));
             session.shown = Some(answer);
@@ -344,7 +355,7 @@
     let Some(before) = before else { return Ok(()) };
     let is_lost = (1u32..)
         .zip(epoch_starts)
-        .any(|(epoch, began)| epoch > before.epoch && epoch <= answer.epoch && *began < before.ms);
+        .any(|(epoch, start_ms)| epoch > before.epoch && epoch <= answer.epoch && *start_ms < before.ms);
     prop_assert!(!is_lost, "what the session saw is lost, and that was not reported");
     prop_assert!(answer.ms >= before.ms, "shown {} after {}", answer.ms, before.ms);
     Ok(())
