--- a/server/src/control/active_request.rs
+++ b/server/src/control/active_request.rs
@@ -52,8 +52,11 @@
             return None;
         }
         // The journal checks before each attempt of a duplicate whether it may still be sent.
-        let event =
-            if self.recorded && !self.is_duplicate { RecordEvent::Retrying } else { RecordEvent::Starting };
+        let event = if self.recorded && !self.is_duplicate {
+            RecordEvent::RetryAttempt
+        } else {
+            RecordEvent::FirstAttempt
+        };
         Some(JournalEntry { id: id.clone(), event, deduplication: self.deduplication })
     }
 }
--- a/test-servers/src/bin/writes/starts.rs
+++ b/test-servers/src/bin/writes/starts.rs
@@ -69,7 +69,7 @@
 /// A record with an id of the maximum length that has no prefix in common with the next one.
 fn record_operation(index: u64) -> Operation {
     let id = ID_MULTIPLIERS.map(|odd| format!("{:016x}", mix_bits(index.wrapping_mul(odd)))).concat();
-    Operation::Record { id, event: RecordEvent::Starting, deduplication: None }
+    Operation::Record { id, event: RecordEvent::FirstAttempt, deduplication: None }
 }
 
 /// Mixes the bits of a number in the manner of the generator `splitmix64`.
--- a/write-journal/src/journal.rs
+++ b/write-journal/src/journal.rs
@@ -3,8 +3,8 @@
 
 use crate::encoding::{KeyedSend, Record};
 use crate::record_state::{
-    fate, next, remaining_window_ms, Deduplication, Evidence, Fate, Origin, RecordEvent, RecordState,
-    SendPermission, Uptime,
+    decide_fate, remaining_window_ms, transition, Deduplication, Evidence, Fate, Origin, RecordEvent,
+    RecordState, SendPermission, Uptime,
 };
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, OwnedWriteBatch, PersistMode};
 use std::collections::HashMap;
@@ -219,7 +219,7 @@
             Operation::QueryFate { id, origin, request_open } => {
                 let state = self.find(id, batch)?.map(|record| record.state);
                 let covered = origin.as_ref().is_some_and(|origin| self.covers(origin));
-                let decision = fate(Evidence { state, covered, request_open: *request_open });
+                let decision = decide_fate(Evidence { state, covered, request_open: *request_open });
                 if decision.must_bar {
                     self.record(batch, id, RecordEvent::Bar, None)?;
                 }
@@ -253,9 +253,9 @@
         deduplication: Option<Deduplication>,
     ) -> Result<SendPermission, JournalError> {
         let before = self.find(id, batch)?;
-        let event = rejoin(before, event, deduplication, batch.clock.uptime);
+        let event = as_duplicate_attempt(before, event, deduplication, batch.clock.uptime);
         let state_before = before.map(|record| record.state);
-        let transition = next(state_before, event);
+        let transition = transition(state_before, event);
         if let Some(state) = transition.state.filter(|state| state_before != Some(*state)) {
             self.write(batch, id, before, state, deduplication);
         }
@@ -351,7 +351,7 @@
 
 /// Converts the start of a request to a rejoining one if its id is recorded and the group still drops duplicates of
 /// that write.
-fn rejoin(
+fn as_duplicate_attempt(
     before: Option<Record>,
     event: RecordEvent,
     deduplication: Option<Deduplication>,
@@ -361,7 +361,9 @@
     let elapsed_ms = uptime.zip(keyed).and_then(|(uptime, keyed)| uptime.since(keyed.first_sent));
     let recorded = keyed.map(|keyed| keyed.deduplication);
     match remaining_window_ms(recorded, deduplication, elapsed_ms) {
-        Some(remaining_ms) if event == RecordEvent::Starting => RecordEvent::Rejoining { remaining_ms },
+        Some(remaining_ms) if event == RecordEvent::FirstAttempt => {
+            RecordEvent::DuplicateAttempt { remaining_ms }
+        }
         _ => event,
     }
 }
--- a/write-journal/src/record_state.rs
+++ b/write-journal/src/record_state.rs
@@ -20,12 +20,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordEvent {
     /// The first attempt of a request is about to be sent.
-    Starting,
+    FirstAttempt,
     /// Another attempt of the same request is about to be sent, after proof that the previous one was not executed.
-    Retrying,
+    RetryAttempt,
     /// Another request with the idempotency key of a recorded write is about to be sent, while the group still drops
     /// duplicates.
-    Rejoining {
+    DuplicateAttempt {
         /// Remaining deduplication window in milliseconds.
         remaining_ms: i64,
     },
@@ -116,16 +116,16 @@
 
 /// The transition of a record on an event. `Executed` and `Barred` are final, and no attempt is sent in these states.
 /// In the state `Pending`, another request with the same id is sent only if the group drops duplicates.
-pub fn next(state: Option<RecordState>, event: RecordEvent) -> Transition {
+pub fn transition(state: Option<RecordState>, event: RecordEvent) -> Transition {
     let unchanged = |permission| Transition { state, permission };
     let becomes = |state, permission| Transition { state: Some(state), permission };
     match (state, event) {
         (
             None | Some(RecordState::NotExecuted),
-            RecordEvent::Starting | RecordEvent::Retrying | RecordEvent::Rejoining { .. },
+            RecordEvent::FirstAttempt | RecordEvent::RetryAttempt | RecordEvent::DuplicateAttempt { .. },
         ) => becomes(RecordState::Pending, SendPermission::Granted),
-        (Some(RecordState::Pending), RecordEvent::Retrying) => unchanged(SendPermission::Granted),
-        (Some(RecordState::Pending), RecordEvent::Rejoining { remaining_ms }) => {
+        (Some(RecordState::Pending), RecordEvent::RetryAttempt) => unchanged(SendPermission::Granted),
+        (Some(RecordState::Pending), RecordEvent::DuplicateAttempt { remaining_ms }) => {
             unchanged(SendPermission::GrantedAsDuplicate { remaining_ms })
         }
         (Some(RecordState::Pending), RecordEvent::Executed(commit_ms)) => {
@@ -203,7 +203,7 @@
 }
 
 /// Decides on the fate of a write.
-pub fn fate(evidence: Evidence) -> FateDecision {
+pub fn decide_fate(evidence: Evidence) -> FateDecision {
     let without_bar = |fate| FateDecision { fate, must_bar: false };
     let never_executed = FateDecision { fate: Fate::NeverExecuted, must_bar: true };
     match evidence.state {
--- a/write-journal/tests/crashes.rs
+++ b/write-journal/tests/crashes.rs
@@ -67,7 +67,7 @@
     for number in first.. {
         let id = format!("w{number}");
         let mut print = |progress: Progress| _ = writeln!(out, "{} {number}", progress.as_str());
-        let replies = apply(&mut journal, number, record(&id, RecordEvent::Starting));
+        let replies = apply(&mut journal, number, record(&id, RecordEvent::FirstAttempt));
         assert_eq!(replies, [Reply::Permission(SendPermission::Granted)]);
         // Only now the write may be sent, and the endpoint may execute it.
         print(Progress::Sent);
--- a/write-journal/tests/deduplication.rs
+++ b/write-journal/tests/deduplication.rs
@@ -27,10 +27,10 @@
     let mut journal = TestJournal::new(RETENTION);
     let now = clocks(9_000, FIRST_BOOT, 500);
     for id in ["pending", "executed", "never"] {
-        let permission = journal.record_keyed(now, id, RecordEvent::Starting, DEDUPLICATION);
+        let permission = journal.record_keyed(now, id, RecordEvent::FirstAttempt, DEDUPLICATION);
         assert_eq!(permission, SendPermission::Granted);
     }
-    journal.record(clocks(9_000, FIRST_BOOT, 510), "plain", RecordEvent::Starting);
+    journal.record(clocks(9_000, FIRST_BOOT, 510), "plain", RecordEvent::FirstAttempt);
     journal.apply(
         9_000,
         &[record("executed", RecordEvent::Executed(None)), record("never", RecordEvent::NotExecuted)],
@@ -44,7 +44,7 @@
     let mut journal = journal_of_keyed_writes();
     let mut send_again = |wall_ms: i64, uptime_ms: i64| {
         let now = clocks(wall_ms, FIRST_BOOT, uptime_ms);
-        journal.record_keyed(now, "pending", RecordEvent::Starting, DEDUPLICATION)
+        journal.record_keyed(now, "pending", RecordEvent::FirstAttempt, DEDUPLICATION)
     };
     // The wall clock was set back by an hour; 2 s of the window have passed, and the clock's resolution of 10 ms.
     assert_eq!(send_again(-3_591_000, 2_500), as_duplicate(990));
@@ -84,7 +84,7 @@
         Denial { why: "it was executed", id: "executed", ..pending },
         Denial { why: "its fate was reported", id: "never", ..pending },
     ] {
-        let permission = journal.record_keyed(now, id, RecordEvent::Starting, deduplication);
+        let permission = journal.record_keyed(now, id, RecordEvent::FirstAttempt, deduplication);
         assert_eq!(permission, SendPermission::Denied, "{why}");
     }
 }
@@ -95,8 +95,8 @@
     let mut record_at = |uptime_ms: i64, event: RecordEvent| {
         journal.record_keyed(clocks(600, FIRST_BOOT, uptime_ms), "t", event, DEDUPLICATION)
     };
-    assert_eq!(record_at(500, RecordEvent::Starting), SendPermission::Granted);
+    assert_eq!(record_at(500, RecordEvent::FirstAttempt), SendPermission::Granted);
     record_at(600, RecordEvent::NotExecuted);
-    assert_eq!(record_at(3_000, RecordEvent::Starting), SendPermission::Granted, "the first never ran");
-    assert_eq!(record_at(4_000, RecordEvent::Starting), as_duplicate(1_990));
+    assert_eq!(record_at(3_000, RecordEvent::FirstAttempt), SendPermission::Granted, "the first never ran");
+    assert_eq!(record_at(4_000, RecordEvent::FirstAttempt), as_duplicate(1_990));
 }
--- a/write-journal/tests/earlier_build.rs
+++ b/write-journal/tests/earlier_build.rs
@@ -41,7 +41,7 @@
     // 40 s after they were first sent, within the window of 60 s, on the same start of the machine.
     let now = ClockReading { wall_ms: 1_790_000_040_000, uptime: Some(Uptime { boot: 7, ms: 45_000 }) };
     let deduplication = Some(Deduplication { group: Some(3), window_ms: 60_000 });
-    let again = Operation::Record { id: "open".into(), event: RecordEvent::Starting, deduplication };
+    let again = Operation::Record { id: "open".into(), event: RecordEvent::FirstAttempt, deduplication };
     let duplicate =
         Reply::Permission(SendPermission::GrantedAsDuplicate { remaining_ms: 60_000 - 40_000 - 10 });
     assert_eq!(journal.apply(now, &[again]).expect("the batch is applied"), [duplicate]);
--- a/write-journal/tests/fates.rs
+++ b/write-journal/tests/fates.rs
@@ -13,15 +13,16 @@
 /// Records one write for each way in which it may end.
 fn record_each_end(journal: &mut TestJournal) {
     for id in ["executed", "never", "pending"] {
-        assert_eq!(journal.record(1, id, RecordEvent::Starting), SendPermission::Granted);
+        assert_eq!(journal.record(1, id, RecordEvent::FirstAttempt), SendPermission::Granted);
     }
     journal.apply(
         2,
         &[record("executed", RecordEvent::Executed(Some(77))), record("never", RecordEvent::NotExecuted)],
     );
-    journal.apply(2, &[record("resent", RecordEvent::Starting), record("resent", RecordEvent::NotExecuted)]);
+    journal
+        .apply(2, &[record("resent", RecordEvent::FirstAttempt), record("resent", RecordEvent::NotExecuted)]);
     // A write that was not executed may be sent again, until somebody asks for its fate.
-    assert_eq!(journal.record(3, "resent", RecordEvent::Starting), SendPermission::Granted);
+    assert_eq!(journal.record(3, "resent", RecordEvent::FirstAttempt), SendPermission::Granted);
     assert_eq!(journal.fate(3, "never", None), Fate::NeverExecuted);
 }
 
@@ -38,7 +39,7 @@
     let mut journal = TestJournal::new(RETENTION);
     record_each_end(&mut journal);
     for id in ["executed", "never", "pending", "resent"] {
-        assert_eq!(journal.record(3, id, RecordEvent::Starting), SendPermission::Denied, "{id}");
+        assert_eq!(journal.record(3, id, RecordEvent::FirstAttempt), SendPermission::Denied, "{id}");
     }
 }
 
@@ -62,7 +63,7 @@
     assert_eq!(journal.fate(4, "lost", Some(&other)), Fate::Unknown);
     assert_eq!(journal.fate(4, "lost", Some(&origin)), Fate::NeverExecuted);
     // It arrives only now: after that report it must not be sent.
-    assert_eq!(journal.record(5, "lost", RecordEvent::Starting), SendPermission::Denied);
+    assert_eq!(journal.record(5, "lost", RecordEvent::FirstAttempt), SendPermission::Denied);
 }
 
 #[test]
@@ -70,7 +71,7 @@
     let mut journal = TestJournal::new(SHORT_RETENTION);
     let early = journal.journal.origin();
     for nth in 0..500 {
-        journal.record(nth, &format!("w{nth}"), RecordEvent::Starting);
+        journal.record(nth, &format!("w{nth}"), RecordEvent::FirstAttempt);
     }
     let late = journal.journal.origin();
     let queries = [("w3", &early), ("new", &early), ("new", &late)];
@@ -94,15 +95,15 @@
 #[test]
 fn a_write_that_is_sent_again_is_dropped_by_the_age_of_its_second_attempt() {
     let mut journal = TestJournal::new(SHORT_RETENTION);
-    journal.apply(0, &[record("x", RecordEvent::Starting), record("x", RecordEvent::NotExecuted)]);
+    journal.apply(0, &[record("x", RecordEvent::FirstAttempt), record("x", RecordEvent::NotExecuted)]);
     let record_others = |from: i64, journal: &mut TestJournal| {
         for nth in from..from + 30 {
-            journal.record(nth, &format!("w{nth}"), RecordEvent::Starting);
+            journal.record(nth, &format!("w{nth}"), RecordEvent::FirstAttempt);
         }
     };
     record_others(0, &mut journal);
     let later = journal.journal.origin();
-    assert_eq!(journal.record(40, "x", RecordEvent::Starting), SendPermission::Granted);
+    assert_eq!(journal.record(40, "x", RecordEvent::FirstAttempt), SendPermission::Granted);
     // The second attempt may be running. The records before it are dropped first, then its own.
     for round in 1..4 {
         record_others(round * 100, &mut journal);
--- a/write-journal/tests/transitions.rs
+++ b/write-journal/tests/transitions.rs
@@ -4,7 +4,8 @@
 use proptest::test_runner::TestCaseResult;
 use proptest_support::seeded_cases;
 use write_journal::record_state::{
-    fate, next, Evidence, Fate, FateDecision, RecordEvent, RecordState, SendPermission, Transition,
+    decide_fate, transition, Evidence, Fate, FateDecision, RecordEvent, RecordState, SendPermission,
+    Transition,
 };
 
 /// What one step of a random sequence does, if it is possible.
@@ -12,7 +13,7 @@
 enum Step {
     Start,
     Retry,
-    Rejoin,
+    Duplicate,
     /// The endpoint executes a write that was sent.
     Execute,
     /// It is recorded that the write was executed.
@@ -32,7 +33,7 @@
         3 => Some(Step::RecordNotExecuted),
         4 => flag.then_some(Step::Execute),
         5 | 6 => Some(Step::QueryFate { covered: flag }),
-        _ => Some(Step::Rejoin),
+        _ => Some(Step::Duplicate),
     })
 }
 
@@ -48,9 +49,9 @@
 impl CheckedRecord {
     fn apply(&mut self, step: Step) -> TestCaseResult {
         match step {
-            Step::Start => self.handle(RecordEvent::Starting),
-            Step::Retry => self.handle(RecordEvent::Retrying),
-            Step::Rejoin => self.handle(RecordEvent::Rejoining { remaining_ms: 5 }),
+            Step::Start => self.handle(RecordEvent::FirstAttempt),
+            Step::Retry => self.handle(RecordEvent::RetryAttempt),
+            Step::Duplicate => self.handle(RecordEvent::DuplicateAttempt { remaining_ms: 5 }),
             Step::RecordExecuted if self.was_sent && self.was_executed => {
                 self.handle(RecordEvent::Executed(Some(5)))
             }
@@ -68,7 +69,7 @@
     /// A fate that is reported is true, and the same as before if that was final.
     fn query_fate(&mut self, covered: bool) -> TestCaseResult {
         let evidence = Evidence { state: self.state, covered, request_open: false };
-        let FateDecision { fate, must_bar } = fate(evidence);
+        let FateDecision { fate, must_bar } = decide_fate(evidence);
         let before = self.last_fate.filter(|before| *before != Fate::Unknown);
         if let Some(before) = before.filter(|_| fate != Fate::Unknown) {
             prop_assert_eq!(fate, before);
@@ -76,7 +77,7 @@
         prop_assert!(!(fate == Fate::NeverExecuted && self.was_executed), "it ran");
         prop_assert!(self.was_executed || !matches!(fate, Fate::Executed(_)), "it did not run");
         if must_bar {
-            self.state = next(self.state, RecordEvent::Bar).state;
+            self.state = transition(self.state, RecordEvent::Bar).state;
         }
         self.last_fate = Some(fate);
         Ok(())
@@ -84,8 +85,8 @@
 
     /// Nothing is sent without a record or against a reported fate, and a settled record stays settled.
     fn handle(&mut self, event: RecordEvent) -> TestCaseResult {
-        let Transition { state, permission } = next(self.state, event);
-        let asks = matches!(event, RecordEvent::Starting | RecordEvent::Retrying);
+        let Transition { state, permission } = transition(self.state, event);
+        let asks = matches!(event, RecordEvent::FirstAttempt | RecordEvent::RetryAttempt);
         let is_duplicate = matches!(permission, SendPermission::GrantedAsDuplicate { .. });
         if is_duplicate {
             prop_assert_eq!(self.state, Some(RecordState::Pending), "a duplicate is of a pending write");
