--- a/endpoint-cache/src/directory.rs
+++ b/endpoint-cache/src/directory.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// Maximum number of file descriptors used by a directory: the lock, the file being written, and the directory itself.
-pub const DESCRIPTORS: usize = 3;
+pub const MAX_DESCRIPTORS: usize = 3;
 
 /// File of the current generation.
 const CURRENT: &str = "list";
@@ -38,7 +38,7 @@
     Locked(PathBuf),
     /// A file is invalid.
     #[error("{}: {error}", path.display())]
-    File {
+    InvalidFile {
         /// The file.
         path: PathBuf,
         /// Why it is invalid.
@@ -110,7 +110,7 @@
                     }
                 }
                 // A torn new file is expected after the process ended during a save.
-                Err(CacheError::File { error: FileError::Torn, .. }) if name == NEXT => {}
+                Err(CacheError::InvalidFile { error: FileError::Torn, .. }) if name == NEXT => {}
                 Err(error) => loaded.errors.push(error),
             }
         }
@@ -131,7 +131,7 @@
         let limit = MAX_FILE_BYTES as u64 + 1;
         file.take(limit).read_to_end(&mut bytes).map_err(io_error("can't be read", path))?;
         let list = decode(&bytes);
-        list.map(Some).map_err(|error| CacheError::File { path: path.to_path_buf(), error })
+        list.map(Some).map_err(|error| CacheError::InvalidFile { path: path.to_path_buf(), error })
     }
 
     /// Saves a list as the next generation and returns the file size in bytes. After a crash at any point, the newest
@@ -142,7 +142,7 @@
     pub fn save(&mut self, list: &mut CachedEndpointList) -> Result<usize, CacheError> {
         list.generation = self.generation + 1;
         let [current, previous, next] = [CURRENT, PREVIOUS, NEXT].map(|name| self.path.join(name));
-        let bytes = encode(list).map_err(|error| CacheError::File { path: next.clone(), error })?;
+        let bytes = encode(list).map_err(|error| CacheError::InvalidFile { path: next.clone(), error })?;
         let mut file = File::create(&next).map_err(io_error("can't be made", &next))?;
         file.write_all(&bytes).map_err(io_error("can't be written", &next))?;
         file.sync_all().map_err(io_error("can't be synced", &next))?;
--- a/endpoint-cache/src/encoding.rs
+++ b/endpoint-cache/src/encoding.rs
@@ -4,7 +4,7 @@
 use thiserror::Error;
 
 /// Format version. Increased whenever an older program would misread a newer file.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// Maximum file size for writing and reading, enough for about 60,000 endpoints.
 pub const MAX_FILE_BYTES: usize = 16 << 20;
 /// First token of the header line.
@@ -17,10 +17,10 @@
 pub enum FileError {
     /// The file was not written by this program.
     #[error("no list of ours")]
-    Foreign,
+    UnknownFileType,
     /// The file was written by a newer program, in this format version.
-    #[error("of format {0}, newer than this program's {FORMAT}")]
-    Newer(u32),
+    #[error("of format {0}, newer than this program's {FORMAT_VERSION}")]
+    NewerFormat(u32),
     /// The length or checksum in the header does not match the body.
     #[error("torn: its length or checksum does not fit")]
     Torn,
@@ -38,7 +38,7 @@
 /// The encoded list exceeds [`MAX_FILE_BYTES`] or cannot be represented in JSON.
 pub fn encode(list: &CachedEndpointList) -> Result<Vec<u8>, FileError> {
     let body = serde_json::to_vec(list).map_err(|error| FileError::Malformed(error.to_string()))?;
-    let head = format!("{MAGIC} {FORMAT} {} {:08x}\n", body.len(), crc32fast::hash(&body));
+    let head = format!("{MAGIC} {FORMAT_VERSION} {} {:08x}\n", body.len(), crc32fast::hash(&body));
     let bytes = [head.as_bytes(), &body].concat();
     if bytes.len() > MAX_FILE_BYTES {
         return Err(FileError::TooLarge(bytes.len()));
@@ -57,14 +57,14 @@
     // A prefix of a valid header line means a torn file, not a foreign one.
     let head = bytes.split(|&byte| byte == b'\n').next().unwrap_or_default();
     if !head.starts_with(MAGIC.as_bytes()) && !MAGIC.as_bytes().starts_with(head) {
-        return Err(FileError::Foreign);
+        return Err(FileError::UnknownFileType);
     }
     let body = bytes.get(head.len() + 1..);
     let head = std::str::from_utf8(head).map_err(|_| FileError::Torn)?;
     let tokens: Vec<&str> = head.split(' ').collect();
     let format: u32 = tokens.get(1).and_then(|token| token.parse().ok()).ok_or(FileError::Torn)?;
-    if format > FORMAT {
-        return Err(FileError::Newer(format));
+    if format > FORMAT_VERSION {
+        return Err(FileError::NewerFormat(format));
     }
     let [_, _, length, checksum] = tokens[..] else { return Err(FileError::Torn) };
     let body = body.ok_or(FileError::Torn)?;
--- a/endpoint-cache/src/lib.rs
+++ b/endpoint-cache/src/lib.rs
@@ -12,5 +12,5 @@
 mod encoding;
 
 pub use cached_list::{CachedEndpoint, CachedEndpointList, CachedReport};
-pub use directory::{CacheDirectory, CacheError, LoadedCache, LoadedList, DESCRIPTORS};
-pub use encoding::{decode, encode, FileError, FORMAT, MAX_FILE_BYTES};
+pub use directory::{CacheDirectory, CacheError, LoadedCache, LoadedList, MAX_DESCRIPTORS};
+pub use encoding::{decode, encode, FileError, FORMAT_VERSION, MAX_FILE_BYTES};
--- a/endpoint-cache/tests/crashes.rs
+++ b/endpoint-cache/tests/crashes.rs
@@ -1,7 +1,7 @@
 //! The cache directory through saves cut off at any point, damaged files and unusable directories.
 
 use endpoint_cache::{
-    decode, encode, CacheDirectory, CacheError, CachedEndpoint, CachedEndpointList, FileError, FORMAT,
+    decode, encode, CacheDirectory, CacheError, CachedEndpoint, CachedEndpointList, FileError, FORMAT_VERSION,
 };
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
@@ -119,11 +119,11 @@
             }
         }
     }
-    assert_eq!(decode(b"SQLite format 3\0"), Err(FileError::Foreign));
-    assert_eq!(decode(b"{}"), Err(FileError::Foreign));
+    assert_eq!(decode(b"SQLite format 3\0"), Err(FileError::UnknownFileType));
+    assert_eq!(decode(b"{}"), Err(FileError::UnknownFileType));
     assert_eq!(decode(b""), Err(FileError::Torn));
     let newer = String::from_utf8(whole.clone()).expect("text").replacen(" 1 ", " 2 ", 1);
-    assert_eq!(decode(newer.as_bytes()), Err(FileError::Newer(FORMAT + 1)));
+    assert_eq!(decode(newer.as_bytes()), Err(FileError::NewerFormat(FORMAT_VERSION + 1)));
     assert!(matches!(decode(&vec![b'g'; 17 << 20]), Err(FileError::TooLarge(_))));
     assert!(matches!(encode(&list(400_000, 1)), Err(FileError::TooLarge(_))));
 }
--- a/server/src/startup/foundation.rs
+++ b/server/src/startup/foundation.rs
@@ -101,9 +101,9 @@
 /// The descriptors that features of the operators' file hold: the endpoint cache, the write journal and the admin
 /// socket.
 fn descriptors_for_operators(operators: &OperatorSettings) -> usize {
-    let cache = if operators.storage.state_dir.is_some() { endpoint_cache::DESCRIPTORS } else { 0 };
+    let cache = if operators.storage.state_dir.is_some() { endpoint_cache::MAX_DESCRIPTORS } else { 0 };
     let has_journal = operators.storage.journal.mode != JournalMode::Off;
-    let journal = if has_journal { write_journal::journal::DESCRIPTORS } else { 0 };
+    let journal = if has_journal { write_journal::journal::MAX_DESCRIPTORS } else { 0 };
     let admin = if operators.admin_socket.is_some() { socket::DESCRIPTORS } else { 0 };
     cache + journal + admin
 }
--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -11,7 +11,7 @@
 use std::time::Instant;
 use thiserror::Error;
 use write_journal::journal::{
-    ClockReading, Durability, Journal, JournalError, Operation, Reply, Retention, MAX_BATCH,
+    ClockReading, Durability, Journal, JournalError, Operation, Reply, Retention, MAX_BATCH_OPERATIONS,
 };
 use write_journal::record_state::{Fate, Origin, RecordEvent, SendPermission, Uptime};
 
@@ -162,10 +162,10 @@
     callbacks: Vec<Callback>,
 }
 
-/// The queued jobs, [`MAX_BATCH`] at most.
+/// The queued jobs, [`MAX_BATCH_OPERATIONS`] at most.
 fn batch(first: Job, jobs: &Receiver<Job>) -> Batch {
     let queued = std::iter::from_fn(|| jobs.try_recv().ok());
-    let jobs = std::iter::once(first).chain(queued).take(MAX_BATCH);
+    let jobs = std::iter::once(first).chain(queued).take(MAX_BATCH_OPERATIONS);
     let (operations, callbacks) = jobs.map(|job| (job.operation, job.callback)).unzip();
     Batch { operations, callbacks }
 }
--- a/server/tests/journal_batches.rs
+++ b/server/tests/journal_batches.rs
@@ -4,7 +4,7 @@
 use server::storage::journal::WriteJournal;
 use std::sync::mpsc::channel;
 use std::time::Duration;
-use write_journal::journal::{Durability, Retention, MAX_BATCH};
+use write_journal::journal::{Durability, Retention, MAX_BATCH_OPERATIONS};
 use write_journal::record_state::{Fate, RecordEvent};
 
 #[test]
@@ -13,7 +13,7 @@
     let retention = Retention { max_records: 100_000, max_age_ms: 3_600_000 };
     let journal = WriteJournal::start(&folder.path().join("writes"), Durability::Disk, retention, 7);
     let journal = journal.expect("it opens");
-    let queries = 40 * MAX_BATCH;
+    let queries = 40 * MAX_BATCH_OPERATIONS;
     let (replies, replied) = channel();
     for index in 0..queries {
         // Writing these takes long enough for a queue to form.
--- a/write-journal/src/journal.rs
+++ b/write-journal/src/journal.rs
@@ -22,9 +22,9 @@
 }
 
 /// Maximum number of operations per batch: bounds the latency of its first operation.
-pub const MAX_BATCH: usize = 512;
+pub const MAX_BATCH_OPERATIONS: usize = 512;
 /// Maximum number of file descriptors of a journal: its own files and the open tables.
-pub const DESCRIPTORS: usize = 48;
+pub const MAX_DESCRIPTORS: usize = 48;
 /// Tables that the store keeps open.
 const MAX_OPEN_TABLES: usize = 24;
 /// Block cache of the store.
