--- a/recovery/src/discovery_incarnation.rs
+++ b/recovery/src/discovery_incarnation.rs
@@ -1,27 +1,28 @@
-//! Acceptance of endpoint lists from discovery. Versions only increase within one incarnation of discovery. A lower
-//! version comes either from a new incarnation (discovery was restored or set up again) or from an outdated copy.
+//! Acceptance of endpoint lists from discovery. Versions only increase within one incarnation of discovery. A list of
+//! a lower version comes either from a new incarnation (discovery was restored or set up again) or from an outdated
+//! copy.
 //!
-//! The rule: a complete list of a lower version is accepted once discovery has provided one on two watches that are
-//! [`CONFIRMATION_INTERVAL`] apart, the second not of a lower version than the first, with no list of the current
-//! incarnation in between. An empty list of a lower version is never accepted.
+//! A complete list of a lower version is accepted only after discovery has provided such a list on two watches at
+//! least [`CONFIRMATION_INTERVAL`] apart. The second list must not be of a lower version than the first, and no list
+//! of the current incarnation may arrive in between. An empty list of a lower version is never accepted.
 
 use routing::time::{TimeDelta, Timestamp};
 
-/// Minimum time between the two lists that confirm a new incarnation. An outdated copy that is in flight or in a cache
-/// that is being refreshed disappears sooner.
+/// Minimum time between the two lists that confirm a new incarnation. An outdated copy, in flight or in a cache that
+/// is being refreshed, is no longer provided after this time.
 pub const CONFIRMATION_INTERVAL: TimeDelta = TimeDelta::from_millis(2_000);
-/// The longest pause between two watches until discovery has provided the first list since this start: recovery cannot
-/// complete before that.
+/// Longest pause between two watches until discovery has provided the first list since the instance started. Recovery
+/// cannot complete without that list.
 pub const MAX_PAUSE_WITHOUT_LIST: TimeDelta = TimeDelta::from_millis(500);
 
-/// Result of receiving a list.
+/// Decision on a list received from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListDecision {
     /// Use the list.
     Accept,
-    /// Discard the list: it is outdated or cannot be used.
+    /// Discard the list: it is outdated or unusable.
     Ignore,
-    /// The list may be of another incarnation: poll again on a new watch.
+    /// Do not use the list yet: it may be of a new incarnation. Request a list again on a new watch.
     AwaitConfirmation,
 }
 
@@ -30,13 +31,13 @@
 pub struct ReceivedList {
     /// Version of the list.
     pub version: i64,
-    /// The list is complete, not a set of changes.
+    /// Whether the list is complete; otherwise it is a set of changes.
     pub complete: bool,
-    /// The list has no entries.
+    /// Whether the list has no entries.
     pub empty: bool,
 }
 
-/// The earlier list of a possible new incarnation.
+/// A possible new incarnation of discovery, by the first list received from it.
 #[derive(Clone, Copy, Debug)]
 struct CandidateIncarnation {
     version: i64,
@@ -49,21 +50,22 @@
     /// Version of the last accepted list.
     version: i64,
     candidate: Option<CandidateIncarnation>,
-    /// No list from discovery has been accepted since this start.
-    unconfirmed: bool,
+    /// Whether the current list is from the cache: no list from discovery has been accepted since the instance
+    /// started.
+    from_cache: bool,
 }
 
-/// A list that `matches` accepts, received at the given time, gets this decision.
+/// A decision rule: a list for which `matches` returns true at the time of receipt gets the decision `decision`.
 struct Rule {
     matches: fn(&IncarnationTracker, &ReceivedList, Timestamp) -> bool,
     decision: ListDecision,
 }
 
-/// The first rule that matches applies.
+/// The first matching rule applies.
 const RULES: &[Rule] = &[
     // An empty list after a start from the cache means that discovery has lost its data.
     Rule {
-        matches: |tracker, list, _| tracker.unconfirmed && list.complete && list.empty,
+        matches: |tracker, list, _| tracker.from_cache && list.complete && list.empty,
         decision: ListDecision::Ignore,
     },
     Rule { matches: |tracker, list, _| list.version > tracker.version, decision: ListDecision::Accept },
@@ -80,9 +82,10 @@
 ];
 
 impl IncarnationTracker {
-    /// Starts with a list of this version. `cached` means that discovery has not confirmed it since this start.
-    pub fn new(version: i64, cached: bool) -> IncarnationTracker {
-        IncarnationTracker { version, candidate: None, unconfirmed: cached }
+    /// Creates a tracker for a list of this version. `from_cache` means that discovery has not confirmed the list
+    /// since the instance started.
+    pub fn new(version: i64, from_cache: bool) -> IncarnationTracker {
+        IncarnationTracker { version, candidate: None, from_cache }
     }
 
     /// Version of the last accepted list.
@@ -90,7 +93,8 @@
         self.version
     }
 
-    /// When to poll again to confirm a possible new incarnation: the earliest time at which a second list counts.
+    /// When to request a list again to confirm a possible new incarnation: the earliest time at which a second list
+    /// counts. `None` if no confirmation is awaited.
     pub fn poll_again_at(&self) -> Option<Timestamp> {
         self.candidate.map(|candidate| candidate.first_seen + CONFIRMATION_INTERVAL)
     }
@@ -109,7 +113,8 @@
         match decision {
             ListDecision::Accept => *self = IncarnationTracker::new(list.version, false),
             ListDecision::AwaitConfirmation => {
-                // The interval starts with the first list, and again with any list of a lower version.
+                // The interval starts with the first list of the candidate. A list of an even lower version restarts
+                // it.
                 let earlier = self.candidate.filter(|candidate| list.version >= candidate.version);
                 let first = CandidateIncarnation { version: list.version, first_seen: now };
                 self.candidate = earlier.or(Some(first));
--- a/recovery/src/endpoint_state.rs
+++ b/recovery/src/endpoint_state.rs
@@ -1,4 +1,5 @@
-//! State machine of one listed endpoint, as a transition table, and the data collected about it since this start.
+//! State machine of a listed endpoint, as a transition table, and the data collected about an endpoint since the
+//! instance started.
 
 use routing::time::Timestamp;
 use routing::{EndpointReport, GroupIndex, Role};
@@ -6,31 +7,32 @@
 /// What is known about an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// No query has been answered since this start.
+    /// The endpoint has not answered a query since the instance started.
     #[default]
     NotAnswered,
-    /// It has answered and is the listed endpoint, by its reported identity or its address.
+    /// The endpoint has answered and is the listed one, according to its reported identity or its address.
     Identified,
-    /// It has answered without reporting its identity, and the list is too old to identify it by its address.
+    /// The endpoint has answered without reporting its identity, and the list is too old to identify the endpoint by
+    /// its address.
     Anonymous,
-    /// Another endpoint answers at its address.
+    /// Another endpoint answers at the listed address.
     WrongIdentity,
-    /// A query was not answered: the machine is down or unreachable.
+    /// The last query was not answered: the machine is down or unreachable.
     Silent,
-    /// The machine refuses the connection: no process listens on the port.
+    /// The machine refused the last connection: no process listens on the port.
     Refusing,
-    /// Discovery no longer lists it.
+    /// Discovery no longer lists the endpoint.
     Removed,
 }
 
 /// Events that affect the state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointEvent {
-    /// It answered and is the listed endpoint.
+    /// The endpoint answered and is the listed one.
     Answered,
-    /// It answered with the identity of another endpoint.
-    AnsweredAsAnother,
-    /// It answered without reporting its identity.
+    /// The answer contained the identity of another endpoint.
+    AnsweredWithWrongIdentity,
+    /// The answer contained no identity.
     AnsweredAnonymously,
     /// A query was not answered.
     NoAnswer,
@@ -42,7 +44,7 @@
     Unlisted,
 }
 
-/// The notification of the routing policy that a transition requires.
+/// Notification of the routing policy that a transition requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// No notification.
@@ -53,7 +55,7 @@
     Withdraw,
 }
 
-/// Result of an event.
+/// New state after an event, and the notification that the transition requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transition {
     /// The new state.
@@ -62,7 +64,8 @@
     pub effect: Effect,
 }
 
-/// A transition rule: in a state that `from` matches, the event `on` leads to the state `to`, with this effect.
+/// A transition rule: in a state that `from` accepts, the event `on` leads to the state `to` with the effect
+/// `effect`.
 struct Rule {
     from: fn(EndpointState) -> bool,
     on: EndpointEvent,
@@ -70,84 +73,89 @@
     effect: Effect,
 }
 
-fn any(_: EndpointState) -> bool {
+fn is_any(_: EndpointState) -> bool {
     true
 }
 
-fn identified(state: EndpointState) -> bool {
+fn is_identified(state: EndpointState) -> bool {
     state == EndpointState::Identified
 }
 
-fn removed(state: EndpointState) -> bool {
+fn is_removed(state: EndpointState) -> bool {
     state == EndpointState::Removed
 }
 
-fn listed(state: EndpointState) -> bool {
-    !removed(state)
+fn is_listed(state: EndpointState) -> bool {
+    !is_removed(state)
 }
 
-fn unidentified(state: EndpointState) -> bool {
-    !removed(state) && !identified(state)
+fn is_unidentified(state: EndpointState) -> bool {
+    !is_removed(state) && !is_identified(state)
 }
 
-/// The first rule that matches applies. An identified endpoint that stops answering is not withdrawn, since the
-/// routing policy ejects it; only an endpoint with a wrong identity or one that is no longer listed is withdrawn.
+/// The first matching rule applies. An identified endpoint that stops answering is not withdrawn, because the routing
+/// policy ejects it. Only an endpoint with a wrong identity or one that is no longer listed is withdrawn.
 const RULES: &[Rule] = &[
     Rule {
-        from: removed,
+        from: is_removed,
         on: EndpointEvent::Listed,
         to: EndpointState::NotAnswered,
         effect: Effect::Nothing,
     },
-    Rule { from: removed, on: EndpointEvent::Unlisted, to: EndpointState::Removed, effect: Effect::Nothing },
-    Rule { from: any, on: EndpointEvent::Unlisted, to: EndpointState::Removed, effect: Effect::Withdraw },
     Rule {
-        from: identified,
-        on: EndpointEvent::AnsweredAsAnother,
+        from: is_removed,
+        on: EndpointEvent::Unlisted,
+        to: EndpointState::Removed,
+        effect: Effect::Nothing,
+    },
+    Rule { from: is_any, on: EndpointEvent::Unlisted, to: EndpointState::Removed, effect: Effect::Withdraw },
+    Rule {
+        from: is_identified,
+        on: EndpointEvent::AnsweredWithWrongIdentity,
         to: EndpointState::WrongIdentity,
         effect: Effect::Withdraw,
     },
     Rule {
-        from: unidentified,
+        from: is_unidentified,
         on: EndpointEvent::Answered,
         to: EndpointState::Identified,
         effect: Effect::Admit,
     },
     Rule {
-        from: identified,
+        from: is_identified,
         on: EndpointEvent::Answered,
         to: EndpointState::Identified,
         effect: Effect::Nothing,
     },
     Rule {
-        from: unidentified,
-        on: EndpointEvent::AnsweredAsAnother,
+        from: is_unidentified,
+        on: EndpointEvent::AnsweredWithWrongIdentity,
         to: EndpointState::WrongIdentity,
         effect: Effect::Nothing,
     },
     Rule {
-        from: unidentified,
+        from: is_unidentified,
         on: EndpointEvent::AnsweredAnonymously,
         to: EndpointState::Anonymous,
         effect: Effect::Nothing,
     },
     Rule {
-        from: identified,
+        from: is_identified,
         on: EndpointEvent::AnsweredAnonymously,
         to: EndpointState::Identified,
         effect: Effect::Nothing,
     },
-    Rule { from: listed, on: EndpointEvent::NoAnswer, to: EndpointState::Silent, effect: Effect::Nothing },
+    Rule { from: is_listed, on: EndpointEvent::NoAnswer, to: EndpointState::Silent, effect: Effect::Nothing },
     Rule {
-        from: listed,
+        from: is_listed,
         on: EndpointEvent::ConnectionRefused,
         to: EndpointState::Refusing,
         effect: Effect::Nothing,
     },
 ];
 
-/// The transition that an event causes, if a rule matches.
-pub fn next(state: EndpointState, event: EndpointEvent) -> Option<Transition> {
+/// Returns the transition that an event causes; `None` if no rule matches and the state does not change.
+pub fn transition(state: EndpointState, event: EndpointEvent) -> Option<Transition> {
     let rule = RULES.iter().find(|rule| (rule.from)(state) && rule.on == event)?;
     Some(Transition { state: rule.to, effect: rule.effect })
 }
@@ -157,9 +165,9 @@
 pub struct RoleReport {
     /// Role of the endpoint.
     pub role: Option<Role>,
-    /// Position of the endpoint on its log, as a commit time.
+    /// Position of the endpoint on the group's log, as a commit time.
     pub position: Option<Timestamp>,
-    /// PostgreSQL timeline of its log, which increases with each promotion of a primary.
+    /// PostgreSQL timeline of the endpoint's log. It increases with each promotion of a primary.
     pub timeline: Option<u32>,
 }
 
@@ -170,41 +178,41 @@
     }
 }
 
-/// Data collected about one endpoint since this start.
+/// Data collected about an endpoint since the instance started.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveringEndpoint {
     /// Group of the endpoint.
     pub group: GroupIndex,
     /// Current state of the endpoint.
     pub state: EndpointState,
-    /// Its last report.
+    /// Last report of the endpoint.
     pub report: RoleReport,
-    /// The first position that it reported as a primary on the current timeline. A member that has passed this
-    /// position received that part of the log from this endpoint.
+    /// The first position that the endpoint reported as a primary on the current timeline. A member that has passed
+    /// this position received that part of the log from the endpoint.
     pub first_primary_position: Option<Timestamp>,
-    /// Consecutive answers in which it claimed to be primary.
+    /// Number of consecutive answers in which the endpoint claimed to be primary.
     pub consecutive_claims: u32,
-    /// When the query or request that `report` answers was sent.
+    /// When the query or request was sent whose answer contained `report`.
     pub queried_at: Timestamp,
     /// When `report` was received.
     pub reported_at: Timestamp,
-    /// At least one query has ended.
+    /// Whether at least one query has ended, with or without an answer.
     pub queried: bool,
     /// When the last query ended.
     pub query_ended_at: Timestamp,
-    /// A query is in flight.
+    /// Whether a query is in flight.
     pub query_in_flight: bool,
-    /// Consecutive failed queries.
+    /// Number of consecutive failed queries.
     pub consecutive_failures: u32,
     /// When the next query is scheduled, if any.
     pub query_due: Option<Timestamp>,
-    /// The routing policy has been notified that the endpoint may be used.
+    /// Whether the routing policy has been notified that the endpoint may be used.
     pub admitted: bool,
 }
 
 impl RecoveringEndpoint {
-    /// Records a report received at `now`, in the answer to a query sent at `queried_at`.
-    pub fn take_report(&mut self, report: RoleReport, queried_at: Timestamp, now: Timestamp) {
+    /// Records a report received at `now` in the answer to a query sent at `queried_at`.
+    pub fn record_report(&mut self, report: RoleReport, queried_at: Timestamp, now: Timestamp) {
         let timeline_changed = report.timeline != self.report.timeline;
         match report.role {
             Some(Role::Primary) if timeline_changed => {
@@ -227,12 +235,12 @@
         self.reported_at = now;
     }
 
-    /// Whether it has answered and is the listed endpoint.
+    /// Whether the endpoint has answered and is the listed one.
     pub fn is_identified(&self) -> bool {
         self.state == EndpointState::Identified
     }
 
-    /// Whether it is identified and its last reported role is primary.
+    /// Whether the endpoint is identified and its last reported role is primary.
     pub fn claims_primary(&self) -> bool {
         self.is_identified() && self.report.role == Some(Role::Primary)
     }
--- a/recovery/src/group_state.rs
+++ b/recovery/src/group_state.rs
@@ -1,4 +1,4 @@
-//! State machine of one group: which member the routing policy may treat as its primary. One transition table.
+//! State machine of a group, as a transition table: which member the routing policy may treat as the primary.
 
 use crate::primary_verification::Verification;
 use routing::{EndpointIndex, PrimaryEligibility};
@@ -9,24 +9,24 @@
     /// No member has a valid claim to be primary.
     #[default]
     Unknown,
-    /// One member claims to be primary and is not verified.
+    /// One member claims to be primary and is not verified yet.
     Claimed,
     /// Several members claim to be primary.
     Contested,
     /// This member is verified to be the primary.
     Verified(EndpointIndex),
-    /// Discovery has confirmed the list and no second member claims to be primary: the routing policy's ordinary rule
-    /// applies again.
+    /// Discovery has confirmed the list, and no second member claims to be primary. The routing policy's ordinary
+    /// rule applies again.
     Settled,
 }
 
 /// Events that affect the state of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupEvent {
-    /// The members' claims were evaluated, with this result.
+    /// The members' claims to be primary were evaluated, with this result.
     Verification(Verification),
-    /// One member is verified, discovery has confirmed the list, and no other member claims to be primary, not even
-    /// with a disproved claim.
+    /// One member is verified, discovery has confirmed the list, and no other member claims to be primary. A
+    /// disproved claim counts here as well.
     Undisputed,
     /// Discovery has confirmed the list, and this instance cannot query endpoints.
     Unverifiable,
@@ -34,16 +34,17 @@
     Reset,
 }
 
-/// Result of an event.
+/// New state after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transition {
     /// The new state.
     pub state: GroupState,
-    /// The routing policy must be notified of a new eligibility.
+    /// Whether the routing policy must be notified of a new eligibility.
     pub eligibility_changed: bool,
 }
 
-/// A transition rule: in a state that `from` matches, an event that `on` matches leads to the state `to`.
+/// A transition rule: in a state that `from` accepts, an event that `on` accepts leads to the state that `to`
+/// returns.
 struct Rule {
     from: fn(GroupState) -> bool,
     on: fn(GroupEvent) -> bool,
@@ -70,8 +71,8 @@
     matches!(event, GroupEvent::Verification(Verification::Unverified(_)))
 }
 
-/// The first rule that matches applies. A verified member remains verified while no other member claims to be primary:
-/// evidence expires, and a replica that lags behind later does not invalidate the verification.
+/// The first matching rule applies. A verified member remains verified while no other member claims to be primary:
+/// evidence expires, and a replica that falls behind later does not invalidate the verification.
 const RULES: &[Rule] = &[
     Rule { from: is_settled, on: |event| event == GroupEvent::Reset, to: |_| GroupState::Unknown },
     Rule {
@@ -99,7 +100,7 @@
     Rule { from: is_unsettled, on: |event| event == GroupEvent::Reset, to: |_| GroupState::Unknown },
 ];
 
-/// The state in which the member named by the event is verified.
+/// Returns the state in which the claimant of the event is verified.
 fn verified_claimant(event: GroupEvent) -> GroupState {
     match event {
         GroupEvent::Verification(Verification::Verified(member) | Verification::Unverified(member)) => {
@@ -109,9 +110,9 @@
     }
 }
 
-/// The transition on an event. If the only claim is that of the verified member, that member remains verified; if it
-/// is that of another member, no member is eligible until the new claimant is verified.
-pub fn next(state: GroupState, event: GroupEvent) -> Transition {
+/// Returns the transition that an event causes. If the only claim is that of the verified member, that member remains
+/// verified. If the only claim is that of another member, no member is eligible until the new claimant is verified.
+pub fn transition(state: GroupState, event: GroupEvent) -> Transition {
     let Some(rule) = RULES.iter().find(|rule| (rule.from)(state) && (rule.on)(event)) else {
         return Transition { state, eligibility_changed: false };
     };
@@ -123,7 +124,7 @@
     Transition { state: next_state, eligibility_changed }
 }
 
-/// Which member the routing policy may treat as the primary.
+/// Returns the members that the routing policy may treat as the primary.
 pub fn eligibility(state: GroupState) -> PrimaryEligibility {
     match state {
         GroupState::Unknown | GroupState::Claimed | GroupState::Contested => PrimaryEligibility::NoMember,
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -1,10 +1,10 @@
-//! Recovery after a start from a cached endpoint list of uncertain age: how far the list is trusted, which endpoints
-//! are queried, when an endpoint may be used, how a group's primary is verified, which endpoint lists of discovery are
-//! accepted, and when the cache is saved. No I/O: the caller passes events with their times and carries out the
-//! resulting actions.
+//! Recovery of an instance that has started from a cached endpoint list of uncertain age: how far the list is
+//! trusted, which endpoints are queried, when an endpoint may be used, how a group's primary is verified, which
+//! endpoint lists from discovery are accepted, and when the cache is saved. This package performs no I/O: the caller
+//! passes events with their times and carries out the resulting actions.
 //!
-//! - [`primary_discovery`]: the overall state and its event handlers
-//! - [`endpoint_state`], [`group_state`]: state machines of one endpoint and of one group, as transition tables
+//! - [`primary_discovery`]: the state of recovery and its event handlers
+//! - [`endpoint_state`], [`group_state`]: state machines of an endpoint and of a group, as transition tables
 //! - [`primary_verification`]: the evidence that verifies a primary
 //! - [`staleness`]: how far a cached list is trusted, by its age
 //! - [`query_schedule`]: when endpoints are queried, with a limit on concurrent queries
--- a/recovery/src/primary_discovery/events.rs
+++ b/recovery/src/primary_discovery/events.rs
@@ -1,11 +1,11 @@
-//! Events that the host passes to primary discovery, and actions that the host carries out.
+//! Events that the caller passes to primary discovery, and actions that the caller carries out.
 
 use crate::endpoint_state::RoleReport;
 use crate::primary_verification::GroupMinimum;
 use routing::time::Timestamp;
 use routing::{EndpointIndex, EndpointReport, GroupIndex, PrimaryEligibility};
 
-/// A listed endpoint and its group, by the host's indexes.
+/// A listed endpoint and its group, identified by the caller's indexes.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
     /// Index of the endpoint.
@@ -17,9 +17,9 @@
 /// An endpoint's reported identity, compared with the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Identity {
-    /// The identity of the listed endpoint.
+    /// The endpoint reported the identity of the listed endpoint.
     Confirmed,
-    /// The identity of another endpoint.
+    /// The endpoint reported another identity.
     Mismatch,
     /// The endpoint did not report an identity, or cannot be asked for it.
     Unknown,
@@ -32,23 +32,23 @@
     Refused,
     /// No response was received.
     NoAnswer,
-    /// The query was not sent, or rejected for lack of capacity: no information about the endpoint.
+    /// The query was not sent, or was rejected for lack of capacity. Nothing is known about the endpoint.
     NotSent,
 }
 
 /// An event for [`super::PrimaryDiscovery`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The cached list was loaded. Discovery has not confirmed it since this start.
+    /// The cached list was loaded. Discovery has not confirmed it since the instance started.
     CachedListLoaded {
         /// The listed endpoints.
         members: Vec<Member>,
         /// Lower bounds on the timelines and positions of groups, as saved with the list.
         minimum_positions: Vec<GroupMinimum>,
     },
-    /// Discovery has provided a complete list or a set of changes.
+    /// A complete list or a set of changes was received from discovery.
     ListReceived {
-        /// The list is complete.
+        /// Whether the list is complete.
         complete: bool,
         /// Listed endpoints.
         members: Vec<Member>,
@@ -91,7 +91,7 @@
     Tick,
 }
 
-/// An action for the host to carry out.
+/// An action for the caller to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Query an endpoint, and report the result as exactly one `QueryAnswered` or `QueryFailed`.
@@ -99,7 +99,7 @@
         /// The endpoint to query.
         endpoint: EndpointIndex,
     },
-    /// Notify the routing policy that an endpoint may be used and was started no later than this instance.
+    /// Notify the routing policy that an endpoint may be used, and that it started no later than this instance.
     Admit {
         /// The admitted endpoint.
         endpoint: EndpointIndex,
--- a/recovery/src/primary_discovery/mod.rs
+++ b/recovery/src/primary_discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Discovery of primaries after a start from a cached list: event handlers that update the states of endpoints and
-//! groups, schedule queries, and notify the routing policy.
+//! Discovery of primaries after an instance has started from a cached list: event handlers that update the states of
+//! endpoints and groups, schedule queries, and notify the routing policy.
 
 mod events;
 mod queries;
@@ -17,7 +17,8 @@
 use routing::{EndpointIndex, EndpointReport, GroupIndex, PrimaryEligibility};
 use std::collections::BTreeSet;
 
-/// One in this many file descriptors for endpoints may be used by queries: the others are left to requests.
+/// Queries use at most the file descriptors for endpoints divided by this number. The others are reserved for
+/// requests.
 const QUERY_DESCRIPTORS_DIVISOR: usize = 2;
 
 /// Members and state of one group.
@@ -27,9 +28,9 @@
     /// Lower bound on the true primary's timeline and position, from the cache.
     minimum: MinimumPosition,
     state: GroupState,
-    /// A request is waiting for the group's primary.
+    /// Whether a request is waiting for the group's primary.
     request_waiting: bool,
-    /// Queries so far without a verified primary: determines the backoff.
+    /// Number of queries so far without a verified primary. Determines the backoff.
     unverified_queries: u32,
 }
 
@@ -50,15 +51,15 @@
     pub descriptors: usize,
 }
 
-/// State of the discovery of primaries after a start.
+/// State of the discovery of primaries after the start of an instance.
 pub struct PrimaryDiscovery {
     endpoints: Vec<RecoveringEndpoint>,
     groups: Vec<Group>,
     queries: QuerySchedule,
     cache_times: Option<CacheTimes>,
-    /// The latest position reported since this start.
+    /// The latest position that an endpoint has reported since the instance started.
     latest_report: Option<Timestamp>,
-    /// Discovery has provided a complete list since this start.
+    /// Whether discovery has provided a complete list since the instance started.
     list_confirmed: bool,
     may_query: bool,
     /// Maximum number of concurrent queries for which there are file descriptors.
@@ -68,7 +69,7 @@
 }
 
 impl PrimaryDiscovery {
-    /// Creates the state without endpoints and groups.
+    /// Creates a state without endpoints and groups.
     pub fn new(settings: DiscoverySettings) -> PrimaryDiscovery {
         PrimaryDiscovery {
             endpoints: Vec::new(),
@@ -88,13 +89,13 @@
         verification_level(self.cache_times, now, self.latest_report)
     }
 
-    /// Whether discovery has provided a complete list since this start.
+    /// Whether discovery has provided a complete list since the instance started.
     pub fn is_list_confirmed(&self) -> bool {
         self.list_confirmed
     }
 
     /// Whether recovery is complete: discovery has confirmed the list and every group is settled.
-    pub fn is_over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.list_confirmed && self.groups.iter().all(|group| group.state == GroupState::Settled)
     }
 
@@ -109,16 +110,16 @@
     }
 
     /// When the next [`Event::Tick`] is due, if any.
-    pub fn due(&self, now: Timestamp) -> Option<Timestamp> {
-        self.queries.due(self.max_in_flight(now))
+    pub fn next_tick_due(&self, now: Timestamp) -> Option<Timestamp> {
+        self.queries.next_start_time(self.max_in_flight(now))
     }
 
     fn max_in_flight(&self, now: Timestamp) -> usize {
         self.verification_level(now).max_queries.min(self.max_queries)
     }
 
-    /// Handles an event that occurred at `now`. Appends the resulting actions to `actions`, in the order in which they
-    /// must be carried out.
+    /// Handles an event that occurred at `now`. Appends the resulting actions to `actions`, in the order in which
+    /// they must be carried out.
     pub fn on_event(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::CachedListLoaded { members, minimum_positions } => {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Creates all groups up to this index that do not exist. No member of a new group is eligible as its primary.
+    /// Creates the missing groups up to this index. No member of a new group is eligible as its primary.
     fn ensure_group(&mut self, index: GroupIndex) {
         while self.groups.len() <= index {
             let group = self.groups.len();
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Adds an endpoint to its group unless it is a member already, and schedules a query.
+    /// Adds an endpoint to its group and schedules a query, unless the endpoint is already a member.
     fn add_member(&mut self, now: Timestamp, member: Member) {
         let Member { endpoint: index, group } = member;
         self.ensure_group(group);
@@ -179,7 +180,7 @@
         let group_before = self.endpoints[index].group;
         self.groups[group_before].members.retain(|&member| member != index);
         self.groups[group].members.push(index);
-        // An endpoint that moved to another group is treated as a new one, even if its name is the same.
+        // An endpoint that has moved to another group is treated as a new endpoint, even though its name is the same.
         let query_in_flight = self.endpoints[index].query_in_flight;
         self.endpoints[index] =
             RecoveringEndpoint { group, query_in_flight, ..RecoveringEndpoint::default() };
@@ -193,7 +194,7 @@
         members: &[Member],
         removed: Vec<EndpointIndex>,
     ) {
-        // Changes apply to an earlier complete list and do not confirm the list by themselves.
+        // A set of changes applies to an earlier complete list and does not confirm the list by itself.
         self.list_confirmed |= complete;
         let mut removed: BTreeSet<EndpointIndex> = removed.into_iter().collect();
         if complete {
@@ -206,7 +207,7 @@
                 self.endpoint_event(index, EndpointEvent::Listed);
                 self.schedule_query(index, now);
             }
-            // Listed by discovery itself: the routing policy's own health check before use is sufficient.
+            // Discovery itself lists the endpoint, so the routing policy's own health check before use is sufficient.
             self.endpoints[index].admitted = true;
         }
         for index in removed {
@@ -217,7 +218,7 @@
         }
     }
 
-    /// The known endpoints that are not among `members`.
+    /// Returns the known endpoints that are not among `members`.
     fn unlisted(&self, members: &[Member]) -> Vec<EndpointIndex> {
         let listed: BTreeSet<EndpointIndex> = members.iter().map(|member| member.endpoint).collect();
         let known = self.groups.iter().flat_map(|group| group.members.iter().copied());
@@ -242,11 +243,11 @@
         endpoint.consecutive_failures = 0;
         if identity != Identity::Mismatch {
             self.latest_report = self.latest_report.max(report.position);
-            endpoint.take_report(report, queried_at, now);
+            endpoint.record_report(report, queried_at, now);
         }
         let event = match identity {
             Identity::Confirmed => EndpointEvent::Answered,
-            Identity::Mismatch => EndpointEvent::AnsweredAsAnother,
+            Identity::Mismatch => EndpointEvent::AnsweredWithWrongIdentity,
             Identity::Unknown if identifies_by_address => EndpointEvent::Answered,
             Identity::Unknown => EndpointEvent::AnsweredAnonymously,
         };
@@ -284,13 +285,13 @@
         let Some(endpoint) = self.endpoints.get_mut(index) else { return };
         if endpoint.is_identified() && report.role.is_some() {
             let timeline = endpoint.report.timeline;
-            endpoint.take_report(RoleReport::new(report, timeline), queried_at, now);
+            endpoint.record_report(RoleReport::new(report, timeline), queried_at, now);
             let group = endpoint.group;
             self.verify_group(now, group);
         }
     }
 
-    /// Records the end of a query to an endpoint. Returns false if none was in flight.
+    /// Records the end of a query to an endpoint. Returns whether a query was in flight.
     fn end_query(&mut self, index: EndpointIndex) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(index) else { return false };
         let was_in_flight = std::mem::take(&mut endpoint.query_in_flight);
@@ -307,7 +308,7 @@
         }
         for index in waiting.members.clone() {
             if let Some(due) = self.unschedule_query(index) {
-                // Endpoints without an answer are queried immediately.
+                // Endpoints that have not answered yet are queried immediately.
                 let is_unanswered = self.endpoints[index].state == EndpointState::NotAnswered;
                 self.schedule_query(index, if is_unanswered { due.min(now) } else { due });
             }
@@ -316,7 +317,9 @@
 
     fn endpoint_event(&mut self, index: EndpointIndex, event: EndpointEvent) {
         let Some(endpoint) = self.endpoints.get_mut(index) else { return };
-        let Some(Transition { state, effect }) = endpoint_state::next(endpoint.state, event) else { return };
+        let Some(Transition { state, effect }) = endpoint_state::transition(endpoint.state, event) else {
+            return;
+        };
         endpoint.state = state;
         match effect {
             Effect::Nothing => {}
@@ -359,7 +362,7 @@
 
     fn group_event(&mut self, index: GroupIndex, event: GroupEvent) {
         let group = &mut self.groups[index];
-        let transition = group_state::next(group.state, event);
+        let transition = group_state::transition(group.state, event);
         group.state = transition.state;
         group.request_waiting &= !group.has_primary();
         if transition.eligibility_changed {
--- a/recovery/src/primary_discovery/queries.rs
+++ b/recovery/src/primary_discovery/queries.rs
@@ -7,17 +7,17 @@
 use routing::time::{TimeDelta, Timestamp};
 use routing::EndpointIndex;
 
-/// Exponential backoff with a limit.
+/// Exponential backoff with a longest pause.
 struct Backoff {
     first: TimeDelta,
     max: TimeDelta,
 }
 
-/// Bounds the exponent of the backoff against overflow; the limit is reached before.
+/// Maximum exponent of the backoff, which prevents an overflow. The longest pause is reached with fewer doublings.
 const MAX_DOUBLINGS: u32 = 16;
 
 impl Backoff {
-    /// The pause after this many doublings.
+    /// Returns the pause after this many doublings.
     fn pause(&self, doublings: u32) -> TimeDelta {
         let pause = self.first.0.saturating_mul(1 << doublings.min(MAX_DOUBLINGS));
         TimeDelta(pause).min(self.max)
@@ -25,16 +25,18 @@
 }
 
 /// Pause between two queries to an endpoint of a group without a verified primary.
-const UNVERIFIED: Backoff = Backoff { first: TimeDelta::from_millis(40), max: TimeDelta::from_millis(1_000) };
-/// Rounds of queries to a group before the pause grows.
+const UNVERIFIED_BACKOFF: Backoff =
+    Backoff { first: TimeDelta::from_millis(40), max: TimeDelta::from_millis(1_000) };
+/// Number of rounds of queries to all members of a group before the pause grows.
 const ROUNDS_WITHOUT_BACKOFF: u32 = 4;
-/// Interval of queries in a group with a verified primary, until the group is settled.
+/// Interval of queries to an endpoint of a group with a verified primary, until the group is settled.
 const VERIFIED_INTERVAL: TimeDelta = TimeDelta::from_millis(2_000);
 /// Pause after a failed query, if a request is waiting for the group.
-const FAILED_URGENT: Backoff =
+const URGENT_FAILURE_BACKOFF: Backoff =
     Backoff { first: TimeDelta::from_millis(100), max: TimeDelta::from_millis(3_000) };
 /// Pause after a failed query, if no request is waiting for the group.
-const FAILED: Backoff = Backoff { first: TimeDelta::from_millis(100), max: TimeDelta::from_millis(20_000) };
+const FAILURE_BACKOFF: Backoff =
+    Backoff { first: TimeDelta::from_millis(100), max: TimeDelta::from_millis(20_000) };
 
 impl PrimaryDiscovery {
     /// Schedules the next query to an endpoint after a query to it has ended.
@@ -45,19 +47,19 @@
             return;
         }
         let pause = if endpoint.consecutive_failures > 0 {
-            let backoff = if group.request_waiting { FAILED_URGENT } else { FAILED };
+            let backoff = if group.request_waiting { URGENT_FAILURE_BACKOFF } else { FAILURE_BACKOFF };
             backoff.pause(endpoint.consecutive_failures - 1)
         } else if matches!(group.state, GroupState::Verified(_)) {
             VERIFIED_INTERVAL
         } else {
             group.unverified_queries = group.unverified_queries.saturating_add(1);
             let rounds = group.unverified_queries / group.members.len().max(1) as u32;
-            UNVERIFIED.pause(rounds.saturating_sub(ROUNDS_WITHOUT_BACKOFF))
+            UNVERIFIED_BACKOFF.pause(rounds.saturating_sub(ROUNDS_WITHOUT_BACKOFF))
         };
         self.schedule_query(index, now + pause);
     }
 
-    /// Schedules a query at time `at`, in place of one that is already scheduled.
+    /// Schedules a query at time `at`. It replaces a query to the same endpoint that is already scheduled.
     pub(super) fn schedule_query(&mut self, index: EndpointIndex, at: Timestamp) {
         self.unschedule_query(index);
         let endpoint = &mut self.endpoints[index];
@@ -65,7 +67,7 @@
         self.queries.insert(at, index, self.groups[endpoint.group].request_waiting);
     }
 
-    /// Cancels the scheduled query to an endpoint. Returns the time it was scheduled for, if there was one.
+    /// Cancels the scheduled query to an endpoint. Returns the time for which the query was scheduled, if any.
     pub(super) fn unschedule_query(&mut self, index: EndpointIndex) -> Option<Timestamp> {
         let due = self.endpoints[index].query_due.take()?;
         self.queries.remove(due, index);
@@ -79,7 +81,7 @@
         }
         let max_in_flight = self.max_in_flight(now);
         self.queries.refresh_burst(now);
-        while let Some(index) = self.queries.next_due(now, max_in_flight) {
+        while let Some(index) = self.queries.next_endpoint(now, max_in_flight) {
             self.unschedule_query(index);
             if !std::mem::replace(&mut self.endpoints[index].query_in_flight, true) {
                 self.queries.query_started();
--- a/recovery/src/primary_verification.rs
+++ b/recovery/src/primary_verification.rs
@@ -1,17 +1,18 @@
-//! Verification of a group's primary from the members' reports since this start.
+//! Verification of a group's primary from the members' reports since the instance started.
 //!
-//! A claim to be primary is not sufficient: a former primary behind a network partition still claims the role. A claim
-//! is disproved by a member on a later timeline, by a member that was ahead of the claimant before the claimant was
-//! queried, or by a position below the group's known minimum. The remaining claim must be the only one. It is verified
-//! by a majority of members that follow the claimant, by all other members being accounted for, or by discovery's
-//! confirmation of the member list.
+//! A claim to be primary is not sufficient: a former primary behind a network partition still claims the role. A
+//! claim is disproved by a member on a later timeline, by a member that was ahead of the claimant before the claimant
+//! was queried, or by a position below the group's known minimum. Exactly one claim must remain. It is verified if a
+//! majority of members follows the claimant, if all other members are accounted for, or if discovery has confirmed
+//! the member list.
 
 use crate::endpoint_state::{EndpointState, RecoveringEndpoint};
 use crate::staleness::VerificationLevel;
 use routing::time::{TimeDelta, Timestamp};
 use routing::{EndpointIndex, GroupIndex, Role};
 
-/// The timeline and position that a group had reached before this start. The true primary is not below them.
+/// The timeline and position that a group had reached before the instance started. The true primary is not below
+/// them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MinimumPosition {
     /// PostgreSQL timeline of the group's log.
@@ -25,7 +26,7 @@
 pub struct GroupMinimum {
     /// The group.
     pub group: GroupIndex,
-    /// The timeline and position that it had reached.
+    /// The timeline and position that the group had reached.
     pub minimum: MinimumPosition,
 }
 
@@ -34,7 +35,7 @@
 pub enum Verification {
     /// No member claims to be primary, or every claim was disproved.
     NoClaim,
-    /// This member has the only valid claim, and it is not verified yet.
+    /// This member has the only valid claim, and the claim is not verified yet.
     Unverified(EndpointIndex),
     /// Several members have valid claims.
     Contested,
@@ -42,8 +43,8 @@
     Verified(EndpointIndex),
 }
 
-/// How long a member's report or refused connection counts as evidence for a claim: evidence from before and after a
-/// failover must not be combined. Evidence against a claim does not expire.
+/// How long a member's report or refused connection counts as evidence for a claim. The limit prevents that evidence
+/// from before and after a failover is combined. Evidence against a claim does not expire.
 pub const EVIDENCE_VALID_FOR: TimeDelta = TimeDelta::from_millis(2_000);
 
 /// Input of the verification of a group.
@@ -57,7 +58,7 @@
     pub minimum: MinimumPosition,
     /// The evidence required at the age of the member list.
     pub level: &'a VerificationLevel,
-    /// Discovery has provided the member list since this start.
+    /// Whether discovery has provided the member list since the instance started.
     pub list_confirmed: bool,
     /// The current time.
     pub now: Timestamp,
@@ -85,11 +86,11 @@
 }
 
 impl GroupEvidence<'_> {
-    fn valid_since(&self) -> Timestamp {
+    fn evidence_valid_since(&self) -> Timestamp {
         self.now - EVIDENCE_VALID_FOR
     }
 
-    fn identified(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
+    fn identified_members(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
         self.members.iter().copied().filter(|&member| self.endpoints[member].is_identified())
     }
 
@@ -98,7 +99,9 @@
         let claimant = &self.endpoints[member];
         claimant.claims_primary()
             && !is_below(claimant, self.minimum)
-            && !self.identified().any(|other| other != member && disproves(&self.endpoints[other], claimant))
+            && !self
+                .identified_members()
+                .any(|other| other != member && disproves(&self.endpoints[other], claimant))
     }
 
     /// Whether a query to every listed member has ended, with or without an answer.
@@ -110,14 +113,16 @@
     /// Whether a member's claim is recent and was repeated as often as the list's age requires.
     fn has_claimed_often_enough(&self, member: EndpointIndex) -> bool {
         let claimant = &self.endpoints[member];
-        let is_recent = claimant.query_ended_at >= self.valid_since();
+        let is_recent = claimant.query_ended_at >= self.evidence_valid_since();
         is_recent && (claimant.consecutive_claims >= self.level.claims_required || self.list_confirmed)
     }
 
-    /// Whether a majority of members, including itself, is on its timeline and has passed the first position that it
-    /// reported as a primary: they can only have received that part of the log from it.
-    fn is_followed_by_majority(&self, member: EndpointIndex) -> bool {
-        let followers = self.members.iter().filter(|&&other| other == member || self.follows(other, member));
+    /// Whether a majority of members, including the claimant, is on the claimant's timeline and has passed the first
+    /// position that the claimant reported as a primary. They can only have received that part of the log from the
+    /// claimant.
+    fn is_followed_by_majority(&self, claimant: EndpointIndex) -> bool {
+        let followers =
+            self.members.iter().filter(|&&member| member == claimant || self.follows(member, claimant));
         let listed =
             self.members.iter().filter(|&&other| self.endpoints[other].state != EndpointState::Removed);
         followers.count() * 2 > listed.count()
@@ -131,19 +136,19 @@
         let has_passed = claimant.first_primary_position.is_some()
             && member.report.position >= claimant.first_primary_position;
         member.is_identified()
-            && member.query_ended_at >= self.valid_since()
+            && member.query_ended_at >= self.evidence_valid_since()
             && member.report.role == Some(Role::Replica)
             && same_timeline
             && has_passed
     }
 
     /// Whether every member has answered or refused the connection recently. A member that does not respond is not
-    /// accounted for: behind a network partition it may have become primary.
+    /// accounted for, since it may have become primary behind a network partition.
     fn all_accounted_for(&self) -> bool {
         let mut members = self.members.iter().map(|&member| &self.endpoints[member]);
         members.all(|endpoint| match endpoint.state {
             EndpointState::Identified | EndpointState::Refusing => {
-                endpoint.query_ended_at >= self.valid_since()
+                endpoint.query_ended_at >= self.evidence_valid_since()
             }
             state => state == EndpointState::Removed,
         })
--- a/recovery/src/query_schedule.rs
+++ b/recovery/src/query_schedule.rs
@@ -1,25 +1,25 @@
-//! Schedule of endpoint queries: queries that requests are waiting for come first, and the number of concurrent
-//! queries is limited.
+//! Schedule of endpoint queries. Queries to groups that requests are waiting for are started first, and the number of
+//! concurrent queries is limited.
 
 use routing::time::{TimeDelta, Timestamp};
 use routing::EndpointIndex;
 use std::collections::BTreeSet;
 
-/// At most `max_in_flight` queries start per interval of this length: refused connections fail at once, so the limit
-/// on queries in flight alone would not bound their rate.
+/// At most `max_in_flight` queries start per interval of this length. The limit on queries in flight alone would not
+/// bound the rate of queries, because refused connections fail at once.
 const BURST_INTERVAL: TimeDelta = TimeDelta::from_millis(20);
 
 /// Scheduled queries and the number of queries in flight.
 #[derive(Default)]
 pub struct QuerySchedule {
-    /// Queries to groups that a request is waiting for, by time.
+    /// Queries to groups that a request is waiting for, in the order of their scheduled times.
     urgent: BTreeSet<(Timestamp, EndpointIndex)>,
-    /// All other queries, by time.
+    /// All other queries, in the order of their scheduled times.
     other: BTreeSet<(Timestamp, EndpointIndex)>,
     in_flight: usize,
-    /// Start of the current burst interval.
-    burst_began: Timestamp,
-    /// Queries started in the current burst interval.
+    /// When the current burst interval started.
+    burst_started_at: Timestamp,
+    /// Number of queries started in the current burst interval.
     started_in_burst: usize,
 }
 
@@ -42,28 +42,29 @@
         self.other.clear();
     }
 
-    /// When the next query can start, with at most `max_in_flight` concurrent queries. `None` if none is scheduled or
-    /// the limit is reached.
-    pub fn due(&self, max_in_flight: usize) -> Option<Timestamp> {
+    /// When the next query can start, with at most `max_in_flight` concurrent queries. `None` if no query is
+    /// scheduled or the limit is reached.
+    pub fn next_start_time(&self, max_in_flight: usize) -> Option<Timestamp> {
         let first = self.urgent.first().into_iter().chain(self.other.first()).map(|query| query.0).min()?;
         let next_burst = if self.started_in_burst < max_in_flight {
             Timestamp::DISTANT_PAST
         } else {
-            self.burst_began + BURST_INTERVAL
+            self.burst_started_at + BURST_INTERVAL
         };
         (self.in_flight < max_in_flight).then(|| first.max(next_burst))
     }
 
     /// Starts a new burst interval if the current one is over.
     pub fn refresh_burst(&mut self, now: Timestamp) {
-        if now >= self.burst_began + BURST_INTERVAL {
-            self.burst_began = now;
+        if now >= self.burst_started_at + BURST_INTERVAL {
+            self.burst_started_at = now;
             self.started_in_burst = 0;
         }
     }
 
-    /// The next endpoint to query now, with at most `max_in_flight` concurrent queries.
-    pub fn next_due(&self, now: Timestamp, max_in_flight: usize) -> Option<EndpointIndex> {
+    /// The next endpoint whose query is due, with at most `max_in_flight` concurrent queries. `None` if no query is
+    /// due or the limit is reached.
+    pub fn next_endpoint(&self, now: Timestamp, max_in_flight: usize) -> Option<EndpointIndex> {
         if self.in_flight >= max_in_flight || self.started_in_burst >= max_in_flight {
             return None;
         }
--- a/recovery/src/save_schedule.rs
+++ b/recovery/src/save_schedule.rs
@@ -1,32 +1,34 @@
-//! Schedule of cache saves: soon after a change, with changes batched, and with backoff while saving fails.
+//! Schedule of cache saves. A save follows soon after a change, related changes are saved together, and failed saves
+//! are retried with backoff.
 
 use crate::endpoint_state::RoleReport;
 use routing::time::{TimeDelta, Timestamp};
 
 /// Delay from the first change to a save, so that related changes are saved together.
-const SETTLE_TIME: TimeDelta = TimeDelta::from_millis(150);
-/// Interval of saves when discovery only confirms an unchanged list: the age recorded on disk is too high by at most
-/// this much.
-const CONFIRMATION_INTERVAL: TimeDelta = TimeDelta::from_millis(10_000);
-/// Backoff after the first failed save; doubles with each further one.
+const BATCHING_DELAY: TimeDelta = TimeDelta::from_millis(150);
+/// Interval of saves while discovery only confirms an unchanged list. The age of the list on disk is too high by at
+/// most this interval.
+const CONFIRMATION_SAVE_INTERVAL: TimeDelta = TimeDelta::from_millis(10_000);
+/// Pause after the first failed save. It doubles with each further failure.
 const FIRST_RETRY_PAUSE: TimeDelta = TimeDelta::from_millis(1_000);
+/// Longest pause between two failed saves.
 const MAX_RETRY_PAUSE: TimeDelta = TimeDelta::from_millis(60_000);
-/// Bounds the exponent of the backoff against overflow; the longest pause is reached before.
+/// Maximum exponent of the backoff, which prevents an overflow. The longest pause is reached with fewer doublings.
 const MAX_DOUBLINGS: u32 = 16;
-/// An endpoint's report is saved again once its position has advanced by this much (commit time).
+/// An endpoint's report is saved again once the reported position has advanced by this much commit time.
 const POSITION_STEP: TimeDelta = TimeDelta::from_millis(5_000);
 
 /// Schedule of saves of the endpoint cache.
 #[derive(Clone, Copy, Debug)]
 pub struct SaveSchedule {
     min_interval: TimeDelta,
-    /// Time of the first change that is not saved yet.
+    /// When the first change occurred that is not saved yet.
     changed_at: Option<Timestamp>,
-    /// Discovery has confirmed the list since the last save.
+    /// Whether discovery has confirmed the list since the last save.
     confirmed: bool,
     /// When the last save started or ended.
     saved_at: Timestamp,
-    /// Consecutive failed saves.
+    /// Number of consecutive failed saves.
     failures: u32,
 }
 
@@ -57,18 +59,18 @@
         self.confirmed = true;
     }
 
-    /// When the next save is due, if there is anything to save.
+    /// When the next save is due; `None` if there is nothing to save.
     pub fn next_save_due(&self) -> Option<Timestamp> {
         let wanted = match self.changed_at {
-            Some(at) => at + SETTLE_TIME,
-            None if self.confirmed => self.saved_at + CONFIRMATION_INTERVAL,
+            Some(at) => at + BATCHING_DELAY,
+            None if self.confirmed => self.saved_at + CONFIRMATION_SAVE_INTERVAL,
             None => return None,
         };
-        Some(wanted.max(self.saved_at + self.pause()))
+        Some(wanted.max(self.saved_at + self.min_pause()))
     }
 
-    /// Minimum time from the last save to the next.
-    fn pause(&self) -> TimeDelta {
+    /// Minimum time from the last save to the next one.
+    fn min_pause(&self) -> TimeDelta {
         if self.failures == 0 {
             return self.min_interval;
         }
@@ -77,7 +79,7 @@
         self.min_interval.max(backoff.min(MAX_RETRY_PAUSE))
     }
 
-    /// Records the start of a save, which covers all changes so far.
+    /// Records the start of a save that includes all changes recorded so far.
     pub fn save_started(&mut self, now: Timestamp) {
         self.changed_at = None;
         self.confirmed = false;
@@ -94,8 +96,8 @@
     }
 }
 
-/// Whether an endpoint's report differs enough from the saved one to be saved: in role, timeline, or by enough in
-/// position.
+/// Whether an endpoint's report differs enough from the saved one to be saved: in its role, in its timeline, or by at
+/// least [`POSITION_STEP`] in its position.
 pub fn is_worth_saving(saved: Option<RoleReport>, report: RoleReport) -> bool {
     let Some(saved) = saved else { return report.role.is_some() };
     let position_advanced = match (saved.position, report.position) {
--- a/recovery/src/staleness.rs
+++ b/recovery/src/staleness.rs
@@ -1,5 +1,5 @@
-//! Trust in a cached endpoint list by its age: the older the list, the fewer endpoints are queried and admitted at
-//! once, and the more evidence is required before requests are sent to a primary.
+//! Trust in a cached endpoint list according to its age: the older the list, the fewer endpoints are queried and
+//! admitted at a time, and the more evidence is required before requests are sent to a primary.
 
 use routing::time::{TimeDelta, Timestamp};
 
@@ -28,21 +28,22 @@
     }
 }
 
-/// The evidence required and the queries allowed at an age of the list: one row of the table on the operators' page.
+/// The evidence required and the queries allowed for an age class of the list. The operators' documentation has the
+/// levels as the rows of a table.
 #[derive(Debug)]
 pub struct VerificationLevel {
     /// The age class that the level applies to.
     pub staleness: Staleness,
     /// Maximum age of a list of that class.
     pub max_age: TimeDelta,
-    /// Maximum number of concurrent endpoint queries, which also bounds how many endpoints are admitted at once.
+    /// Maximum number of concurrent endpoint queries. It also bounds how many endpoints are admitted at a time.
     pub max_queries: usize,
     /// Consecutive answers in which an endpoint must claim to be primary before writes are sent to it.
     pub claims_required: u32,
-    /// An endpoint that does not report its identity is assumed to be the one listed at its address.
+    /// Whether an endpoint that does not report its identity is assumed to be the one listed at its address.
     pub identifies_by_address: bool,
-    /// A primary is verified if every other member has answered or refused the connection. Otherwise a majority of
-    /// members must follow it.
+    /// Whether a primary is verified once every other member has answered or refused the connection. If not, a
+    /// majority of members must follow the primary.
     pub accepts_without_majority: bool,
 }
 
@@ -87,7 +88,7 @@
     },
 ];
 
-/// Tolerance for the clock differences between the machines of a fleet.
+/// Tolerance for clock differences between the machines of a deployment.
 const MAX_CLOCK_SKEW: TimeDelta = TimeDelta::from_millis(500);
 
 /// The timestamps in a cached list, by the wall clock at the time of writing.
@@ -100,20 +101,20 @@
 }
 
 /// Returns the level for a list at the wall-clock time `now`. `latest_report` is the latest position that any
-/// endpoint has reported since this start: it reveals the true age if the local clock was set back. Without `times`
-/// the age is unknown.
+/// endpoint has reported since the instance started; it reveals the true age if the local clock is behind. Without
+/// `times`, the age is unknown.
 pub fn verification_level(
     times: Option<CacheTimes>,
     now: Timestamp,
     latest_report: Option<Timestamp>,
 ) -> &'static VerificationLevel {
-    let lowest = &VERIFICATION_LEVELS[VERIFICATION_LEVELS.len() - 1];
-    let Some(times) = times else { return lowest };
+    let least_trusted = &VERIFICATION_LEVELS[VERIFICATION_LEVELS.len() - 1];
+    let Some(times) = times else { return least_trusted };
     let from_future = times.confirmed.max(times.saved) > now + MAX_CLOCK_SKEW;
     let clock_set_back = times.saved + MAX_CLOCK_SKEW < times.confirmed;
     if from_future || clock_set_back {
-        return lowest;
+        return least_trusted;
     }
     let age = now.max(latest_report.unwrap_or(now)) - times.confirmed;
-    VERIFICATION_LEVELS.iter().find(|level| age <= level.max_age).unwrap_or(lowest)
+    VERIFICATION_LEVELS.iter().find(|level| age <= level.max_age).unwrap_or(least_trusted)
 }
--- a/recovery/src/watch_schedule.rs
+++ b/recovery/src/watch_schedule.rs
@@ -2,43 +2,45 @@
 //!
 //! A change that a broken watch does not deliver must be known within 6 s of the last event. Discovery sends an empty
 //! line every 2 s as a heartbeat. A watch is closed after 3 s of silence, which tolerates a heartbeat that is 1 s
-//! late, and leaves 3 s to open the next one, including two attempts that time out. Pushed lists come from an agent
-//! on this machine, which replies at once; its list counts as known whether or not a watch is open. So the pause
-//! between watches may not exceed half of the grace period after which no attempts may be sent to a draining
-//! endpoint.
+//! late. This leaves 3 s to open the next watch, including two attempts that time out.
+//!
+//! Pushed lists come from an agent on the same machine, which responds at once. The router is assumed to know the
+//! agent's list whether or not a watch is open. Therefore the pause between two watches must not exceed half of the
+//! grace period after which no attempts may be sent to a draining endpoint.
 
 use routing::time::{TimeDelta, Timestamp};
 
-/// Maximum time between two events, an event being a complete list or an empty line. Bytes of an incomplete event do
-/// not count.
+/// Maximum time between two events. An event is a complete list or an empty line; bytes of an incomplete event do not
+/// count.
 const MAX_SILENCE: TimeDelta = TimeDelta::from_millis(3_000);
-/// Timeout of opening a connection, and of the start of a local agent's response.
+/// Timeout for opening a connection, and for the start of a local agent's response.
 pub const OPEN_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_000);
-/// A watch with events for at least this long was healthy, so the backoff starts over after it.
+/// A watch that received events for at least this long was healthy: the backoff starts over after it.
 const HEALTHY_AFTER: TimeDelta = TimeDelta::from_millis(2_000);
-/// The first pause before reconnecting.
+/// First pause before reconnecting.
 const MIN_PAUSE: TimeDelta = TimeDelta::from_millis(50);
-/// The longest pause before reconnecting. Backoff and jitter keep many instances from polling a service in lockstep.
+/// Longest pause before reconnecting. Backoff and jitter prevent that many instances poll a service in lockstep.
 const MAX_PAUSE: TimeDelta = TimeDelta::from_millis(2_000);
-/// Exclusive upper bound of the jitter. A jitter of `j` lengthens half of the pause by `j / JITTER_RANGE` of it.
+/// Exclusive upper bound of the jitter. With a jitter of `j`, the pause is one half plus `j / JITTER_RANGE` of the
+/// other half.
 pub const JITTER_RANGE: usize = 32;
 
 /// Timing of the current watch and of the pause before the next one.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchSchedule {
-    /// Lists are pushed by an agent on this machine.
+    /// Whether lists are pushed by an agent on the same machine.
     from_local_agent: bool,
     max_pause: TimeDelta,
-    /// The next pause, without jitter.
+    /// The next pause before reconnecting, without jitter.
     pause: TimeDelta,
     requested_at: Timestamp,
-    /// Time of the last event of the current watch.
+    /// When the last event of the current watch was received.
     last_event_at: Option<Timestamp>,
 }
 
 impl WatchSchedule {
-    /// Creates a schedule. `from_local_agent` means that lists come from an agent on this machine; `drain_grace` is
-    /// the time within which attempts to a draining endpoint must cease, if known.
+    /// Creates a schedule. `from_local_agent` means that lists are pushed by an agent on the same machine.
+    /// `drain_grace` is the time after which no attempts may be sent to a draining endpoint, if known.
     pub fn new(from_local_agent: bool, drain_grace: Option<TimeDelta>) -> WatchSchedule {
         let within_grace =
             drain_grace.filter(|_| from_local_agent).map(|grace| (grace / 2).max(MIN_PAUSE).min(MAX_PAUSE));
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Records the request of a watch. Returns the time by which its response must have started.
+    /// Records the request of a watch. Returns the time by which the response must have started.
     pub fn watch_requested(&mut self, now: Timestamp) -> Timestamp {
         self.requested_at = now;
         self.last_event_at = None;
@@ -68,19 +70,19 @@
         self.last_event_at.unwrap_or(self.requested_at) + MAX_SILENCE
     }
 
-    /// Records a complete event. Returns the time by which the next one must have been received.
+    /// Records a complete event. Returns the time by which the next event must have been received.
     pub fn event_received(&mut self, now: Timestamp) -> Timestamp {
         self.last_event_at = Some(now);
         self.next_event_due()
     }
 
-    /// Resets the backoff because discovery has moved to another address or provided a new list.
+    /// Resets the backoff, after discovery has moved to another address or provided a new list.
     pub fn reset_backoff(&mut self) {
         self.pause = MIN_PAUSE;
     }
 
-    /// Records the end of a watch. Returns the pause before the next request, with a `jitter` of less than
-    /// [`JITTER_RANGE`], limited to `max_pause` if set. The backoff starts over after a healthy watch.
+    /// Records the end of a watch. Returns the pause before the next request, varied by a `jitter` below
+    /// [`JITTER_RANGE`] and limited to `max_pause` if set. The backoff starts over after a healthy watch.
     pub fn watch_ended(&mut self, jitter: usize, max_pause: Option<TimeDelta>) -> TimeDelta {
         let last_event_at = self.last_event_at.take();
         if last_event_at.is_some_and(|at| at - self.requested_at >= HEALTHY_AFTER) {
--- a/recovery/tests/cached_list.rs
+++ b/recovery/tests/cached_list.rs
@@ -1,6 +1,6 @@
-//! The cached endpoint list: how stale it is, which incarnation of discovery replaces it, when it is saved.
+//! The cached endpoint list: its staleness, the lists from discovery that replace it, and the schedule of its saves.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the items.
 mod support;
 
 use recovery::discovery_incarnation::{
@@ -12,9 +12,9 @@
 use support::{at, complete_list, primary, DAY, START};
 
 #[test]
-fn staleness_follows_the_newest_position_where_the_clock_is_behind() {
+fn staleness_depends_on_age_clock_skew_and_latest_position() {
     let times = |confirmed: i64, saved: i64| Some(CacheTimes { confirmed: at(confirmed), saved: at(saved) });
-    let staleness = |times, newest| verification_level(times, at(START), newest).staleness;
+    let staleness = |times, latest_report| verification_level(times, at(START), latest_report).staleness;
     assert_eq!(staleness(times(START - 59_000, START - 59_000), None), Staleness::Fresh);
     assert_eq!(staleness(times(START - 61_000, START - 1_000), None), Staleness::Recent);
     assert_eq!(staleness(times(START - DAY, START - DAY), None), Staleness::Old);
@@ -22,7 +22,7 @@
     assert_eq!(
         staleness(times(START + 10_000, START + 10_000), None),
         Staleness::Unknown,
-        "a list from the future"
+        "the list is from the future"
     );
     assert_eq!(
         staleness(times(START - 1_000, START - 60_000), None),
@@ -30,25 +30,29 @@
         "the clock was set back"
     );
     assert_eq!(staleness(None, None), Staleness::Unknown);
-    // Five seconds by the own clock, two hours by the positions of the endpoints.
+    // The list is 5 s old by the local clock and 2 h old by the endpoints' positions.
     assert_eq!(staleness(times(START - 5_000, START - 5_000), Some(at(START + DAY / 12))), Staleness::Old);
 }
 
 #[test]
-fn another_incarnation_is_accepted_once_confirmed_and_an_old_copy_is_not() {
+fn list_of_a_lower_version_is_accepted_only_after_confirmation() {
     let mut tracker = IncarnationTracker::new(40, true);
     assert_eq!(
         tracker.decide(at(0), ReceivedList { empty: true, ..complete_list(50) }),
         ListDecision::Ignore,
-        "an incarnation that lost all endpoints"
+        "discovery has lost all endpoints"
     );
     assert_eq!(tracker.decide(at(0), complete_list(41)), ListDecision::Accept);
-    // An old copy, then the current incarnation again: the suspicion is dropped.
+    // A list of the current incarnation after an outdated copy discards the candidate.
     assert_eq!(tracker.decide(at(100), complete_list(5)), ListDecision::AwaitConfirmation);
     assert_eq!(tracker.decide(at(200), complete_list(42)), ListDecision::Accept);
     assert_eq!(tracker.decide(at(9_000), complete_list(5)), ListDecision::AwaitConfirmation);
     assert_eq!(tracker.poll_again_at(), Some(at(9_000) + CONFIRMATION_INTERVAL));
-    assert_eq!(tracker.decide(at(9_100), complete_list(5)), ListDecision::AwaitConfirmation, "too soon");
+    assert_eq!(
+        tracker.decide(at(9_100), complete_list(5)),
+        ListDecision::AwaitConfirmation,
+        "the confirmation interval has not passed"
+    );
     assert_eq!(
         tracker.decide(at(9_200), ReceivedList { complete: false, ..complete_list(6) }),
         ListDecision::Ignore
@@ -56,7 +60,7 @@
     assert_eq!(
         tracker.decide(at(9_000) + CONFIRMATION_INTERVAL, complete_list(4)),
         ListDecision::AwaitConfirmation,
-        "older than the version that it offered before"
+        "the version is lower than that of the candidate"
     );
     assert_eq!(
         tracker.decide(at(9_000) + CONFIRMATION_INTERVAL + CONFIRMATION_INTERVAL, complete_list(4)),
@@ -66,23 +70,26 @@
     assert_eq!(
         tracker.decide(at(20_000), ReceivedList { empty: true, ..complete_list(9) }),
         ListDecision::Accept,
-        "the accepted incarnation may list no endpoints"
+        "an empty list of a confirmed incarnation is valid"
     );
 }
 
 #[test]
-fn saves_follow_changes_and_back_off_on_a_failing_disk() {
-    let gap = TimeDelta::from_millis(1_000);
-    let mut schedule = SaveSchedule::new(gap);
+fn saves_are_batched_and_failed_saves_back_off() {
+    let min_interval = TimeDelta::from_millis(1_000);
+    let mut schedule = SaveSchedule::new(min_interval);
     assert_eq!(schedule.next_save_due(), None);
     schedule.record_change(at(START));
     schedule.record_change(at(START + 100));
     let due = schedule.next_save_due().expect("a save is due after a change");
-    assert!(due >= at(START) && due <= at(START + 200), "shortly after the first of several changes");
+    assert!(
+        due >= at(START) && due <= at(START + 200),
+        "the save does not follow soon after the first change"
+    );
     schedule.save_started(due);
     schedule.save_ended(due, true);
     schedule.record_change(due);
-    assert_eq!(schedule.next_save_due(), Some(due + gap));
+    assert_eq!(schedule.next_save_due(), Some(due + min_interval));
     let (mut now, mut pauses) = (due, Vec::new());
     for _ in 0..12 {
         let next = schedule.next_save_due().expect("a failed save is retried");
@@ -91,8 +98,12 @@
         schedule.save_started(now);
         schedule.save_ended(now, false);
     }
-    assert!(pauses.windows(2).all(|two| two[0] <= two[1]), "{pauses:?}");
+    assert!(pauses.windows(2).all(|pair| pair[0] <= pair[1]), "{pauses:?}");
     assert_eq!(pauses.last(), Some(&TimeDelta::from_millis(60_000)));
+}
+
+#[test]
+fn report_is_saved_after_a_new_timeline_or_position_step() {
     let report = primary(START, 1);
     assert!(is_worth_saving(None, report) && !is_worth_saving(Some(report), primary(START + 100, 1)));
     assert!(
--- a/recovery/tests/primary_verification.rs
+++ b/recovery/tests/primary_verification.rs
@@ -1,6 +1,6 @@
-//! When an endpoint counts as the verified primary of its group: claims, timelines, positions, replicas.
+//! When an endpoint is verified as the primary of its group, by claims, timelines, positions and replicas.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the items.
 mod support;
 
 use recovery::endpoint_state::RoleReport;
@@ -12,28 +12,36 @@
 use support::{at, primary, replica, without_timeline, Fixture, DAY, FRESH, START};
 
 #[test]
-fn no_primary_is_eligible_before_it_is_verified() {
+fn no_primary_is_eligible_before_all_members_answered() {
     let mut fixture = Fixture::new(1, FRESH);
     assert_eq!(fixture.eligibility(0), NoMember);
     fixture.answer(0, primary(START, 1));
-    assert_eq!(fixture.eligibility(0), NoMember, "one claim, the others not queried");
+    assert_eq!(fixture.eligibility(0), NoMember, "the other members have not been queried");
     fixture.answer(1, replica(START - 20, 1));
     assert_eq!(fixture.eligibility(0), NoMember);
     fixture.answer(2, replica(START - 20, 1));
-    assert_eq!(fixture.eligibility(0), Only(0), "all members answered, and the list is fresh");
+    assert_eq!(fixture.eligibility(0), Only(0), "all members have answered, and the list is fresh");
 }
 
 #[test]
-fn on_an_old_list_a_majority_must_replicate_from_the_primary() {
+fn old_list_requires_a_majority_that_follows_the_primary() {
     let mut fixture = Fixture::new(1, 2 * DAY);
     for _ in 0..6 {
         let stalled = replica(START - 5_000, 1);
         fixture.answer_in_order([primary(fixture.now, 1), stalled, stalled]);
     }
-    assert_eq!(fixture.eligibility(0), NoMember, "its replicas do not advance: it may be partitioned");
+    assert_eq!(
+        fixture.eligibility(0),
+        NoMember,
+        "the replicas do not advance: the claimant may be partitioned"
+    );
     fixture.answer(1, replica(fixture.now, 1));
     fixture.answer(0, primary(fixture.now, 1));
-    assert_eq!(fixture.eligibility(0), Only(0), "one of two replicas passed the position it reported");
+    assert_eq!(
+        fixture.eligibility(0),
+        Only(0),
+        "one of two replicas has passed the position that the claimant reported"
+    );
 }
 
 /// Endpoint 0 claims to be primary, endpoint 1 is a replica on another timeline, endpoint 2 does not answer.
@@ -44,7 +52,7 @@
 }
 
 impl ContradictedClaim {
-    fn assert_is_not_accepted(&self, fixture: &mut Fixture, rounds: u32) {
+    fn assert_not_eligible(&self, fixture: &mut Fixture, rounds: u32) {
         for _ in 0..rounds {
             fixture.answer(0, primary(fixture.now, self.claimed_timeline));
             fixture.answer(1, replica(fixture.now + self.replica_ahead_ms, self.replica_timeline));
@@ -55,37 +63,37 @@
 }
 
 #[test]
-fn a_replica_on_another_timeline_is_no_evidence() {
+fn replica_on_another_timeline_does_not_support_a_claim() {
     let mut fixture = Fixture::new(1, 2 * DAY);
-    // The replica follows a former primary that continues, and so its position is ahead.
+    // The replica follows a former primary that is still running, so its position is ahead.
     ContradictedClaim { claimed_timeline: 2, replica_timeline: 1, replica_ahead_ms: 5 }
-        .assert_is_not_accepted(&mut fixture, 6);
+        .assert_not_eligible(&mut fixture, 6);
     fixture.answer(1, replica(fixture.now, 2));
     fixture.answer(0, primary(fixture.now, 2));
     assert_eq!(fixture.eligibility(0), Only(0));
 }
 
 #[test]
-fn the_older_the_list_the_more_claims_are_required() {
+fn required_claims_increase_with_the_age_of_the_list() {
     for (age, claims_required) in [(5_000, 1), (600_000, 2), (DAY / 2, 2), (2 * DAY, 3)] {
         let mut fixture = Fixture::new(1, age);
         fixture.fail(2, QueryFailure::NoAnswer);
         for round in 1..=claims_required {
-            assert_eq!(fixture.eligibility(0), NoMember, "{age} ms old, before claim {round}");
+            assert_eq!(fixture.eligibility(0), NoMember, "list of {age} ms, before claim {round}");
             fixture.answer(0, primary(fixture.now, 1));
             fixture.answer(1, replica(fixture.now, 1));
         }
-        assert_eq!(fixture.eligibility(0), Only(0), "{age} ms old");
+        assert_eq!(fixture.eligibility(0), Only(0), "list of {age} ms");
     }
 }
 
 #[test]
-fn a_former_primary_that_continues_is_ruled_out_by_a_later_timeline() {
+fn later_timeline_disproves_the_claim_of_a_former_primary() {
     for age in [5_000, DAY * 2] {
         let mut fixture = Fixture::new(1, age);
-        // The replica follows the successor, which does not answer.
+        // The replica follows the new primary, which does not answer.
         ContradictedClaim { claimed_timeline: 1, replica_timeline: 2, replica_ahead_ms: -20 }
-            .assert_is_not_accepted(&mut fixture, 5);
+            .assert_not_eligible(&mut fixture, 5);
         fixture.answer(2, primary(fixture.now, 2));
         for _ in 0..4 {
             fixture.answer(1, replica(fixture.now, 2));
@@ -96,18 +104,18 @@
 }
 
 #[test]
-fn a_refused_connection_rules_a_member_out_and_a_timeout_does_not() {
+fn refused_connection_accounts_for_a_member_and_timeout_does_not() {
     let mut fixture = Fixture::new(1, FRESH);
     fixture.answer(0, primary(START, 1));
     fixture.answer(1, without_timeline(replica(START - 10, 1)));
     fixture.fail(2, QueryFailure::NoAnswer);
-    assert_eq!(fixture.eligibility(0), NoMember, "the one without an answer may have been promoted");
+    assert_eq!(fixture.eligibility(0), NoMember, "the member that did not answer may have been promoted");
     fixture.fail(2, QueryFailure::Refused);
     assert_eq!(fixture.eligibility(0), Only(0));
 }
 
 #[test]
-fn of_two_claims_without_timelines_none_is_eligible_until_one_falls_behind() {
+fn competing_claims_are_ineligible_until_one_falls_behind() {
     let mut fixture = Fixture::new(1, FRESH);
     fixture.answer(2, without_timeline(replica(START - 40, 1)));
     for _ in 0..3 {
@@ -116,7 +124,7 @@
         assert_eq!(fixture.eligibility(0), NoMember);
     }
     assert_eq!(fixture.discovery.group_state(0), Some(GroupState::Contested));
-    // The first does not advance: queried after the other, it reports an earlier position.
+    // Endpoint 0 does not advance: it is queried after endpoint 1 and reports an earlier position.
     let stalled = fixture.now - 50;
     fixture.answer(1, without_timeline(primary(fixture.now, 1)));
     fixture.answer(0, without_timeline(primary(stalled, 1)));
@@ -124,7 +132,7 @@
 }
 
 #[test]
-fn a_report_below_the_cached_minimum_position_is_no_evidence() {
+fn claim_below_the_cached_minimum_position_is_rejected() {
     let mut fixture = Fixture::new(1, FRESH);
     let minimum = MinimumPosition { timeline: Some(3), position: Some(at(START - 5_000)) };
     fixture.handle(Event::CachedListLoaded {
@@ -141,7 +149,7 @@
 }
 
 #[test]
-fn a_verified_primary_that_reports_replica_is_ineligible_at_once() {
+fn verified_primary_that_reports_replica_becomes_ineligible() {
     let mut fixture = Fixture::new(1, FRESH);
     fixture.answer_in_order([primary(START, 1), replica(START - 10, 1), replica(START - 10, 1)]);
     let report = EndpointReport { role: Some(Role::Replica), position: Some(at(fixture.now)), load: None };
--- a/recovery/tests/random_failovers.rs
+++ b/recovery/tests/random_failovers.rs
@@ -1,7 +1,7 @@
-//! Primary discovery through random failovers, lost answers and list updates, against a model that knows the true
-//! primary of each group.
+//! Primary discovery during random failovers, lost answers and list updates, compared with a model that knows the
+//! true primary of each group.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the items.
 mod support;
 
 use proptest::prelude::*;
@@ -15,44 +15,37 @@
 
 const GROUPS: usize = 3;
 const ENDPOINTS: usize = GROUPS * GROUP_SIZE;
-/// The age of the list in the cases where discovery never confirms it, in milliseconds.
+/// Age of the list in the cases in which discovery does not confirm it before the end, in milliseconds.
 const UNCONFIRMED_AGE: i64 = 1_000;
-/// The ages of the cached list that a case draws from, in milliseconds; the last is of a list from the future.
+/// Ages of the cached list in the test cases, in milliseconds. The last one is that of a list from the future.
 const AGES: [i64; 5] = [UNCONFIRMED_AGE, 50_000, 600_000, 2 * DAY, -DAY];
 
 /// A change of a group's primary.
 #[derive(Clone, Copy, Debug)]
 struct Failover {
     promoted: usize,
-    /// The former primary goes on claiming on its own timeline.
-    former_continues: bool,
-    /// No other member follows the promoted one yet.
-    others_lag: bool,
+    /// Whether the former primary still claims to be primary, on its own timeline.
+    former_still_claims: bool,
+    /// Whether no other member follows the promoted one yet.
+    others_stall: bool,
 }
 
 /// One step of a random sequence.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A failover, or so many milliseconds pass if the group had one within 3 s.
+    /// A failover. If the last failover of the group was at most 3 s ago, time advances by these milliseconds
+    /// instead.
     FailoverOrAdvance(Failover, i64),
-    Advance {
-        ms: i64,
-    },
-    Answer {
-        endpoint: usize,
-    },
-    /// A query fails; a member that does not run may refuse the connection.
-    Fail {
-        endpoint: usize,
-        may_refuse: bool,
-    },
-    /// Discovery confirms the list once, or a request waits for the endpoint's group.
-    ConfirmListOrRequest {
-        endpoint: usize,
-    },
-    Request {
-        endpoint: usize,
-    },
+    /// Time advances by these milliseconds.
+    Advance { ms: i64 },
+    /// The endpoint answers its open query.
+    Answer { endpoint: usize },
+    /// A query fails. A member that does not claim to be primary may refuse the connection.
+    Fail { endpoint: usize, may_refuse: bool },
+    /// Discovery confirms the list if it has not done so before. Otherwise a request waits for the endpoint's group.
+    ConfirmListOrRequest { endpoint: usize },
+    /// A request waits for the endpoint's group.
+    Request { endpoint: usize },
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
@@ -60,8 +53,11 @@
         let ms = i64::from(detail) * 10;
         match kind {
             0 if detail < 60 => {
-                let (former_continues, others_lag) = (detail % 2 == 0, detail % 4 == 3);
-                Step::FailoverOrAdvance(Failover { promoted: endpoint, former_continues, others_lag }, ms)
+                let (former_still_claims, others_stall) = (detail % 2 == 0, detail % 4 == 3);
+                Step::FailoverOrAdvance(
+                    Failover { promoted: endpoint, former_still_claims, others_stall },
+                    ms,
+                )
             }
             0 | 1 => Step::Advance { ms },
             2..=7 => Step::Answer { endpoint },
@@ -72,17 +68,17 @@
     })
 }
 
-/// What is true of an endpoint.
+/// True state of an endpoint.
 #[derive(Clone, Copy, Debug)]
 struct Endpoint {
     timeline: u32,
     claims_primary: bool,
-    /// Where its position stays while no primary replicates to it.
+    /// The position at which the endpoint stays while no primary replicates to it, in Unix milliseconds.
     stalled_at: Option<i64>,
 }
 
 impl Endpoint {
-    /// What it reports at this time; a replica is `lag` milliseconds behind.
+    /// The endpoint's report at the time `now`. A replica is `lag` milliseconds behind.
     fn report(&self, now: i64, lag: i64) -> RoleReport {
         let (role, lag) = if self.claims_primary { (Role::Primary, 0) } else { (Role::Replica, lag) };
         let position = Some(at(self.stalled_at.unwrap_or(now - lag)));
@@ -90,7 +86,7 @@
     }
 }
 
-/// What is true of a group, and the endpoint that the discovery last declared its only primary.
+/// True state of a group, and the endpoint that the discovery last declared its only eligible primary.
 #[derive(Clone, Copy, Debug)]
 struct Group {
     primary: usize,
@@ -98,12 +94,12 @@
     declared: Option<usize>,
 }
 
-/// A discovery, and the endpoints and groups that it is to find out about.
+/// A discovery under test, and the true state of the endpoints and groups.
 struct CheckedDiscovery {
     fixture: Fixture,
     endpoints: [Endpoint; ENDPOINTS],
     groups: [Group; GROUPS],
-    /// Whether discovery may still send its list.
+    /// Whether a later step may confirm the list.
     may_confirm: bool,
 }
 
@@ -166,9 +162,9 @@
             return;
         }
         let latest = members_of(group).map(|member| self.endpoints[member].timeline).max().unwrap_or(1);
-        for member in members_of(group).filter(|&member| member != former || !failover.former_continues) {
+        for member in members_of(group).filter(|&member| member != former || !failover.former_still_claims) {
             let endpoint = &mut self.endpoints[member];
-            if member != failover.promoted && failover.others_lag {
+            if member != failover.promoted && failover.others_stall {
                 endpoint.claims_primary = false;
                 endpoint.stalled_at = Some(self.fixture.now - 10);
             } else {
@@ -180,7 +176,8 @@
         self.groups[group].failover_at = self.fixture.now;
     }
 
-    /// An endpoint that becomes a group's only eligible primary is the true one, or was when it was last queried.
+    /// Checks that an endpoint that becomes a group's only eligible primary is the true one, or was the true one
+    /// while the evidence for it was collected.
     fn check(&mut self) -> TestCaseResult {
         let now = at(self.fixture.now);
         for (number, group) in self.groups.iter_mut().enumerate() {
@@ -193,7 +190,7 @@
                     endpoint == group.primary || now - EVIDENCE_VALID_FOR <= at(group.failover_at);
                 prop_assert!(
                     was_primary,
-                    "group {number}: {endpoint} is eligible, {} is primary",
+                    "group {number}: endpoint {endpoint} is eligible, but endpoint {} is the primary",
                     group.primary
                 );
             }
@@ -204,8 +201,8 @@
         Ok(())
     }
 
-    /// Discovery is back, the failovers are over and all endpoints answer.
-    fn settle(&mut self) {
+    /// Confirms the list, ends all failovers and lets all endpoints answer.
+    fn recover(&mut self) {
         self.fixture.confirm_list(0..ENDPOINTS);
         for (number, group) in self.groups.iter().enumerate() {
             let timeline = self.endpoints[group.primary].timeline;
@@ -225,12 +222,13 @@
 proptest! {
     #![proptest_config(seeded_cases(256, 20_26))]
 
-    /// Each group has one true primary on the latest timeline, which may change at any time, and former ones that go
-    /// on claiming on theirs. Whatever is queried, answered and lost in whatever order, no endpoint becomes eligible
-    /// but one that was the true primary when it was last queried; and in the end each group has its primary.
+    /// Each group has one true primary on the latest timeline, which may change at any time, and former primaries
+    /// that still claim the role on their own timelines. Queries are answered or lost in any order. Only the endpoint
+    /// that was the true primary while the evidence was collected may become eligible, and in the end each group has
+    /// a primary.
     #[test]
-    fn only_a_true_primary_becomes_eligible(
-        age in (0..AGES.len()).prop_map(|nth| AGES[nth]),
+    fn only_the_true_primary_becomes_eligible(
+        age in (0..AGES.len()).prop_map(|index| AGES[index]),
         steps in prop::collection::vec(any_step(), 1..300),
     ) {
         let mut discovery = CheckedDiscovery::new(age);
@@ -238,7 +236,7 @@
             discovery.apply(step);
             discovery.check()?;
         }
-        discovery.settle();
-        prop_assert!(discovery.fixture.discovery.is_over(), "{:?}", discovery.groups);
+        discovery.recover();
+        prop_assert!(discovery.fixture.discovery.is_complete(), "{:?}", discovery.groups);
     }
 }
--- a/recovery/tests/support/mod.rs
+++ b/recovery/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A primary discovery with what its host would know of it: open queries, admitted endpoints, eligibility by group.
+//! A primary discovery under test, with the state that its actions lead to: open queries, admitted endpoints, and the
+//! eligibility of each group.
 
 use recovery::discovery_incarnation::ReceivedList;
 use recovery::endpoint_state::RoleReport;
@@ -12,24 +13,24 @@
 
 /// A day in milliseconds.
 pub const DAY: i64 = 86_400_000;
-/// The time of the start: some day in 2026, in Unix milliseconds.
+/// When the instance starts, in Unix milliseconds: a day in 2026.
 pub const START: i64 = 1_790_000_000_000;
-/// The age of a list that counts as fresh at the start, in milliseconds.
+/// Age of a list that counts as fresh, in milliseconds.
 pub const FRESH: i64 = 5_000;
-/// Endpoints of each group; group `g` has the endpoints `3 * g` to `3 * g + 2`.
+/// Number of endpoints in each group. Group `g` has the endpoints `3 * g` to `3 * g + 2`.
 pub const GROUP_SIZE: usize = 3;
 
-/// A time in Unix milliseconds.
+/// Converts Unix milliseconds to a timestamp.
 pub fn at(ms: i64) -> Timestamp {
     Timestamp(ms * 1_000_000)
 }
 
-/// The report of a primary at this position of a timeline.
+/// The report of a primary at a position, in Unix milliseconds, on a timeline.
 pub fn primary(position: i64, timeline: u32) -> RoleReport {
     RoleReport { role: Some(Role::Primary), position: Some(at(position)), timeline: Some(timeline) }
 }
 
-/// The report of a replica at this position of a timeline.
+/// The report of a replica at a position, in Unix milliseconds, on a timeline.
 pub fn replica(position: i64, timeline: u32) -> RoleReport {
     RoleReport { role: Some(Role::Replica), ..primary(position, timeline) }
 }
@@ -39,28 +40,28 @@
     RoleReport { timeline: None, ..report }
 }
 
-/// A complete list of this version with endpoints in it.
+/// A complete list of this version that is not empty.
 pub fn complete_list(version: i64) -> ReceivedList {
     ReceivedList { version, complete: true, empty: false }
 }
 
-/// A primary discovery under test, and the state that its actions lead to in its host.
+/// A primary discovery under test, and the state that its actions lead to.
 pub struct Fixture {
-    /// What is tested.
+    /// The discovery under test.
     pub discovery: PrimaryDiscovery,
-    /// The time, in Unix milliseconds.
+    /// The current time in Unix milliseconds.
     pub now: i64,
-    /// The endpoints that are being queried.
+    /// The endpoints with an open query.
     pub queries: BTreeSet<usize>,
-    /// The endpoints that are admitted.
+    /// The admitted endpoints.
     pub admitted: BTreeSet<usize>,
-    /// The most queries that were open at once.
-    pub most_queries: usize,
+    /// The largest number of queries that were open at a time.
+    pub max_open_queries: usize,
     eligibility: BTreeMap<usize, PrimaryEligibility>,
 }
 
 impl Fixture {
-    /// A start with a cached list of so many groups, confirmed `age` milliseconds ago.
+    /// Starts from a cached list of `groups` groups that discovery confirmed `age` milliseconds ago.
     pub fn new(groups: usize, age: i64) -> Fixture {
         let confirmed = at(START - age);
         let cache_times = Some(CacheTimes { confirmed, saved: confirmed });
@@ -68,14 +69,14 @@
         Fixture::with_settings(groups, settings)
     }
 
-    /// A start with a cached list of so many groups and these settings.
+    /// Starts from a cached list of `groups` groups with these settings.
     pub fn with_settings(groups: usize, settings: DiscoverySettings) -> Fixture {
         let mut fixture = Fixture {
             discovery: PrimaryDiscovery::new(settings),
             now: START,
             queries: BTreeSet::new(),
             admitted: BTreeSet::new(),
-            most_queries: 0,
+            max_open_queries: 0,
             eligibility: BTreeMap::new(),
         };
         let members = members(0..groups * GROUP_SIZE);
@@ -83,17 +84,20 @@
         fixture
     }
 
-    /// Hands the discovery an event, and carries out its actions.
+    /// Passes an event to the discovery and carries out the resulting actions.
     pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.discovery.on_event(at(self.now), event, &mut actions);
         for action in actions {
             match action {
                 Action::Query { endpoint } => {
-                    assert!(self.queries.insert(endpoint), "an endpoint has one query at a time");
+                    assert!(
+                        self.queries.insert(endpoint),
+                        "endpoint {endpoint} was queried while a query to it was open"
+                    );
                 }
                 Action::Admit { endpoint } => {
-                    assert!(self.admitted.insert(endpoint), "an endpoint is admitted once");
+                    assert!(self.admitted.insert(endpoint), "endpoint {endpoint} was admitted twice");
                 }
                 Action::Withdraw { endpoint } => _ = self.admitted.remove(&endpoint),
                 Action::SetEligibility { group, eligibility } => {
@@ -101,28 +105,28 @@
                 }
             }
         }
-        self.most_queries = self.most_queries.max(self.queries.len());
+        self.max_open_queries = self.max_open_queries.max(self.queries.len());
     }
 
-    /// So many milliseconds pass.
+    /// Advances the time by `ms` milliseconds.
     pub fn advance(&mut self, ms: i64) {
         self.now += ms;
         self.handle(Event::Tick);
     }
 
-    /// The endpoint answers its next query under its own identity.
+    /// Answers the next query to an endpoint with the identity of that endpoint.
     pub fn answer(&mut self, endpoint: usize, report: RoleReport) {
         self.answer_as(endpoint, Identity::Confirmed, report);
     }
 
-    /// The endpoints of the first group answer their next queries, one after the other.
+    /// Answers the next query to each endpoint of the first group, one after the other.
     pub fn answer_in_order(&mut self, reports: [RoleReport; GROUP_SIZE]) {
         for (endpoint, report) in reports.into_iter().enumerate() {
             self.answer(endpoint, report);
         }
     }
 
-    /// The endpoint's address answers its next query with this identity.
+    /// Answers the next query to an endpoint with this identity.
     pub fn answer_as(&mut self, endpoint: usize, identity: Identity, report: RoleReport) {
         for _ in 0..200 {
             if self.queries.contains(&endpoint) {
@@ -131,10 +135,10 @@
             self.advance(100);
         }
         let is_answered = self.answer_open_query(endpoint, identity, report);
-        assert!(is_answered, "endpoint {endpoint} is queried within 20 s");
+        assert!(is_answered, "endpoint {endpoint} was not queried within 20 s");
     }
 
-    /// Answers the endpoint's query 1 ms after it was sent, if there is one.
+    /// Answers an endpoint's open query, 1 ms after the current time. Returns false if there is no open query.
     pub fn answer_open_query(&mut self, endpoint: usize, identity: Identity, report: RoleReport) -> bool {
         let is_open = self.queries.remove(&endpoint);
         if is_open {
@@ -145,7 +149,7 @@
         is_open
     }
 
-    /// Answers all queries that are open now at once; returns the endpoints.
+    /// Answers all open queries at the current time. Returns the queried endpoints.
     pub fn answer_open_queries(&mut self, report: impl Fn(usize, i64) -> RoleReport) -> Vec<usize> {
         let queried: Vec<usize> = self.queries.iter().copied().collect();
         for &endpoint in &queried {
@@ -157,14 +161,14 @@
         queried
     }
 
-    /// The endpoint's next query fails.
+    /// Fails the next query to an endpoint.
     pub fn fail(&mut self, endpoint: usize, failure: QueryFailure) {
         while !self.fail_open_query(endpoint, failure) {
             self.advance(100);
         }
     }
 
-    /// Fails the endpoint's query, if there is one.
+    /// Fails an endpoint's open query. Returns false if there is no open query.
     pub fn fail_open_query(&mut self, endpoint: usize, failure: QueryFailure) -> bool {
         let is_open = self.queries.remove(&endpoint);
         if is_open {
@@ -173,12 +177,12 @@
         is_open
     }
 
-    /// Discovery sends a complete list of these endpoints.
+    /// Provides a complete list of these endpoints from discovery.
     pub fn confirm_list(&mut self, endpoints: impl IntoIterator<Item = usize>) {
         self.handle(Event::ListReceived { complete: true, members: members(endpoints), removed: Vec::new() });
     }
 
-    /// Which endpoint of the group may serve as its primary.
+    /// Which endpoint of a group may be treated as its primary.
     pub fn eligibility(&self, group: usize) -> PrimaryEligibility {
         self.eligibility.get(&group).copied().unwrap_or_default()
     }
--- a/recovery/tests/watch_schedule.rs
+++ b/recovery/tests/watch_schedule.rs
@@ -1,26 +1,26 @@
-//! The schedule of the watch on discovery: an interrupted watch is open again before its events count as missed.
+//! Schedule of the watch on discovery: an interrupted watch is reopened before the router must know missed changes.
 
 use proptest::prelude::*;
 use proptest_support::seeded_cases;
 use recovery::watch_schedule::{WatchSchedule, OPEN_TIMEOUT};
 use routing::time::{TimeDelta, Timestamp};
 
-/// Time after the last event of a silent watch from which what it missed counts as reported to the instance.
-const REPORTED_AFTER: TimeDelta = TimeDelta::from_millis(6_000);
+/// Time after the last event of a silent watch after which the router must know the changes that the watch missed.
+const KNOWN_WITHIN: TimeDelta = TimeDelta::from_millis(6_000);
 /// Interval of the heartbeats (empty lines) of a healthy watch.
 const HEARTBEAT_INTERVAL: TimeDelta = TimeDelta::from_millis(2_000);
 
-/// Longest backoff of a watch on a service.
+/// Longest backoff of a watch on a discovery service.
 const MAX_BACKOFF: TimeDelta = TimeDelta::from_millis(2_000);
 
-/// How one attempt to open the watch again fails.
+/// How an attempt to reopen the watch fails.
 #[derive(Clone, Copy, Debug)]
 enum OpenFailure {
     /// The connection is refused.
     Refused,
     /// The address does not answer the connection attempt.
     ConnectTimeout,
-    /// The connection is open, and no response follows.
+    /// The connection is established, but no response is received.
     ResponseTimeout,
 }
 
@@ -39,10 +39,10 @@
 proptest! {
     #![proptest_config(seeded_cases(256, 27))]
 
-    /// Whatever went before, and after up to two failures, a watch on an agent that fell silent is open again before
-    /// what it missed counts as reported.
+    /// A silent watch on an agent is reopened, after up to two failed attempts and any earlier watches, before the
+    /// router must know the changes that the watch missed.
     #[test]
-    fn a_silent_watch_is_open_again_in_time(
+    fn silent_watch_is_reopened_before_missed_changes_must_be_known(
         earlier_watches in prop::collection::vec((0usize..32, 0i64..1_900), 0..12),
         heartbeats in 1i64..20,
         silent_after_ms in 0i64..2_000,
@@ -61,7 +61,7 @@
         let mut due = schedule.next_event_due();
         for _ in 0..heartbeats {
             now = now + HEARTBEAT_INTERVAL;
-            prop_assert!(now < due, "a healthy watch is given up");
+            prop_assert!(now < due, "a healthy watch was closed");
             due = schedule.event_received(now);
         }
         let silent_since = now + ms(silent_after_ms);
@@ -74,13 +74,13 @@
             };
             now = now + schedule.watch_ended(jitter, None);
         }
-        prop_assert!(now < silent_since + REPORTED_AFTER, "{:?} after it fell silent", now - silent_since);
+        prop_assert!(now < silent_since + KNOWN_WITHIN, "reopened {:?} after the last event", now - silent_since);
     }
 
-    /// On an agent the backoff leaves half of the grace, unless that is shorter than any backoff; on a service it
+    /// The backoff of a watch on an agent is at most half of the drain grace. The backoff of a watch on a service
     /// grows up to its maximum.
     #[test]
-    fn the_backoff_is_within_half_of_the_grace_of_an_agent(
+    fn agent_backoff_is_at_most_half_of_the_drain_grace(
         grace in 100i64..3_000,
         jitters in prop::collection::vec(0usize..32, 1..20),
     ) {
@@ -96,13 +96,13 @@
     }
 }
 
-/// The schedule of a watch on a service, and a time.
+/// The schedule of a watch on a service, and a current time.
 fn watch_on_service() -> (WatchSchedule, Timestamp) {
     (WatchSchedule::new(false, None), Timestamp(1_000_000_000_000))
 }
 
 #[test]
-fn a_watch_that_opens_and_ends_at_once_is_reopened_with_backoff() {
+fn watch_that_ends_at_once_is_reopened_with_backoff() {
     let (mut schedule, now) = watch_on_service();
     let backoffs: Vec<TimeDelta> = (0..8)
         .map(|_| {
@@ -113,11 +113,11 @@
         .collect();
     assert!(backoffs[7] > ms(1_500), "{backoffs:?}");
     schedule.reset_backoff();
-    assert!(schedule.watch_ended(31, None) <= ms(50), "an event, or another address, resets the backoff");
+    assert!(schedule.watch_ended(31, None) <= ms(50), "a new list or another address resets the backoff");
 }
 
 #[test]
-fn a_watch_that_was_open_resets_the_backoff_once() {
+fn healthy_watch_resets_the_backoff_once() {
     let (mut schedule, now) = watch_on_service();
     schedule.watch_requested(now);
     schedule.event_received(now + HEARTBEAT_INTERVAL);
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -206,7 +206,7 @@
     /// trigger the deadline.
     fn schedule_wake_up(&mut self, now: Timestamp) {
         let state = &self.state;
-        let discovery = state.discovery.as_ref().and_then(|discovery| discovery.due(now));
+        let discovery = state.discovery.as_ref().and_then(|discovery| discovery.next_tick_due(now));
         let queue = state.queue.as_ref().and_then(RequestQueue::due);
         let due = state.deadlines.due().into_iter().chain(queue).chain(discovery).min();
         let Some(due) = due.filter(|due| self.wake_up.is_none_or(|set| *due < set)) else { return };
