--- a/sessions/src/epochs.rs
+++ b/sessions/src/epochs.rs
@@ -1,37 +1,39 @@
-//! History of each group's log: its epochs, where each began, and whether the log still contains a position. An epoch
-//! is a PostgreSQL timeline: a new one begins when another member is promoted to primary.
+//! History of each group's log: its epochs, their start positions, and whether the log still contains a position. An
+//! epoch is a PostgreSQL timeline: a new one starts when another member is promoted to primary.
 
 use crate::positions::{GroupNumber, LogPosition};
 use routing::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Number of epochs kept per group, the latest ones. A position in an earlier epoch is checked against these only.
-const MAX_EPOCHS: usize = 16;
+/// Maximum number of epochs kept per group. The latest ones are kept, and all positions are checked against these
+/// only.
+const MAX_EPOCHS_PER_GROUP: usize = 16;
 
 /// An epoch as reported by an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Epoch {
-    /// Number of the epoch (PostgreSQL's timeline ID); 0 means none was reported.
+    /// Number of the epoch (PostgreSQL's timeline ID); 0 if the endpoint did not report one.
     pub number: u32,
-    /// Position at which it forked from the previous epoch, if reported.
+    /// Position at which the epoch forked from the previous one, if reported.
     pub start_position: Option<Timestamp>,
 }
 
 /// Whether a group's log contains a position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PositionStatus {
-    /// The log contains it: a read must be served at this position or later.
+    /// The log contains the position: a read must be served at this position or later.
     OnLog(Timestamp),
     /// A later epoch forked before this position: data that the session observed is lost.
     Lost,
-    /// Its epoch is not known to this instance yet: a read must be served at this position or later, in that epoch.
+    /// The epoch of the position is not known to this instance yet: a read must be served in that epoch, at this
+    /// position or later.
     UnknownEpoch(Timestamp),
 }
 
-/// Epochs of one group: the start of each by number, if reported.
+/// Start positions of one group's epochs by epoch number; `None` if not reported.
 type Epochs = BTreeMap<u32, Option<Timestamp>>;
 
-/// Known epochs of all groups.
+/// The epochs of all groups that endpoints have reported to this instance.
 #[derive(Clone, Debug, Default)]
 pub struct EpochHistory {
     /// Known epochs by group.
@@ -39,7 +41,7 @@
 }
 
 impl EpochHistory {
-    /// Records the epoch that an endpoint of the group has reported.
+    /// Records an epoch that an endpoint of the group has reported.
     pub fn record(&mut self, group: GroupNumber, epoch: Epoch) {
         let Epoch { number, start_position } = epoch;
         if number == 0 {
@@ -47,17 +49,18 @@
         }
         let known = self.groups.entry(group).or_default();
         let start = known.entry(number).or_insert(start_position);
-        // Of conflicting reports the earlier start is used: a lost position is never taken for one on the log.
+        // If reports conflict, the earlier start is used, so that a lost position is never mistaken for one on the
+        // log.
         *start = match (*start, start_position) {
             (Some(before), Some(now)) => Some(before.min(now)),
             (before, now) => before.or(now),
         };
-        while known.len() > MAX_EPOCHS {
+        while known.len() > MAX_EPOCHS_PER_GROUP {
             known.pop_first();
         }
     }
 
-    /// Whether the group's log contains a position, as far as its epochs are known.
+    /// Whether the group's log contains the position `seen`, according to the known epochs.
     pub fn position_status(&self, group: GroupNumber, seen: LogPosition) -> PositionStatus {
         let Some(known) = self.groups.get(&group) else { return PositionStatus::OnLog(seen.position) };
         let latest = known.last_key_value().map_or(0, |(number, _)| *number);
@@ -75,7 +78,8 @@
         }
     }
 
-    /// Position at which a session continues after it was notified of a loss: the start of the latest epoch.
+    /// Returns the position at which a session continues after its client was notified of a loss: the start of the
+    /// latest epoch.
     pub fn restart_position(&self, group: GroupNumber) -> LogPosition {
         let latest = self.groups.get(&group).and_then(|known| known.last_key_value());
         let (epoch, start) = latest.map_or((0, None), |(number, start)| (*number, *start));
@@ -83,7 +87,8 @@
     }
 
     /// Whether an answer from an endpoint at this epoch and position includes everything that the session has
-    /// observed. The epoch in the answer must be recorded before this call: it may be the first evidence of a loss.
+    /// observed up to `seen`. The caller must record the epoch in the answer first, because it may be the first
+    /// evidence of a loss.
     pub fn answer_includes(
         &self,
         group: GroupNumber,
@@ -96,13 +101,14 @@
         }
         let Some(position) = position else { return true };
         let number = epoch.map_or(0, |epoch| epoch.number);
-        // An endpoint in an earlier epoch than the session's is on an abandoned branch of the log. So is one in an
-        // earlier epoch than the latest known, unless its position is before the fork.
+        // An endpoint in an earlier epoch than the session's is on an abandoned branch of the log. An endpoint in an
+        // earlier epoch than the latest known one is on an abandoned branch too, unless its position is before the
+        // fork.
         let reaches_epoch = number == 0 || number >= seen.epoch;
         reaches_epoch && !self.is_abandoned(group, number, position) && position >= seen.position
     }
 
-    /// Whether a position in epoch `number` is on an abandoned branch of the log.
+    /// Whether a position in the epoch `number` is on an abandoned branch of the log.
     fn is_abandoned(&self, group: GroupNumber, number: u32, position: Timestamp) -> bool {
         let Some(known) = self.groups.get(&group).filter(|_| number > 0) else { return false };
         forked_before(known, number, position)
--- a/sessions/src/positions.rs
+++ b/sessions/src/positions.rs
@@ -1,12 +1,12 @@
-//! Positions of a session: for each group, the latest position that one of its reads observed or one of its writes
-//! committed at.
+//! Positions of a session: for each group, the latest position that a read of the session observed or at which a
+//! write of the session committed.
 
 use routing::time::Timestamp;
 
-/// Number of a group in the endpoint list, the same for every instance.
+/// Number of a group in the endpoint list. All instances use the same numbers.
 pub type GroupNumber = i64;
 
-/// Maximum number of groups with a position of their own. A session that has accessed more groups keeps one lower
+/// Maximum number of groups with a position of their own. A session that has accessed more groups has a common lower
 /// bound for the others.
 pub const MAX_POSITIONS: usize = 16;
 
@@ -15,13 +15,14 @@
 pub struct LogPosition {
     /// Epoch of the position; 0 if the endpoint did not report one.
     pub epoch: u32,
-    /// Commit time up to which the log has been observed.
+    /// Position on the log, as a commit time.
     pub position: Timestamp,
 }
 
 impl LogPosition {
-    /// The later of two positions on one group's log. Epochs are compared first, since positions on an abandoned
-    /// branch may be ahead of those on its successor. Without both epochs only the positions can be compared.
+    /// Returns the later of two positions on the same group's log. Epochs are compared first, since positions on an
+    /// abandoned branch may be ahead of those on its successor. Without both epochs only the positions can be
+    /// compared.
     fn later(self, other: LogPosition) -> LogPosition {
         if self.epoch == 0 || other.epoch == 0 {
             let epoch = self.epoch.max(other.epoch);
@@ -40,17 +41,18 @@
     pub position: LogPosition,
 }
 
-/// The positions of one session. They only advance, except that one is removed when its part of the log is lost.
+/// The positions of one session. They only advance, except that a position is removed when it is no longer on the
+/// log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionPositions {
-    /// Positions in ascending order of groups.
+    /// Groups with a position of their own, in ascending order.
     by_group: Vec<GroupPosition>,
     /// Lower bound for every group without a position of its own.
     lower_bound: Option<LogPosition>,
 }
 
 impl SessionPositions {
-    /// The position of the session on a group's log, if any.
+    /// The position of the session on a group's log: its own position, or else the lower bound, if any.
     pub fn get(&self, group: GroupNumber) -> Option<LogPosition> {
         match self.find(group) {
             Ok(index) => Some(self.by_group[index].position),
@@ -82,8 +84,8 @@
     pub fn advance(&mut self, group: GroupNumber, position: LogPosition) {
         match self.find(group) {
             Ok(index) => {
-                let present = &mut self.by_group[index].position;
-                *present = present.later(position);
+                let current = &mut self.by_group[index].position;
+                *current = current.later(position);
             }
             Err(index) => {
                 let position = self.lower_bound.map_or(position, |lower_bound| lower_bound.later(position));
@@ -91,14 +93,14 @@
             }
         }
         if self.by_group.len() > MAX_POSITIONS {
-            self.fold_oldest_into_lower_bound();
+            self.merge_earliest_into_lower_bound();
         }
     }
 
-    /// Merges the earliest position into the lower bound, where it restricts the other groups the least.
-    fn fold_oldest_into_lower_bound(&mut self) {
-        let oldest = (0..self.by_group.len()).min_by_key(|&index| self.by_group[index].position.position);
-        let removed = self.by_group.remove(oldest.unwrap_or(0)).position;
+    /// Merges the earliest position into the lower bound. The earliest position restricts the other groups the least.
+    fn merge_earliest_into_lower_bound(&mut self) {
+        let earliest = (0..self.by_group.len()).min_by_key(|&index| self.by_group[index].position.position);
+        let removed = self.by_group.remove(earliest.unwrap_or(0)).position;
         // An epoch is specific to one group, so the lower bound has none.
         self.raise_lower_bound(LogPosition { epoch: 0, ..removed });
     }
@@ -118,9 +120,9 @@
         }
     }
 
-    /// Removes the position of a group whose part of the log was lost, once the client is notified. The caller must
-    /// then [`advance`](Self::advance) the session to the start of the new epoch: otherwise merging another copy
-    /// would restore the lost position.
+    /// Removes the lost position of a group when the client is notified of the loss. The caller must then
+    /// [`advance`](Self::advance) the session to the start of the new epoch: otherwise merging another copy of the
+    /// session would restore the lost position.
     pub fn remove(&mut self, group: GroupNumber) {
         self.by_group.retain(|entry| entry.group != group);
     }
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -1,11 +1,11 @@
-//! Session token: the positions of a session, carried by its client and authenticated so that clients can neither
-//! forge nor change one.
+//! Session token: the positions of a session, carried by its client. Tokens are authenticated, so that clients can
+//! neither forge nor change them.
 //!
 //! Binary layout, encoded as base64 (URL alphabet, no padding):
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 1 | format, 1 |
+//! | 1 | format version, 1 |
 //! | 1 | id of the key |
 //! | 16 | session identifier |
 //! | 4 | time of issue in Unix seconds, big-endian |
@@ -15,7 +15,7 @@
 //! | variable | lower bound if present, then the positions: group, epoch and position in milliseconds, as LEB128 |
 //! | 16 | HMAC-SHA256, truncated, over the audience and all of the above |
 //!
-//! The audience, the client that the token was issued to, is not part of the token.
+//! The audience identifies the client to which the token was issued. It is authenticated but not part of the token.
 
 use crate::positions::{GroupNumber, GroupPosition, LogPosition, SessionPositions, MAX_POSITIONS};
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -27,15 +27,16 @@
 use std::fmt;
 use thiserror::Error;
 
-const FORMAT: u8 = 1;
-/// Prefix of the authenticated bytes, so that a code made with the same key for another purpose is not valid here.
+const FORMAT_VERSION: u8 = 1;
+/// Domain separator at the start of the authenticated bytes: an authentication code computed with the same key for
+/// another purpose is not valid for a token.
 const MAC_DOMAIN: &[u8] = b"gingerwick session\0";
-/// Bytes of the truncated authentication code.
+/// Length of the truncated authentication code in bytes.
 const MAC_BYTES: usize = 16;
 const SESSION_ID_BYTES: usize = 16;
 const UNIX_SECONDS_BYTES: usize = 4;
 
-// Offsets of the header's fields in bytes.
+// Offsets of the fields of the header, in bytes.
 const FORMAT_AT: usize = 0;
 const KEY_ID_AT: usize = 1;
 const SESSION_AT: usize = 2;
@@ -45,26 +46,27 @@
 const POSITION_COUNT_AT: usize = HAS_LOWER_BOUND_AT + 1;
 const HEADER_BYTES: usize = POSITION_COUNT_AT + 1;
 
-/// The longest LEB128 encoding of 64 bits, in bytes.
+/// Length of the longest LEB128 encoding of a 64-bit number, in bytes.
 const MAX_LEB128_BYTES: u32 = 10;
-/// Bits of a number per byte of LEB128.
+/// Number of bits that each byte of a LEB128 encoding holds.
 const LEB128_BITS: u32 = 7;
-/// Set on every byte of a LEB128 number but the last.
+/// Flag that is set on every byte of a LEB128 encoding except the last.
 const LEB128_CONTINUES: u8 = 0x80;
 
-/// The longest encoding of a position in bytes: group (64 bits), epoch (32 bits) and position (64 bits) as LEB128.
+/// Length of the longest encoding of a position in bytes: group (64 bits), epoch (32 bits) and position (64 bits) as
+/// LEB128.
 const MAX_POSITION_BYTES: usize = 10 + 5 + 10;
-/// The longest token in bytes: all positions and a lower bound.
-const MAX_BYTES: usize = HEADER_BYTES + (MAX_POSITIONS + 1) * MAX_POSITION_BYTES + MAC_BYTES;
-/// The longest token in base64, in characters.
-pub const MAX_TOKEN_CHARS: usize = MAX_BYTES.div_ceil(3) * 4;
+/// Length of the longest token in bytes: all positions and a lower bound.
+const MAX_TOKEN_BYTES: usize = HEADER_BYTES + (MAX_POSITIONS + 1) * MAX_POSITION_BYTES + MAC_BYTES;
+/// Length of the longest token in base64 characters.
+pub const MAX_TOKEN_CHARS: usize = MAX_TOKEN_BYTES.div_ceil(3) * 4;
 /// Tolerance in seconds for clock differences between instances.
 const MAX_CLOCK_SKEW_S: i64 = 5;
-/// Exclusive upper bound of positions in Unix milliseconds: their nanoseconds must fit into 64 bits.
+/// Exclusive upper bound of positions in Unix milliseconds. Below it, their nanoseconds fit into 64 bits.
 const MAX_POSITION_MS: i64 = 9_000_000_000_000;
 const NANOS_PER_MILLI: u64 = 1_000_000;
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
-/// Minimum length of a key in bytes: that of the authentication codes made with it.
+/// Minimum length of a key in bytes, equal to the length of an authentication code.
 pub const MIN_KEY_BYTES: usize = 16;
 
 /// Identifier of a session, chosen at random when the session begins.
@@ -83,7 +85,7 @@
     pub positions: SessionPositions,
 }
 
-/// Why a token was rejected. The texts are part of the wire format.
+/// Why a token was rejected. Clients receive the texts, which are part of the wire format.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum TokenError {
     /// The token is truncated, too long, or not a token.
@@ -101,7 +103,7 @@
     /// The token has expired.
     #[error("it has expired")]
     Expired,
-    /// The time of issue is in the future.
+    /// The time of issue is in the future, by more than the tolerated clock difference.
     #[error("it is from a time to come")]
     FromFuture,
 }
@@ -118,7 +120,7 @@
         problem: KeyLineProblem,
     },
     /// The file contains no key.
-    #[error("1: no key")]
+    #[error("1: the file contains no key")]
     Empty,
 }
 
@@ -126,16 +128,16 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum KeyLineProblem {
     /// The line does not consist of an id and a key.
-    #[error("an id and a key are wanted")]
+    #[error("expected an id and a key, separated by white space")]
     NotAPair,
     /// The id is not a number from 0 to 255.
-    #[error("the id is no number from 0 to 255")]
+    #[error("the id is not a number from 0 to 255")]
     BadId,
-    /// The key is not hexadecimal or shorter than [`MIN_KEY_BYTES`].
-    #[error("the key is not 32 hex digits or more")]
+    /// The key is not hexadecimal, has an odd number of digits, or is shorter than [`MIN_KEY_BYTES`].
+    #[error("the key must have an even number of hex digits, at least 32")]
     BadKey,
     /// An earlier line has the same id.
-    #[error("the id stands twice")]
+    #[error("an earlier line has the same id")]
     DuplicateId,
 }
 
@@ -151,7 +153,8 @@
 }
 
 impl TokenKeys {
-    /// Parses a key file: lines of an id (0 to 255) and at least 32 hex digits; `#` begins a comment.
+    /// Parses a key file. Each line has an id (0 to 255) and a key of at least 32 hexadecimal digits; `#` starts a
+    /// comment.
     ///
     /// # Errors
     /// The first invalid line, or that the file contains no key.
@@ -174,10 +177,10 @@
         Ok(TokenKeys(keys))
     }
 
-    /// The authentication code over a token's bytes and its audience. The audience is prefixed by its length, so that
-    /// no two pairs of audience and token are authenticated as the same bytes.
+    /// Computes the authentication code over a token's bytes and its audience. The length of the audience is
+    /// authenticated too, so that no two pairs of audience and token are authenticated as the same bytes.
     fn mac(key: &[u8], bytes: &[u8], audience: &str) -> Hmac<Sha256> {
-        let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC takes a key of any length");
+        let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC accepts keys of any length");
         mac.update(MAC_DOMAIN);
         mac.update(&(audience.len() as u32).to_be_bytes());
         mac.update(audience.as_bytes());
@@ -185,7 +188,8 @@
         mac
     }
 
-    /// Issues a token that only `audience`, the client it is given to, can use. Returns `None` if there is no key.
+    /// Encodes and authenticates a token that is valid only for the client `audience`. Returns `None` if there is no
+    /// key.
     pub fn issue(&self, token: &Token, audience: &str) -> Option<String> {
         let (id, key) = self.0.last_key_value()?;
         let mut bytes = encode_body(token, *id);
@@ -194,7 +198,7 @@
         Some(URL_SAFE_NO_PAD.encode(bytes))
     }
 
-    /// Verifies and decodes a client's token. `now` is in Unix seconds.
+    /// Verifies and decodes the token `text` of the client `audience`. `now` is in Unix seconds.
     ///
     /// # Errors
     /// Why the token is rejected.
@@ -207,7 +211,7 @@
             return Err(TokenError::Malformed);
         }
         let (body, mac) = bytes.split_at(bytes.len() - MAC_BYTES);
-        if body[FORMAT_AT] != FORMAT {
+        if body[FORMAT_AT] != FORMAT_VERSION {
             return Err(TokenError::UnknownFormat);
         }
         let key = self.0.get(&body[KEY_ID_AT]).ok_or(TokenError::UnknownKey)?;
@@ -239,7 +243,7 @@
 fn encode_body(token: &Token, key_id: u8) -> Vec<u8> {
     let unix_seconds = |seconds: i64| (seconds.clamp(0, i64::from(u32::MAX)) as u32).to_be_bytes();
     let positions = &token.positions;
-    let mut bytes = vec![FORMAT, key_id];
+    let mut bytes = vec![FORMAT_VERSION, key_id];
     bytes.extend(token.session);
     bytes.extend(unix_seconds(token.issued));
     bytes.extend(unix_seconds(token.expires));
@@ -313,7 +317,7 @@
     rest.is_empty().then_some(Token { session, issued, expires, positions })
 }
 
-/// Converts the lifetime of a token to whole seconds, at least one.
+/// Converts the lifetime of a token to whole seconds, rounded down but at least one.
 pub fn lifetime_s(lifetime: TimeDelta) -> i64 {
     (lifetime.0 / NANOS_PER_SECOND).max(1)
 }
