--- a/write-journal/src/encoding.rs
+++ b/write-journal/src/encoding.rs
@@ -1,4 +1,4 @@
-//! Binary encoding of a record. Numbers are big-endian, 8 bytes each:
+//! Binary encoding of a record. Fields without a length are big-endian numbers of 8 bytes:
 //!
 //! - kind of the state (1 byte), serial, time of the first send and commit time (both in Unix milliseconds)
 //! - only for a write with an idempotency key: whether a single group drops its duplicates (1 byte), that group, the
@@ -7,14 +7,14 @@
 
 use crate::record_state::{Deduplication, RecordState, Uptime};
 
-// Kinds of states.
+// Values of the first byte, by state.
 const PENDING: u8 = 0;
 const EXECUTED: u8 = 1;
 const EXECUTED_AT: u8 = 2;
 const BARRED: u8 = 3;
 const NOT_EXECUTED: u8 = 4;
 
-// Offsets of the fields in bytes.
+// Offsets of the fields, in bytes.
 const SERIAL_AT: usize = 1;
 const FIRST_SENT_AT: usize = 9;
 const COMMIT_AT: usize = 17;
@@ -24,25 +24,27 @@
 const BOOT_AT: usize = 42;
 const UPTIME_AT: usize = 50;
 
-/// Deduplication of a write with an idempotency key, and the uptime when its first attempt was recorded.
+/// Deduplication of a write with an idempotency key, with the start of its window.
 #[derive(Clone, Copy)]
 pub struct KeyedSend {
     pub deduplication: Deduplication,
+    /// The machine's uptime when the first attempt was recorded.
     pub first_sent: Uptime,
 }
 
-/// A journal record of one write.
+/// The journal's record of one write.
 #[derive(Clone, Copy)]
 pub struct Record {
+    /// Position of the record in the order of creation.
     pub serial: u64,
     pub state: RecordState,
-    /// When its first attempt was recorded, in Unix milliseconds.
+    /// When the first attempt was recorded, in Unix milliseconds.
     pub first_sent_ms: i64,
+    /// `None` for a write without an idempotency key, or if the uptime was unknown.
     pub keyed: Option<KeyedSend>,
 }
 
 impl Record {
-    /// Encodes the record.
     pub fn encode(&self) -> Vec<u8> {
         let (kind, commit_ms) = match self.state {
             RecordState::Pending => (PENDING, 0),
@@ -65,8 +67,8 @@
         bytes
     }
 
-    /// Decodes a record. Missing or unknown fields do not fail but yield a pending record: the write may have been
-    /// executed.
+    /// Decodes a record. A missing or unknown state is decoded as pending, because the write may have been executed.
+    /// Other missing numbers are decoded as 0.
     pub fn decode(bytes: &[u8]) -> Record {
         Record {
             serial: number_at(bytes, SERIAL_AT).unwrap_or(0) as u64,
@@ -93,7 +95,8 @@
     }
 }
 
-/// A record in which any of these fields is missing counts as one without an idempotency key, so no duplicate is sent.
+/// Decodes the fields of a write with an idempotency key. If any of them is missing, the write counts as one without
+/// an idempotency key, so that no duplicate of it is sent.
 fn decode_keyed(bytes: &[u8]) -> Option<KeyedSend> {
     let group = number_at(bytes, GROUP_AT).filter(|_| bytes[HAS_GROUP_AT] != 0);
     let deduplication = Deduplication { group, window_ms: number_at(bytes, WINDOW_AT)? };
--- a/write-journal/src/journal.rs
+++ b/write-journal/src/journal.rs
@@ -1,5 +1,5 @@
-//! The journal on disk: records by the id of the write and in the order of their creation. Owned by one thread, which
-//! applies operations in batches so that one sync covers many of them.
+//! The journal on disk: records by the id of the write, and their ids in the order of creation. The journal is owned
+//! by one thread, which applies operations in batches so that one sync covers many operations.
 
 use crate::encoding::{KeyedSend, Record};
 use crate::record_state::{
@@ -14,37 +14,37 @@
 /// How durable a record must be before [`Journal::apply`] returns.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Durability {
-    /// Written to the operating system: survives a crash of the process, not of the machine.
+    /// The record is written to the operating system. It survives a crash of the process, but not of the machine.
     System,
-    /// Synced to disk: survives a crash of the machine.
+    /// The record is synced to disk. It survives a crash of the machine.
     #[default]
     Disk,
 }
 
-/// Maximum number of operations per batch: bounds the latency of its first operation.
+/// Maximum number of operations per batch. It bounds the latency of the first operation in the batch.
 pub const MAX_BATCH_OPERATIONS: usize = 512;
-/// Maximum number of file descriptors of a journal: its own files and the open tables.
+/// Maximum number of file descriptors that a journal uses: its own files and the open table files.
 pub const MAX_DESCRIPTORS: usize = 48;
-/// Tables that the store keeps open.
+/// Maximum number of table files that the store keeps open.
 const MAX_OPEN_TABLES: usize = 24;
-/// Block cache of the store.
+/// Size of the store's block cache.
 const CACHE_BYTES: u64 = 1 << 20;
-/// Write-ahead log of the store on disk.
+/// Maximum size of the store's write-ahead log on disk.
 const MAX_LOG_BYTES: u64 = 64 << 20;
-/// Memtable of each keyspace before it is flushed to disk.
+/// Size at which the memtable of a keyspace is flushed to disk.
 const MEMTABLE_BYTES: u64 = 2 << 20;
-/// Serials are reserved on disk in blocks of this size, so that a serial is not reused after a crash.
+/// Number of serials that are reserved on disk at a time, so that no serial is reused after a crash.
 const SERIAL_BLOCK: u64 = 1 << 16;
-/// Maximum number of records dropped after a batch: bounds the time that this adds to it.
+/// Maximum number of records dropped after a batch. It bounds the time that dropping adds to the batch.
 const MAX_DROPPED_PER_BATCH: usize = 64;
 
 // Keys of the `meta` keyspace.
 const NAME_KEY: &str = "name";
 const OLDEST_SERIAL_KEY: &str = "floor";
-const NEXT_KEY: &str = "next";
+const NEXT_SERIAL_KEY: &str = "next";
 const COUNT_KEY: &str = "count";
 
-/// Retention of records. The oldest ones are dropped first.
+/// Retention of records. The oldest records are dropped first.
 #[derive(Clone, Copy, Debug)]
 pub struct Retention {
     /// Maximum number of records.
@@ -71,7 +71,7 @@
         id: String,
         /// The origin of the connection on which the client sent the write, if the client provided it.
         origin: Option<Origin>,
-        /// The request of the write is still open in this process.
+        /// Whether the request of the write is still open in this process.
         request_open: bool,
     },
 }
@@ -95,7 +95,7 @@
 pub struct ClockReading {
     /// The wall clock, in Unix milliseconds.
     pub wall_ms: i64,
-    /// The machine's uptime. If unknown, no write is sent again by its idempotency key.
+    /// The machine's uptime. If it is unknown, no duplicate of a recorded write is sent.
     pub uptime: Option<Uptime>,
 }
 
@@ -110,15 +110,15 @@
     database: Database,
     /// Records by id of the write.
     records: Keyspace,
-    /// Ids by serial of the record.
+    /// Ids of the writes by the serials of their records.
     order: Keyspace,
     meta: Keyspace,
-    /// Identifies this journal, chosen at its creation.
+    /// Identifies this journal. Chosen when the journal is created.
     name: String,
     next_serial: u64,
     /// No record with this serial or a later one has been dropped.
     oldest_serial: u64,
-    /// Number of entries in `order`. Serials have gaps after a restart, so it cannot be computed from them.
+    /// Number of entries in `order`. It cannot be computed from the serials, which have gaps after a restart.
     count: u64,
     durability: Durability,
     retention: Retention,
@@ -127,7 +127,7 @@
 /// A batch of operations that is being applied.
 struct Batch {
     writes: OwnedWriteBatch,
-    /// Records changed by the batch so far.
+    /// Records that the batch has changed so far.
     changed: HashMap<String, Record>,
     next_serial: u64,
     count: u64,
@@ -135,8 +135,8 @@
 }
 
 impl Journal {
-    /// Opens or creates a journal. A new journal is named by the random number `name_seed`, so that it cannot be
-    /// mistaken for a lost one.
+    /// Opens or creates a journal. A new journal gets a name from the random number `name_seed`, so that it cannot be
+    /// mistaken for an earlier journal that was lost.
     ///
     /// # Errors
     /// The store cannot be opened or written.
@@ -155,7 +155,7 @@
         let meta = database.keyspace("meta", options)?;
         let mut journal = Journal {
             name: read_or_create_name(&meta, name_seed)?,
-            next_serial: read_number(&meta, NEXT_KEY)?,
+            next_serial: read_number(&meta, NEXT_SERIAL_KEY)?,
             oldest_serial: read_number(&meta, OLDEST_SERIAL_KEY)?,
             count: read_number(&meta, COUNT_KEY)?,
             database,
@@ -169,7 +169,7 @@
         Ok(journal)
     }
 
-    /// The journal's name and its next serial: the origin of a connection that begins now.
+    /// Returns the origin of a connection that is opened now: the journal's name and its next serial.
     pub fn origin(&self) -> Origin {
         Origin { journal: self.name.clone(), serial: self.next_serial }
     }
@@ -178,14 +178,14 @@
     fn reserve_serials(&mut self) -> Result<(), JournalError> {
         let reserved = self.next_serial + SERIAL_BLOCK;
         let mut writes = self.database.batch();
-        writes.insert(&self.meta, NEXT_KEY, reserved.to_be_bytes().as_slice());
+        writes.insert(&self.meta, NEXT_SERIAL_KEY, reserved.to_be_bytes().as_slice());
         writes.commit()?;
         self.database.persist(PersistMode::SyncAll)?;
         Ok(())
     }
 
-    /// Applies a batch of operations in order. Returns once all of them are as durable as required, with one reply per
-    /// operation.
+    /// Applies a batch of operations in order. Returns once all of them are as durable as required, with one reply
+    /// per operation.
     ///
     /// # Errors
     /// The store failed. The writes of the batch must then not be sent.
@@ -213,7 +213,7 @@
     fn apply_one(&self, batch: &mut Batch, operation: &Operation) -> Result<Reply, JournalError> {
         match operation {
             Operation::Record { id, event, deduplication } => {
-                let permission = self.record(batch, id, *event, *deduplication)?;
+                let permission = self.record_event(batch, id, *event, *deduplication)?;
                 Ok(Reply::Permission(permission))
             }
             Operation::QueryFate { id, origin, request_open } => {
@@ -221,19 +221,19 @@
                 let covered = origin.as_ref().is_some_and(|origin| self.covers(origin));
                 let decision = decide_fate(Evidence { state, covered, request_open: *request_open });
                 if decision.must_bar {
-                    self.record(batch, id, RecordEvent::Bar, None)?;
+                    self.record_event(batch, id, RecordEvent::Bar, None)?;
                 }
                 Ok(Reply::Fate(decision.fate))
             }
         }
     }
 
-    /// Whether no record created since a connection with this origin began has been dropped.
+    /// Whether this journal has dropped no record that was created since a connection with this origin was opened.
     fn covers(&self, origin: &Origin) -> bool {
         origin.journal == self.name && origin.serial >= self.oldest_serial
     }
 
-    /// The record of a write, including changes by the batch.
+    /// Returns the record of a write, including changes by the batch.
     fn find(&self, id: &str, batch: &Batch) -> Result<Option<Record>, JournalError> {
         match batch.changed.get(id) {
             Some(record) => Ok(Some(*record)),
@@ -245,7 +245,8 @@
         Ok(self.records.get(id)?.map(|bytes| Record::decode(&bytes)))
     }
 
-    fn record(
+    /// Records an event of a write, and returns whether the attempt may be sent.
+    fn record_event(
         &self,
         batch: &mut Batch,
         id: &str,
@@ -257,15 +258,16 @@
         let state_before = before.map(|record| record.state);
         let transition = transition(state_before, event);
         if let Some(state) = transition.state.filter(|state| state_before != Some(*state)) {
-            self.write(batch, id, before, state, deduplication);
+            self.write_record(batch, id, before, state, deduplication);
         }
         Ok(transition.permission)
     }
 
-    /// Writes a record in its new state. The time of the first attempt that may have been executed is preserved, since
-    /// deduplication windows start there. If the write was not executed before, a new record with a new serial is
-    /// created: under its old serial it could be dropped although later connections are still covered.
-    fn write(
+    /// Writes a record in its new state. The time of the first attempt that may have been executed is preserved,
+    /// because deduplication windows start at that time. A write that was not executed before gets a new record with
+    /// a new serial: a record under the old serial could be dropped while the origins of later connections are still
+    /// covered.
+    fn write_record(
         &self,
         batch: &mut Batch,
         id: &str,
@@ -307,7 +309,7 @@
         Ok(())
     }
 
-    /// When the first attempt of a write was recorded, in Unix milliseconds, if there is a record.
+    /// When the first attempt of a write was recorded, in Unix milliseconds; `None` if there is no record.
     ///
     /// # Errors
     /// The store failed.
@@ -315,15 +317,15 @@
         Ok(self.read(id)?.map(|record| record.first_sent_ms))
     }
 
-    /// Drops records beyond the retention, the oldest first and a bounded number at a time. The oldest serial is
-    /// raised in the same batch, so that a dropped record is never mistaken for a write that was not sent.
+    /// Drops records beyond the retention, the oldest first, up to [`MAX_DROPPED_PER_BATCH`] entries. The oldest
+    /// serial is raised in the same batch, so that a dropped record is never mistaken for a write that was not sent.
     fn drop_expired(&mut self, wall_ms: i64) -> Result<(), JournalError> {
         let mut writes = self.database.batch();
         let (mut oldest_serial, mut count) = (self.oldest_serial, self.count);
         for entry in self.order.iter().take(MAX_DROPPED_PER_BATCH) {
             let (serial, id) = entry.into_inner()?;
-            let Some(serial) = number(&serial) else { continue };
-            // An entry is obsolete if its record was created again under a later serial.
+            let Some(serial) = decode_number(&serial) else { continue };
+            // An entry is obsolete if the write has a newer record with a later serial.
             let record = self.records.get(&id)?.map(|bytes| Record::decode(&bytes));
             let record = record.filter(|record| record.serial == serial);
             let expired =
@@ -349,8 +351,8 @@
     }
 }
 
-/// Converts the start of a request to a rejoining one if its id is recorded and the group still drops duplicates of
-/// that write.
+/// Converts the first attempt of a request to a duplicate attempt if a write with the same id is recorded and the
+/// group still drops duplicates of that write. Other events are returned unchanged.
 fn as_duplicate_attempt(
     before: Option<Record>,
     event: RecordEvent,
@@ -378,9 +380,10 @@
 }
 
 fn read_number(meta: &Keyspace, key: &str) -> Result<u64, JournalError> {
-    Ok(meta.get(key)?.and_then(|bytes| number(&bytes)).unwrap_or(0))
+    Ok(meta.get(key)?.and_then(|bytes| decode_number(&bytes)).unwrap_or(0))
 }
 
-fn number(bytes: &[u8]) -> Option<u64> {
+/// Decodes a big-endian number; `None` if its length is not 8 bytes.
+fn decode_number(bytes: &[u8]) -> Option<u64> {
     Some(u64::from_be_bytes(bytes.try_into().ok()?))
 }
--- a/write-journal/src/lib.rs
+++ b/write-journal/src/lib.rs
@@ -1,7 +1,8 @@
 //! Write journal. A write that must not be executed twice is recorded before its last byte is sent to an endpoint,
-//! and its result afterwards. So an instance can report the fate of a write to its client even after a restart.
+//! and its result is recorded afterwards. This allows an instance to report the fate of a write to its client even
+//! after a restart.
 //!
-//! - [`record_state`]: state machine of a record and the decision on its fate, without I/O
+//! - [`record_state`]: state machine of a record, and the decision on the fate of a write, without I/O
 //! - [`journal`]: storage of the records in an embedded key-value store
 //!
 //! `docs/sessions.md` states the guarantees.
--- a/write-journal/src/record_state.rs
+++ b/write-journal/src/record_state.rs
@@ -1,5 +1,4 @@
-//! State machine of a record, and the fate of a write that is reported to its client. Two decision tables, without
-//! I/O.
+//! State machine of a record, and the decision on the fate of a write that is reported to its client. No I/O.
 
 use std::fmt;
 
@@ -10,7 +9,7 @@
     Pending,
     /// The write was executed, at this commit time in Unix milliseconds if the endpoint reported it.
     Executed(Option<i64>),
-    /// No attempt was executed. Its fate was not yet reported as never, so the client may retry it.
+    /// No attempt was executed. The write has not been reported as never executed, so it may be sent again.
     NotExecuted,
     /// The write was not executed and will never be sent by this instance.
     Barred,
@@ -21,51 +20,51 @@
 pub enum RecordEvent {
     /// The first attempt of a request is about to be sent.
     FirstAttempt,
-    /// Another attempt of the same request is about to be sent, after proof that the previous one was not executed.
+    /// Another attempt of the same request is about to be sent. The previous one is proved not to have been executed.
     RetryAttempt,
-    /// Another request with the idempotency key of a recorded write is about to be sent, while the group still drops
-    /// duplicates.
+    /// An attempt of another request with the idempotency key of a recorded write is about to be sent, while the
+    /// group still drops duplicates.
     DuplicateAttempt {
         /// Remaining deduplication window in milliseconds.
         remaining_ms: i64,
     },
     /// The write was executed, at this commit time in Unix milliseconds if known.
     Executed(Option<i64>),
-    /// All attempts are proved not to have been executed, and no further ones will be sent.
+    /// All attempts are proved not to have been executed, and no further ones will be sent for this request.
     NotExecuted,
-    /// The fate never is reported to the client: no attempt may be sent from now on.
+    /// The write is about to be reported as never executed: no attempt may be sent from now on.
     Bar,
 }
 
 /// Whether an attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendPermission {
-    /// It may be sent.
+    /// The attempt may be sent.
     Granted,
-    /// It may be sent as a duplicate of an attempt that may have been executed.
+    /// The attempt may be sent as a duplicate of an attempt that may have been executed.
     GrantedAsDuplicate {
-        /// Time within which it may be sent, in milliseconds.
+        /// Time within which the attempt may be sent, in milliseconds.
         remaining_ms: i64,
     },
-    /// It must not be sent, or the event was not about an attempt.
+    /// The attempt must not be sent, or the event was not about an attempt.
     Denied,
 }
 
-/// Ticks of the clock by which a deduplication window is shortened.
+/// Number of clock ticks by which a deduplication window is shortened.
 const CLOCK_TICKS_MARGIN: i64 = 2;
 
 /// Where and for how long duplicates of a write with an idempotency key are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deduplication {
-    /// The group whose endpoints drop duplicates; `None` if those of all groups do.
+    /// The group whose endpoints drop duplicates; `None` if the endpoints of all groups do.
     pub group: Option<i64>,
     /// Deduplication window in milliseconds, from the first attempt that may have been executed.
     pub window_ms: i64,
 }
 
 impl Deduplication {
-    /// Creates a deduplication with the configured window, shortened by two ticks of the clock as
-    /// a margin for the time that a duplicate takes to reach its endpoint.
+    /// Creates a deduplication with the configured window, shortened by two clock ticks as a margin for the time that
+    /// a duplicate takes to reach its endpoint.
     pub fn new(group: Option<i64>, window_ms: i64, clock_resolution_ms: i64) -> Deduplication {
         Deduplication { group, window_ms: window_ms - CLOCK_TICKS_MARGIN * clock_resolution_ms }
     }
@@ -74,13 +73,13 @@
 /// Uptime of the machine. Deduplication windows are measured by it because, unlike the wall clock, it cannot be set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Uptime {
-    /// Random identifier of the boot that the uptime counts from.
+    /// Random identifier of the boot from which the uptime is counted.
     pub boot: u64,
     /// Milliseconds since that boot.
     pub ms: i64,
 }
 
-/// Resolution of [`Uptime`] in milliseconds: the operating system provides it in hundredths of a second.
+/// Resolution of [`Uptime`] in milliseconds. The operating system provides the uptime in hundredths of a second.
 const UPTIME_RESOLUTION_MS: i64 = 10;
 
 impl Uptime {
@@ -92,9 +91,9 @@
     }
 }
 
-/// Remaining time in milliseconds during which duplicates of a write are dropped. `recorded` is the deduplication of
-/// its first attempt, sent at most `elapsed_ms` ago, and `requested` that of the new request. `None` if duplicates
-/// are no longer dropped, or if that is not known.
+/// Returns the remaining time in milliseconds during which duplicates of a write are dropped. `recorded` is the
+/// deduplication of the first attempt, which was sent at most `elapsed_ms` ago; `requested` is the deduplication of
+/// the new request. Returns `None` if duplicates are no longer dropped, or if this is not known.
 pub fn remaining_window_ms(
     recorded: Option<Deduplication>,
     requested: Option<Deduplication>,
@@ -105,17 +104,18 @@
     (recorded.group == requested.group && remaining_ms > 0).then_some(remaining_ms)
 }
 
-/// Result of an event.
+/// New state of a record after an event, and whether the attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transition {
-    /// The new state; `None` if there is no record.
+    /// The new state; `None` if there is still no record.
     pub state: Option<RecordState>,
     /// Whether the attempt may be sent, if the event was about one.
     pub permission: SendPermission,
 }
 
-/// The transition of a record on an event. `Executed` and `Barred` are final, and no attempt is sent in these states.
-/// In the state `Pending`, another request with the same id is sent only if the group drops duplicates.
+/// Returns the transition of a record that an event causes. `Executed` and `Barred` are final, and no attempt is sent
+/// in these states. In the state `Pending`, another request with the same id is sent only if the group drops
+/// duplicates.
 pub fn transition(state: Option<RecordState>, event: RecordEvent) -> Transition {
     let unchanged = |permission| Transition { state, permission };
     let becomes = |state, permission| Transition { state: Some(state), permission };
@@ -141,13 +141,13 @@
     }
 }
 
-/// Origin of a connection: the journal of its instance and the journal's next serial when the connection began.
-/// Reported to the client, which passes it back to query the fate of a write.
+/// Origin of a connection: the journal of its instance, and the journal's next serial when the connection was opened.
+/// The origin is reported to the client, which passes it back to query the fate of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Origin {
     /// Name of the journal.
     pub journal: String,
-    /// Serial of the journal's next record.
+    /// Serial of the journal's next record when the connection was opened.
     pub serial: u64,
 }
 
@@ -157,7 +157,7 @@
         let (journal, serial) = text.split_once('.')?;
         let is_alphanumeric =
             |text: &str| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_alphanumeric());
-        // The check of the serial's text excludes a sign, which `parse` would accept.
+        // The check of the serial's characters rejects a sign, which `parse` would accept.
         let serial = serial.parse().ok().filter(|_| is_alphanumeric(serial))?;
         is_alphanumeric(journal).then(|| Origin { journal: journal.to_string(), serial })
     }
@@ -178,43 +178,44 @@
     NeverExecuted,
     /// The write is in flight.
     InFlight,
-    /// Not known to this instance: the write may have been executed.
+    /// The fate is not known to this instance: the write may have been executed.
     Unknown,
 }
 
 /// Input of the decision on the fate of a write.
 #[derive(Clone, Copy, Debug)]
 pub struct Evidence {
-    /// State of its record, if there is one.
+    /// State of the write's record, if there is one.
     pub state: Option<RecordState>,
-    /// The write was sent to this journal's instance, and no record created since that connection began was dropped.
+    /// Whether the client sent the write to this journal's instance, and no record created since the client's
+    /// connection was opened has been dropped.
     pub covered: bool,
-    /// The request of the write is still open in this process.
+    /// Whether the request of the write is still open in this process.
     pub request_open: bool,
 }
 
-/// The fate to report, and whether the write must be barred before.
+/// The fate to report, and whether the write must be barred first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FateDecision {
     /// The fate to report.
     pub fate: Fate,
-    /// The write must be barred first, so that the reported fate remains true.
+    /// Whether the write must be barred before the report, so that the reported fate remains true.
     pub must_bar: bool,
 }
 
-/// Decides on the fate of a write.
+/// Decides which fate of a write to report.
 pub fn decide_fate(evidence: Evidence) -> FateDecision {
-    let without_bar = |fate| FateDecision { fate, must_bar: false };
-    let never_executed = FateDecision { fate: Fate::NeverExecuted, must_bar: true };
+    let report_only = |fate| FateDecision { fate, must_bar: false };
+    let bar_and_report_never = FateDecision { fate: Fate::NeverExecuted, must_bar: true };
     match evidence.state {
-        Some(RecordState::Executed(commit_ms)) => without_bar(Fate::Executed(commit_ms)),
-        Some(RecordState::Barred) => without_bar(Fate::NeverExecuted),
-        _ if evidence.request_open => without_bar(Fate::InFlight),
-        Some(RecordState::Pending) => without_bar(Fate::Unknown),
-        Some(RecordState::NotExecuted) => never_executed,
-        // No write is sent without a record, so this one was not sent. It must be barred because the request may still
-        // be on its way to this instance.
-        None if evidence.covered => never_executed,
-        None => without_bar(Fate::Unknown),
+        Some(RecordState::Executed(commit_ms)) => report_only(Fate::Executed(commit_ms)),
+        Some(RecordState::Barred) => report_only(Fate::NeverExecuted),
+        _ if evidence.request_open => report_only(Fate::InFlight),
+        Some(RecordState::Pending) => report_only(Fate::Unknown),
+        Some(RecordState::NotExecuted) => bar_and_report_never,
+        // No write is sent without a record, so this write was not sent. It must be barred, because the request may
+        // still be on its way to this instance.
+        None if evidence.covered => bar_and_report_never,
+        None => report_only(Fate::Unknown),
     }
 }
--- a/write-journal/tests/crashes.rs
+++ b/write-journal/tests/crashes.rs
@@ -1,6 +1,6 @@
-//! A journal whose process is killed at any point: no fate that it reports is wrong.
+//! The process that owns a journal is killed at any point: no fate that the journal reports afterwards is wrong.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the items.
 mod support;
 
 use std::collections::HashMap;
@@ -11,12 +11,12 @@
 use write_journal::journal::{Journal, Operation, Reply};
 use write_journal::record_state::{Fate, RecordEvent, SendPermission};
 
-/// The environment variable that names the directory to the killed process.
+/// Environment variable with the directory of the journal, for the process that is killed.
 const DIRECTORY_VARIABLE: &str = "JOURNAL_TEST_DIR";
-/// The environment variable that gives the killed process the number of its first write.
+/// Environment variable with the number of the first write, for the process that is killed.
 const FIRST_WRITE_VARIABLE: &str = "JOURNAL_TEST_FIRST_WRITE";
 
-/// What the killed process printed last of a write.
+/// The last progress of a write that the killed process printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Sent,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reads a line such as `sent 17`: the progress, and the number of the write.
+    /// Parses a line such as `sent 17` into the progress and the number of the write.
     fn parse_line(line: &str) -> Option<(Progress, u64)> {
         let (text, number) = line.split_once(' ')?;
         let progress = Progress::ALL.into_iter().find(|progress| progress.as_str() == text)?;
@@ -43,8 +43,8 @@
     }
 }
 
-/// How the process ends a write: by its number executed, not executed, or left pending.
-fn end_of(number: u64) -> Option<(RecordEvent, Progress)> {
+/// The result that the process records for a write, by the number of the write; `None` if the write is left pending.
+fn result_of(number: u64) -> Option<(RecordEvent, Progress)> {
     match number % 3 {
         0 => Some((RecordEvent::Executed(Some(number as i64)), Progress::Executed)),
         1 => Some((RecordEvent::NotExecuted, Progress::NotExecuted)),
@@ -56,10 +56,10 @@
     journal.apply(now as i64, &[operation]).expect("the batch is applied")
 }
 
-/// Not a test of its own: the process that the next one kills. Each line it prints says what was recorded.
+/// Not a test by itself: the process that the next test kills. Each printed line names what was recorded.
 #[test]
-#[ignore = "records until it is killed"]
-fn records_until_it_is_killed() {
+#[ignore = "records until the process is killed"]
+fn child_process_records_until_killed() {
     let Ok(path) = std::env::var(DIRECTORY_VARIABLE) else { return };
     let first = std::env::var(FIRST_WRITE_VARIABLE).ok().and_then(|first| first.parse().ok()).unwrap_or(0);
     let mut journal = open(Path::new(&path), UNLIMITED);
@@ -69,9 +69,9 @@
         let mut print = |progress: Progress| _ = writeln!(out, "{} {number}", progress.as_str());
         let replies = apply(&mut journal, number, record(&id, RecordEvent::FirstAttempt));
         assert_eq!(replies, [Reply::Permission(SendPermission::Granted)]);
-        // Only now the write may be sent, and the endpoint may execute it.
+        // From now on the write may be sent, and the endpoint may execute it.
         print(Progress::Sent);
-        if let Some((event, progress)) = end_of(number) {
+        if let Some((event, progress)) = result_of(number) {
             apply(&mut journal, number, record(&id, event));
             print(progress);
         }
@@ -80,7 +80,7 @@
 
 fn start_process(directory: &Path, first_write: u64) -> Child {
     Command::new(std::env::current_exe().expect("the path of this program"))
-        .args(["--ignored", "--exact", "records_until_it_is_killed", "--nocapture"])
+        .args(["--ignored", "--exact", "child_process_records_until_killed", "--nocapture"])
         .env(DIRECTORY_VARIABLE, directory)
         .env(FIRST_WRITE_VARIABLE, first_write.to_string())
         .stdout(Stdio::null())
@@ -89,12 +89,12 @@
         .expect("the process starts")
 }
 
-/// Kills the process after so many lines of output; returns the progress that it printed, in order.
+/// Kills the process after `count` lines of output. Returns the progress that the process printed, in order.
 fn kill_after_lines(mut child: Child, count: u64) -> Vec<(Progress, u64)> {
     let mut printed = Vec::new();
     let lines = BufReader::new(child.stderr.take().expect("a pipe")).lines();
-    for (nth, line) in lines.map_while(Result::ok).enumerate() {
-        if nth as u64 == count {
+    for (index, line) in lines.map_while(Result::ok).enumerate() {
+        if index as u64 == count {
             child.kill().expect("killed");
         }
         printed.extend(Progress::parse_line(&line));
@@ -103,12 +103,12 @@
     printed
 }
 
-/// Whether this fate may be reported of a write whose last printed progress this was.
+/// Whether this fate may be reported for the write `number`, whose last printed progress was `progress`.
 fn is_correct(fate: Fate, number: u64, progress: Progress) -> bool {
-    match (progress, end_of(number)) {
+    match (progress, result_of(number)) {
         (Progress::Executed, _) => fate == Fate::Executed(Some(number as i64)),
         (Progress::NotExecuted, _) => fate == Fate::NeverExecuted,
-        // Killed after this line: the end may have been recorded and not printed.
+        // The process was killed after this line: the result may have been recorded but not printed.
         (Progress::Sent, Some((RecordEvent::Executed(_), _))) => {
             matches!(fate, Fate::Unknown | Fate::Executed(_))
         }
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_process_killed_at_any_point_reports_no_wrong_fate() {
+fn no_wrong_fate_is_reported_after_the_process_is_killed() {
     let folder = tempfile::tempdir().expect("a temporary directory");
     let mut last_progress: HashMap<u64, Progress> = HashMap::new();
     let mut next_write = 0;
@@ -128,7 +128,7 @@
             last_progress.insert(number, progress);
             next_write = next_write.max(number + 2);
         }
-        // No fate that the next process reports contradicts what was printed.
+        // No fate that the reopened journal reports contradicts the printed progress.
         let mut journal = open(folder.path(), UNLIMITED);
         for (&number, &progress) in &last_progress {
             let fate = fate(&apply(&mut journal, 0, query_fate(&format!("w{number}"), None)));
--- a/write-journal/tests/deduplication.rs
+++ b/write-journal/tests/deduplication.rs
@@ -1,28 +1,28 @@
-//! Writes with an idempotency key: when they are sent again as duplicates, by a clock that cannot be set.
+//! Writes with an idempotency key: when they are sent again as duplicates, according to a clock that cannot be set.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the items.
 mod support;
 
 use support::{record, TestJournal, RETENTION};
 use write_journal::journal::ClockReading;
 use write_journal::record_state::{Deduplication, Fate, RecordEvent, SendPermission, Uptime};
 
-/// Duplicates are dropped in group 7 for three seconds.
+/// The endpoints of group 7 drop duplicates for 3 s.
 const DEDUPLICATION: Deduplication = Deduplication { group: Some(7), window_ms: 3_000 };
-/// The start of the machine on which the writes are first sent.
+/// Boot identifier of the machine when the writes are first sent.
 const FIRST_BOOT: u64 = 1;
 
-/// The wall clock, and the uptime since a start of the machine.
-fn clocks(wall_ms: i64, boot: u64, ms: i64) -> ClockReading {
-    ClockReading { wall_ms, uptime: Some(Uptime { boot, ms }) }
+/// Clock readings at a wall-clock time and at an uptime since a boot, in milliseconds.
+fn clocks(wall_ms: i64, boot: u64, uptime_ms: i64) -> ClockReading {
+    ClockReading { wall_ms, uptime: Some(Uptime { boot, ms: uptime_ms }) }
 }
 
 fn as_duplicate(remaining_ms: i64) -> SendPermission {
     SendPermission::GrantedAsDuplicate { remaining_ms }
 }
 
-/// A restarted journal of writes that were first sent at an uptime of 500 ms: `pending`, `executed` and `never`
-/// with an idempotency key, and `plain` without.
+/// A reopened journal with writes that were first sent at an uptime of about 500 ms: `pending`, `executed` and
+/// `never` with an idempotency key, and `plain` without one.
 fn journal_of_keyed_writes() -> TestJournal {
     let mut journal = TestJournal::new(RETENTION);
     let now = clocks(9_000, FIRST_BOOT, 500);
@@ -40,63 +40,79 @@
 }
 
 #[test]
-fn a_pending_write_is_sent_again_for_the_rest_of_the_window_whatever_the_wall_clock() {
+fn pending_write_is_resent_within_the_window_at_any_wall_clock_time() {
     let mut journal = journal_of_keyed_writes();
-    let mut send_again = |wall_ms: i64, uptime_ms: i64| {
+    let mut resend = |wall_ms: i64, uptime_ms: i64| {
         let now = clocks(wall_ms, FIRST_BOOT, uptime_ms);
         journal.record_keyed(now, "pending", RecordEvent::FirstAttempt, DEDUPLICATION)
     };
-    // The wall clock was set back by an hour; 2 s of the window have passed, and the clock's resolution of 10 ms.
-    assert_eq!(send_again(-3_591_000, 2_500), as_duplicate(990));
-    assert_eq!(send_again(9_000, 2_600), as_duplicate(890), "counted from the first attempt, not the last");
-    assert_eq!(send_again(9_000, 3_480), as_duplicate(10));
-    assert_eq!(send_again(9_000, 3_490), SendPermission::Denied, "the window has passed");
+    // The wall clock was set back by an hour. The window has lost 2 s, and 10 ms for the resolution of the uptime.
+    assert_eq!(resend(-3_591_000, 2_500), as_duplicate(990));
+    assert_eq!(
+        resend(9_000, 2_600),
+        as_duplicate(890),
+        "the window starts with the first attempt, not with the last one"
+    );
+    assert_eq!(resend(9_000, 3_480), as_duplicate(10));
+    assert_eq!(resend(9_000, 3_490), SendPermission::Denied, "the window has passed");
     journal.record(9_000, "pending", RecordEvent::Executed(Some(8_999)));
     assert_eq!(journal.fate(9_000, "pending", None), Fate::Executed(Some(8_999)));
 }
 
-/// A write that must not be sent again.
+/// An attempt to resend a write that must be denied.
 #[derive(Clone, Copy)]
-struct Denial {
-    why: &'static str,
+struct DeniedAttempt {
+    reason: &'static str,
     now: ClockReading,
     id: &'static str,
     deduplication: Deduplication,
 }
 
 #[test]
-fn a_write_is_not_sent_again_where_duplicates_may_run() {
+fn write_is_not_resent_if_a_duplicate_could_be_executed() {
     let mut journal = journal_of_keyed_writes();
     let in_window = clocks(9_000, FIRST_BOOT, 600);
-    let pending = Denial { why: "", now: in_window, id: "pending", deduplication: DEDUPLICATION };
+    let pending = DeniedAttempt { reason: "", now: in_window, id: "pending", deduplication: DEDUPLICATION };
     let other_group = Deduplication { group: Some(8), ..DEDUPLICATION };
     let all_endpoints = Deduplication { group: None, ..DEDUPLICATION };
     let shorter = Deduplication { window_ms: 100, ..DEDUPLICATION };
-    for Denial { why, now, id, deduplication } in [
-        Denial { why: "the window has passed", now: clocks(9_000, FIRST_BOOT, 3_490), ..pending },
-        Denial { why: "another group", deduplication: other_group, ..pending },
-        Denial { why: "all endpoints now, one group then", deduplication: all_endpoints, ..pending },
-        Denial { why: "the window is shorter now", deduplication: shorter, ..pending },
-        Denial { why: "the machine was restarted", now: clocks(9_000, FIRST_BOOT + 1, 600), ..pending },
-        Denial { why: "the uptime went back", now: clocks(9_000, FIRST_BOOT, 400), ..pending },
-        Denial { why: "the uptime is not known", now: ClockReading::from(9_000), ..pending },
-        Denial { why: "it had no idempotency key", id: "plain", ..pending },
-        Denial { why: "it was executed", id: "executed", ..pending },
-        Denial { why: "its fate was reported", id: "never", ..pending },
+    for DeniedAttempt { reason, now, id, deduplication } in [
+        DeniedAttempt { reason: "the window has passed", now: clocks(9_000, FIRST_BOOT, 3_490), ..pending },
+        DeniedAttempt { reason: "another group", deduplication: other_group, ..pending },
+        DeniedAttempt {
+            reason: "duplicates were dropped in one group, now in all groups",
+            deduplication: all_endpoints,
+            ..pending
+        },
+        DeniedAttempt { reason: "the window is shorter than before", deduplication: shorter, ..pending },
+        DeniedAttempt {
+            reason: "the machine was rebooted",
+            now: clocks(9_000, FIRST_BOOT + 1, 600),
+            ..pending
+        },
+        DeniedAttempt { reason: "the uptime went backwards", now: clocks(9_000, FIRST_BOOT, 400), ..pending },
+        DeniedAttempt { reason: "the uptime is not known", now: ClockReading::from(9_000), ..pending },
+        DeniedAttempt { reason: "the write has no idempotency key", id: "plain", ..pending },
+        DeniedAttempt { reason: "the write was executed", id: "executed", ..pending },
+        DeniedAttempt { reason: "the write was reported as never executed", id: "never", ..pending },
     ] {
         let permission = journal.record_keyed(now, id, RecordEvent::FirstAttempt, deduplication);
-        assert_eq!(permission, SendPermission::Denied, "{why}");
+        assert_eq!(permission, SendPermission::Denied, "{reason}");
     }
 }
 
 #[test]
-fn the_window_of_a_write_that_was_not_executed_starts_again_with_its_second_attempt() {
+fn window_restarts_with_the_second_attempt_of_an_unexecuted_write() {
     let mut journal = TestJournal::new(RETENTION);
     let mut record_at = |uptime_ms: i64, event: RecordEvent| {
         journal.record_keyed(clocks(600, FIRST_BOOT, uptime_ms), "t", event, DEDUPLICATION)
     };
     assert_eq!(record_at(500, RecordEvent::FirstAttempt), SendPermission::Granted);
     record_at(600, RecordEvent::NotExecuted);
-    assert_eq!(record_at(3_000, RecordEvent::FirstAttempt), SendPermission::Granted, "the first never ran");
+    assert_eq!(
+        record_at(3_000, RecordEvent::FirstAttempt),
+        SendPermission::Granted,
+        "the first attempt was not executed"
+    );
     assert_eq!(record_at(4_000, RecordEvent::FirstAttempt), as_duplicate(1_990));
 }
--- a/write-journal/tests/earlier_build.rs
+++ b/write-journal/tests/earlier_build.rs
@@ -1,5 +1,5 @@
-//! A journal of writes that an earlier build made stays readable. `tests/data/journal` was made by the build of
-//! commit 0eda158, not by the code under test; zeros at the end of its log, up to 64 MiB, were cut off.
+//! A journal that an earlier build wrote remains readable. The build of commit 0eda158, not the code under test,
+//! wrote `tests/data/journal`. The zeros at the end of its log file, up to 64 MiB, were cut off.
 
 use std::path::Path;
 use write_journal::journal::{ClockReading, Durability, Journal, Operation, Reply, Retention};
@@ -8,14 +8,14 @@
 /// The size to which the log file is preallocated.
 const LOG_BYTES: u64 = 64 << 20;
 
-/// Copies a directory.
-fn copy(from: &Path, to: &Path) {
+/// Copies a directory and everything in it.
+fn copy_directory(from: &Path, to: &Path) {
     std::fs::create_dir_all(to).expect("created");
     for entry in std::fs::read_dir(from).expect("a directory") {
         let entry = entry.expect("an entry");
         let target = to.join(entry.file_name());
         if entry.file_type().expect("a type").is_dir() {
-            copy(&entry.path(), &target);
+            copy_directory(&entry.path(), &target);
         } else {
             std::fs::copy(entry.path(), &target).expect("copied");
         }
@@ -23,22 +23,22 @@
 }
 
 #[test]
-fn a_journal_of_an_earlier_build_is_read() {
+fn journal_of_an_earlier_build_is_readable() {
     let folder = tempfile::tempdir().expect("a directory");
     let path = folder.path().join("writes");
-    copy(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/journal"), &path);
+    copy_directory(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/journal"), &path);
     let log = std::fs::OpenOptions::new().write(true).open(path.join("0.jnl")).expect("the log");
     log.set_len(LOG_BYTES).expect("extended to its full length");
     drop(log);
     let retention = Retention { max_records: 1000, max_age_ms: i64::MAX };
     let mut journal = Journal::open(&path, Durability::System, retention, 1).expect("the journal opens");
     let origin = journal.origin();
-    assert_eq!(origin.journal, "9f3c01aa52e87d14", "the journal has the same name");
-    assert!(origin.serial >= 5, "no serial is assigned again: {origin}");
+    assert_eq!(origin.journal, "9f3c01aa52e87d14", "the name of the journal changed");
+    assert!(origin.serial >= 5, "a serial would be assigned again: {origin}");
     for id in ["open", "ran", "ran-unsaid", "free", "barred"] {
         assert_eq!(journal.first_sent_ms(id).expect("the record is read"), Some(1_790_000_000_000), "{id}");
     }
-    // 40 s after they were first sent, within the window of 60 s, on the same start of the machine.
+    // The writes were first sent 40 s ago: within the window of 60 s, and since the same boot of the machine.
     let now = ClockReading { wall_ms: 1_790_000_040_000, uptime: Some(Uptime { boot: 7, ms: 45_000 }) };
     let deduplication = Some(Deduplication { group: Some(3), window_ms: 60_000 });
     let again = Operation::Record { id: "open".into(), event: RecordEvent::FirstAttempt, deduplication };
