--- a/endpoint-cache/examples/sizes.rs
+++ b/endpoint-cache/examples/sizes.rs
@@ -1,13 +1,13 @@
-//! Measures the cost of saving and loading by the number of endpoints: time, file size and resident memory.
+//! Measures the cost of saving and loading lists of different lengths: time, file size and resident memory.
 
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList, CachedReport};
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// Saves and loads of each list. An odd number, so that the median is a measured value.
+/// Number of saves and loads of each list. It is odd, so that the median is a measured value.
 const ROUNDS: usize = 21;
 
-/// Costs of one list, measured over [`ROUNDS`] saves and loads.
+/// Cost of saving and loading one list, measured over [`ROUNDS`] saves and loads.
 struct Costs {
     bytes: usize,
     median_save_ms: f64,
@@ -20,14 +20,14 @@
     line.and_then(|line| line.split_whitespace().nth(1)?.parse().ok()).unwrap_or(0)
 }
 
-fn endpoint(nth: usize) -> CachedEndpoint {
+fn endpoint(index: usize) -> CachedEndpoint {
     let report =
         CachedReport { primary: false, position_ms: Some(1_790_000_000_000), timeline: Some(7), at_ms: 1 };
     CachedEndpoint {
-        name: format!("s-{nth:08x}"),
-        address: format!("10.1.{}.{}:6543", nth / 250, nth % 250),
+        name: format!("s-{index:08x}"),
+        address: format!("10.1.{}.{}:6543", index / 250, index % 250),
         zone: "a".into(),
-        group: nth as i64 / 3,
+        group: index as i64 / 3,
         health: "SERVING".into(),
         started_ms: 1_790_000_000_000.0,
         recovery: "on".into(),
@@ -48,37 +48,38 @@
     samples[samples.len() / 2]
 }
 
-fn measure(folder: &Path, list: &mut CachedEndpointList) -> Costs {
-    let (mut directory, _) = CacheDirectory::open(folder).expect("it opens");
+fn measure(directory_path: &Path, list: &mut CachedEndpointList) -> Costs {
+    let (mut directory, _) = CacheDirectory::open(directory_path).expect("the directory is free");
     let (mut saves, mut loads, mut bytes) = (Vec::new(), Vec::new(), 0);
     for _ in 0..ROUNDS {
-        let began = Instant::now();
+        let started = Instant::now();
         bytes = directory.save(list).expect("saved");
-        saves.push(began.elapsed().as_secs_f64() * 1e3);
-        let began = Instant::now();
-        let loaded = CacheDirectory::read(folder).list.expect("a whole one");
-        loads.push(began.elapsed().as_secs_f64() * 1e3);
+        saves.push(started.elapsed().as_secs_f64() * 1e3);
+        let started = Instant::now();
+        let loaded = CacheDirectory::read(directory_path).list.expect("a valid list");
+        loads.push(started.elapsed().as_secs_f64() * 1e3);
         assert_eq!(loaded.list.endpoints.len(), list.endpoints.len());
     }
     Costs { bytes, median_save_ms: median(saves), median_load_ms: median(loads) }
 }
 
 fn main() {
-    let folder = std::env::args().nth(1).map(PathBuf::from);
-    let folder = folder.unwrap_or_else(|| std::env::temp_dir().join(format!("sizes-{}", std::process::id())));
-    std::fs::create_dir_all(&folder).expect("a folder to write to");
+    let directory_path = std::env::args().nth(1).map(PathBuf::from);
+    let directory_path =
+        directory_path.unwrap_or_else(|| std::env::temp_dir().join(format!("sizes-{}", std::process::id())));
+    std::fs::create_dir_all(&directory_path).expect("a writable directory");
     println!(
-        "{:>8} {:>10} {:>14} {:>14} {:>12}",
-        "stores", "bytes", "save ms (med)", "load ms (med)", "resident kB"
+        "{:>9} {:>10} {:>14} {:>14} {:>12}",
+        "endpoints", "bytes", "save ms (med)", "load ms (med)", "resident kB"
     );
     for count in [10, 1_000, 10_000] {
-        // The list stays alive until the resident memory has been read.
+        // The list must stay alive until the resident memory has been read.
         let mut list = endpoint_list(count);
-        let Costs { bytes, median_save_ms, median_load_ms } = measure(&folder, &mut list);
+        let Costs { bytes, median_save_ms, median_load_ms } = measure(&directory_path, &mut list);
         println!(
-            "{count:>8} {bytes:>10} {median_save_ms:>14.2} {median_load_ms:>14.2} {:>12}",
+            "{count:>9} {bytes:>10} {median_save_ms:>14.2} {median_load_ms:>14.2} {:>12}",
             resident_kb()
         );
     }
-    let _ = std::fs::remove_dir_all(&folder);
+    let _ = std::fs::remove_dir_all(&directory_path);
 }
--- a/endpoint-cache/src/cached_list.rs
+++ b/endpoint-cache/src/cached_list.rs
@@ -1,11 +1,12 @@
-//! The cached data: an endpoint list and its endpoints' last reports.
+//! The cached data: an endpoint list, and the last report of each endpoint.
 
 use serde::{Deserialize, Serialize};
 
 /// The cached list. Times are Unix milliseconds by the wall clock of the instance that wrote them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CachedEndpointList {
-    /// Increases by one with every save: orders files independently of the clock.
+    /// Number of the save that wrote the list. It increases by one with each save, so that files can be ordered
+    /// independently of the clock.
     pub generation: u64,
     /// Discovery's version of the list.
     #[serde(rename = "seq")]
@@ -31,18 +32,18 @@
     /// Zone of the endpoint.
     #[serde(default, rename = "site")]
     pub zone: String,
-    /// Number of its group.
+    /// Number of the endpoint's group.
     #[serde(rename = "block")]
     pub group: i64,
-    /// Health status in the list, which decides whether it may be used.
+    /// Health status in the list, which determines whether the endpoint may be used.
     pub health: String,
-    /// Time of its last start in Unix milliseconds; 0 if unknown.
+    /// When the endpoint last started, in Unix milliseconds; 0 if unknown.
     #[serde(default, rename = "born_ms")]
     pub started_ms: f64,
     /// Role in the list: `off` for the primary, `on` for a replica.
     #[serde(default)]
     pub recovery: String,
-    /// The last report from the endpoint itself.
+    /// The last report from the endpoint itself; `None` if the endpoint has not reported yet.
     #[serde(default, rename = "said", skip_serializing_if = "Option::is_none")]
     pub report: Option<CachedReport>,
 }
@@ -50,14 +51,14 @@
 /// The last report from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CachedReport {
-    /// It reported to be primary.
+    /// Whether the endpoint reported that it is primary.
     pub primary: bool,
-    /// Its position (commit time).
+    /// Reported position, as a commit time in Unix milliseconds.
     #[serde(default)]
     pub position_ms: Option<i64>,
-    /// PostgreSQL timeline of its log.
+    /// Reported PostgreSQL timeline of the endpoint's log.
     #[serde(default)]
     pub timeline: Option<u32>,
-    /// When the report was received.
+    /// When the report was received, in Unix milliseconds.
     pub at_ms: i64,
 }
--- a/endpoint-cache/src/directory.rs
+++ b/endpoint-cache/src/directory.rs
@@ -1,5 +1,5 @@
-//! Cache directory: the files of the generations, the lock against a second process, and the atomic replacement of
-//! files.
+//! Cache directory: the files of the generations, their atomic replacement, and a lock against use by a second
+//! process.
 
 use crate::cached_list::CachedEndpointList;
 use crate::encoding::{decode, encode, FileError, MAX_FILE_BYTES};
@@ -8,26 +8,27 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Maximum number of file descriptors used by a directory: the lock, the file being written, and the directory itself.
+/// Maximum number of file descriptors that a cache directory uses: the lock, the file being written, and the
+/// directory itself.
 pub const MAX_DESCRIPTORS: usize = 3;
 
-/// File of the current generation.
+/// Name of the file with the current generation.
 const CURRENT: &str = "list";
-/// File of the generation before the current one.
+/// Name of the file with the generation before the current one.
 const PREVIOUS: &str = "list.before";
-/// File of a generation that is being written.
+/// Name of the file of a generation that is being written.
 const NEXT: &str = "list.new";
-/// File whose lock a process holds while it uses the directory.
+/// Name of the file whose lock a process holds while it uses the directory.
 const LOCK: &str = "lock";
 
 /// Why a cache directory or a file in it cannot be used.
 #[derive(Debug, Error)]
 pub enum CacheError {
     /// An I/O operation failed.
-    #[error("{}: {operation}: {error}", path.display())]
+    #[error("{}: {failure}: {error}", path.display())]
     Io {
-        /// The failed operation.
-        operation: &'static str,
+        /// What failed, such as `can't be opened`.
+        failure: &'static str,
         /// The file or directory.
         path: PathBuf,
         /// The error of the operating system.
@@ -46,8 +47,8 @@
     },
 }
 
-fn io_error<'a>(operation: &'static str, path: &'a Path) -> impl FnOnce(std::io::Error) -> CacheError + 'a {
-    move |error| CacheError::Io { operation, path: path.to_path_buf(), error }
+fn io_error<'a>(failure: &'static str, path: &'a Path) -> impl FnOnce(std::io::Error) -> CacheError + 'a {
+    move |error| CacheError::Io { failure, path: path.to_path_buf(), error }
 }
 
 /// A valid generation of the cached list.
@@ -55,7 +56,7 @@
 pub struct LoadedList {
     /// The list.
     pub list: CachedEndpointList,
-    /// The file that it was read from.
+    /// The file from which the list was read.
     pub file: PathBuf,
 }
 
@@ -64,7 +65,7 @@
 pub struct LoadedCache {
     /// The newest valid generation, if there is one.
     pub list: Option<LoadedList>,
-    /// Errors of the other files.
+    /// Errors of the files that could not be read or are invalid.
     pub errors: Vec<CacheError>,
 }
 
@@ -73,7 +74,7 @@
 pub struct CacheDirectory {
     path: PathBuf,
     _lock: File,
-    /// The last generation that was read or saved.
+    /// Number of the last generation that was read or saved.
     generation: u64,
     /// Whether the current file is valid: only then may it replace the previous one.
     current_is_valid: bool,
@@ -98,7 +99,7 @@
     /// Reads the cache without locking the directory.
     pub fn read(path: &Path) -> LoadedCache {
         let mut loaded = LoadedCache::default();
-        // A complete file that was not renamed yet is as valid as one in place.
+        // A complete file that was not renamed yet is as valid as a file in place.
         for name in [CURRENT, NEXT, PREVIOUS] {
             let file = path.join(name);
             match CacheDirectory::read_file(&file) {
@@ -109,7 +110,7 @@
                         loaded.list = Some(LoadedList { list, file });
                     }
                 }
-                // A torn new file is expected after the process ended during a save.
+                // An incomplete new file is expected if the process ended during a save.
                 Err(CacheError::InvalidFile { error: FileError::Torn, .. }) if name == NEXT => {}
                 Err(error) => loaded.errors.push(error),
             }
@@ -120,7 +121,7 @@
     /// Reads one file. Returns `None` if it does not exist.
     ///
     /// # Errors
-    /// The file cannot be read or is invalid.
+    /// The file cannot be read, or it is invalid.
     pub fn read_file(path: &Path) -> Result<Option<CachedEndpointList>, CacheError> {
         let file = match File::open(path) {
             Ok(file) => file,
@@ -134,16 +135,16 @@
         list.map(Some).map_err(|error| CacheError::InvalidFile { path: path.to_path_buf(), error })
     }
 
-    /// Saves a list as the next generation and returns the file size in bytes. After a crash at any point, the newest
-    /// valid file is either this generation or the previous one.
+    /// Saves a list as the next generation, and returns the size of the file in bytes. After a crash at any point,
+    /// the newest valid file has either this generation or the previous one.
     ///
     /// # Errors
-    /// The list was not saved.
+    /// The list was not saved, because it is too large or an I/O operation failed.
     pub fn save(&mut self, list: &mut CachedEndpointList) -> Result<usize, CacheError> {
         list.generation = self.generation + 1;
         let [current, previous, next] = [CURRENT, PREVIOUS, NEXT].map(|name| self.path.join(name));
         let bytes = encode(list).map_err(|error| CacheError::InvalidFile { path: next.clone(), error })?;
-        let mut file = File::create(&next).map_err(io_error("can't be made", &next))?;
+        let mut file = File::create(&next).map_err(io_error("can't be created", &next))?;
         file.write_all(&bytes).map_err(io_error("can't be written", &next))?;
         file.sync_all().map_err(io_error("can't be synced", &next))?;
         drop(file);
--- a/endpoint-cache/src/lib.rs
+++ b/endpoint-cache/src/lib.rs
@@ -1,9 +1,10 @@
-//! Cache of the endpoint list on disk, for use after a restart. Storage only: the `recovery` package decides how far a
-//! cached list is trusted.
+//! Cache of the endpoint list on disk, for use after a restart. This package only stores the list; the `recovery`
+//! package decides how far a cached list is trusted.
 //!
-//! A generation is one file. It is written completely under a temporary name, synced, and renamed into place; the
-//! previous generation is kept until the next one is in place. A file is valid only if its header line, length and
-//! checksum match. `docs/recovery.md` compares this with embedded key-value stores.
+//! Each save creates a generation, which is one file. The file is written completely under a temporary name, synced,
+//! and renamed into place; the previous generation is kept until the next one is in place. A file is valid only if
+//! the header line is well-formed and its length and checksum match the body. `docs/recovery.md` compares this with
+//! embedded key-value stores.
 
 #![warn(clippy::too_many_lines)]
 
--- a/endpoint-cache/tests/crashes.rs
+++ b/endpoint-cache/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! The cache directory through saves cut off at any point, damaged files and unusable directories.
+//! The cache directory after saves interrupted at any point, and with damaged files or unusable directories.
 
 use endpoint_cache::{
     decode, encode, CacheDirectory, CacheError, CachedEndpoint, CachedEndpointList, FileError, FORMAT_VERSION,
@@ -7,10 +7,10 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-/// A list of so many endpoints.
-fn list(endpoints: usize, version: i64) -> CachedEndpointList {
-    let endpoint = |nth| CachedEndpoint {
-        name: format!("s-{nth}"),
+/// Creates a list of `count` endpoints.
+fn list(count: usize, version: i64) -> CachedEndpointList {
+    let endpoint = |index| CachedEndpoint {
+        name: format!("s-{index}"),
         address: "127.0.0.1:6543".into(),
         group: 3,
         health: "SERVING".into(),
@@ -18,12 +18,12 @@
     };
     CachedEndpointList {
         version,
-        endpoints: (0..endpoints).map(endpoint).collect(),
+        endpoints: (0..count).map(endpoint).collect(),
         ..CachedEndpointList::default()
     }
 }
 
-/// The generation of the list that a start would read.
+/// The generation of the list that the next start would load.
 fn generation(path: &Path) -> Option<u64> {
     CacheDirectory::read(path).list.map(|loaded| loaded.list.generation)
 }
@@ -31,9 +31,9 @@
 /// A directory with two saved generations.
 struct SavedTwice {
     folder: tempfile::TempDir,
-    /// The file of generation 2.
+    /// Content of the file of generation 2.
     second: Vec<u8>,
-    /// The bytes of a generation 3 that is not saved yet.
+    /// Content of a file of generation 3, which is not saved yet.
     third: Vec<u8>,
 }
 
@@ -69,16 +69,16 @@
 }
 
 #[test]
-fn a_save_killed_at_any_point_leaves_the_generation_before_or_its_own() {
+fn interrupted_save_leaves_the_previous_or_the_new_generation() {
     let saved = SavedTwice::new();
-    // Killed while the new file was written, at each byte; the earlier ones are in place.
+    // The save was interrupted after each byte of the new file. The earlier files are in place.
     for length in 0..saved.third.len() {
         saved.write("list.new", &saved.third[..length]);
         let loaded = CacheDirectory::read(saved.path());
         assert_eq!(loaded.list.map(|newest| newest.list.generation), Some(2), "{length} bytes");
-        assert!(loaded.errors.is_empty(), "an incomplete save is no error: {:?}", loaded.errors);
+        assert!(loaded.errors.is_empty(), "an incomplete save was reported as an error: {:?}", loaded.errors);
     }
-    // Killed after the new file was complete: before, between and after the renames.
+    // The save was interrupted after the new file was complete: before, between and after the renames.
     saved.write("list.new", &saved.third);
     assert_eq!(generation(saved.path()), Some(3));
     saved.rename("list", "list.before");
@@ -88,14 +88,14 @@
 }
 
 #[test]
-fn a_torn_file_is_replaced_by_the_generation_before_and_never_replaces_it() {
+fn incomplete_file_does_not_replace_the_previous_generation() {
     let saved = SavedTwice::new();
     saved.rename("list", "list.before");
     for length in 0..saved.third.len() {
         saved.write("list", &saved.third[..length]);
         assert_eq!(generation(saved.path()), Some(2), "{length} bytes");
     }
-    // The next save does not replace the complete file by the torn one.
+    // The next save does not replace the complete file with the incomplete one.
     let (mut dir, loaded) = CacheDirectory::open(saved.path()).expect("the directory is free");
     assert_eq!(loaded.errors.len(), 1);
     saved.write("list.new", b"gingerwick-l");
@@ -106,30 +106,31 @@
 }
 
 #[test]
-fn each_flipped_bit_is_detected_and_foreign_and_newer_files_are_reported() {
-    let whole = encode(&list(2, 7)).expect("bytes");
-    assert_eq!(decode(&whole).expect("whole").version, 7);
-    for at in 0..whole.len() {
+fn flipped_bits_unknown_file_types_and_newer_formats_are_rejected() {
+    let valid = encode(&list(2, 7)).expect("a list that fits");
+    assert_eq!(decode(&valid).expect("valid").version, 7);
+    for at in 0..valid.len() {
         for bit in 0..8 {
-            let mut bytes = whole.clone();
+            let mut bytes = valid.clone();
             bytes[at] ^= 1 << bit;
             if let Ok(list) = decode(&bytes) {
-                // A checksum in capital letters is the same one.
-                assert_eq!(list, decode(&whole).expect("whole"), "byte {at}, bit {bit}");
+                // A flipped bit may turn a letter of the checksum into upper case, which does not change the
+                // checksum.
+                assert_eq!(list, decode(&valid).expect("valid"), "byte {at}, bit {bit}");
             }
         }
     }
     assert_eq!(decode(b"SQLite format 3\0"), Err(FileError::UnknownFileType));
     assert_eq!(decode(b"{}"), Err(FileError::UnknownFileType));
     assert_eq!(decode(b""), Err(FileError::Torn));
-    let newer = String::from_utf8(whole.clone()).expect("text").replacen(" 1 ", " 2 ", 1);
+    let newer = String::from_utf8(valid.clone()).expect("text").replacen(" 1 ", " 2 ", 1);
     assert_eq!(decode(newer.as_bytes()), Err(FileError::NewerFormat(FORMAT_VERSION + 1)));
     assert!(matches!(decode(&vec![b'g'; 17 << 20]), Err(FileError::TooLarge(_))));
     assert!(matches!(encode(&list(400_000, 1)), Err(FileError::TooLarge(_))));
 }
 
 #[test]
-fn an_unusable_directory_is_reported_and_can_still_be_read() {
+fn unusable_directory_is_reported_and_remains_readable() {
     let folder = tempfile::tempdir().expect("a temporary directory");
     let path = folder.path();
     assert!(matches!(CacheDirectory::open(&path.join("missing")), Err(CacheError::Io { .. })));
@@ -137,32 +138,32 @@
     dir.save(&mut list(1, 1)).expect("saved");
     assert!(matches!(CacheDirectory::open(path), Err(CacheError::Locked(_))), "a second instance");
     assert_eq!(generation(path), Some(1));
-    // No file can be created where there is a directory, whatever the user that runs the tests may do.
+    // No file can be created in place of a directory, even with the permissions of the superuser.
     std::fs::create_dir(path.join("list.new")).expect("created");
     assert!(matches!(dir.save(&mut list(1, 2)), Err(CacheError::Io { .. })));
     assert_eq!(generation(path), Some(1));
     std::fs::remove_dir(path.join("list.new")).expect("removed");
     dir.save(&mut list(1, 3)).expect("saved again");
     assert_eq!(generation(path), Some(2));
-    // Linux has a device that is always full.
+    // On Linux, `/dev/full` is a device without free space.
     #[cfg(target_os = "linux")]
     {
         std::fs::write(path.join("list.new"), b"").expect("created");
         std::fs::remove_file(path.join("list.new")).expect("removed");
         std::os::unix::fs::symlink("/dev/full", path.join("list.new")).expect("linked");
-        let fault = dir.save(&mut list(1, 4)).expect_err("the device is full");
-        assert!(fault.to_string().contains("can't be written"), "{fault}");
+        let error = dir.save(&mut list(1, 4)).expect_err("the device is full");
+        assert!(error.to_string().contains("can't be written"), "{error}");
         assert_eq!(generation(path), Some(2));
     }
 }
 
-/// The environment variable that names the directory to the process which the next test kills.
+/// Environment variable with the cache directory, for the process that is killed.
 const DIRECTORY_VARIABLE: &str = "CACHE_TEST_DIR";
 
-/// Not a test of its own: the process that the next one kills. It prints each generation that is saved.
+/// Not a test by itself: the process that the next test kills. It prints the number of each saved generation.
 #[test]
-#[ignore = "saves until it is killed"]
-fn saves_until_it_is_killed() {
+#[ignore = "saves until the process is killed"]
+fn child_process_saves_until_killed() {
     let Ok(path) = std::env::var(DIRECTORY_VARIABLE) else { return };
     let (mut dir, loaded) = CacheDirectory::open(Path::new(&path)).expect("the directory is free");
     assert!(loaded.errors.is_empty(), "{:?}", loaded.errors);
@@ -174,12 +175,12 @@
     }
 }
 
-/// Starts the process that saves to this directory, and kills it after so many lines of output; returns the last
-/// generation that it printed, if there was any.
+/// Starts the process that saves to `directory`, and kills it after `count` lines of output. Returns the last
+/// generation that the process printed, if any.
 fn kill_after_lines(directory: &Path, count: u64) -> Option<u64> {
     let program = std::env::current_exe().expect("the path of this program");
     let mut child = Command::new(program)
-        .args(["--ignored", "--exact", "saves_until_it_is_killed", "--nocapture"])
+        .args(["--ignored", "--exact", "child_process_saves_until_killed", "--nocapture"])
         .env(DIRECTORY_VARIABLE, directory)
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
@@ -198,7 +199,7 @@
 }
 
 #[test]
-fn a_process_killed_while_saving_leaves_every_generation_that_it_reported() {
+fn reported_generations_survive_a_killed_process() {
     let folder = tempfile::tempdir().expect("a temporary directory");
     let mut last = 0;
     for round in 0..25u64 {
@@ -206,7 +207,11 @@
         let loaded = CacheDirectory::read(folder.path());
         let list = loaded.list.expect("a complete list").list;
         assert!(loaded.errors.is_empty(), "{:?}", loaded.errors);
-        assert!(list.generation >= last && list.generation <= last + 1, "{} of {last}", list.generation);
+        assert!(
+            list.generation >= last && list.generation <= last + 1,
+            "generation {} after {last} was reported",
+            list.generation
+        );
         assert_eq!(list.endpoints.len(), 200);
     }
 }
--- a/endpoint-cache/tests/earlier_build.rs
+++ b/endpoint-cache/tests/earlier_build.rs
@@ -1,11 +1,11 @@
-//! A state directory that an earlier build wrote stays readable. `tests/data/state` was made by the build of commit
-//! 0eda158, not by the code under test.
+//! A state directory that an earlier build wrote remains readable. The build of commit 0eda158, not the code under
+//! test, wrote `tests/data/state`.
 
 use endpoint_cache::{CacheDirectory, CachedReport, LoadedList};
 use std::path::Path;
 
 #[test]
-fn a_state_directory_of_an_earlier_build_is_read() {
+fn state_directory_of_an_earlier_build_is_readable() {
     let earlier = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/state");
     let folder = tempfile::tempdir().expect("a temporary directory");
     for name in ["list", "list.before", "lock"] {
@@ -31,12 +31,12 @@
     let report = CachedReport { primary: false, position_ms: None, timeline: None, at_ms: 1_790_000_100_200 };
     assert_eq!((replica.health.as_str(), replica.report), ("DRAINING", Some(report)));
 
-    // The next generation goes on from it, byte for byte but for its number.
+    // A saved copy is identical byte for byte, except for the number of the generation.
     dir.save(&mut list).expect("saved");
     assert_eq!(list.generation, 3);
     let body = |path: &Path| {
         let text = std::fs::read_to_string(path).expect("a file");
-        let (_, body) = text.split_once('\n').expect("a head line");
+        let (_, body) = text.split_once('\n').expect("a header line");
         body.replace("\"generation\":3", "\"generation\":2")
     };
     assert_eq!(body(&folder.path().join("list")), body(&earlier.join("list")));
