--- a/recovery/src/endpoint_state.rs
+++ b/recovery/src/endpoint_state.rs
@@ -64,8 +64,7 @@
     pub effect: Effect,
 }
 
-/// A transition rule: in a state that `from` accepts, the event `on` leads to the state `to` with the effect
-/// `effect`.
+/// A transition rule: in a state that `from` accepts, the event `on` leads to the state `to`, with this effect.
 struct Rule {
     from: fn(EndpointState) -> bool,
     on: EndpointEvent,
--- a/recovery/src/primary_verification.rs
+++ b/recovery/src/primary_verification.rs
@@ -43,8 +43,8 @@
     Verified(EndpointIndex),
 }
 
-/// How long a member's report or refused connection counts as evidence for a claim. The limit prevents that evidence
-/// from before and after a failover is combined. Evidence against a claim does not expire.
+/// How long a member's report or refused connection counts as evidence for a claim. Evidence from before a failover
+/// must not be combined with evidence from after it. Evidence against a claim does not expire.
 pub const EVIDENCE_VALID_FOR: TimeDelta = TimeDelta::from_millis(2_000);
 
 /// Input of the verification of a group.
--- a/recovery/src/watch_schedule.rs
+++ b/recovery/src/watch_schedule.rs
@@ -1,8 +1,8 @@
 //! Timeouts and reconnection backoff of the watch on discovery.
 //!
-//! A change that a broken watch does not deliver must be known within 6 s of the last event. Discovery sends an empty
-//! line every 2 s as a heartbeat. A watch is closed after 3 s of silence, which tolerates a heartbeat that is 1 s
-//! late. This leaves 3 s to open the next watch, including two attempts that time out.
+//! Changes that a broken watch does not deliver must reach the router within 6 s of the last event. Discovery sends
+//! an empty line every 2 s as a heartbeat. A watch is closed after 3 s of silence, which tolerates a heartbeat that
+//! is 1 s late. This leaves 3 s to open the next watch, including two attempts that time out.
 //!
 //! Pushed lists come from an agent on the same machine, which responds at once. The router is assumed to know the
 //! agent's list whether or not a watch is open. Therefore the pause between two watches must not exceed half of the
@@ -19,10 +19,10 @@
 const HEALTHY_AFTER: TimeDelta = TimeDelta::from_millis(2_000);
 /// First pause before reconnecting.
 const MIN_PAUSE: TimeDelta = TimeDelta::from_millis(50);
-/// Longest pause before reconnecting. Backoff and jitter prevent that many instances poll a service in lockstep.
+/// Longest pause before reconnecting. Backoff and jitter keep many instances from polling a service in lockstep.
 const MAX_PAUSE: TimeDelta = TimeDelta::from_millis(2_000);
-/// Exclusive upper bound of the jitter. With a jitter of `j`, the pause is one half plus `j / JITTER_RANGE` of the
-/// other half.
+/// Exclusive upper bound of the jitter. With a jitter of `j`, a pause is half of its nominal length plus
+/// `j / JITTER_RANGE` of the other half.
 pub const JITTER_RANGE: usize = 32;
 
 /// Timing of the current watch and of the pause before the next one.
--- a/recovery/tests/random_failovers.rs
+++ b/recovery/tests/random_failovers.rs
@@ -86,12 +86,12 @@
     }
 }
 
-/// True state of a group, and the endpoint that the discovery last declared its only eligible primary.
+/// True state of a group, and the only eligible endpoint after the last step, if any.
 #[derive(Clone, Copy, Debug)]
 struct Group {
     primary: usize,
     failover_at: i64,
-    declared: Option<usize>,
+    only_eligible: Option<usize>,
 }
 
 /// A discovery under test, and the true state of the endpoints and groups.
@@ -119,7 +119,7 @@
             groups: std::array::from_fn(|group| Group {
                 primary: group * GROUP_SIZE,
                 failover_at: 0,
-                declared: None,
+                only_eligible: None,
             }),
             may_confirm: age != UNCONFIRMED_AGE,
         }
@@ -181,11 +181,11 @@
     fn check(&mut self) -> TestCaseResult {
         let now = at(self.fixture.now);
         for (number, group) in self.groups.iter_mut().enumerate() {
-            let declared = match self.fixture.eligibility(number) {
+            let only_eligible = match self.fixture.eligibility(number) {
                 PrimaryEligibility::Only(endpoint) => Some(endpoint),
                 _ => None,
             };
-            if let Some(endpoint) = declared.filter(|_| declared != group.declared) {
+            if let Some(endpoint) = only_eligible.filter(|_| only_eligible != group.only_eligible) {
                 let was_primary =
                     endpoint == group.primary || now - EVIDENCE_VALID_FOR <= at(group.failover_at);
                 prop_assert!(
@@ -194,7 +194,7 @@
                     group.primary
                 );
             }
-            group.declared = declared;
+            group.only_eligible = only_eligible;
         }
         let max_queries = self.fixture.discovery.verification_level(now).max_queries;
         prop_assert!(self.fixture.queries.len() <= max_queries.max(64));
