--- a/endpoint-cache/examples/sizes.rs
+++ b/endpoint-cache/examples/sizes.rs
@@ -21,8 +21,12 @@
 }
 
 fn endpoint(index: usize) -> CachedEndpoint {
-    let report =
-        CachedReport { primary: false, position_ms: Some(1_790_000_000_000), timeline: Some(7), at_ms: 1 };
+    let report = CachedReport {
+        primary: false,
+        position_ms: Some(1_790_000_000_000),
+        timeline: Some(7),
+        received_ms: 1,
+    };
     CachedEndpoint {
         name: format!("s-{index:08x}"),
         address: format!("10.1.{}.{}:6543", index / 250, index % 250),
--- a/endpoint-cache/src/cached_list.rs
+++ b/endpoint-cache/src/cached_list.rs
@@ -60,5 +60,6 @@
     #[serde(default)]
     pub timeline: Option<u32>,
     /// When the report was received, in Unix milliseconds.
-    pub at_ms: i64,
+    #[serde(rename = "at_ms")]
+    pub received_ms: i64,
 }
--- a/endpoint-cache/tests/earlier_build.rs
+++ b/endpoint-cache/tests/earlier_build.rs
@@ -25,10 +25,11 @@
         primary: true,
         position_ms: Some(1_790_000_099_000),
         timeline: Some(2),
-        at_ms: 1_790_000_100_100,
+        received_ms: 1_790_000_100_100,
     };
     assert_eq!(primary.report, Some(report));
-    let report = CachedReport { primary: false, position_ms: None, timeline: None, at_ms: 1_790_000_100_200 };
+    let report =
+        CachedReport { primary: false, position_ms: None, timeline: None, received_ms: 1_790_000_100_200 };
     assert_eq!((replica.health.as_str(), replica.report), ("DRAINING", Some(report)));
 
     // A saved copy is identical byte for byte, except for the number of the generation.
--- a/server/src/storage/endpoint_cache_writer.rs
+++ b/server/src/storage/endpoint_cache_writer.rs
@@ -187,7 +187,7 @@
             primary: report.role == Some(Role::Primary),
             position_ms: report.position.map(|position| position.0 / NANOS_PER_MILLI),
             timeline: report.timeline,
-            at_ms: wall_ms(),
+            received_ms: wall_ms(),
         };
         let endpoint = CachedEndpoint { report: Some(cached), ..CachedEndpoint::clone(&self.endpoint) };
         self.endpoint = Arc::new(endpoint);
--- a/server/tests/operator_pages/cached_list.rs
+++ b/server/tests/operator_pages/cached_list.rs
@@ -52,7 +52,8 @@
 fn list() -> CachedEndpointList {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
     let now_ms = since_epoch.as_millis() as i64;
-    let report = |primary, timeline| CachedReport { primary, position_ms: Some(77), timeline, at_ms: now_ms };
+    let report =
+        |primary, timeline| CachedReport { primary, position_ms: Some(77), timeline, received_ms: now_ms };
     CachedEndpointList {
         version: 41,
         confirmed_ms: now_ms - LIST_AGE_MS,
--- a/test-servers/src/restart/scenario.rs
+++ b/test-servers/src/restart/scenario.rs
@@ -132,7 +132,7 @@
         primary: was_primary(index),
         position_ms: Some(now_ms - plan.age_ms().abs() - REPORTED_LAG_MS),
         timeline: Some(1),
-        at_ms: now_ms - plan.age_ms(),
+        received_ms: now_ms - plan.age_ms(),
     };
     CachedEndpoint {
         name: endpoint.name.clone(),
