--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -56,11 +56,11 @@
 
 /// The time since the machine booted; `None` on a system without Linux's `/proc` files.
 fn uptime() -> Option<Uptime> {
-    let boot_id = std::fs::read_to_string(BOOT_ID_PATH).ok()?;
-    let boot = u64::from_str_radix(boot_id.replace('-', "").get(..BOOT_ID_DIGITS)?, 16).ok()?;
+    let uuid = std::fs::read_to_string(BOOT_ID_PATH).ok()?;
+    let boot_id = u64::from_str_radix(uuid.replace('-', "").get(..BOOT_ID_DIGITS)?, 16).ok()?;
     let uptime = std::fs::read_to_string(UPTIME_PATH).ok()?;
     let seconds: f64 = uptime.split_whitespace().next()?.parse().ok()?;
-    Some(Uptime { boot, ms: (seconds * MILLIS_PER_SECOND).round() as i64 })
+    Some(Uptime { boot_id, ms: (seconds * MILLIS_PER_SECOND).round() as i64 })
 }
 
 impl WriteJournal {
--- a/write-journal/src/encoding.rs
+++ b/write-journal/src/encoding.rs
@@ -21,12 +21,12 @@
 const HAS_GROUP_AT: usize = 25;
 const GROUP_AT: usize = 26;
 const WINDOW_AT: usize = 34;
-const BOOT_AT: usize = 42;
+const BOOT_ID_AT: usize = 42;
 const UPTIME_AT: usize = 50;
 
 /// Deduplication of a write with an idempotency key, with the start of its window.
 #[derive(Clone, Copy)]
-pub struct KeyedSend {
+pub struct DeduplicationWindow {
     pub deduplication: Deduplication,
     /// The machine's uptime when the first attempt was recorded.
     pub first_sent: Uptime,
@@ -41,7 +41,7 @@
     /// When the first attempt was recorded, in Unix milliseconds.
     pub first_sent_ms: i64,
     /// `None` for a write without an idempotency key, or if the uptime was unknown.
-    pub keyed: Option<KeyedSend>,
+    pub window: Option<DeduplicationWindow>,
 }
 
 impl Record {
@@ -57,11 +57,11 @@
         bytes.extend(self.serial.to_be_bytes());
         bytes.extend(self.first_sent_ms.to_be_bytes());
         bytes.extend(commit_ms.to_be_bytes());
-        if let Some(KeyedSend { deduplication, first_sent }) = self.keyed {
+        if let Some(DeduplicationWindow { deduplication, first_sent }) = self.window {
             bytes.push(u8::from(deduplication.group.is_some()));
             bytes.extend(deduplication.group.unwrap_or(0).to_be_bytes());
             bytes.extend(deduplication.window_ms.to_be_bytes());
-            bytes.extend(first_sent.boot.to_be_bytes());
+            bytes.extend(first_sent.boot_id.to_be_bytes());
             bytes.extend(first_sent.ms.to_be_bytes());
         }
         bytes
@@ -74,7 +74,7 @@
             serial: number_at(bytes, SERIAL_AT).unwrap_or(0) as u64,
             state: decode_state(bytes),
             first_sent_ms: number_at(bytes, FIRST_SENT_AT).unwrap_or(0),
-            keyed: decode_keyed(bytes),
+            window: decode_window(bytes),
         }
     }
 }
@@ -97,10 +97,10 @@
 
 /// Decodes the fields of a write with an idempotency key. If any of them is missing, the write counts as one without
 /// an idempotency key, so that no duplicate of it is sent.
-fn decode_keyed(bytes: &[u8]) -> Option<KeyedSend> {
+fn decode_window(bytes: &[u8]) -> Option<DeduplicationWindow> {
     let group = number_at(bytes, GROUP_AT).filter(|_| bytes[HAS_GROUP_AT] != 0);
     let deduplication = Deduplication { group, window_ms: number_at(bytes, WINDOW_AT)? };
-    let boot = number_at(bytes, BOOT_AT)? as u64;
-    let first_sent = Uptime { boot, ms: number_at(bytes, UPTIME_AT)? };
-    Some(KeyedSend { deduplication, first_sent })
+    let boot_id = number_at(bytes, BOOT_ID_AT)? as u64;
+    let first_sent = Uptime { boot_id, ms: number_at(bytes, UPTIME_AT)? };
+    Some(DeduplicationWindow { deduplication, first_sent })
 }
--- a/write-journal/src/journal.rs
+++ b/write-journal/src/journal.rs
@@ -1,9 +1,9 @@
 //! The journal on disk: records by the id of the write, and their ids in the order of creation. The journal is owned
 //! by one thread, which applies operations in batches so that one sync covers many operations.
 
-use crate::encoding::{KeyedSend, Record};
+use crate::encoding::{DeduplicationWindow, Record};
 use crate::record_state::{
-    decide_fate, remaining_window_ms, transition, Deduplication, Evidence, Fate, Origin, RecordEvent,
+    decide_fate, remaining_window_ms, transition, Deduplication, Fate, FateEvidence, Origin, RecordEvent,
     RecordState, SendPermission, Uptime,
 };
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, OwnedWriteBatch, PersistMode};
@@ -219,7 +219,7 @@
             Operation::QueryFate { id, origin, request_open } => {
                 let state = self.find(id, batch)?.map(|record| record.state);
                 let covered = origin.as_ref().is_some_and(|origin| self.covers(origin));
-                let decision = decide_fate(Evidence { state, covered, request_open: *request_open });
+                let decision = decide_fate(FateEvidence { state, covered, request_open: *request_open });
                 if decision.must_bar {
                     self.record_event(batch, id, RecordEvent::Bar, None)?;
                 }
@@ -282,9 +282,10 @@
                 batch.next_serial += 1;
                 batch.count += 1;
                 batch.writes.insert(&self.order, serial.to_be_bytes().as_slice(), id.as_bytes());
-                let keyed = deduplication.zip(batch.clock.uptime);
-                let keyed = keyed.map(|(deduplication, first_sent)| KeyedSend { deduplication, first_sent });
-                Record { serial, state, first_sent_ms: batch.clock.wall_ms, keyed }
+                let window = deduplication.zip(batch.clock.uptime);
+                let window = window
+                    .map(|(deduplication, first_sent)| DeduplicationWindow { deduplication, first_sent });
+                Record { serial, state, first_sent_ms: batch.clock.wall_ms, window }
             }
         };
         batch.writes.insert(&self.records, id.as_bytes(), record.encode());
@@ -359,9 +360,9 @@
     deduplication: Option<Deduplication>,
     uptime: Option<Uptime>,
 ) -> RecordEvent {
-    let keyed = before.and_then(|record| record.keyed);
-    let elapsed_ms = uptime.zip(keyed).and_then(|(uptime, keyed)| uptime.since(keyed.first_sent));
-    let recorded = keyed.map(|keyed| keyed.deduplication);
+    let window = before.and_then(|record| record.window);
+    let elapsed_ms = uptime.zip(window).and_then(|(uptime, window)| uptime.since(window.first_sent));
+    let recorded = window.map(|window| window.deduplication);
     match remaining_window_ms(recorded, deduplication, elapsed_ms) {
         Some(remaining_ms) if event == RecordEvent::FirstAttempt => {
             RecordEvent::DuplicateAttempt { remaining_ms }
--- a/write-journal/src/record_state.rs
+++ b/write-journal/src/record_state.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Uptime {
     /// Random identifier of the boot from which the uptime is counted.
-    pub boot: u64,
+    pub boot_id: u64,
     /// Milliseconds since that boot.
     pub ms: i64,
 }
@@ -87,7 +87,7 @@
     /// uptime went backwards.
     pub fn since(self, earlier: Uptime) -> Option<i64> {
         let elapsed_ms = self.ms - earlier.ms;
-        (self.boot == earlier.boot && elapsed_ms >= 0).then_some(elapsed_ms + UPTIME_RESOLUTION_MS)
+        (self.boot_id == earlier.boot_id && elapsed_ms >= 0).then_some(elapsed_ms + UPTIME_RESOLUTION_MS)
     }
 }
 
@@ -184,7 +184,7 @@
 
 /// Input of the decision on the fate of a write.
 #[derive(Clone, Copy, Debug)]
-pub struct Evidence {
+pub struct FateEvidence {
     /// State of the write's record, if there is one.
     pub state: Option<RecordState>,
     /// Whether the client sent the write to this journal's instance, and no record created since the client's
@@ -204,7 +204,7 @@
 }
 
 /// Decides which fate of a write to report.
-pub fn decide_fate(evidence: Evidence) -> FateDecision {
+pub fn decide_fate(evidence: FateEvidence) -> FateDecision {
     let report_only = |fate| FateDecision { fate, must_bar: false };
     let bar_and_report_never = FateDecision { fate: Fate::NeverExecuted, must_bar: true };
     match evidence.state {
--- a/write-journal/tests/deduplication.rs
+++ b/write-journal/tests/deduplication.rs
@@ -13,8 +13,8 @@
 const FIRST_BOOT: u64 = 1;
 
 /// Clock readings at a wall-clock time and at an uptime since a boot, in milliseconds.
-fn clocks(wall_ms: i64, boot: u64, uptime_ms: i64) -> ClockReading {
-    ClockReading { wall_ms, uptime: Some(Uptime { boot, ms: uptime_ms }) }
+fn clocks(wall_ms: i64, boot_id: u64, uptime_ms: i64) -> ClockReading {
+    ClockReading { wall_ms, uptime: Some(Uptime { boot_id, ms: uptime_ms }) }
 }
 
 fn as_duplicate(remaining_ms: i64) -> SendPermission {
--- a/write-journal/tests/earlier_build.rs
+++ b/write-journal/tests/earlier_build.rs
@@ -39,7 +39,7 @@
         assert_eq!(journal.first_sent_ms(id).expect("the record is read"), Some(1_790_000_000_000), "{id}");
     }
     // The writes were first sent 40 s ago: within the window of 60 s, and since the same boot of the machine.
-    let now = ClockReading { wall_ms: 1_790_000_040_000, uptime: Some(Uptime { boot: 7, ms: 45_000 }) };
+    let now = ClockReading { wall_ms: 1_790_000_040_000, uptime: Some(Uptime { boot_id: 7, ms: 45_000 }) };
     let deduplication = Some(Deduplication { group: Some(3), window_ms: 60_000 });
     let again = Operation::Record { id: "open".into(), event: RecordEvent::FirstAttempt, deduplication };
     let duplicate =
--- a/write-journal/tests/transitions.rs
+++ b/write-journal/tests/transitions.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::TestCaseResult;
 use proptest_support::seeded_cases;
 use write_journal::record_state::{
-    decide_fate, transition, Evidence, Fate, FateDecision, RecordEvent, RecordState, SendPermission,
+    decide_fate, transition, Fate, FateDecision, FateEvidence, RecordEvent, RecordState, SendPermission,
     Transition,
 };
 
@@ -68,7 +68,7 @@
 
     /// Checks that the reported fate is true, and that it is the same as the last one if both are known.
     fn query_fate(&mut self, covered: bool) -> TestCaseResult {
-        let evidence = Evidence { state: self.state, covered, request_open: false };
+        let evidence = FateEvidence { state: self.state, covered, request_open: false };
         let FateDecision { fate, must_bar } = decide_fate(evidence);
         let before = self.last_fate.filter(|before| *before != Fate::Unknown);
         if let Some(before) = before.filter(|_| fate != Fate::Unknown) {
