--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -258,10 +258,10 @@
     }
 }
 
-/// Parses an epoch such as `3@1790000000123`: its number and the position at which it began, in Unix milliseconds.
-/// Without a position, as in `3`, the beginning is unknown.
+/// Parses an epoch such as `3@1790000000123`: its number and its start position in Unix milliseconds.
+/// Without a position, as in `3`, the start position is unknown.
 fn parse_epoch(text: &str) -> Option<Epoch> {
-    let (number, began) = match text.split_once('@') {
+    let (number, start_position) = match text.split_once('@') {
         Some((number, millis)) => {
             (number, Some(parse_unsigned_decimal(millis).and_then(clock::timestamp_from_unix_ms)?))
         }
@@ -269,5 +269,5 @@
     };
     let is_digits = number.bytes().all(|byte| byte.is_ascii_digit());
     let number = number.parse().ok().filter(|_| is_digits)?;
-    Some(Epoch { number, began })
+    Some(Epoch { number, start_position })
 }
