--- a/host-support/src/bootstrap_config.rs
+++ b/host-support/src/bootstrap_config.rs
@@ -1,4 +1,5 @@
-//! Bootstrap configuration of an instance, with the key names of the operators' pages. Times are nanoseconds.
+//! Bootstrap configuration of an instance, as deserialized from JSON. Fields whose JSON key differs from their name
+//! carry a `rename` attribute. All times are in nanoseconds.
 
 use routing::time::TimeDelta;
 use serde::Deserialize;
@@ -7,81 +8,89 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct BootstrapConfig {
-    /// Number of instances that route to the same endpoints.
+    /// Number of instances that route to the same endpoints, at least 1.
     pub n_instances: u32,
-    /// The methods of requests.
-    pub classes: Vec<MethodConfig>,
-    /// How endpoint lists are received: `push` from a local agent, or `ask` by polling.
+    /// The request methods, in the order of their indices.
+    #[serde(rename = "classes")]
+    pub methods: Vec<MethodConfig>,
+    /// How the instance receives endpoint lists: `push` if a local agent sends them, `ask` if the instance polls.
     pub membership_mode: String,
-    /// Replication: consistency of reads and the checks of endpoints.
-    pub family_info: ReplicationConfig,
-    /// Permissions and limits of the instance.
+    /// Replication: the consistency of reads and the endpoints' handling of stale data.
+    #[serde(rename = "familyInfo")]
+    pub replication: ReplicationConfig,
+    /// What the deployment permits the instance to do, and its limits.
     pub allowed: Allowances,
-    /// Fields of load reports.
+    /// Format of load reports.
     pub report: ReportConfig,
-    /// The operators' rules.
+    /// Rules on polling, slow start and draining.
     pub rules: Rules,
-    /// Resolution of clocks and positions.
-    pub resolution_ns: i64,
-    /// The zone of the instance.
+    /// Resolution of clocks and positions, at least 1.
+    #[serde(rename = "resolutionNs")]
+    pub clock_resolution_ns: i64,
+    /// Index of the instance's zone in `zones`; 0 by default.
     #[serde(default)]
     pub zone: usize,
-    /// The names of the zones.
-    #[serde(default)]
-    pub azs: Vec<String>,
+    /// Names of the zones.
+    #[serde(default, rename = "azs")]
+    pub zones: Vec<String>,
 }
 
-/// Configuration of a method.
+/// Configuration of a request method.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MethodConfig {
     /// Name of the method.
     #[serde(default)]
     pub name: String,
-    /// Latency objective.
-    pub aim_ns: i64,
-    /// Timeout of clients.
+    /// Latency objective: from 1 to `deadline_ns`.
+    #[serde(rename = "aimNs")]
+    pub latency_objective_ns: i64,
+    /// Maximum time that a client waits for an answer.
     pub deadline_ns: i64,
-    /// `read_like`, `idempotency_key` or `non_idempotent`.
-    pub effect: String,
-    /// Where duplicates of a key are dropped: `all` groups, `cell` (the group), or another scope.
-    #[serde(default)]
-    pub key_scope: String,
-    /// Value of a late answer as a fraction of that of an answer in time.
-    #[serde(default)]
-    pub late_value: f64,
-    /// Deduplication window of idempotency keys.
+    /// Whether requests can be retried: `read_like`, `idempotency_key` or `non_idempotent`.
+    #[serde(rename = "effect")]
+    pub idempotency: String,
+    /// Which endpoints drop requests with a duplicate idempotency key: `all` for those of every group, `cell` for those
+    /// of one group. With any other scope no endpoint is relied on to drop them.
+    #[serde(default, rename = "keyScope")]
+    pub dedup_scope: String,
+    /// The fraction of its value that an answer after the latency objective still has.
+    #[serde(default, rename = "lateValue")]
+    pub late_value_fraction: f64,
+    /// How long an idempotency key is remembered to drop duplicates.
     #[serde(default, rename = "memorySpanNs")]
     pub dedup_window_ns: i64,
-    /// Value of an answer in time.
-    #[serde(default)]
-    pub gain: f64,
+    /// Value of an answer within the latency objective, relative to other methods.
+    #[serde(default, rename = "gain")]
+    pub priority_weight: f64,
 }
 
 /// Configuration of replication. Lists have one entry per method.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ReplicationConfig {
-    /// How an endpoint handles a read that it is too stale for: `off` (serves it), `reject`, or `hold` until it has
-    /// caught up.
-    pub guards: String,
-    /// Bounds on the staleness of reads.
-    #[serde(default)]
-    pub lag_allowed_ns: Vec<i64>,
+    /// How an endpoint handles a read that its data is too stale for: `off` (serves stale data), `reject`, or `hold`
+    /// (waits until it has caught up).
+    #[serde(rename = "guards")]
+    pub lag_handling: String,
+    /// Staleness bounds of methods with `recent` access. A missing entry means 0.
+    #[serde(default, rename = "lagAllowedNs")]
+    pub staleness_bounds_ns: Vec<i64>,
     /// Access of each method: `update`, `latest`, `own_writes`, `recent` or `loose`.
-    pub class_read: Vec<String>,
-    /// `client` if clients carry the positions of their sessions.
-    #[serde(default)]
-    pub session_marks: String,
-    /// Maximum time that an endpoint holds a read to catch up.
+    #[serde(rename = "classRead")]
+    pub method_access: Vec<String>,
+    /// `client` if clients carry the positions of their sessions' writes; with any other value the router keeps them.
+    #[serde(default, rename = "sessionMarks")]
+    pub session_positions: String,
+    /// Maximum time that an endpoint waits to catch up before it rejects a read, with `hold`.
     #[serde(default, rename = "patienceNs")]
     pub max_catch_up_wait_ns: i64,
-    /// The origin of positions.
-    #[serde(default)]
-    pub counted_from_ns: i64,
+    /// Time that corresponds to position 0.
+    #[serde(default, rename = "countedFromNs")]
+    pub position_origin_ns: i64,
 }
 
-/// Permissions and limits of an instance.
+/// What the deployment permits an instance to do, and its limits.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Allowances {
@@ -91,75 +100,76 @@
     #[serde(default)]
     pub may_cancel: bool,
     /// Whether health checks may be sent to endpoints.
-    #[serde(default)]
-    pub probes: bool,
+    #[serde(default, rename = "probes")]
+    pub may_check_health: bool,
     /// Whether rejected clients may be sent a Retry-After time.
-    #[serde(default)]
-    pub retry_after: bool,
+    #[serde(default, rename = "retryAfter")]
+    pub may_send_retry_after: bool,
     /// The longest Retry-After time that clients honour.
     #[serde(default)]
     pub max_retry_after_ns: i64,
     /// Maximum number of open requests.
-    #[serde(default = "default_max_open_requests")]
-    pub most_held: usize,
-    /// Timeout of connecting to an endpoint.
-    #[serde(default = "default_dial_timeout_ns")]
-    pub dial_timeout_ns: i64,
-    /// Time after which an endpoint closes an idle connection.
-    #[serde(default = "default_conn_idle_ns")]
-    pub conn_idle_ns: i64,
+    #[serde(default = "default_max_open_requests", rename = "mostHeld")]
+    pub max_open_requests: usize,
+    /// Timeout of connecting to an endpoint, at least 1.
+    #[serde(default = "default_connect_timeout_ns", rename = "dialTimeoutNs")]
+    pub connect_timeout_ns: i64,
+    /// Time after which an endpoint closes an idle connection, at least 1.
+    #[serde(default = "default_idle_timeout_ns", rename = "connIdleNs")]
+    pub idle_timeout_ns: i64,
 }
 
 fn default_max_open_requests() -> usize {
     20_000
 }
 
-fn default_dial_timeout_ns() -> i64 {
+fn default_connect_timeout_ns() -> i64 {
     250_000_000
 }
 
-fn default_conn_idle_ns() -> i64 {
+fn default_idle_timeout_ns() -> i64 {
     30_000_000_000
 }
 
 /// Format of load reports.
 #[derive(Deserialize)]
 pub struct ReportConfig {
-    /// Names of the fields, in order.
-    #[serde(default)]
-    pub names: Vec<String>,
+    /// Names of the fields, in the order in which a report has their values.
+    #[serde(default, rename = "names")]
+    pub fields: Vec<String>,
 }
 
-/// The operators' rules.
+/// Rules on polling, slow start and draining.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Rules {
-    /// Maximum time from one poll to the next: a change to the endpoint list counts as known after it.
-    #[serde(default)]
-    pub ask_within_ns: i64,
-    /// Slow-start fraction: the fraction of its capacity that an endpoint has right after its start.
-    #[serde(default)]
-    pub cold_from: f64,
-    /// Time until a started endpoint has its full capacity.
-    #[serde(default)]
-    pub cold_ns: i64,
-    /// An endpoint in slow start fails under a load of more than this multiple of its current capacity.
-    #[serde(default)]
-    pub fall_multiple: f64,
-    /// Time for which that load must last.
-    #[serde(default)]
-    pub overload_for_ns: i64,
+    /// Time after the last poll by which a change to the endpoint list counts as known.
+    #[serde(default, rename = "askWithinNs")]
+    pub list_poll_within_ns: i64,
+    /// The fraction of its capacity that an endpoint has right after its start.
+    #[serde(default, rename = "coldFrom")]
+    pub slow_start_fraction: f64,
+    /// Time from its start until an endpoint has its full capacity.
+    #[serde(default, rename = "coldNs")]
+    pub slow_start_duration_ns: i64,
+    /// An endpoint in slow start fails under a load of more than this multiple of its current capacity if the load
+    /// lasts for `overload_window_ns`.
+    #[serde(default, rename = "fallMultiple")]
+    pub overload_multiple: f64,
+    /// How long an overload must last until an endpoint in slow start fails.
+    #[serde(default, rename = "overloadForNs")]
+    pub overload_window_ns: i64,
     /// Whether an endpoint that is no longer listed may still be used.
-    #[serde(default)]
-    pub dropped_stay_open: bool,
-    /// Attempts to a draining endpoint must cease within this time.
-    #[serde(default)]
-    pub stop_sending_within_ns: i64,
+    #[serde(default, rename = "droppedStayOpen")]
+    pub unlisted_stay_usable: bool,
+    /// Drain grace: attempts to a draining endpoint must end within this time. 0 means no limit.
+    #[serde(default, rename = "stopSendingWithinNs")]
+    pub drain_grace_ns: i64,
 }
 
 impl Rules {
-    /// Grace period within which attempts to a draining endpoint must cease, if configured.
+    /// The drain grace, if it is limited.
     pub fn drain_grace(&self) -> Option<TimeDelta> {
-        Some(TimeDelta(self.stop_sending_within_ns)).filter(|grace| grace.0 > 0)
+        Some(TimeDelta(self.drain_grace_ns)).filter(|grace| grace.0 > 0)
     }
 }
--- a/host-support/src/routing_settings.rs
+++ b/host-support/src/routing_settings.rs
@@ -37,37 +37,40 @@
 /// The first error found.
 pub fn routing_settings(config: &BootstrapConfig) -> Result<RoutingSettings, SettingsError> {
     check_positive(config)?;
-    let replication = &config.family_info;
-    if replication.class_read.len() != config.classes.len() {
+    let replication = &config.replication;
+    if replication.method_access.len() != config.methods.len() {
         return Err(SettingsError::NotOnePerMethod("familyInfo.classRead"));
     }
-    let methods = (0..config.classes.len()).map(|index| method_settings(config, index));
+    let methods = (0..config.methods.len()).map(|index| method_settings(config, index));
     Ok(RoutingSettings {
         methods: methods.collect::<Result<_, _>>()?,
         instances: config.n_instances,
         zone: config.zone,
-        clock_resolution: TimeDelta(config.resolution_ns),
+        clock_resolution: TimeDelta(config.clock_resolution_ns),
         lag_handling: lag_handling(config)?,
-        clients_hold_positions: replication.session_marks == "client",
+        clients_hold_positions: replication.session_positions == "client",
         list_poll_within: list_poll_within(config)?,
         max_attempts: config.allowed.max_attempts,
         may_cancel: config.allowed.may_cancel,
-        may_check_health: config.allowed.probes,
-        max_retry_after: config.allowed.retry_after.then_some(TimeDelta(config.allowed.max_retry_after_ns)),
-        slow_start_fraction: config.rules.cold_from,
-        slow_start_duration: TimeDelta(config.rules.cold_ns),
-        overload_multiple: config.rules.fall_multiple,
-        overload_window: TimeDelta(config.rules.overload_for_ns),
-        unlisted_stay_usable: config.rules.dropped_stay_open,
+        may_check_health: config.allowed.may_check_health,
+        max_retry_after: config
+            .allowed
+            .may_send_retry_after
+            .then_some(TimeDelta(config.allowed.max_retry_after_ns)),
+        slow_start_fraction: config.rules.slow_start_fraction,
+        slow_start_duration: TimeDelta(config.rules.slow_start_duration_ns),
+        overload_multiple: config.rules.overload_multiple,
+        overload_window: TimeDelta(config.rules.overload_window_ns),
+        unlisted_stay_usable: config.rules.unlisted_stay_usable,
     })
 }
 
 fn check_positive(config: &BootstrapConfig) -> Result<(), SettingsError> {
     let values = [
         ("nInstances", i64::from(config.n_instances)),
-        ("resolutionNs", config.resolution_ns),
-        ("allowed.dialTimeoutNs", config.allowed.dial_timeout_ns),
-        ("allowed.connIdleNs", config.allowed.conn_idle_ns),
+        ("resolutionNs", config.clock_resolution_ns),
+        ("allowed.dialTimeoutNs", config.allowed.connect_timeout_ns),
+        ("allowed.connIdleNs", config.allowed.idle_timeout_ns),
     ];
     match values.iter().find(|(_, value)| *value <= 0) {
         Some((key, _)) => Err(SettingsError::NotPositive(key)),
@@ -76,18 +79,18 @@
 }
 
 fn method_settings(config: &BootstrapConfig, index: usize) -> Result<MethodSettings, SettingsError> {
-    let method = &config.classes[index];
-    if method.aim_ns <= 0 || method.deadline_ns < method.aim_ns {
+    let method = &config.methods[index];
+    if method.latency_objective_ns <= 0 || method.deadline_ns < method.latency_objective_ns {
         return Err(SettingsError::ObjectiveOutOfRange(index));
     }
-    let bound_ns = config.family_info.lag_allowed_ns.get(index).copied().unwrap_or(0);
+    let bound_ns = config.replication.staleness_bounds_ns.get(index).copied().unwrap_or(0);
     Ok(MethodSettings {
-        access: access(&config.family_info.class_read[index], TimeDelta(bound_ns))?,
+        access: access(&config.replication.method_access[index], TimeDelta(bound_ns))?,
         idempotency: idempotency(method)?,
-        latency_objective: TimeDelta(method.aim_ns),
+        latency_objective: TimeDelta(method.latency_objective_ns),
         deadline: TimeDelta(method.deadline_ns),
-        priority_weight: method.gain,
-        late_value_fraction: method.late_value,
+        priority_weight: method.priority_weight,
+        late_value_fraction: method.late_value_fraction,
     })
 }
 
@@ -104,7 +107,7 @@
 
 fn idempotency(method: &MethodConfig) -> Result<Idempotency, SettingsError> {
     let dedup_window = TimeDelta(method.dedup_window_ns);
-    match (method.effect.as_str(), method.key_scope.as_str()) {
+    match (method.idempotency.as_str(), method.dedup_scope.as_str()) {
         ("read_like", _) => Ok(Idempotency::Idempotent),
         ("idempotency_key", "all") => Ok(Idempotency::Keyed { all_groups: true, dedup_window }),
         ("idempotency_key", "cell") => Ok(Idempotency::Keyed { all_groups: false, dedup_window }),
@@ -117,10 +120,10 @@
 }
 
 fn lag_handling(config: &BootstrapConfig) -> Result<LagHandling, SettingsError> {
-    match config.family_info.guards.as_str() {
+    match config.replication.lag_handling.as_str() {
         "off" => Ok(LagHandling::ServeStale),
         "reject" => Ok(LagHandling::Reject),
-        "hold" => Ok(LagHandling::Wait(TimeDelta(config.family_info.max_catch_up_wait_ns))),
+        "hold" => Ok(LagHandling::Wait(TimeDelta(config.replication.max_catch_up_wait_ns))),
         other => Err(unknown("familyInfo.guards", other)),
     }
 }
@@ -128,7 +131,7 @@
 fn list_poll_within(config: &BootstrapConfig) -> Result<Option<TimeDelta>, SettingsError> {
     match config.membership_mode.as_str() {
         "push" => Ok(None),
-        "ask" => Ok(Some(TimeDelta(config.rules.ask_within_ns))),
+        "ask" => Ok(Some(TimeDelta(config.rules.list_poll_within_ns))),
         other => Err(unknown("membershipMode", other)),
     }
 }
--- a/server/src/startup/foundation.rs
+++ b/server/src/startup/foundation.rs
@@ -81,7 +81,7 @@
 
 /// The names of the methods, by index.
 fn method_names(configuration: &Configuration) -> Vec<String> {
-    configuration.bootstrap.config.classes.iter().map(|method| method.name.clone()).collect()
+    configuration.bootstrap.config.methods.iter().map(|method| method.name.clone()).collect()
 }
 
 /// The limits on descriptors and buffer memory. With an operators' file, the process's own limit is raised first.
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -165,8 +165,8 @@
         let Foundation { timers, resources, metrics, .. } = &self.foundation;
         let bootstrap = &self.configuration.bootstrap;
         let allowed = &bootstrap.config.allowed;
-        let connect_timeout = TimeDelta(allowed.dial_timeout_ns);
-        let closed_after = TimeDelta(allowed.conn_idle_ns);
+        let connect_timeout = TimeDelta(allowed.connect_timeout_ns);
+        let closed_after = TimeDelta(allowed.idle_timeout_ns);
         let pool =
             Arc::new(ConnectionPool::new(timers.clone(), resources.clone(), connect_timeout, closed_after));
         let dispatcher = AttemptDispatcher {
@@ -180,8 +180,8 @@
             config: RouterConfig {
                 settings: bootstrap.settings.clone(),
                 seed: bootstrap.seed,
-                zones: bootstrap.config.azs.clone(),
-                max_open_requests: allowed.most_held,
+                zones: bootstrap.config.zones.clone(),
+                max_open_requests: allowed.max_open_requests,
             },
             dispatcher,
             messages,
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -57,8 +57,8 @@
         Ok(Instance {
             number,
             policy,
-            position_origin: Timestamp(config.family_info.counted_from_ns),
-            report_fields: config.report.names.clone(),
+            position_origin: Timestamp(config.replication.position_origin_ns),
+            report_fields: config.report.fields.clone(),
             endpoints: IdInterner::default(),
             groups: IdInterner::default(),
             request_ids: HashMap::new(),
