--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -13,8 +13,8 @@
 mod views;
 
 pub use types::{
-    Arrival, ClassRequests, ClientKey, ClientRequests, ConcurrencyLimits, Decision, LoadShed, RequestCounts,
-    RequestId, ShedCount, ShedReason,
+    Arrival, ClassRequests, ClientKey, ClientRequests, ConcurrencyLimits, Decision, RequestCounts, RequestId,
+    ShedCount, ShedReason, ShedRequest,
 };
 
 use crate::client_class::ClientClass;
@@ -377,6 +377,6 @@
     ) {
         self.shed.increment(class.clone(), reason);
         let retry_after = self.jitter.next(now, TimeDelta::ZERO);
-        decisions.push(Decision::Shed(LoadShed { request, class, reason, retry_after }));
+        decisions.push(Decision::Shed(ShedRequest { request, class, reason, retry_after }));
     }
 }
--- a/admission/src/concurrency_limiter/types.rs
+++ b/admission/src/concurrency_limiter/types.rs
@@ -89,7 +89,7 @@
 
 /// A request that was shed, and when its client may retry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LoadShed {
+pub struct ShedRequest {
     /// The request that was shed.
     pub request: RequestId,
     /// Class of its client.
@@ -127,7 +127,7 @@
         waited: TimeDelta,
     },
     /// The request is shed.
-    Shed(LoadShed),
+    Shed(ShedRequest),
 }
 
 /// Numbers of requests in flight and waiting.
--- a/admission/tests/concurrency_limiter.rs
+++ b/admission/tests/concurrency_limiter.rs
@@ -5,7 +5,7 @@
 
 use admission::client_class::DEFAULT_CLASS;
 use admission::concurrency_limiter::{
-    Arrival, ClientKey, ConcurrencyLimiter, ConcurrencyLimits, Decision, LoadShed, RequestId, ShedReason,
+    Arrival, ClientKey, ConcurrencyLimiter, ConcurrencyLimits, Decision, RequestId, ShedReason, ShedRequest,
 };
 use admission::retry_budget::{RetryBudgets, MAX_REMEMBERED};
 use routing::time::{TimeDelta, Timestamp};
@@ -41,7 +41,7 @@
         for decision in decisions {
             match decision {
                 Decision::Admit { request, .. } => _ = self.admitted.insert(request),
-                Decision::Shed(LoadShed { request, reason, .. }) => self.shed.push((request, reason)),
+                Decision::Shed(ShedRequest { request, reason, .. }) => self.shed.push((request, reason)),
             }
         }
         self.last_request
@@ -158,14 +158,14 @@
     assert_eq!(fixture.limiter.due(), Some(at(100)), "a short burst may be worked off for one interval");
     assert!(matches!(
         &fixture.tick(100)[..],
-        [Decision::Shed(LoadShed { request, reason: ShedReason::WaitedTooLong, .. })] if *request == second
+        [Decision::Shed(ShedRequest { request, reason: ShedReason::WaitedTooLong, .. })] if *request == second
     ));
     // The queue persists: from now on the target wait counts, for this client and for no other.
     assert_eq!(fixture.limiter.due(), Some(at(105)));
     let fourth = fixture.arrive(100, &other, false);
     assert!(matches!(
         &fixture.tick(150)[..],
-        [Decision::Shed(LoadShed { request, .. })] if *request == third
+        [Decision::Shed(ShedRequest { request, .. })] if *request == third
     ));
     let admitted = Decision::Admit { request: fourth, waited: TimeDelta::from_millis(51) };
     assert_eq!(fixture.remove(151, first), [admitted]);
--- a/server/src/control/request_queue.rs
+++ b/server/src/control/request_queue.rs
@@ -3,7 +3,7 @@
 use crate::messages::control::{IncomingRequest, QueueLimits};
 use crate::messages::response::Response;
 use crate::messages::snapshot::{QueueSnapshot, WaitingRequest};
-use admission::concurrency_limiter::{Arrival, ConcurrencyLimiter, Decision, LoadShed, RequestId};
+use admission::concurrency_limiter::{Arrival, ConcurrencyLimiter, Decision, RequestId, ShedRequest};
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::HashMap;
 
@@ -125,7 +125,7 @@
     }
 
     /// Rejects a request that the limiter has shed.
-    fn reject(&mut self, shed: LoadShed) {
+    fn reject(&mut self, shed: ShedRequest) {
         let (class, reason) = (shed.class.to_string(), shed.reason.label());
         metrics::counter!("gingerwick_rpcs_shed_total", "class" => class, "why" => reason).increment(1);
         let retry_after = self.sends_retry_after.then_some(shed.retry_after);
