--- a/admission/src/accept_backoff.rs
+++ b/admission/src/accept_backoff.rs
@@ -21,7 +21,7 @@
 
 /// What to do before the next connection is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AcceptStep {
+pub enum AcceptAction {
     /// Call accept again immediately.
     RetryNow,
     /// Use the reserved file descriptor to accept and reject one client, then wait.
@@ -57,19 +57,19 @@
     }
 
     /// Records a failed accept and returns what to do next.
-    pub fn failed(&mut self, error: AcceptError) -> AcceptStep {
+    pub fn failed(&mut self, error: AcceptError) -> AcceptAction {
         let may_retry_now = self.errors % (MAX_IMMEDIATE_RETRIES + 1) < MAX_IMMEDIATE_RETRIES;
         self.errors = self.errors.wrapping_add(1);
         let doubled = (self.wait * 2).max(MIN_WAIT).min(MAX_WAIT);
         match error {
             AcceptError::Interrupted | AcceptError::Aborted if may_retry_now => {
                 self.wait = TimeDelta::ZERO;
-                AcceptStep::RetryNow
+                AcceptAction::RetryNow
             }
             // Queued clients are rejected one at a time, slowly enough to leave the worker to other connections.
             AcceptError::NoDescriptor => {
                 self.wait = MIN_WAIT;
-                AcceptStep::RejectOne { wait: MIN_WAIT, wait_on_failure: MAX_WAIT / 2 }
+                AcceptAction::RejectOne { wait: MIN_WAIT, wait_on_failure: MAX_WAIT / 2 }
             }
             AcceptError::Interrupted | AcceptError::Aborted => self.wait_for(MIN_WAIT),
             // Memory becomes free as other connections end, which may take short or long.
@@ -77,8 +77,8 @@
         }
     }
 
-    fn wait_for(&mut self, wait: TimeDelta) -> AcceptStep {
+    fn wait_for(&mut self, wait: TimeDelta) -> AcceptAction {
         self.wait = wait;
-        AcceptStep::Wait(wait)
+        AcceptAction::Wait(wait)
     }
 }
--- a/admission/tests/handshakes.rs
+++ b/admission/tests/handshakes.rs
@@ -1,6 +1,6 @@
 //! The handshake queue, the backoff after failed accepts, and classification by network and user.
 
-use admission::accept_backoff::{AcceptBackoff, AcceptError, AcceptStep};
+use admission::accept_backoff::{AcceptAction, AcceptBackoff, AcceptError};
 use admission::client_address::ClientAddress;
 use admission::client_class::{classify, validate, DEFAULT_CLASS};
 use admission::handshake_queue::{Enqueued, HandshakeId, HandshakeQueue};
@@ -76,9 +76,9 @@
         let (mut total, mut longest) = (TimeDelta::ZERO, TimeDelta::ZERO);
         for _ in 0..1_000 {
             let wait = match backoff.failed(error) {
-                AcceptStep::RetryNow => TimeDelta::ZERO,
-                AcceptStep::Wait(wait) => wait,
-                AcceptStep::RejectOne { wait, wait_on_failure } => {
+                AcceptAction::RetryNow => TimeDelta::ZERO,
+                AcceptAction::Wait(wait) => wait,
+                AcceptAction::RejectOne { wait, wait_on_failure } => {
                     assert!(error == AcceptError::NoDescriptor && wait_on_failure > wait);
                     wait
                 }
@@ -94,10 +94,10 @@
 fn the_accept_backoff_starts_again_after_a_success() {
     let mut backoff = AcceptBackoff::default();
     let aborted = backoff.failed(AcceptError::Aborted);
-    assert_eq!(aborted, AcceptStep::RetryNow, "an aborted connection does not delay the next");
+    assert_eq!(aborted, AcceptAction::RetryNow, "an aborted connection does not delay the next");
     (0..10).for_each(|_| _ = backoff.failed(AcceptError::NoMemory));
     backoff.accepted();
-    let first_wait = AcceptStep::Wait(TimeDelta::from_millis(1));
+    let first_wait = AcceptAction::Wait(TimeDelta::from_millis(1));
     assert_eq!(backoff.failed(AcceptError::NoMemory), first_wait);
 }
 
--- a/server/src/clients/acceptor.rs
+++ b/server/src/clients/acceptor.rs
@@ -11,7 +11,7 @@
 use crate::runtime::descriptors::{accept_error, ReserveDescriptor};
 use crate::runtime::resource_limits::{ClientDescriptor, Descriptor, DescriptorClass};
 use crate::runtime::tasks::spawn;
-use admission::accept_backoff::{AcceptBackoff, AcceptStep};
+use admission::accept_backoff::{AcceptAction, AcceptBackoff};
 use may::io::WaitIo;
 use may::net::{TcpListener, TcpStream};
 use routing::time::TimeDelta;
@@ -125,11 +125,11 @@
 }
 
 /// Carries out the backoff step that follows a failed accept(2).
-fn recover(queue: &mut impl AcceptQueue, step: AcceptStep) {
+fn recover(queue: &mut impl AcceptQueue, step: AcceptAction) {
     match step {
-        AcceptStep::RetryNow => {}
-        AcceptStep::Wait(wait) => queue.pause(wait),
-        AcceptStep::RejectOne { wait, wait_on_failure } => {
+        AcceptAction::RetryNow => {}
+        AcceptAction::Wait(wait) => queue.pause(wait),
+        AcceptAction::RejectOne { wait, wait_on_failure } => {
             let rejected = queue.reject_one();
             queue.pause(if rejected { wait } else { wait_on_failure });
         }
