--- a/admission/src/handshake_queue.rs
+++ b/admission/src/handshake_queue.rs
@@ -12,19 +12,19 @@
 
 /// Result of adding a connection to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Enqueued {
+pub enum EnqueueResult {
     /// The connection was added.
-    Free(HandshakeId),
+    Added(HandshakeId),
     /// The connection was added and displaced another: the oldest one of the address with the most connections in
     /// the queue.
-    Displacing {
+    AddedByDisplacing {
         /// The added connection.
-        entered: HandshakeId,
+        added: HandshakeId,
         /// The displaced connection, which the caller must close.
         displaced: HandshakeId,
     },
     /// The connection was not added: too many displaced connections still hold their file descriptors.
-    Full,
+    Rejected,
 }
 
 /// The handshake queue of a server.
@@ -84,16 +84,16 @@
     }
 
     /// Adds a connection, displacing another if the queue is full.
-    pub fn enqueue(&mut self, address: ClientAddress) -> Enqueued {
+    pub fn enqueue(&mut self, address: ClientAddress) -> EnqueueResult {
         let is_full = self.waiting.len() >= self.max_waiting;
         if is_full && self.displaced.len() >= self.max_waiting {
-            return Enqueued::Full;
+            return EnqueueResult::Rejected;
         }
         let displaced = if is_full { self.displace() } else { None };
-        let entered = self.insert(address);
+        let added = self.insert(address);
         match displaced {
-            Some(displaced) => Enqueued::Displacing { entered, displaced },
-            None => Enqueued::Free(entered),
+            Some(displaced) => EnqueueResult::AddedByDisplacing { added, displaced },
+            None => EnqueueResult::Added(added),
         }
     }
 
--- a/admission/tests/handshakes.rs
+++ b/admission/tests/handshakes.rs
@@ -3,7 +3,7 @@
 use admission::accept_backoff::{AcceptAction, AcceptBackoff, AcceptError};
 use admission::client_address::ClientAddress;
 use admission::client_class::{classify, validate, DEFAULT_CLASS};
-use admission::handshake_queue::{Enqueued, HandshakeId, HandshakeQueue};
+use admission::handshake_queue::{EnqueueResult, HandshakeId, HandshakeQueue};
 use admission::{AddressPrefixes, ClassError, ClientClass};
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseResult;
@@ -20,7 +20,7 @@
 /// Enqueues a handshake into a full queue; returns it and the one it displaces.
 fn enqueue_displacing(queue: &mut HandshakeQueue, nth: u8) -> (HandshakeId, HandshakeId) {
     match queue.enqueue(address(nth)) {
-        Enqueued::Displacing { entered, displaced } => (entered, displaced),
+        EnqueueResult::AddedByDisplacing { added, displaced } => (added, displaced),
         other => panic!("a full queue displaces a handshake: {other:?}"),
     }
 }
@@ -30,11 +30,11 @@
     let mut queue = HandshakeQueue::new(8);
     for _ in 0..1_000 {
         match queue.enqueue(address(1)) {
-            Enqueued::Free(_) => {}
-            Enqueued::Displacing { displaced, .. } => {
+            EnqueueResult::Added(_) => {}
+            EnqueueResult::AddedByDisplacing { displaced, .. } => {
                 assert!(!queue.leave(displaced), "it is displaced already");
             }
-            Enqueued::Full => panic!("all displaced handshakes have left"),
+            EnqueueResult::Rejected => panic!("all displaced handshakes have left"),
         }
     }
     let (desk, _) = enqueue_displacing(&mut queue, 2);
@@ -53,14 +53,14 @@
     let (mut displaced, mut full) = (Vec::new(), 0);
     for nth in 0..100 {
         match queue.enqueue(address(nth)) {
-            Enqueued::Free(_) => {}
-            Enqueued::Displacing { displaced: other, .. } => displaced.push(other),
-            Enqueued::Full => full += 1,
+            EnqueueResult::Added(_) => {}
+            EnqueueResult::AddedByDisplacing { displaced: other, .. } => displaced.push(other),
+            EnqueueResult::Rejected => full += 1,
         }
     }
     assert_eq!((displaced.len(), full, queue.len()), (4, 92, 4));
     queue.leave(displaced[0]);
-    assert!(matches!(queue.enqueue(address(200)), Enqueued::Displacing { .. }));
+    assert!(matches!(queue.enqueue(address(200)), EnqueueResult::AddedByDisplacing { .. }));
 }
 
 #[test]
@@ -188,18 +188,18 @@
 
     fn enqueue(&mut self, from: u8) -> TestCaseResult {
         match self.queue.enqueue(address(from)) {
-            Enqueued::Free(entered) => {
+            EnqueueResult::Added(added) => {
                 prop_assert!(self.queued.len() < self.max_handshakes);
-                self.queued.insert(entered, from);
+                self.queued.insert(added, from);
             }
-            Enqueued::Displacing { entered, displaced } => {
+            EnqueueResult::AddedByDisplacing { added, displaced } => {
                 let most = self.queued.remove(&displaced).expect("a displaced handshake was in the queue");
                 let count = |address| self.queued.values().filter(|other| **other == address).count();
                 prop_assert!((0..5).all(|address| address == most || count(address) <= count(most) + 1));
                 self.displaced.push(displaced);
-                self.queued.insert(entered, from);
+                self.queued.insert(added, from);
             }
-            Enqueued::Full => {
+            EnqueueResult::Rejected => {
                 prop_assert!(self.queued.len() >= self.max_handshakes);
                 prop_assert!(self.displaced.len() >= self.max_handshakes);
             }
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -8,7 +8,7 @@
 use admission::client_class::DEFAULT_CLASS;
 use admission::concurrency_limiter::ClientKey;
 use admission::connection_limiter::ConnectionLimits;
-use admission::handshake_queue::{Enqueued, HandshakeId, HandshakeQueue};
+use admission::handshake_queue::{EnqueueResult, HandshakeId, HandshakeQueue};
 use admission::{
     AddressConnections, AdmittedConnection, ClassConnections, ClassError, ClassSettings, ClientClass,
     ConnectionLimiter, Rejection, RejectionCount,
@@ -185,14 +185,14 @@
         }
         let address = state.limiter.client_address(client_address);
         match state.handshakes.enqueue(address) {
-            Enqueued::Free(id) => Ok(permit(PermitState::Handshake(id))),
-            Enqueued::Displacing { entered, displaced } => {
+            EnqueueResult::Added(id) => Ok(permit(PermitState::Handshake(id))),
+            EnqueueResult::AddedByDisplacing { added, displaced } => {
                 if let Some(channel) = state.channels.remove(&displaced) {
                     channel.request_close();
                 }
-                Ok(permit(PermitState::Handshake(entered)))
+                Ok(permit(PermitState::Handshake(added)))
             }
-            Enqueued::Full => {
+            EnqueueResult::Rejected => {
                 drop(state);
                 Err(self.reject_handshake())
             }
