--- a/admission/src/handshake_queue.rs
+++ b/admission/src/handshake_queue.rs
@@ -101,7 +101,7 @@
     fn displace(&mut self) -> Option<HandshakeId> {
         let (_, address) = self.by_count.last()?;
         let first = *self.by_address.get(address)?.first()?;
-        self.remove(first);
+        self.remove_waiting(first);
         self.displaced.insert(first);
         Some(first)
     }
@@ -116,11 +116,11 @@
 
     /// Removes a connection whose client has identified itself or disconnected. Returns false if the connection had
     /// been displaced before that.
-    pub fn leave(&mut self, id: HandshakeId) -> bool {
-        self.remove(id) || !self.displaced.remove(&id)
+    pub fn remove(&mut self, id: HandshakeId) -> bool {
+        self.remove_waiting(id) || !self.displaced.remove(&id)
     }
 
-    fn remove(&mut self, id: HandshakeId) -> bool {
+    fn remove_waiting(&mut self, id: HandshakeId) -> bool {
         let Some(address) = self.waiting.remove(&id) else { return false };
         self.update(address, |ids| ids.remove(&id));
         true
--- a/admission/tests/handshakes.rs
+++ b/admission/tests/handshakes.rs
@@ -32,7 +32,7 @@
         match queue.enqueue(address(1)) {
             EnqueueResult::Added(_) => {}
             EnqueueResult::AddedByDisplacing { displaced, .. } => {
-                assert!(!queue.leave(displaced), "it is displaced already");
+                assert!(!queue.remove(displaced), "it is displaced already");
             }
             EnqueueResult::Rejected => panic!("all displaced handshakes have left"),
         }
@@ -42,9 +42,9 @@
     for nth in 3..10 {
         let (_, displaced) = enqueue_displacing(&mut queue, nth);
         assert_ne!(displaced, desk);
-        queue.leave(displaced);
+        queue.remove(displaced);
     }
-    assert!(queue.leave(desk), "its handshake ends in the queue");
+    assert!(queue.remove(desk), "its handshake ends in the queue");
 }
 
 #[test]
@@ -59,7 +59,7 @@
         }
     }
     assert_eq!((displaced.len(), full, queue.len()), (4, 92, 4));
-    queue.leave(displaced[0]);
+    queue.remove(displaced[0]);
     assert!(matches!(queue.enqueue(address(200)), EnqueueResult::AddedByDisplacing { .. }));
 }
 
@@ -172,12 +172,12 @@
                 let nth = usize::from(nth) % self.queued.len().max(1);
                 if let Some(handshake) = self.queued.keys().nth(nth).copied() {
                     self.queued.remove(&handshake);
-                    prop_assert!(self.queue.leave(handshake));
+                    prop_assert!(self.queue.remove(handshake));
                 }
             }
             Step::CloseDisplaced { nth } if !self.displaced.is_empty() => {
                 let handshake = self.displaced.swap_remove(usize::from(nth) % self.displaced.len());
-                prop_assert!(!self.queue.leave(handshake));
+                prop_assert!(!self.queue.remove(handshake));
             }
             Step::CloseDisplaced { .. } => {}
         }
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -30,7 +30,7 @@
     /// Removes a connection from the handshake queue; returns false if it was displaced before.
     fn leave_handshake(&mut self, id: HandshakeId) -> bool {
         self.channels.remove(&id);
-        self.handshakes.leave(id)
+        self.handshakes.remove(id)
     }
 }
 
