--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -234,7 +234,7 @@
     }
 
     /// Whether any class matches by user name. If not, connections can be admitted by their address alone.
-    pub fn needs_user(&self) -> bool {
+    pub fn needs_user_name(&self) -> bool {
         self.limits.classes.iter().any(|class| !class.users.is_empty())
     }
 
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -178,7 +178,7 @@
     pub fn arrive(self: &Arc<Self>, client_address: IpAddr) -> Result<ConnectionPermit, Rejection> {
         let permit = |state| ConnectionPermit { control: self.clone(), client_address, state };
         let mut state = self.lock();
-        if !state.limiter.needs_user() {
+        if !state.limiter.needs_user_name() {
             drop(state);
             let admitted = self.admit(client_address, None)?;
             return Ok(permit(PermitState::Admitted(admitted)));
