--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -260,7 +260,7 @@
     }
 
     /// When [`ConcurrencyLimiter::tick`] must be called next, if any request is waiting.
-    pub fn due(&self) -> Option<Timestamp> {
+    pub fn next_tick(&self) -> Option<Timestamp> {
         let expiry = self.expiries.first().map(|(at, _)| *at);
         let head_expiry = self.head_expiries.first().map(|(at, _)| *at);
         expiry.into_iter().chain(head_expiry).min()
--- a/admission/tests/concurrency_limiter.rs
+++ b/admission/tests/concurrency_limiter.rs
@@ -155,13 +155,17 @@
     assert!(fixture.admitted.contains(&first));
     let second = fixture.arrive(0, &slow, false);
     let third = fixture.arrive(95, &slow, false);
-    assert_eq!(fixture.limiter.due(), Some(at(100)), "a short burst may be worked off for one interval");
+    assert_eq!(
+        fixture.limiter.next_tick(),
+        Some(at(100)),
+        "a short burst may be worked off for one interval"
+    );
     assert!(matches!(
         &fixture.tick(100)[..],
         [Decision::Shed(ShedRequest { request, reason: ShedReason::WaitedTooLong, .. })] if *request == second
     ));
     // The queue persists: from now on the target wait counts, for this client and for no other.
-    assert_eq!(fixture.limiter.due(), Some(at(105)));
+    assert_eq!(fixture.limiter.next_tick(), Some(at(105)));
     let fourth = fixture.arrive(100, &other, false);
     assert!(matches!(
         &fixture.tick(150)[..],
@@ -172,7 +176,7 @@
     // No request waits for more than a quarter of its timeout.
     let arrival = Arrival { request: 99, client: slow, is_retry: false, deadline: at(200 + 40) };
     fixture.limiter.arrive(at(200), arrival, &mut Vec::new());
-    assert_eq!(fixture.limiter.due(), Some(at(210)));
+    assert_eq!(fixture.limiter.next_tick(), Some(at(210)));
 }
 
 #[test]
--- a/admission/tests/concurrency_limiter_model.rs
+++ b/admission/tests/concurrency_limiter_model.rs
@@ -115,7 +115,7 @@
     /// Time passes; the limiter is called whenever it is due, as by the timers of its host.
     fn advance(&mut self, by: TimeDelta) -> TestCaseResult {
         let until = self.now + by;
-        while let Some(due) = self.limiter.due().filter(|due| *due <= until) {
+        while let Some(due) = self.limiter.next_tick().filter(|due| *due <= until) {
             self.now = self.now.max(due);
             let mut decisions = Vec::new();
             self.limiter.tick(self.now, &mut decisions);
@@ -164,7 +164,7 @@
         prop_assert!(
             in_flight <= limit
                 || limit_was_lowered
-                || self.limiter.due().is_none()
+                || self.limiter.next_tick().is_none()
                 || !self.waiting.is_empty()
         );
         prop_assert!(
--- a/server/src/control/request_queue.rs
+++ b/server/src/control/request_queue.rs
@@ -104,7 +104,7 @@
 
     /// When [`RequestQueue::tick`] is due next.
     pub fn due(&self) -> Option<Timestamp> {
-        self.limiter.due()
+        self.limiter.next_tick()
     }
 
     /// Applies the limiter's decisions, and shrinks a table that has become mostly empty.
