--- a/operator-config/src/settings.rs
+++ b/operator-config/src/settings.rs
@@ -194,7 +194,7 @@
     }
 
     /// Keywords whose values differ in `newer` and that take effect only after a restart.
-    pub fn changed_keywords(&self, newer: &OperatorSettings) -> Vec<&'static str> {
+    pub fn changed_start_keywords(&self, newer: &OperatorSettings) -> Vec<&'static str> {
         let (storage, newer_storage) = (&self.storage, &newer.storage);
         let (journal, newer_journal) = (&storage.journal, &newer_storage.journal);
         let (clients, newer_clients) = (&self.admission.clients, &newer.admission.clients);
--- a/server/src/startup/reload.rs
+++ b/server/src/startup/reload.rs
@@ -38,7 +38,7 @@
 
     /// Applies the settings of a newer operators' file.
     fn apply_operator_settings(&self, newer: &OperatorSettings) {
-        for keyword in self.configuration.operators.changed_keywords(newer) {
+        for keyword in self.configuration.operators.changed_start_keywords(newer) {
             log_needs_restart(keyword);
         }
         if let Some(cache) = &self.endpoint_cache {
