--- a/operator-config/src/keywords.rs
+++ b/operator-config/src/keywords.rs
@@ -34,7 +34,7 @@
         let known = [("none", EndpointIdentity::None), ("postgres", EndpointIdentity::Postgres)];
         store(&mut settings.endpoint_identity, one_of(value, &known))
     }),
-    keyword("session-keys", |settings, value| store(&mut settings.sessions.keys, path(value).map(Some))),
+    keyword("session-keys", |settings, value| store(&mut settings.sessions.keys_path, path(value).map(Some))),
     keyword("session-lasts", |settings, value| {
         store(&mut settings.sessions.lifetime, duration(value, "1s", "30days"))
     }),
--- a/operator-config/src/settings.rs
+++ b/operator-config/src/settings.rs
@@ -89,14 +89,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionSettings {
     /// `session-keys`: file of the keys that authenticate session tokens; `None` disables tokens.
-    pub keys: Option<PathBuf>,
+    pub keys_path: Option<PathBuf>,
     /// `session-lasts`: lifetime of session tokens. 1 s to 30 days.
     pub lifetime: Duration,
 }
 
 impl Default for SessionSettings {
     fn default() -> SessionSettings {
-        SessionSettings { keys: None, lifetime: Duration::from_secs(3600) }
+        SessionSettings { keys_path: None, lifetime: Duration::from_secs(3600) }
     }
 }
 
@@ -201,7 +201,7 @@
         let changes = [
             ("state-dir", storage.state_dir != newer_storage.state_dir),
             ("store-identity", self.endpoint_identity != newer.endpoint_identity),
-            ("session-keys", self.sessions.keys != newer.sessions.keys),
+            ("session-keys", self.sessions.keys_path != newer.sessions.keys_path),
             ("session-lasts", self.sessions.lifetime != newer.sessions.lifetime),
             ("write-journal", journal.mode != newer_journal.mode),
             ("write-journal-keeps", journal.max_age != newer_journal.max_age),
--- a/server/src/cli/check.rs
+++ b/server/src/cli/check.rs
@@ -16,7 +16,9 @@
     match operator_file::read(operator_file) {
         Ok(settings) => {
             problems.extend(state_dir_problem(&settings));
-            problems.extend(settings.sessions.keys.as_deref().and_then(|path| read_session_keys(path).err()));
+            problems.extend(
+                settings.sessions.keys_path.as_deref().and_then(|path| read_session_keys(path).err()),
+            );
         }
         Err(errors) => problems.extend(errors.iter().map(|error| error.to_string())),
     }
--- a/server/src/startup/configuration.rs
+++ b/server/src/startup/configuration.rs
@@ -53,7 +53,7 @@
                 return Err(Failure::all(ExitStatus::ConfigError, bootstrap.chain(operators)));
             }
         };
-        let session_keys = operators.sessions.keys.as_deref().map(read_session_keys).transpose();
+        let session_keys = operators.sessions.keys_path.as_deref().map(read_session_keys).transpose();
         let session_keys = session_keys.map_err(|error| Failure::new(ExitStatus::ConfigError, error))?;
         Ok(Configuration { operator_file, bootstrap, operators, session_keys })
     }
--- a/server/src/startup/reload.rs
+++ b/server/src/startup/reload.rs
@@ -70,7 +70,7 @@
 
     /// Reads the key file again. Its path is the one from the start.
     fn apply_session_keys(&self) {
-        let path = self.configuration.operators.sessions.keys.as_ref();
+        let path = self.configuration.operators.sessions.keys_path.as_ref();
         let (Some(tokens), Some(path)) = (&self.session_tokens, path) else { return };
         match read_keys(path) {
             Ok(keys) => tokens.set_keys(keys),
