--- a/operator-config/src/keywords.rs
+++ b/operator-config/src/keywords.rs
@@ -28,7 +28,7 @@
 pub const KEYWORDS: &[Keyword] = &[
     keyword("state-dir", |settings, value| store(&mut settings.storage.state_dir, path(value).map(Some))),
     keyword("save-gap", |settings, value| {
-        store(&mut settings.storage.save_interval, duration(value, "100ms", "1h"))
+        store(&mut settings.storage.min_save_interval, duration(value, "100ms", "1h"))
     }),
     keyword("store-identity", |settings, value| {
         let known = [("none", EndpointIdentity::None), ("postgres", EndpointIdentity::Postgres)];
--- a/operator-config/src/settings.rs
+++ b/operator-config/src/settings.rs
@@ -70,7 +70,7 @@
     /// `state-dir`: directory of the endpoint cache and the write journal. Without it the endpoint list is not cached.
     pub state_dir: Option<PathBuf>,
     /// `save-gap`: minimum interval between two saves of the endpoint list. 100 ms to an hour.
-    pub save_interval: Duration,
+    pub min_save_interval: Duration,
     /// The write journal.
     pub journal: JournalSettings,
 }
@@ -79,7 +79,7 @@
     fn default() -> StorageSettings {
         StorageSettings {
             state_dir: None,
-            save_interval: Duration::from_secs(1),
+            min_save_interval: Duration::from_secs(1),
             journal: JournalSettings::default(),
         }
     }
--- a/operator-config/tests/lines.rs
+++ b/operator-config/tests/lines.rs
@@ -15,7 +15,7 @@
         store-identity postgres\nlog-format json\nlog-level warn\nlog-buffer 1MB\n";
     let settings = parse(text).expect("valid settings");
     assert_eq!(settings.storage.state_dir, Some(PathBuf::from("/var/lib/ginger wick")));
-    assert_eq!(settings.storage.save_interval, Duration::from_millis(250));
+    assert_eq!(settings.storage.min_save_interval, Duration::from_millis(250));
     assert_eq!(
         (settings.endpoint_identity, settings.log.format),
         (EndpointIdentity::Postgres, LogFormat::Json)
--- a/server/src/startup/reload.rs
+++ b/server/src/startup/reload.rs
@@ -42,7 +42,7 @@
             log_needs_restart(keyword);
         }
         if let Some(cache) = &self.endpoint_cache {
-            cache.set_min_interval(newer.storage.save_interval);
+            cache.set_min_interval(newer.storage.min_save_interval);
         }
         match self.apply_classes(newer) {
             Ok(()) => {
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -100,7 +100,8 @@
         let listener = bind(configuration.bootstrap.listen)?;
         let journal = open_journal(&configuration.operators.storage)?;
         let storage = &configuration.operators.storage;
-        let open_cache = |path: &std::path::PathBuf| EndpointCache::open(path, clock, storage.save_interval);
+        let open_cache =
+            |path: &std::path::PathBuf| EndpointCache::open(path, clock, storage.min_save_interval);
         let cache = storage.state_dir.as_ref().map(open_cache);
         let (control, messages) = channel();
         let builder = Builder { clock, configuration, foundation, control, journal, cache };
