--- a/admission/tests/handshakes.rs
+++ b/admission/tests/handshakes.rs
@@ -1,9 +1,9 @@
 //! The handshake queue, the backoff after failed accepts, and classification by network and user.
 
-use admission::accept_backoff::{AcceptBackoff, AcceptError, AcceptStep};
+use admission::accept_backoff::{AcceptAction, AcceptBackoff, AcceptError};
 use admission::client_address::ClientAddress;
 use admission::client_class::{classify, validate, DEFAULT_CLASS};
-use admission::handshake_queue::{Enqueued, HandshakeId, HandshakeQueue};
+use admission::handshake_queue::{EnqueueResult, HandshakeId, HandshakeQueue};
 use admission::{AddressPrefixes, ClassError, ClientClass};
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseResult;
@@ -20,7 +20,7 @@
 /// Enqueues a handshake into a full queue; returns it and the one it displaces.
 fn enqueue_displacing(queue: &mut HandshakeQueue, nth: u8) -> (HandshakeId, HandshakeId) {
     match queue.enqueue(address(nth)) {
-        Enqueued::Displacing { entered, displaced } => (entered, displaced),
+        EnqueueResult::AddedByDisplacing { added, displaced } => (added, displaced),
         other => panic!("a full queue displaces a handshake: {other:?}"),
     }
 }
@@ -30,11 +30,11 @@
     let mut queue = HandshakeQueue::new(8);
     for _ in 0..1_000 {
         match queue.enqueue(address(1)) {
-            Enqueued::Free(_) => {}
-            Enqueued::Displacing { displaced, .. } => {
-                assert!(!queue.leave(displaced), "it is displaced already");
+            EnqueueResult::Added(_) => {}
+            EnqueueResult::AddedByDisplacing { displaced, .. } => {
+                assert!(!queue.remove(displaced), "it is displaced already");
             }
-            Enqueued::Full => panic!("all displaced handshakes have left"),
+            EnqueueResult::Rejected => panic!("all displaced handshakes have left"),
         }
     }
     let (desk, _) = enqueue_displacing(&mut queue, 2);
@@ -42,9 +42,9 @@
     for nth in 3..10 {
         let (_, displaced) = enqueue_displacing(&mut queue, nth);
         assert_ne!(displaced, desk);
-        queue.leave(displaced);
+        queue.remove(displaced);
     }
-    assert!(queue.leave(desk), "its handshake ends in the queue");
+    assert!(queue.remove(desk), "its handshake ends in the queue");
 }
 
 #[test]
@@ -53,14 +53,14 @@
     let (mut displaced, mut full) = (Vec::new(), 0);
     for nth in 0..100 {
         match queue.enqueue(address(nth)) {
-            Enqueued::Free(_) => {}
-            Enqueued::Displacing { displaced: other, .. } => displaced.push(other),
-            Enqueued::Full => full += 1,
+            EnqueueResult::Added(_) => {}
+            EnqueueResult::AddedByDisplacing { displaced: other, .. } => displaced.push(other),
+            EnqueueResult::Rejected => full += 1,
         }
     }
     assert_eq!((displaced.len(), full, queue.len()), (4, 92, 4));
-    queue.leave(displaced[0]);
-    assert!(matches!(queue.enqueue(address(200)), Enqueued::Displacing { .. }));
+    queue.remove(displaced[0]);
+    assert!(matches!(queue.enqueue(address(200)), EnqueueResult::AddedByDisplacing { .. }));
 }
 
 #[test]
@@ -76,9 +76,9 @@
         let (mut total, mut longest) = (TimeDelta::ZERO, TimeDelta::ZERO);
         for _ in 0..1_000 {
             let wait = match backoff.failed(error) {
-                AcceptStep::RetryNow => TimeDelta::ZERO,
-                AcceptStep::Wait(wait) => wait,
-                AcceptStep::RejectOne { wait, wait_on_failure } => {
+                AcceptAction::RetryNow => TimeDelta::ZERO,
+                AcceptAction::Wait(wait) => wait,
+                AcceptAction::RejectOne { wait, wait_on_failure } => {
                     assert!(error == AcceptError::NoDescriptor && wait_on_failure > wait);
                     wait
                 }
@@ -94,10 +94,10 @@
 fn the_accept_backoff_starts_again_after_a_success() {
     let mut backoff = AcceptBackoff::default();
     let aborted = backoff.failed(AcceptError::Aborted);
-    assert_eq!(aborted, AcceptStep::RetryNow, "an aborted connection does not delay the next");
+    assert_eq!(aborted, AcceptAction::RetryNow, "an aborted connection does not delay the next");
     (0..10).for_each(|_| _ = backoff.failed(AcceptError::NoMemory));
     backoff.accepted();
-    let first_wait = AcceptStep::Wait(TimeDelta::from_millis(1));
+    let first_wait = AcceptAction::Wait(TimeDelta::from_millis(1));
     assert_eq!(backoff.failed(AcceptError::NoMemory), first_wait);
 }
 
@@ -172,12 +172,12 @@
                 let nth = usize::from(nth) % self.queued.len().max(1);
                 if let Some(handshake) = self.queued.keys().nth(nth).copied() {
                     self.queued.remove(&handshake);
-                    prop_assert!(self.queue.leave(handshake));
+                    prop_assert!(self.queue.remove(handshake));
                 }
             }
             Step::CloseDisplaced { nth } if !self.displaced.is_empty() => {
                 let handshake = self.displaced.swap_remove(usize::from(nth) % self.displaced.len());
-                prop_assert!(!self.queue.leave(handshake));
+                prop_assert!(!self.queue.remove(handshake));
             }
             Step::CloseDisplaced { .. } => {}
         }
@@ -188,18 +188,18 @@
 
     fn enqueue(&mut self, from: u8) -> TestCaseResult {
         match self.queue.enqueue(address(from)) {
-            Enqueued::Free(entered) => {
+            EnqueueResult::Added(added) => {
                 prop_assert!(self.queued.len() < self.max_handshakes);
-                self.queued.insert(entered, from);
+                self.queued.insert(added, from);
             }
-            Enqueued::Displacing { entered, displaced } => {
+            EnqueueResult::AddedByDisplacing { added, displaced } => {
                 let most = self.queued.remove(&displaced).expect("a displaced handshake was in the queue");
                 let count = |address| self.queued.values().filter(|other| **other == address).count();
                 prop_assert!((0..5).all(|address| address == most || count(address) <= count(most) + 1));
                 self.displaced.push(displaced);
-                self.queued.insert(entered, from);
+                self.queued.insert(added, from);
             }
-            Enqueued::Full => {
+            EnqueueResult::Rejected => {
                 prop_assert!(self.queued.len() >= self.max_handshakes);
                 prop_assert!(self.displaced.len() >= self.max_handshakes);
             }
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -8,7 +8,7 @@
 use admission::client_class::DEFAULT_CLASS;
 use admission::concurrency_limiter::ClientKey;
 use admission::connection_limiter::ConnectionLimits;
-use admission::handshake_queue::{Enqueued, HandshakeId, HandshakeQueue};
+use admission::handshake_queue::{EnqueueResult, HandshakeId, HandshakeQueue};
 use admission::{
     AddressConnections, AdmittedConnection, ClassConnections, ClassError, ClassSettings, ClientClass,
     ConnectionLimiter, Rejection, RejectionCount,
@@ -30,7 +30,7 @@
     /// Removes a connection from the handshake queue; returns false if it was displaced before.
     fn leave_handshake(&mut self, id: HandshakeId) -> bool {
         self.channels.remove(&id);
-        self.handshakes.leave(id)
+        self.handshakes.remove(id)
     }
 }
 
@@ -178,21 +178,21 @@
     pub fn admit_or_enqueue(self: &Arc<Self>, client_address: IpAddr) -> Result<ConnectionPermit, Rejection> {
         let permit = |state| ConnectionPermit { control: self.clone(), client_address, state };
         let mut state = self.lock();
-        if !state.limiter.needs_user() {
+        if !state.limiter.needs_user_name() {
             drop(state);
             let admitted = self.admit(client_address, None)?;
             return Ok(permit(PermitState::Admitted(admitted)));
         }
         let address = state.limiter.client_address(client_address);
         match state.handshakes.enqueue(address) {
-            Enqueued::Free(id) => Ok(permit(PermitState::Handshake(id))),
-            Enqueued::Displacing { entered, displaced } => {
+            EnqueueResult::Added(id) => Ok(permit(PermitState::Handshake(id))),
+            EnqueueResult::AddedByDisplacing { added, displaced } => {
                 if let Some(channel) = state.channels.remove(&displaced) {
                     channel.request_close();
                 }
-                Ok(permit(PermitState::Handshake(entered)))
+                Ok(permit(PermitState::Handshake(added)))
             }
-            Enqueued::Full => {
+            EnqueueResult::Rejected => {
                 drop(state);
                 Err(self.reject_handshake())
             }
