--- a/routing/src/events.rs
+++ b/routing/src/events.rs
@@ -1,15 +1,15 @@
 //! Events that a host reports to the routing policy, and actions that the policy requests. No decision is made here.
 //!
-//! A host maps its own identifiers to [`RequestId`], [`EndpointIndex`] and [`GroupIndex`], and its own times to
+//! The host converts its own identifiers to [`RequestId`], [`EndpointIndex`] and [`GroupIndex`], and its own times to
 //! [`Timestamp`] and [`TimeDelta`].
 
 use crate::time::{TimeDelta, Timestamp};
 
-/// The host's number of a request: ascending and never reused.
+/// Number that the host gives a request. Numbers ascend and are never reused.
 pub type RequestId = u64;
-/// The host's dense index of an endpoint, constant while the instance runs.
+/// Index that the host gives an endpoint. Indexes are dense, start at 0, and stay the same while the instance runs.
 pub type EndpointIndex = usize;
-/// The host's dense index of a replication group.
+/// Index that the host gives a replication group. Indexes are dense and start at 0.
 pub type GroupIndex = usize;
 /// Index into [`RoutingSettings::methods`](crate::RoutingSettings::methods).
 pub type MethodIndex = usize;
@@ -17,28 +17,28 @@
 /// Status of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It may get new attempts.
+    /// The endpoint may get new attempts.
     Serving,
-    /// It is about to stop and may get no new attempts.
+    /// The endpoint is about to stop and must not get new attempts.
     Draining,
-    /// It is not listed any more.
+    /// The endpoint is no longer in the list.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointRecord {
-    /// The endpoint.
+    /// The endpoint that the entry is about.
     pub endpoint: EndpointIndex,
     /// Its replication group.
     pub group: GroupIndex,
-    /// Its zone.
+    /// Index of its zone among the zones that the host knows.
     pub zone: usize,
     /// Whether it may get new attempts.
     pub status: EndpointStatus,
-    /// The list names it as the primary of its group.
+    /// Whether the list names it as the primary of its group.
     pub primary: bool,
-    /// When its process last started, if that was recent.
+    /// When its process last started; `None` if that is unknown or too long ago to matter.
     pub started_at: Option<Timestamp>,
     /// Whether `started_at` is only the latest possible start time. A later record replaces such a time.
     pub start_is_upper_bound: bool,
@@ -47,20 +47,20 @@
 /// The role of a member in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It executes writes.
+    /// The member that executes writes.
     Primary,
-    /// It replicates the primary's log.
+    /// A member that replicates the primary's log.
     Replica,
 }
 
 /// An endpoint's report of its own state. Any part may be missing, outdated or wrong.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointReport {
-    /// Commit time up to which its data is complete.
+    /// Commit time up to which the endpoint's data is complete.
     pub position: Option<Timestamp>,
-    /// Its role.
+    /// The role that the endpoint claims.
     pub role: Option<Role>,
-    /// Fraction of its cores that is busy.
+    /// Fraction of the endpoint's cores that is busy.
     pub load: Option<f64>,
 }
 
@@ -73,7 +73,7 @@
     Any,
     /// No member.
     NoMember,
-    /// Only this member, as long as it claims to be primary.
+    /// Only this member, and only while it claims to be the primary.
     Only(EndpointIndex),
 }
 
@@ -82,26 +82,26 @@
 pub enum AttemptOutcome {
     /// The endpoint answered with a value.
     Succeeded,
-    /// The endpoint answered with an error; the request may have been executed.
+    /// The endpoint answered with an error. The request may have been executed.
     Failed,
-    /// The endpoint rejected it unread: overloaded or draining.
+    /// The endpoint rejected the attempt without reading it, because the endpoint is overloaded or draining.
     Rejected,
-    /// No answer came in time.
+    /// No answer arrived within the timeout.
     TimedOut,
-    /// No connection could be made.
+    /// No connection to the endpoint could be made.
     Unreachable,
     /// The connection broke while the attempt was in flight.
     ConnectionLost,
-    /// It was cancelled while in flight.
+    /// The attempt was cancelled while it was in flight.
     Cancelled,
-    /// Its last byte was never sent.
+    /// The attempt was not sent completely, so the endpoint cannot have executed it.
     NotSent,
-    /// The endpoint rejected it unexecuted: it is not the primary, or its data is too stale.
+    /// The endpoint did not execute the attempt, because it is not the primary or its data is too stale.
     NotEligible,
 }
 
 impl AttemptOutcome {
-    /// Whether it proves that the request was not executed.
+    /// Whether the outcome proves that the attempt was not executed.
     pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
@@ -118,21 +118,21 @@
 pub struct RequestArrival {
     /// Number of the request.
     pub request: RequestId,
-    /// Its method.
+    /// Its method. A request of a method that the settings do not have is rejected.
     pub method: MethodIndex,
     /// The group that holds its data.
     pub group: GroupIndex,
-    /// Its client's session.
+    /// Session of its client; `None` if it has none.
     pub session: Option<u64>,
-    /// Time between the commit of its session's last write and its arrival, if clients send that.
+    /// Time from the commit of its session's last write to its arrival; `None` if its client has not sent that.
     pub last_write: Option<TimeDelta>,
-    /// Position that its session has seen: a read of any method must see at least this position.
+    /// Highest position that its session has seen. A read of any method must see at least this position.
     pub seen_position: Option<Timestamp>,
-    /// When the host received it; the latency objective counts from this time.
+    /// When the host received it. Its latency objective counts from this time.
     pub received_at: Timestamp,
     /// When its client stops waiting for the answer.
     pub deadline: Timestamp,
-    /// It is a retry by its client.
+    /// Whether it is its client's retry of an earlier request.
     pub client_retry: bool,
 }
 
@@ -141,135 +141,135 @@
 pub struct AttemptId {
     /// Its request.
     pub request: RequestId,
-    /// Index among the attempts of the request.
+    /// Index among the attempts of the request, from 0.
     pub number: u32,
-    /// The endpoint that it is sent to.
+    /// The endpoint to which it is sent.
     pub endpoint: EndpointIndex,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// The attempt.
+    /// The attempt that has ended.
     pub attempt: AttemptId,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// Time since its start.
+    /// Time since it started.
     pub elapsed: TimeDelta,
-    /// The request needs no answer any more.
+    /// Whether the request needs no further answer from the policy.
     pub request_closed: bool,
-    /// Session of the write, if the attempt was one.
+    /// Session of the request if it is a write and has one.
     pub write_session: Option<u64>,
-    /// Report in the answer itself, valid as of now.
+    /// What the answer itself says of the endpoint at the time of the answer.
     pub answer_report: EndpointReport,
-    /// Report that accompanied the answer, which may be older.
+    /// Report that the endpoint sent along with the answer. It may be older than the answer.
     pub load_report: EndpointReport,
 }
 
 /// An event that the host reports.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Records of the endpoint list were received.
+    /// Records of the endpoint list have been received.
     EndpointList {
-        /// The records are the complete list, not changes to it.
+        /// Whether the records are the complete list. Otherwise they are changes to it.
         complete: bool,
-        /// The records.
+        /// The records, in the order in which they apply.
         records: Vec<EndpointRecord>,
     },
-    /// Changes which member of a group may be assumed to be the primary.
+    /// A group's [`PrimaryEligibility`] has changed.
     PrimaryEligibility {
-        /// The group.
+        /// The group with the change.
         group: GroupIndex,
-        /// The new eligibility.
+        /// The eligibility from now on.
         eligibility: PrimaryEligibility,
     },
     /// A poll of the endpoint list failed, or its watch ended.
     EndpointListFailed,
     /// A client sent a request.
     RequestArrived(RequestArrival),
-    /// The response to the client has started: the policy must not answer the request any more.
+    /// The response to the client has started, so the policy must not answer the request any more.
     ResponseStarted {
-        /// The request.
+        /// The request that is being answered.
         request: RequestId,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
-    /// A client has closed its connection or cancelled.
+    /// A client has closed its connection or cancelled its request.
     ClientGone {
-        /// Its request.
+        /// The client's request.
         request: RequestId,
     },
     /// A timer set by [`Action::SetTimer`] has fired.
     TimerFired {
-        /// The tag that it was set with.
+        /// The tag that the timer was set with.
         tag: u64,
     },
     /// A health check has ended.
     HealthCheckEnded {
-        /// The endpoint checked.
+        /// The endpoint that was checked.
         endpoint: EndpointIndex,
-        /// How it ended.
+        /// How the health check ended.
         outcome: AttemptOutcome,
-        /// Time since its start.
+        /// Time since the health check started.
         elapsed: TimeDelta,
-        /// What the endpoint reported.
+        /// What the endpoint reported; empty if it did not answer.
         report: EndpointReport,
     },
-    /// Another instance sent a message; not used.
+    /// Another instance has sent a message. The policy ignores it.
     PeerMessage {
-        /// The instance.
+        /// The instance that sent the message.
         from: u32,
-        /// Its message.
+        /// The message.
         bytes: Vec<u8>,
     },
 }
 
-/// An action that the policy requests of the host.
+/// An action that the policy requests from the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to an endpoint.
+    /// Start an attempt: send a request to an endpoint.
     StartAttempt {
-        /// The request.
+        /// The request to send.
         request: RequestId,
         /// The endpoint to send it to.
         endpoint: EndpointIndex,
-        /// Time limit for the endpoint.
+        /// Timeout of the attempt. The endpoint starts no work on it later than that.
         timeout: TimeDelta,
     },
-    /// Answer that the request was not executed or may be retried.
+    /// Answer the client that the request was not executed or may safely be retried.
     Reject {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
-        /// Retry-After for the client, if the settings allow one.
+        /// Retry-After for the client; `None` if the settings do not allow one.
         retry_after: Option<TimeDelta>,
     },
-    /// Answer that the request may have been executed and must not be retried.
+    /// Answer the client that the request may have been executed and must not be retried.
     Abort {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
     },
     /// Cancel an attempt in flight.
     CancelAttempt {
-        /// Its request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Index of the attempt.
+        /// Index of the attempt among the attempts of the request.
         attempt: u32,
     },
-    /// Report [`Event::TimerFired`] at a time.
+    /// Report [`Event::TimerFired`] at a given time.
     SetTimer {
         /// The tag to report.
         tag: u64,
-        /// Time at which to report it.
+        /// When to report it.
         at: Timestamp,
     },
-    /// Query the health of an endpoint.
+    /// Check the health of an endpoint and report [`Event::HealthCheckEnded`].
     CheckHealth {
-        /// The endpoint.
+        /// The endpoint to check.
         endpoint: EndpointIndex,
     },
-    /// Poll the endpoint list, or renew its watch.
+    /// Poll the endpoint list, or renew the watch of it.
     WatchEndpointList,
-    /// Fetch the whole endpoint list.
+    /// Fetch the complete endpoint list.
     FetchEndpointList,
     /// Write a line to the log.
     Log(String),
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -1,14 +1,15 @@
 //! The routing policy of the query router: which endpoint of a sharded, replicated database each request goes to.
 //!
 //! [`RoutingPolicy`] is a state machine without I/O. A host reports [`Event`]s with the time at which they happened
-//! and executes the [`Action`]s that are returned. Nothing here opens a socket or reads a clock, and all randomness
-//! comes from one seed, so equal events give equal actions. `docs/design.md` describes the mechanism.
+//! and executes the [`Action`]s that are returned. The crate opens no socket and reads no clock, and all randomness
+//! comes from one seed, so equal events give equal actions. `docs/design.md` describes the design.
 //!
-//! - [`settings`]: settings of an instance, fixed at its start
+//! - [`settings`]: the settings of an instance, fixed when it starts
 //! - [`events`]: events and actions, the interface between host and policy
-//! - `policy`: every decision; `routing_policy`: dispatch of events to decisions
+//! - `routing_policy`: the policy's state and the dispatch of events
+//! - `policy`: every decision
 //! - `state`: state of requests, endpoints, groups and sessions, without decisions
-//! - [`snapshot`]: the part of that state that operators can query
+//! - [`snapshot`]: the state of an endpoint as operators can query it
 
 #![warn(clippy::too_many_lines)]
 
--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -1,51 +1,52 @@
-//! Attempts: their start, the confirmation right before their bytes are sent, and the consequences of how
-//! they ended.
+//! Attempts: starting them, checking them right before their bytes are sent, and applying their outcomes.
 
 use crate::state::request::{InFlightAttempt, RequestEvent};
 use crate::time::{TimeDelta, Timestamp};
 use crate::{Action, AttemptEnd, AttemptOutcome, EndpointIndex, LagHandling, RequestId, RoutingPolicy};
 
-/// Divisor of the tightest latency objective: the queueing that any attempt may meet before its answer counts
-/// as late.
-const QUEUE_ALLOWANCE_DIVISOR: i64 = 2;
-/// The fraction of an attempt's timeout, in quarters, from which its answer counts as late in any case.
+/// An attempt may wait at the endpoint for the tightest latency objective divided by this before its answer
+/// counts as late.
+const QUEUEING_TIME_DIVISOR: i64 = 2;
+/// An answer that takes at least this many quarters of the attempt's timeout always counts as late.
 const LATE_TIMEOUT_QUARTERS: i64 = 3;
-/// The fraction of its concurrency limit from which an endpoint is under pressure, so that a prompt answer
-/// shows that the limit may be raised.
+/// An endpoint is under pressure if at least this fraction of its concurrency limit is in use. A timely answer
+/// under pressure shows that the limit can be raised.
 const PRESSURE_SHARE: f64 = 0.5;
+
 impl RoutingPolicy {
     /// Starts an attempt of a waiting request at an endpoint.
     pub(super) fn start_attempt(&mut self, id: RequestId, index: EndpointIndex) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let method = &self.settings.methods[request.method];
-        // An endpoint does not begin work past its timeout, so work whose answer is worthless is not done.
+        // An endpoint starts no work after the timeout. The timeout of a read therefore ends when its answer
+        // becomes worthless, so that the endpoint does no useless work.
         let until =
             if method.is_write() { request.deadlines.answer_by } else { request.deadlines.useful_until };
         let timeout = (until - self.now).max(TimeDelta(1));
-        // The queue that any method tolerates must suit the tightest objective, or the method with that
-        // objective would be starved by the others.
-        let quick = self.quick_latency[request.method];
-        let suits_all = TimeDelta::from_secs_f64(quick)
-            + self.settings.times.tightest_objective / QUEUE_ALLOWANCE_DIVISOR;
-        let queue = if method.delays_replication { timeout } else { suits_all };
+        // All methods share the endpoint's queue. If methods with a looser objective tolerated a longer queue
+        // than the tightest objective allows, they would starve the method with that objective.
+        let p30_latency = self.p30_latency[request.method];
+        let tolerated_latency = TimeDelta::from_secs_f64(p30_latency)
+            + self.settings.times.tightest_objective / QUEUEING_TIME_DIVISOR;
+        let queue_threshold = if method.delays_replication { timeout } else { tolerated_latency };
         let capacity = &mut self.endpoints[index].capacity;
         request.in_flight = Some(InFlightAttempt {
             number: request.attempts.started,
             started_at: self.now,
-            work: quick,
-            queue_threshold: queue.min(timeout * LATE_TIMEOUT_QUARTERS / 4),
+            work: p30_latency,
+            queue_threshold: queue_threshold.min(timeout * LATE_TIMEOUT_QUARTERS / 4),
             under_pressure: !capacity.accepts(capacity.concurrency_limit * PRESSURE_SHARE, 0.0, self.now),
         });
         request.attempts.started += 1;
         if let Some(session) = request.session.recorded_session {
-            self.session_writes.started(session);
+            self.session_writes.write_started(session);
         }
-        capacity.start_work(quick, self.now);
+        capacity.start_work(p30_latency, self.now);
         self.actions.push(Action::StartAttempt { request: id, endpoint: index, timeout });
     }
 
-    /// Whether an attempt may still be sent, asked right before its bytes are written. The staleness of the
-    /// endpoint is not checked again if the endpoint checks it itself.
+    /// Whether an attempt may still be sent. The host asks right before it writes the attempt's bytes. The
+    /// staleness of the endpoint's data is not checked again if the endpoint checks it itself.
     pub fn may_send_attempt(
         &mut self,
         now: Timestamp,
@@ -57,22 +58,25 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let (endpoint, group) = (&self.endpoints[index], &self.groups[request.group]);
         let is_current = request.in_flight.as_ref().is_some_and(|attempt| attempt.number == number);
-        let may_run = request.attempts.retry_until.is_none_or(|until| now < until);
-        if !is_current || !may_run || !endpoint.listing.serving {
+        let within_retry_window = request.attempts.retry_until.is_none_or(|until| now < until);
+        if !is_current || !within_retry_window || !endpoint.listing.serving {
             return false;
         }
         if group.primary == Some(index) {
             return true;
         }
         if self.settings.methods[request.method].is_write() {
-            let discovers = group.primary.is_none() && !self.settings.settings.may_check_health;
-            return discovers && group.is_eligible(index);
+            let discovers_primary = group.primary.is_none() && !self.settings.settings.may_check_health;
+            return discovers_primary && group.is_eligible(index);
         }
-        let checked_there = self.settings.settings.lag_handling != LagHandling::ServeStale;
+        let endpoint_checks_bound = self.settings.settings.lag_handling != LagHandling::ServeStale;
         let position = endpoint.reported.position;
-        (checked_there && !request.session.carries_position) || position >= self.required_position(request)
+        (endpoint_checks_bound && !request.session.includes_seen_position)
+            || position >= self.required_position(request)
     }
 
+    /// Applies the end of an attempt to its request, its session's writes and the latency estimate of its
+    /// method.
     pub(crate) fn finish_attempt(&mut self, end: &AttemptEnd) {
         self.record_session_write(end);
         let Some(request) = self.requests.get_mut(&end.attempt.request) else { return };
@@ -80,7 +84,7 @@
             return;
         };
         if end.outcome == AttemptOutcome::Succeeded {
-            adapt_quick_latency(&mut self.quick_latency[request.method], end.elapsed);
+            update_p30_latency(&mut self.p30_latency[request.method], end.elapsed);
         } else {
             request.attempts.record_failure(end);
             if !end.outcome.proves_not_executed() {
@@ -89,29 +93,31 @@
             }
         }
         let event = if end.request_closed { RequestEvent::Closed } else { RequestEvent::AttemptFailed };
-        self.transition(end.attempt.request, event);
+        self.apply_request_event(end.attempt.request, event);
     }
 
-    /// Records the position that later reads of a write's session must see, if the write may have run, even
-    /// if its client has left. Positions are reported in whole milliseconds, so only the next one surely
-    /// includes the write.
+    /// Records the position that later reads of a session must see after a write that may have been executed,
+    /// even if the client has disconnected. Endpoints report positions in whole milliseconds, so only the
+    /// millisecond after the reported one is certain to include the write.
     fn record_session_write(&mut self, end: &AttemptEnd) {
         if let (false, Some(session)) = (self.settings.settings.clients_send_last_write, end.write_session) {
             let succeeded = end.outcome == AttemptOutcome::Succeeded;
             let reported = end.answer_report.position.filter(|_| succeeded).unwrap_or(self.now).min(self.now);
             let may_have_run = !end.outcome.proves_not_executed();
-            self.session_writes.ended(session, may_have_run.then_some(reported + TimeDelta::from_millis(1)));
+            self.session_writes
+                .write_ended(session, may_have_run.then_some(reported + TimeDelta::from_millis(1)));
         }
     }
 }
 
-/// Factors by which an answer that took longer or less long moves the estimate of a method's quick latency.
-/// Longer answers move it by less, so it settles where about three in ten answers are quicker.
+/// The estimate of a method's p30 latency is multiplied by this after an answer that took longer. It rises by
+/// smaller steps than it falls, so it settles where about three in ten answers are faster.
 const SLOWER_ANSWER_FACTOR: f64 = 1.02;
-const QUICKER_ANSWER_FACTOR: f64 = 0.95;
+/// The estimate of a method's p30 latency is multiplied by this after an answer that took no longer.
+const FASTER_ANSWER_FACTOR: f64 = 0.95;
 
-/// Adapts the estimate of a method's quick latency, in seconds, to the latency of an answer.
-fn adapt_quick_latency(quick_latency: &mut f64, elapsed: TimeDelta) {
-    let is_slower = elapsed.as_secs_f64() > *quick_latency;
-    *quick_latency *= if is_slower { SLOWER_ANSWER_FACTOR } else { QUICKER_ANSWER_FACTOR };
+/// Adapts the estimate of a method's p30 latency, in seconds, to the latency of an answer.
+fn update_p30_latency(p30_latency: &mut f64, elapsed: TimeDelta) {
+    let is_slower = elapsed.as_secs_f64() > *p30_latency;
+    *p30_latency *= if is_slower { SLOWER_ANSWER_FACTOR } else { FASTER_ANSWER_FACTOR };
 }
--- a/routing/src/policy/compiled_settings.rs
+++ b/routing/src/policy/compiled_settings.rs
@@ -1,10 +1,10 @@
-//! Values derived from the settings: the policy of each method, intervals, and bounds of concurrency limits.
+//! Values derived from the settings: the policy of each method, time spans, and bounds of concurrency limits.
 
 use crate::state::compiled_settings::{CompiledSettings, ConcurrencyBounds, DerivedTimes, MethodPolicy};
 use crate::time::TimeDelta;
 use crate::{Access, Idempotency, MethodIndex, MethodSettings, RoutingSettings};
 
-/// Divisor of a method's latency objective: its quick latency before any answer has shown it.
+/// Until the first answer, a method's p30 latency is estimated as its latency objective divided by this.
 const INITIAL_LATENCY_DIVISOR: f64 = 4.0;
 
 impl MethodPolicy {
@@ -25,8 +25,8 @@
         }
     }
 
-    /// The quick latency of the method in seconds before any answer has shown it.
-    pub fn initial_quick_latency(&self) -> f64 {
+    /// The estimate of the method's p30 latency, in seconds, before its first answer.
+    pub fn initial_p30_latency(&self) -> f64 {
         self.latency_objective.as_secs_f64() / INITIAL_LATENCY_DIVISOR
     }
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// The tightest latency objective if there are no methods.
+/// The tightest latency objective if the settings have no methods.
 const DEFAULT_OBJECTIVE: TimeDelta = TimeDelta::from_millis(100);
 
 /// The shortest latency objective of all methods.
@@ -58,24 +58,24 @@
     methods.iter().map(|method| method.latency_objective).min().unwrap_or(DEFAULT_OBJECTIVE)
 }
 
-/// Final answers are given this many clock steps before their deadline.
+/// A final answer is given this many clock resolutions before the request's deadline.
 const ANSWER_MARGIN_STEPS: i64 = 2;
-/// Divisor of the time within which the endpoint list must be polled, so that one failed poll leaves time for
-/// another.
+/// The endpoint list is polled after its maximum poll interval divided by this, so that a failed poll leaves
+/// time for another one.
 const LIST_POLL_DIVISOR: i64 = 2;
-/// Divisor of the tightest latency objective: the tick interval.
+/// The tick interval is the tightest latency objective divided by this.
 const TICK_DIVISOR: i64 = 8;
-/// Divisor of the tightest bound on staleness: the age from which a reported position is queried again.
+/// A reported position is queried again once its age is the tightest staleness bound divided by this.
 const REPORT_AGE_DIVISOR: i64 = 4;
-/// Factor of the tightest latency objective: what takes the place of the bound if no method has one.
+/// If no method has a staleness bound, the tightest latency objective times this takes the bound's place.
 const UNBOUNDED_STALENESS_FACTOR: i64 = 4;
 
-/// Derives the time spans from the settings and the tightest bound on staleness, if any method has one.
+/// Derives the time spans from the settings and the tightest staleness bound, if any method has one.
 fn derive_times(settings: &RoutingSettings, tightest_bound: Option<TimeDelta>) -> DerivedTimes {
     let tightest_objective = tightest_objective(&settings.methods);
     let staleness = tightest_bound.unwrap_or(tightest_objective * UNBOUNDED_STALENESS_FACTOR);
     DerivedTimes {
-        list_poll_interval: settings.max_list_poll_interval.map(|within| within / LIST_POLL_DIVISOR),
+        list_poll_interval: settings.max_list_poll_interval.map(|longest| longest / LIST_POLL_DIVISOR),
         answer_margin: settings.clock_resolution * ANSWER_MARGIN_STEPS,
         tick_interval: (tightest_objective / TICK_DIVISOR).max(settings.clock_resolution),
         max_report_age: staleness / REPORT_AGE_DIVISOR,
@@ -83,11 +83,10 @@
     }
 }
 
-/// Attempts of all instances together that an endpoint may have in flight before its answers have adapted the
-/// limit.
+/// Concurrency limit of an endpoint for all instances together, before the endpoint's answers adapt the limit.
 const INITIAL_CONCURRENCY: f64 = 16.0;
-/// Divisor of [`INITIAL_CONCURRENCY`]: the largest initial limit of one instance, and the smallest limit of
-/// all instances together.
+/// [`INITIAL_CONCURRENCY`] divided by this is both the largest initial limit of one instance and the smallest
+/// limit of all instances together.
 const CONCURRENCY_DIVISOR: f64 = 4.0;
 
 /// Derives the bounds of concurrency limits from this instance's share of the traffic.
@@ -98,12 +97,12 @@
     }
 }
 
-/// Methods in the order in which waiting requests are retried: writes, strong reads, the others, each by
-/// objective.
+/// Methods in the order in which waiting requests are retried: first writes, then strong reads, then the other
+/// methods. Within each of these, the tightest latency objective comes first.
 fn retry_order(methods: &[MethodSettings]) -> Vec<MethodIndex> {
     let mut order: Vec<MethodIndex> = (0..methods.len()).collect();
-    let rank =
+    let access_rank =
         |method: &MethodSettings| (method.access != Access::Write, method.access != Access::StrongRead);
-    order.sort_by_key(|&index| (rank(&methods[index]), methods[index].latency_objective));
+    order.sort_by_key(|&index| (access_rank(&methods[index]), methods[index].latency_objective));
     order
 }
--- a/routing/src/policy/ejection.rs
+++ b/routing/src/policy/ejection.rs
@@ -1,16 +1,18 @@
-//! Ejection: endpoints that fail get no attempts for a time.
+//! Ejection: an endpoint that fails gets no attempts for a while.
 
 use crate::state::endpoint::Endpoint;
 use crate::{AttemptEnd, AttemptOutcome, EndpointIndex, RoutingPolicy};
 
-/// Failures in a row from which the ejection time grows no further.
+/// Number of consecutive failures from which the duration of an ejection no longer grows.
 const MAX_COUNTED_FAILURES: u32 = 5;
-/// Factor of the tick interval: the first ejection, and the least interval between two checks of an endpoint.
+/// Duration of the first ejection, and minimum interval between two health checks of an endpoint, in tick
+/// intervals.
 pub(super) const BASE_INTERVAL_TICKS: i64 = 2;
 
 impl RoutingPolicy {
-    /// Ejects a failed endpoint: it gets no attempts for a time that doubles with each failure in a row, then
-    /// a single one. Otherwise an endpoint that fails fast would look idle and attract all requests.
+    /// Ejects an endpoint after a failure: it gets no attempts for a time that doubles with each consecutive
+    /// failure, and then a single attempt. Without ejection, an endpoint that fails fast would look idle and
+    /// attract all requests. A failure during an ejection does not extend it.
     pub(super) fn eject(&mut self, index: EndpointIndex) {
         let (now, base) = (self.now, self.settings.times.tick_interval * BASE_INTERVAL_TICKS);
         let health = &mut self.endpoints[index].health;
@@ -21,13 +23,15 @@
         health.failed_at = now;
     }
 
-    /// Whether an endpoint is not ejected and either has not failed or may get a single attempt.
+    /// Whether an endpoint may get an attempt as far as its failures are concerned. After an ejection it gets
+    /// only one attempt at a time until one succeeds. If health checks are allowed, it must first have answered
+    /// since the failure.
     pub(super) fn is_healthy(&self, endpoint: &Endpoint) -> bool {
-        let unchecked = !self.settings.settings.may_check_health;
+        let without_health_checks = !self.settings.settings.may_check_health;
         let health = &endpoint.health;
-        let may_retry = unchecked || health.answered_at > health.failed_at;
-        let single_attempt = endpoint.is_idle() && may_retry;
-        health.ejected_until <= self.now && (health.consecutive_failures == 0 || single_attempt)
+        let may_retry = without_health_checks || health.answered_at > health.failed_at;
+        let may_get_single_attempt = endpoint.is_idle() && may_retry;
+        health.ejected_until <= self.now && (health.consecutive_failures == 0 || may_get_single_attempt)
     }
 
     /// Updates the health of an endpoint after an attempt without a usable answer.
@@ -36,10 +40,10 @@
         let health = &mut self.endpoints[end.attempt.endpoint].health;
         let answered_since_failure = health.answered_at > health.failed_at;
         match end.outcome {
-            // A slow endpoint has not failed: only one that has answered nothing since the attempt started.
+            // An endpoint that has answered anything since the attempt started is slow but has not failed.
             AttemptOutcome::TimedOut if health.answered_at >= started_at => {}
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
-            // One failure among answers does not eject; the next one in a row does.
+            // The first failure after an answer does not eject the endpoint; a second one in a row does.
             AttemptOutcome::Failed | AttemptOutcome::ConnectionLost if answered_since_failure => {
                 health.failed_at = self.now;
             }
--- a/routing/src/policy/mod.rs
+++ b/routing/src/policy/mod.rs
@@ -1,9 +1,9 @@
 //! Every decision of the routing policy.
 //!
-//! The ordinary path: a read goes to the replica with the fewest of this instance's attempts in flight among
-//! those whose reported position reaches what the read must see. If there is none, the read waits for one to
-//! catch up, at the endpoint or here, before it touches the primary. `docs/design.md` lists the departures
-//! and their conditions.
+//! In general, a read goes to a replica whose reported position is at least the position that the read must see. Of
+//! several such replicas, the one with the fewest attempts of this instance in flight is selected. If there is none,
+//! the read first waits for a replica to catch up, at the endpoint or in the router, before it is sent to the primary.
+//! Comments that begin with "Exception" mark the exceptions to this; `docs/design.md` lists them with their conditions.
 
 mod attempts;
 mod compiled_settings;
--- a/routing/src/policy/replica_selection.rs
+++ b/routing/src/policy/replica_selection.rs
@@ -1,31 +1,33 @@
-//! Endpoint selection: which endpoint a request is sent to now, if any.
+//! Endpoint selection: the endpoint that a request is sent to, or none if the request has to wait.
 
 use crate::state::request::{Request, RequestEvent};
 use crate::time::{TimeDelta, Timestamp};
 use crate::{Access, EndpointIndex, GroupIndex, LagHandling, MethodIndex, RequestId, RoutingPolicy};
 
-/// The reported load, as a fraction of cores, up to which a primary serves reads that replicas could serve.
+/// A primary serves reads that replicas could serve while its reported load is at most this fraction of its
+/// cores.
 const PRIMARY_MAX_LOAD: f64 = 0.7;
-/// The fraction of its limit that a primary gives to reads which replicas could serve.
+/// The fraction of a primary's concurrency limit that is available to reads that replicas could serve.
 const PRIMARY_READ_SHARE: f64 = 0.5;
-/// The fraction of a limit that is given to clients' retries: serving the newest request first would favour a
-/// retry storm.
+/// The fraction of a concurrency limit that is available to clients' retries. Waiting requests are served
+/// newest first, which would otherwise favour a retry storm.
 const CLIENT_RETRY_SHARE: f64 = 0.25;
-/// Factor of the tightest latency objective: a member that denied to be primary within this time is not
-/// tried.
+/// A write without a known primary is not sent to a member that has denied being the primary within the
+/// tightest latency objective times this.
 const PRIMARY_DENIAL_FACTOR: i64 = 4;
-/// Divisor of a method's latency objective: the time for which a read waits for a replica to catch up.
+/// A read waits for a replica to catch up for at most its method's latency objective divided by this.
 const CATCH_UP_DIVISOR: i64 = 2;
-/// The range of the random numbers that decide between equal candidates.
+/// Range of the random numbers that select one of several equally good candidates.
 pub(super) const TIE_BREAK_RANGE: usize = 1 << 16;
 
 type Candidates = Vec<EndpointIndex>;
 
 impl RoutingPolicy {
+    /// Selects the endpoint of a waiting request's next attempt. `None` means that the request waits on.
     pub(super) fn select_endpoint(&mut self, id: RequestId) -> Option<RequestEvent> {
         let request = &self.requests[&id];
-        if self.has_no_prospect(request) {
-            return Some(RequestEvent::NoProspect);
+        if self.cannot_succeed(request) {
+            return Some(RequestEvent::CannotSucceed);
         }
         let (method, group) = (request.method, request.group);
         let primary = self.groups[group].primary.filter(|&index| self.is_usable(index, method));
@@ -38,6 +40,7 @@
         selected.map(RequestEvent::EndpointSelected)
     }
 
+    /// Selects the endpoint of a read; `primary` is its group's primary, if usable.
     fn select_for_read(&mut self, id: RequestId, primary: Option<EndpointIndex>) -> Option<EndpointIndex> {
         let request = &self.requests[&id];
         let share = if request.client_retry { CLIENT_RETRY_SHARE } else { 1.0 };
@@ -46,12 +49,11 @@
         if let Some(replica) = self.fewest_in_flight(&replicas) {
             return Some(replica);
         }
-        // Departure: if every qualifying replica is at its limit, the primary serves the read within its own
-        // limit, unless it has lately reported that it is busy. Half of its limit stays free for writes and
-        // strong reads.
+        // Exception: if every qualifying replica is at its limit, the primary may serve the read, unless it has
+        // recently reported a high load. Half of the primary's limit stays reserved for writes and strong reads.
         let primary = primary?;
-        // Without health checks, a silent primary may have lost its role unnoticed.
-        if !self.settings.settings.may_check_health && self.endpoints[primary].is_silent() {
+        // Without health checks, a primary that has not answered since it failed may have lost its role.
+        if !self.settings.settings.may_check_health && self.endpoints[primary].silent_since_failure() {
             return None;
         }
         let primary_share = if is_strong { share } else { PRIMARY_READ_SHARE * share };
@@ -60,26 +62,27 @@
         (self.has_capacity(primary, primary_share) && (is_strong || !is_busy)).then_some(primary)
     }
 
-    /// Departure: without health checks and without a known primary, writes discover the primary. A member
-    /// that is not the primary rejects a write unexecuted; one that has lately denied to be primary is not
-    /// tried.
+    /// Exception: without health checks, a write of a group without a known primary is sent to a member that
+    /// may be the primary. This is safe because a member that is not the primary rejects the write without
+    /// executing it. Members that have recently denied being the primary are left out.
     fn primary_candidate(&mut self, group: GroupIndex, method: MethodIndex) -> Option<EndpointIndex> {
         let group = &self.groups[group];
         if self.settings.settings.may_check_health || group.primary.is_some() {
             return None;
         }
-        let lately = self.now - self.settings.times.tightest_objective * PRIMARY_DENIAL_FACTOR;
+        let recent_since = self.now - self.settings.times.tightest_objective * PRIMARY_DENIAL_FACTOR;
         let denied_at = |index: EndpointIndex| self.endpoints[index].role.primary_denied_at;
         let is_free = |index: EndpointIndex| self.endpoints[index].is_idle() && group.is_eligible(index);
         let mut candidates = group.members.clone();
-        candidates
-            .retain(|&index| denied_at(index) < lately && is_free(index) && self.is_usable(index, method));
-        let longest_ago = candidates.iter().map(|&index| denied_at(index)).min()?;
-        candidates.retain(|&index| denied_at(index) == longest_ago);
+        candidates.retain(|&index| {
+            denied_at(index) < recent_since && is_free(index) && self.is_usable(index, method)
+        });
+        let earliest_denial = candidates.iter().map(|&index| denied_at(index)).min()?;
+        candidates.retain(|&index| denied_at(index) == earliest_denial);
         self.fewest_in_flight(&candidates)
     }
 
-    /// The position that a read must see at the current time.
+    /// The position that a read must see if its attempt starts now; `None` if any data will do.
     pub(super) fn required_position(&self, request: &Request) -> Option<Timestamp> {
         match self.settings.methods[request.method].access {
             Access::BoundedRead(bound) => Some(self.now - bound).max(request.session.required_position),
@@ -87,14 +90,14 @@
         }
     }
 
-    /// The replicas that qualify for a read. If the list is empty, the primary may serve it; if it is `None`,
-    /// it waits.
+    /// The replicas that qualify for a read. An empty list means that the primary may serve the read; `None`
+    /// means that the read has to wait.
     fn qualifying_replicas(&self, request: &Request, share: f64) -> Option<Candidates> {
         let method = &self.settings.methods[request.method];
         let group = &self.groups[request.group];
         let mut replicas = group.members.clone();
         replicas.retain(|&index| group.primary != Some(index) && self.is_usable(index, request.method));
-        if method.delays_replication && !request.session.carries_position && !replicas.is_empty() {
+        if method.delays_replication && !request.session.includes_seen_position && !replicas.is_empty() {
             return self.replica_for_long_read(replicas, share);
         }
         let only_one = replicas.len() == 1 && request.attempts.eligibility_rejections == 0;
@@ -109,63 +112,68 @@
             replicas.retain(is_fresh);
             return Some(replicas);
         }
-        self.stale_replicas(request, replicas)
+        self.qualifying_stale_replicas(request, replicas)
     }
 
-    /// As [`Self::qualifying_replicas`], if no replica is known to be fresh enough.
-    fn stale_replicas(&self, request: &Request, mut replicas: Candidates) -> Option<Candidates> {
+    /// The result of [`Self::qualifying_replicas`] if no replica is known to be fresh enough.
+    fn qualifying_stale_replicas(&self, request: &Request, mut replicas: Candidates) -> Option<Candidates> {
         let method = &self.settings.methods[request.method];
         let catch_up_time = method.latency_objective / CATCH_UP_DIVISOR;
         let catches_up = |index: &EndpointIndex, within| self.may_catch_up(request, *index, within);
         let is_strong = method.access == Access::StrongRead;
         let may_wait = !is_strong && self.now - request.deadlines.arrived_at < catch_up_time;
         let worth_waiting = may_wait && replicas.iter().any(|index| catches_up(index, catch_up_time));
-        let first_try = request.attempts.eligibility_rejections == 0;
+        let never_rejected_as_stale = request.attempts.eligibility_rejections == 0;
         match self.settings.settings.lag_handling {
-            _ if request.session.carries_position && worth_waiting => return None,
-            _ if request.session.carries_position => replicas.clear(),
-            // The wait at an endpoint is of use only if its last reported lag can be made up within it.
-            LagHandling::Wait(max_wait) if first_try => replicas.retain(|index| catches_up(index, max_wait)),
-            LagHandling::Reject if first_try && !is_strong => {
+            _ if request.session.includes_seen_position && worth_waiting => return None,
+            _ if request.session.includes_seen_position => replicas.clear(),
+            // A wait at a replica is useful only if the replica can make up its last reported lag meanwhile.
+            LagHandling::Wait(max_wait) if never_rejected_as_stale => {
+                replicas.retain(|index| catches_up(index, max_wait));
+            }
+            LagHandling::Reject if never_rejected_as_stale && !is_strong => {
                 let freshest =
                     replicas.into_iter().max_by_key(|&index| self.endpoints[index].reported.position);
                 replicas = freshest.into_iter().collect();
             }
-            // Departure: the read does not wait if no replica can catch up in time by its last reported lag.
+            // Exception: the read does not wait if every replica's last reported lag is too large to be made up
+            // in time.
             LagHandling::ServeStale if worth_waiting => return None,
             _ => replicas.clear(),
         }
         Some(replicas)
     }
 
-    /// Whether an endpoint's data may become fresh enough within a time, by its last reported lag.
+    /// Whether an endpoint can catch up to the position that a read must see within the time `within`, judging by
+    /// its last reported lag.
     fn may_catch_up(&self, request: &Request, index: EndpointIndex, within: TimeDelta) -> bool {
         let required = self.required_position(request);
         let allowed = required.map(|at| self.now - at + within + self.settings.times.max_report_age);
         self.endpoints[index].reported.lag().is_some_and(|lag| allowed >= Some(lag))
     }
 
-    /// Departure: a read without a bound that may take longer than other methods' bounds is sent only to the
-    /// half of the replicas with the most lag: long reads on all replicas would keep all of them from
-    /// applying their logs.
+    /// The replica for a read that has no staleness bound itself but may take longer than another method's bound.
+    /// Exception: such a read is sent only to the half of the replicas that lag most, because long reads on
+    /// all replicas would keep all of them from applying the primary's log.
     fn replica_for_long_read(&self, mut replicas: Candidates, share: f64) -> Option<Candidates> {
         replicas.sort_by_key(|&index| self.endpoints[index].reported.position);
         replicas.truncate(replicas.len().div_ceil(2));
         replicas.into_iter().find(|&index| self.has_capacity(index, share)).map(|index| vec![index])
     }
 
-    /// The candidate with the fewest of this instance's attempts in flight. An endpoint in another zone
-    /// counts one more attempt; ties are decided by zone, then at random.
+    /// The candidate with the fewest attempts of this instance in flight. An endpoint in another zone counts as
+    /// having one more attempt. Ties are broken in favour of this instance's zone, then at random.
     fn fewest_in_flight(&mut self, candidates: &[EndpointIndex]) -> Option<EndpointIndex> {
         let (settings, endpoints, rng) = (&self.settings.settings, &self.endpoints, &mut self.rng);
         candidates.iter().copied().min_by_key(|&index| {
             let endpoint = &endpoints[index];
             let other_zone = endpoint.listing.zone != settings.zone;
-            // Without health checks only an answer shows an endpoint's role: those never tried are first.
-            let untried = !endpoint.has_answered() && endpoint.is_idle();
-            let known = settings.may_check_health || !untried;
+            // Without health checks, only an answer shows an endpoint's role, so endpoints that have never
+            // been tried come first.
+            let is_untried = !endpoint.has_answered() && endpoint.is_idle();
+            let comes_later = settings.may_check_health || !is_untried;
             (
-                known,
+                comes_later,
                 endpoint.capacity.in_flight + u32::from(other_zone),
                 other_zone,
                 rng.below(TIE_BREAK_RANGE),
--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -1,22 +1,24 @@
-//! The lifecycle of a request: a table of transitions, its arrival, its final answer, and requests that wait.
+//! The lifecycle of a request as a table of transitions: its arrival, its waiting time and its final answer.
 
 use crate::state::request::{Request, RequestDeadlines, RequestEvent, RequestPhase, SessionRequirement};
 use crate::state::timer_tag::TimerTag;
 use crate::time::TimeDelta;
 use crate::{Access, Action, GroupIndex, RequestArrival, RequestId, RoutingPolicy};
 use std::collections::BTreeSet;
-use RequestEvent::{AnswerDue, AttemptFailed, Closed, EndpointSelected, NoProspect, Progress};
+use RequestEvent::{AnswerDue, AttemptFailed, AttemptPossible, CannotSucceed, Closed, EndpointSelected};
 use RequestPhase::{Done, InFlight, Waiting};
 
+/// What is done for a request after it has entered a phase.
 #[derive(Clone, Copy)]
 enum Step {
     SelectEndpoint,
     StartAttempt,
-    GiveUp,
+    RejectOrAbort,
     Nothing,
 }
 
-/// In the phase `from`, an event that `on` matches leads to the phase `to`, and then to `step`.
+/// A row of the transition table: in the phase `from`, an event that `on` matches moves the request to the phase
+/// `to`; then `step` is done.
 struct Transition {
     from: RequestPhase,
     on: fn(RequestEvent) -> bool,
@@ -25,7 +27,12 @@
 }
 
 const TRANSITIONS: &[Transition] = &[
-    Transition { from: Waiting, on: |event| event == Progress, to: Waiting, step: Step::SelectEndpoint },
+    Transition {
+        from: Waiting,
+        on: |event| event == AttemptPossible,
+        to: Waiting,
+        step: Step::SelectEndpoint,
+    },
     Transition {
         from: Waiting,
         on: |event| matches!(event, EndpointSelected(_)),
@@ -34,9 +41,9 @@
     },
     Transition {
         from: Waiting,
-        on: |event| matches!(event, NoProspect | AnswerDue),
+        on: |event| matches!(event, CannotSucceed | AnswerDue),
         to: Done,
-        step: Step::GiveUp,
+        step: Step::RejectOrAbort,
     },
     Transition { from: Waiting, on: |event| event == Closed, to: Done, step: Step::Nothing },
     Transition {
@@ -45,18 +52,18 @@
         to: Waiting,
         step: Step::SelectEndpoint,
     },
-    Transition { from: InFlight, on: |event| event == AnswerDue, to: Done, step: Step::GiveUp },
+    Transition { from: InFlight, on: |event| event == AnswerDue, to: Done, step: Step::RejectOrAbort },
     Transition { from: InFlight, on: |event| event == Closed, to: Done, step: Step::Nothing },
 ];
 
-/// Factor of a method's quick latency: the time that another attempt needs to be of use.
-const NEEDED_LATENCY_FACTOR: f64 = 2.0;
-/// Divisor of a method's latency objective: the most that this time comes to. Otherwise a method that is no
-/// longer attempted would be taken for slow for ever.
-const MAX_NEEDED_DIVISOR: i64 = 3;
+/// An attempt is expected to take its method's p30 latency times this.
+const EXPECTED_LATENCY_FACTOR: f64 = 2.0;
+/// The expected latency of an attempt is at most its method's latency objective divided by this. Without this
+/// maximum, a method whose estimate is too high would never be attempted, and the estimate would never fall.
+const MAX_EXPECTED_LATENCY_DIVISOR: i64 = 3;
 
 impl RoutingPolicy {
-    /// Takes a new request: opens it, or rejects it if its method is unknown.
+    /// Handles a new request. A request of an unknown method is rejected at once.
     pub(crate) fn on_arrival(&mut self, arrival: &RequestArrival) {
         let (id, group) = (arrival.request, arrival.group);
         self.ensure_group(group);
@@ -69,8 +76,8 @@
         self.set_timer(TimerTag::HalfTime(id), request.deadlines.half_time());
         self.set_timer(TimerTag::AnswerDue(id), request.deadlines.answer_by);
         self.requests.insert(id, request);
-        self.transition(id, Progress);
-        self.earn_health_check(group, arrival.client_retry);
+        self.apply_request_event(id, AttemptPossible);
+        self.add_health_check_credit(group, arrival.client_retry);
         self.schedule_health_checks(group, is_read);
     }
 
@@ -84,18 +91,18 @@
             _ => None,
         };
         let answer_by = arrival.deadline - self.settings.times.answer_margin;
-        let objective = arrival.received_at + method.latency_objective;
+        let objective_ends = arrival.received_at + method.latency_objective;
         Request {
             method: arrival.method,
             group: arrival.group,
             deadlines: RequestDeadlines {
                 arrived_at: self.now,
-                useful_until: if method.useful_when_late { answer_by } else { answer_by.min(objective) },
+                useful_until: if method.useful_when_late { answer_by } else { answer_by.min(objective_ends) },
                 answer_by,
             },
             session: SessionRequirement {
                 required_position: required.max(arrival.seen_position),
-                carries_position: arrival.seen_position.is_some(),
+                includes_seen_position: arrival.seen_position.is_some(),
                 recorded_session: arrival.session.filter(|_| method.is_write() && !clients_send_last_write),
             },
             client_retry: arrival.client_retry && !method.useful_when_late,
@@ -103,8 +110,9 @@
         }
     }
 
-    /// Applies the table of transitions until no event follows.
-    pub(crate) fn transition(&mut self, id: RequestId, first: RequestEvent) {
+    /// Applies an event to a request by the transition table. An endpoint selection may cause another event, which
+    /// is applied too.
+    pub(crate) fn apply_request_event(&mut self, id: RequestId, first: RequestEvent) {
         let mut next = Some(first);
         while let Some(event) = next {
             let Some(request) = self.requests.get_mut(&id) else { return };
@@ -121,7 +129,7 @@
                 (Step::StartAttempt, EndpointSelected(endpoint)) => {
                     self.start_attempt(id, endpoint);
                 }
-                (Step::GiveUp, _) => self.give_up(id),
+                (Step::RejectOrAbort, _) => self.reject_or_abort(id),
                 _ => {}
             }
             let waiting = &mut self.groups[group].waiting[method];
@@ -136,22 +144,22 @@
         }
     }
 
-    /// Whether no attempt that could still start would be of use.
-    pub(super) fn has_no_prospect(&self, request: &Request) -> bool {
-        let quick_latency = self.quick_latency[request.method];
-        let expected = TimeDelta::from_secs_f64(quick_latency * NEEDED_LATENCY_FACTOR);
+    /// Whether no further attempt can give a useful answer, so that the request gets its final answer now.
+    pub(super) fn cannot_succeed(&self, request: &Request) -> bool {
+        let p30_latency = self.p30_latency[request.method];
+        let estimate = TimeDelta::from_secs_f64(p30_latency * EXPECTED_LATENCY_FACTOR);
         let objective = self.settings.methods[request.method].latency_objective;
-        let needed = expected.min(objective / MAX_NEEDED_DIVISOR);
-        let too_late = self.now + needed >= request.deadlines.useful_until;
+        let expected = estimate.min(objective / MAX_EXPECTED_LATENCY_DIVISOR);
+        let too_late = self.now + expected >= request.deadlines.useful_until;
         let retry_over = request.attempts.retry_until.is_some_and(|until| self.now >= until);
-        // After half of its time without reaching any endpoint, the client does better to retry at another
+        // If the request has reached no endpoint in half of its time, its client should retry at another
         // instance.
-        let unsent = !request.attempts.reached_endpoint && self.now >= request.deadlines.half_time();
-        retry_over || too_late || unsent || request.attempts.started >= self.settings.settings.max_attempts
+        let is_unsent = !request.attempts.reached_endpoint && self.now >= request.deadlines.half_time();
+        retry_over || too_late || is_unsent || request.attempts.started >= self.settings.settings.max_attempts
     }
 
-    /// Gives the final answer at once. It is a rejection, which invites a retry, only if a retry is safe.
-    fn give_up(&mut self, id: RequestId) {
+    /// Gives the final answer: a rejection if the client may safely retry, otherwise an abort.
+    fn reject_or_abort(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let may_have_run = request.attempts.retry_until.is_some() || request.in_flight.is_some();
         if self.settings.methods[request.method].client_may_retry || !may_have_run {
@@ -166,16 +174,17 @@
         }
     }
 
-    /// Tries a group's waiting requests again, the most urgent methods first. Once one has to wait on, the
-    /// other requests of its method wait on too.
+    /// Tries to send a group's waiting requests, the most urgent methods first. Once a request has to wait on,
+    /// the other requests of its method are not tried in the same order.
     pub(crate) fn retry_waiting(&mut self, group: GroupIndex) {
         for nth in 0..self.settings.retry_order.len() {
             let method = self.settings.retry_order[nth];
-            // Newest first, so that under overload some are answered in time rather than all late; then
-            // oldest first, for requests that had to wait for a replica to catch up.
+            // First the newest request is tried, so that under overload some requests are answered in time
+            // rather than all of them late. Then the oldest is tried, because a request that arrived earlier
+            // may need a position that replicas have reached meanwhile.
             for end in [BTreeSet::last, BTreeSet::first] {
                 while let Some(&next) = end(&self.groups[group].waiting[method]) {
-                    self.transition(next, Progress);
+                    self.apply_request_event(next, AttemptPossible);
                     if end(&self.groups[group].waiting[method]) == Some(&next) {
                         break;
                     }
--- a/routing/src/policy/slow_start.rs
+++ b/routing/src/policy/slow_start.rs
@@ -1,43 +1,46 @@
-//! Slow start: the concurrency limit of an endpoint whose process has recently started, and which work it
-//! gets.
+//! Slow start: the concurrency limit of an endpoint whose process has recently started, and the methods that may be
+//! sent to it.
 
 use crate::state::endpoint::Endpoint;
 use crate::RoutingPolicy;
 
-/// Divisor of the load that the settings allow in slow start: the rest is a margin for random bursts.
-const SLOW_START_MARGIN: f64 = 3.0;
-/// The shortest work, in seconds, that the slow-start limit reckons with.
-const MIN_WORK: f64 = 1e-3;
-/// Divisor of the work that overloads an endpoint in slow start: work up to the quotient is light. The margin
-/// covers a heavy tail of latencies.
+/// An endpoint in slow start gets the load that the settings allow, divided by this. The rest is a margin for
+/// random bursts.
+const SLOW_START_MARGIN_DIVISOR: f64 = 3.0;
+/// The slow-start limit assumes that an attempt takes at least this much work, in seconds.
+const MIN_WORK_SECS: f64 = 1e-3;
+/// Work is light if it is at most the work that overloads an endpoint in slow start, divided by this. The
+/// divisor leaves a margin for a heavy tail of latencies.
 const LIGHT_WORK_DIVISOR: f64 = 4.0;
-/// The fraction of a core that each instance's share of work at an endpoint in slow start is reckoned from at
-/// least.
+/// Minimum load of a warm endpoint, in busy cores, from which the slow-start rate is derived. Each instance
+/// assumes at least its share of this load.
 const MIN_BUSY_CORES: f64 = 0.5;
 
 impl RoutingPolicy {
-    /// The concurrency limit of an endpoint in slow start; infinite for others. With few instances it is this
-    /// instance's share of the work that may be queued at one core during the overload window, as a number of
-    /// attempts. With many instances it is a rate: the slow-start fraction times the work done for this
-    /// instance at the mean warm endpoint, reckoned from at least this instance's share of half a core.
+    /// The concurrency limit of an endpoint in slow start; infinite for a warm endpoint. With few instances it
+    /// is a number of attempts: this instance's share of the work that may be queued for one core during the
+    /// overload window. With many instances that share is less than one attempt, and the limit is a rate. The
+    /// rate is in proportion to the slow-start fraction and to the work that an average warm endpoint does for
+    /// this instance, which is assumed to be at least this instance's share of half a core.
     pub(super) fn slow_start_limit(&self, endpoint: &Endpoint) -> f64 {
         let Some(fraction) = self.slow_start_fraction(endpoint) else { return f64::INFINITY };
         let (settings, share) = (&self.settings.settings, self.settings.instance_share);
         let (multiple, window) = (settings.overload_multiple, settings.overload_window.as_secs_f64());
-        let light = self.quick_latency.iter().copied().filter(|&latency| self.is_light(latency, fraction));
-        let heaviest = light.fold(MIN_WORK, f64::max);
-        let attempts = fraction * (multiple - 1.0) * window * share / heaviest / SLOW_START_MARGIN;
+        let light = self.p30_latency.iter().copied().filter(|&latency| self.is_light_work(latency, fraction));
+        let heaviest_work = light.fold(MIN_WORK_SECS, f64::max);
+        let attempts =
+            fraction * (multiple - 1.0) * window * share / heaviest_work / SLOW_START_MARGIN_DIVISOR;
         if attempts >= 1.0 {
             return attempts;
         }
-        let busy_cores = self.mean_warm_work() / window / SLOW_START_MARGIN;
+        let busy_cores = self.mean_warm_work() / window / SLOW_START_MARGIN_DIVISOR;
         fraction * multiple * busy_cores.max(share * MIN_BUSY_CORES)
     }
 
-    /// Whether work of this latency, in seconds, is short enough for an endpoint at this slow-start fraction.
-    pub(super) fn is_light(&self, quick_latency: f64, fraction: f64) -> bool {
+    /// Whether `work`, in seconds, is light enough for an endpoint with the slow-start fraction `fraction`.
+    pub(super) fn is_light_work(&self, work: f64, fraction: f64) -> bool {
         let settings = &self.settings.settings;
-        let overloading = fraction * settings.overload_multiple * settings.overload_window.as_secs_f64();
-        quick_latency <= overloading / LIGHT_WORK_DIVISOR
+        let overloading_work = fraction * settings.overload_multiple * settings.overload_window.as_secs_f64();
+        work <= overloading_work / LIGHT_WORK_DIVISOR
     }
 }
--- a/routing/src/routing_policy.rs
+++ b/routing/src/routing_policy.rs
@@ -1,4 +1,4 @@
-//! The routing policy as a state machine: its state, and the dispatch of events to the decisions in `policy`.
+//! The routing policy as a state machine: its state, and the dispatch of events to the functions of `policy`.
 
 use crate::events::{Action, AttemptEnd, EndpointIndex, Event, GroupIndex, RequestId};
 use crate::rng::Mwc;
@@ -12,7 +12,7 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// The routing policy of one instance, with its state.
+/// The routing policy of one router instance.
 pub struct RoutingPolicy {
     pub(crate) settings: CompiledSettings,
     pub(crate) rng: Mwc,
@@ -21,19 +21,20 @@
     pub(crate) endpoints: Vec<Endpoint>,
     pub(crate) groups: Vec<Group>,
     pub(crate) session_writes: SessionWrites,
-    /// Quick latency by method in seconds: about three in ten answers take less.
-    pub(crate) quick_latency: Vec<f64>,
+    /// Estimate of the p30 latency (the 30th percentile: about three in ten answers are faster) by method, in seconds.
+    pub(crate) p30_latency: Vec<f64>,
     pub(crate) next_list_poll: Option<Timestamp>,
-    /// Actions requested while the current event is handled.
+    /// Actions requested by the event that is being handled.
     pub(crate) actions: Vec<Action>,
 }
 
 impl RoutingPolicy {
-    /// Creates a policy without endpoints. The actions that it requests at its start are appended to `actions`.
+    /// Creates a policy that knows no endpoints yet. The actions that it requests at its start are appended to
+    /// `actions`.
     pub fn new(seed: u64, settings: &RoutingSettings, now: Timestamp, actions: &mut Vec<Action>) -> Self {
         let settings = CompiledSettings::new(settings);
         let mut policy = RoutingPolicy {
-            quick_latency: settings.methods.iter().map(|method| method.initial_quick_latency()).collect(),
+            p30_latency: settings.methods.iter().map(|method| method.initial_p30_latency()).collect(),
             next_list_poll: settings.times.list_poll_interval.map(|_| now),
             settings,
             rng: Mwc::new(seed),
@@ -50,7 +51,8 @@
         policy
     }
 
-    /// Handles an event that happened at `now`. The requested actions are appended to `actions`, in order.
+    /// Handles an event that happened at `now`. The requested actions are appended to `actions` in the order in which
+    /// the host has to execute them.
     pub fn on_event(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.dispatch(event);
@@ -66,16 +68,18 @@
                 self.update_primary(group);
                 self.retry_waiting(group);
             }
-            Event::EndpointListFailed => self.postpone_list_poll(),
+            Event::EndpointListFailed => self.schedule_list_poll_retry(),
             Event::RequestArrived(arrival) => self.on_arrival(&arrival),
             Event::ResponseStarted { request } | Event::ClientGone { request } => {
-                self.transition(request, RequestEvent::Closed);
+                self.apply_request_event(request, RequestEvent::Closed);
             }
             Event::AttemptEnded(end) => self.on_attempt_ended(&end),
             Event::TimerFired { tag } => match TimerTag::decode(tag) {
                 TimerTag::Tick => self.on_tick(),
-                TimerTag::HalfTime(request) => self.transition(request, RequestEvent::Progress),
-                TimerTag::AnswerDue(request) => self.transition(request, RequestEvent::AnswerDue),
+                TimerTag::HalfTime(request) => {
+                    self.apply_request_event(request, RequestEvent::AttemptPossible);
+                }
+                TimerTag::AnswerDue(request) => self.apply_request_event(request, RequestEvent::AnswerDue),
             },
             Event::HealthCheckEnded { endpoint, outcome, report, .. } => {
                 let Some(group) = self.group_of(endpoint) else { return };
@@ -92,7 +96,7 @@
         let Some(group) = self.group_of(end.attempt.endpoint) else { return };
         self.apply_report(end.attempt.endpoint, end.load_report, false);
         self.apply_report(end.attempt.endpoint, end.answer_report, true);
-        self.update_endpoint_load(end);
+        self.update_limit_and_health(end);
         self.finish_attempt(end);
         self.retry_waiting(group);
     }
@@ -103,7 +107,7 @@
         self.expire_session_writes();
         for group in 0..self.groups.len() {
             self.retry_waiting(group);
-            self.accrue_health_check_credit(group);
+            self.add_waiting_health_check_credit(group);
             self.schedule_health_checks(group, false);
         }
     }
@@ -113,7 +117,7 @@
         self.set_timer(TimerTag::Tick, at);
     }
 
-    /// Drops session positions that every usable endpoint has reached.
+    /// Drops session positions that every serving endpoint has reached.
     fn expire_session_writes(&mut self) {
         let serving = self.endpoints.iter().filter(|endpoint| endpoint.listing.serving);
         let reached_by_all = serving.map(|endpoint| endpoint.reported.position).min().flatten();
@@ -124,14 +128,14 @@
         self.actions.push(Action::SetTimer { tag: tag.encode(), at });
     }
 
-    /// Adds a group, if it is new.
+    /// Adds a group if it is not known yet.
     pub(crate) fn ensure_group(&mut self, group: GroupIndex) {
         let methods = self.settings.methods.len();
         let groups = self.groups.len().max(group + 1);
         self.groups.resize_with(groups, || Group::new(methods));
     }
 
-    /// Adds an endpoint as a member of a group, if it is new.
+    /// Adds an endpoint to the members of a group if it is not a member yet.
     pub(crate) fn ensure_endpoint(&mut self, index: EndpointIndex, group: GroupIndex, zone: usize) {
         self.ensure_group(group);
         if self.endpoints.len() <= index {
@@ -152,12 +156,12 @@
         primary.is_some_and(|primary| primary.health.consecutive_failures == 0 && primary.listing.serving)
     }
 
-    /// The group of an endpoint, if it was ever listed.
+    /// The group of an endpoint; `None` if no endpoint list has named the endpoint.
     fn group_of(&self, index: EndpointIndex) -> Option<GroupIndex> {
         self.endpoints.get(index).map(|endpoint| endpoint.listing.group)
     }
 
-    /// Work recently completed for this instance, in seconds, averaged over warm endpoints.
+    /// Work recently completed for this instance, in seconds, averaged over the warm endpoints that are serving.
     pub(crate) fn mean_warm_work(&self) -> f64 {
         let window = self.settings.settings.overload_window;
         let is_warm =
@@ -167,12 +171,12 @@
         work.iter().sum::<f64>() / work.len().max(1) as f64
     }
 
-    /// Slow-start fraction of an endpoint's capacity by the settings; `None` if it is warm.
+    /// Fraction of its full capacity that an endpoint in slow start has by the settings; `None` if it is warm.
     pub(crate) fn slow_start_fraction(&self, endpoint: &Endpoint) -> Option<f64> {
         let settings = &self.settings.settings;
         let age = self.now - endpoint.listing.started_at?;
-        let warmed = age.as_secs_f64() / settings.slow_start_duration.as_secs_f64().max(1e-9);
-        let fraction = settings.slow_start_fraction + (1.0 - settings.slow_start_fraction) * warmed;
+        let elapsed_share = age.as_secs_f64() / settings.slow_start_duration.as_secs_f64().max(1e-9);
+        let fraction = settings.slow_start_fraction + (1.0 - settings.slow_start_fraction) * elapsed_share;
         (age < settings.slow_start_duration).then_some(fraction)
     }
 }
--- a/routing/src/settings.rs
+++ b/routing/src/settings.rs
@@ -1,58 +1,58 @@
-//! Settings of an instance, fixed at its start. No decision is made here.
+//! Settings of an instance, fixed when it starts. No decision is made here.
 
 use crate::time::TimeDelta;
 
-/// Access of a method: a write, or a read with the consistency that it needs.
+/// How a method accesses data: as a write, or as a read with a required consistency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
     /// A write: only the primary executes it.
     Write,
     /// A read that must see everything committed before it arrived.
     StrongRead,
-    /// A read that must see its session's own writes.
+    /// A read that must see the writes of its own session.
     SessionRead,
-    /// A read of data that is at most this stale when the attempt starts.
+    /// A read whose data may be stale by at most this when the attempt starts.
     BoundedRead(TimeDelta),
     /// A read that any member may serve, however stale its data.
     AnyRead,
 }
 
-/// Whether a request that may have been executed can be retried.
+/// Whether a request may be retried after it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Always, at any endpoint.
+    /// It may always be retried, at any endpoint.
     Idempotent,
-    /// With an idempotency key: duplicates are dropped for a time, counted from the first attempt that may have been
-    /// executed.
+    /// It has an idempotency key, by which endpoints drop duplicates. It may be retried within the deduplication
+    /// window, which starts with the first attempt that may have been executed.
     Keyed {
-        /// Every group drops duplicates, not only the group that may have executed the request.
+        /// Whether every group drops duplicates, not only the group that may have executed the request.
         all_groups: bool,
-        /// How long duplicates are dropped.
+        /// Length of the deduplication window.
         dedup_window: TimeDelta,
     },
-    /// Never.
+    /// It may never be retried.
     NonIdempotent,
 }
 
 /// Settings of one method.
 #[derive(Clone, Debug)]
 pub struct MethodSettings {
-    /// Access of the method.
+    /// Whether its requests write, or which consistency their reads need.
     pub access: Access,
-    /// Whether its requests can be retried.
+    /// Whether its requests may be retried after they may have been executed.
     pub idempotency: Idempotency,
-    /// An answer within this time has its full value.
+    /// Maximum latency at which an answer has its full value.
     pub latency_objective: TimeDelta,
     /// Maximum time that a client waits for an answer.
     pub deadline: TimeDelta,
-    /// Value of an answer within the objective, relative to other methods.
+    /// Value of an answer within the latency objective, relative to the other methods.
     pub priority_weight: f64,
-    /// The fraction of its value that an answer after the latency objective still has.
+    /// Fraction of its value that an answer keeps after the latency objective, from 0 to 1.
     pub late_value_fraction: f64,
 }
 
 impl MethodSettings {
-    /// The bound on staleness of a bounded read.
+    /// The staleness bound of a bounded read; `None` for any other access.
     pub fn staleness_bound(&self) -> Option<TimeDelta> {
         match self.access {
             Access::BoundedRead(bound) => Some(bound),
@@ -61,52 +61,54 @@
     }
 }
 
-/// How endpoints handle reads for which their data is too stale.
+/// What an endpoint does with a read for which its data is too stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LagHandling {
-    /// They serve stale data, so the router must check beforehand.
+    /// It serves the stale data, so the router must check the staleness before it sends the read.
     ServeStale,
-    /// They reject the read unexecuted.
+    /// It rejects the read without executing it.
     Reject,
-    /// They wait up to this long to catch up, then reject the read.
+    /// It lets the read wait for up to this long while it catches up, then rejects the read.
     Wait(TimeDelta),
 }
 
 /// Settings of an instance.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// Methods by [`MethodIndex`](crate::MethodIndex).
+    /// The methods, indexed by [`MethodIndex`](crate::MethodIndex).
     pub methods: Vec<MethodSettings>,
     /// Number of instances that route to the same endpoints.
     pub instances: u32,
     /// The zone of this instance.
     pub zone: usize,
-    /// Resolution of clocks and positions.
+    /// Resolution of the clocks and of the positions that endpoints report.
     pub clock_resolution: TimeDelta,
-    /// How endpoints handle reads for which their data is too stale.
+    /// What endpoints do with reads for which their data is too stale.
     pub lag_handling: LagHandling,
-    /// Clients send the time of their session's last write; otherwise the policy keeps the positions of sessions'
-    /// writes.
+    /// Whether clients send the time of their session's last write. If not, the policy keeps the positions of each
+    /// session's writes.
     pub clients_send_last_write: bool,
     /// Maximum time between two polls of the endpoint list: a change counts as known this long after the last poll.
     /// `None` if lists are pushed.
     pub max_list_poll_interval: Option<TimeDelta>,
-    /// Maximum attempts per request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// An attempt in flight can be cancelled.
+    /// Whether the policy may cancel attempts in flight.
     pub may_cancel: bool,
-    /// Health checks are allowed.
+    /// Whether the policy may request health checks.
     pub may_check_health: bool,
-    /// The longest Retry-After that clients honour, if the deployment allows one.
+    /// Maximum Retry-After that clients honour; `None` if rejections must not carry one.
     pub max_retry_after: Option<TimeDelta>,
-    /// Fraction of its capacity that an endpoint has at its start.
+    /// Fraction of its full capacity that an endpoint has when its process starts.
     pub slow_start_fraction: f64,
-    /// Time from its start until an endpoint has its full capacity.
+    /// Time from the start of an endpoint's process until the endpoint has its full capacity.
     pub slow_start_duration: TimeDelta,
-    /// An endpoint in slow start collapses when it gets more than this multiple of its present capacity ...
+    /// Load that overloads an endpoint in slow start if it lasts for `overload_window`, as a multiple of the
+    /// capacity that the endpoint has at that time.
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// How long an endpoint in slow start withstands a load above `overload_multiple`.
     pub overload_window: TimeDelta,
-    /// An endpoint that is missing from a complete list stays usable: only a listed drain ends its use.
+    /// Whether an endpoint that is missing from a complete list stays usable. If so, only a list entry with the status
+    /// [`EndpointStatus::Draining`](crate::EndpointStatus::Draining) ends its use.
     pub unlisted_stay_usable: bool,
 }
--- a/routing/src/snapshot.rs
+++ b/routing/src/snapshot.rs
@@ -1,42 +1,42 @@
-//! What the routing policy knows of an endpoint, for operators. No decision is made here.
+//! The routing policy's state of an endpoint, as operators can query it. No decision is made here.
 
 use crate::events::EndpointIndex;
 use crate::routing_policy::RoutingPolicy;
 use crate::state::endpoint::{EndpointCapacity, ReportedState};
 use crate::time::{TimeDelta, Timestamp};
 
-/// Attempts of this instance in flight at an endpoint, and their limit.
+/// How much of an endpoint's capacity this instance uses and may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacitySnapshot {
-    /// Attempts of this instance in flight.
+    /// Number of attempts of this instance in flight.
     pub in_flight: u32,
-    /// Maximum attempts of this instance in flight; below 1 it is a rate, in seconds of work per second.
+    /// Maximum number of attempts of this instance in flight. Below 1 it is a rate, in seconds of work per second.
     pub concurrency_limit: f64,
-    /// Fraction of its capacity that it has in slow start; `None` if it is warm.
+    /// Fraction of its full capacity that the endpoint has in slow start; `None` if it is warm.
     pub slow_start_fraction: Option<f64>,
 }
 
-/// Last report of an endpoint.
+/// What an endpoint has last reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportSnapshot {
-    /// Replication lag at its last reported position.
+    /// Replication lag by the last reported position; `None` if none was reported.
     pub lag: Option<TimeDelta>,
-    /// Time since it last reported its position.
+    /// Time since a position was last reported; `None` if none was reported.
     pub age: Option<TimeDelta>,
-    /// Last reported load, as a fraction of its cores.
+    /// Last reported load as a fraction of the endpoint's cores; `None` if none was reported.
     pub load: Option<f64>,
 }
 
 /// The routing policy's state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointSnapshot {
-    /// The endpoint list allows new attempts.
+    /// Whether the endpoint list allows new attempts.
     pub serving: bool,
-    /// It is assumed to be the primary of its group.
+    /// Whether the policy assumes it to be the primary of its group.
     pub primary: bool,
-    /// Remaining time of its ejection, if it is ejected.
+    /// Remaining time of its ejection; `None` if it is not ejected.
     pub ejected_for: Option<TimeDelta>,
-    /// Attempts in flight and their limit.
+    /// Its attempts in flight and their limit.
     pub capacity: CapacitySnapshot,
     /// Its last report.
     pub report: ReportSnapshot,
@@ -58,18 +58,18 @@
         ReportSnapshot {
             lag: reported.lag(),
             age: (reported_at > Timestamp::DISTANT_PAST).then(|| now - reported_at),
-            load: reported.load.map(|load| load.busy),
+            load: reported.load.map(|load| load.busy_fraction),
         }
     }
 }
 
 impl RoutingPolicy {
-    /// Number of sessions whose positions are kept.
+    /// Number of sessions for which the policy keeps the position of the last write.
     pub fn tracked_sessions(&self) -> usize {
         self.session_writes.len()
     }
 
-    /// Snapshot of an endpoint; `None` if it was never listed.
+    /// Snapshot of an endpoint; `None` if no endpoint list has named it.
     pub fn endpoint_snapshot(&self, now: Timestamp, index: EndpointIndex) -> Option<EndpointSnapshot> {
         let endpoint = self.endpoints.get(index)?;
         let group = self.groups.get(endpoint.listing.group);
--- a/routing/src/state/compiled_settings.rs
+++ b/routing/src/state/compiled_settings.rs
@@ -1,25 +1,25 @@
-//! Values derived from the settings. They are computed in `policy::compiled_settings`.
+//! Types of the values derived from the settings; `policy::compiled_settings` computes them.
 
 use crate::events::MethodIndex;
 use crate::settings::{Access, RoutingSettings};
 use crate::time::TimeDelta;
 
-/// Policy of a method.
+/// How requests of one method are treated.
 pub struct MethodPolicy {
     pub access: Access,
-    /// How long a request may be retried, from the first attempt that may have executed it.
+    /// How long a request may be retried, counted from the start of the first attempt that may have been executed.
     pub retry_window: TimeDelta,
-    /// Its client may retry it even if it has been executed.
+    /// Whether a client may retry a request that may have been executed.
     pub client_may_retry: bool,
     pub latency_objective: TimeDelta,
-    /// An answer after the latency objective still has some value.
+    /// Whether an answer after the latency objective still has some value.
     pub useful_when_late: bool,
-    /// Its reads may delay a replica's log for longer than some other method's bound on staleness.
+    /// Whether its reads may keep a replica from applying the log for longer than another method's staleness bound.
     pub delays_replication: bool,
 }
 
 impl MethodPolicy {
-    /// Whether it is a method of writes.
+    /// Whether its requests are writes.
     pub fn is_write(&self) -> bool {
         self.access == Access::Write
     }
@@ -27,32 +27,33 @@
 
 /// Time spans derived from the settings.
 pub struct DerivedTimes {
+    /// Time between two polls of the endpoint list; `None` if lists are pushed.
     pub list_poll_interval: Option<TimeDelta>,
-    /// A final answer is given this long before its deadline.
+    /// A final answer is given this long before the request's deadline.
     pub answer_margin: TimeDelta,
     pub tick_interval: TimeDelta,
-    /// Age from which a reported position is queried again.
+    /// Age at which a reported position is queried again.
     pub max_report_age: TimeDelta,
-    /// The shortest latency objective.
+    /// The shortest latency objective of all methods.
     pub tightest_objective: TimeDelta,
 }
 
-/// Bounds of the concurrency limits of endpoints.
+/// Bounds of an endpoint's concurrency limit for this instance.
 pub struct ConcurrencyBounds {
-    /// Limit of a new endpoint.
+    /// Limit of an endpoint before its answers adapt it.
     pub initial_limit: f64,
-    /// The smallest value that a limit is reduced to.
+    /// The smallest value to which late answers reduce a limit.
     pub min_limit: f64,
 }
 
-/// The settings of an instance, and the times and limits derived from them.
+/// The settings of an instance and the values derived from them.
 pub struct CompiledSettings {
     pub settings: RoutingSettings,
     pub methods: Vec<MethodPolicy>,
     /// Methods in the order in which waiting requests are retried.
     pub retry_order: Vec<MethodIndex>,
     pub times: DerivedTimes,
-    /// This instance's assumed fraction of all instances' traffic.
+    /// The fraction of all instances' traffic that this instance is assumed to have.
     pub instance_share: f64,
     pub concurrency: ConcurrencyBounds,
 }
--- a/routing/src/state/endpoint.rs
+++ b/routing/src/state/endpoint.rs
@@ -1,33 +1,33 @@
-//! State of an endpoint.
+//! State of an endpoint. Times are by this instance's clock.
 
 use crate::events::GroupIndex;
 use crate::time::{TimeDelta, Timestamp};
 
-/// Load reported by an endpoint, and when.
+/// Load reported by an endpoint.
 #[derive(Clone, Copy)]
 pub struct LoadReport {
-    /// Fraction of its cores that is busy.
-    pub busy: f64,
-    pub at: Timestamp,
+    /// Fraction of the endpoint's cores that is busy.
+    pub busy_fraction: f64,
+    pub received_at: Timestamp,
 }
 
-/// Entry of the endpoint list for an endpoint.
+/// What the endpoint list says of an endpoint.
 #[derive(Default)]
 pub struct EndpointListing {
     pub group: GroupIndex,
     pub zone: usize,
-    /// The endpoint list allows new attempts.
+    /// Whether the endpoint may get new attempts.
     pub serving: bool,
-    /// When its process last started, if that was recent.
+    /// When its process last started; `None` if that is unknown or too long ago to matter.
     pub started_at: Option<Timestamp>,
-    /// `started_at` is only the latest possible start.
+    /// Whether `started_at` is only the latest possible start time.
     pub start_is_upper_bound: bool,
 }
 
 /// Position and load reported by an endpoint.
 #[derive(Default)]
 pub struct ReportedState {
-    /// The highest position ever reported; it never decreases.
+    /// The highest position that the endpoint has ever reported.
     pub position: Option<Timestamp>,
     /// When a position was last reported, even if it was not the highest.
     pub position_reported_at: Timestamp,
@@ -41,7 +41,7 @@
         self.position_reported_at = now;
     }
 
-    /// Replication lag at the last reported position.
+    /// Replication lag by the last reported position; `None` if none was reported.
     pub fn lag(&self) -> Option<TimeDelta> {
         self.position.map(|position| self.position_reported_at - position)
     }
@@ -50,14 +50,14 @@
 /// Evidence for and against an endpoint being the primary of its group.
 #[derive(Default)]
 pub struct RoleEvidence {
-    /// Time as of which it claims to be the primary.
+    /// The latest time for which the endpoint has claimed to be the primary; `None` without a claim.
     pub primary_claim: Option<Timestamp>,
-    /// When an answer last denied that it is the primary.
+    /// When the endpoint last denied in an answer that it is the primary.
     pub primary_denied_at: Timestamp,
 }
 
 impl RoleEvidence {
-    /// Time of the latest evidence; [`Timestamp::DISTANT_PAST`] if there is none.
+    /// Time of the latest claim or denial; [`Timestamp::DISTANT_PAST`] if there is none.
     pub fn latest_evidence_at(&self) -> Timestamp {
         self.primary_denied_at.max(self.primary_claim.unwrap_or_default())
     }
@@ -69,35 +69,35 @@
     pub answered_at: Timestamp,
     pub consecutive_failures: u32,
     pub failed_at: Timestamp,
-    /// It gets no attempts until this time.
+    /// The endpoint gets no attempts until this time.
     pub ejected_until: Timestamp,
     pub check_in_flight: bool,
     pub checked_at: Timestamp,
 }
 
-/// Work of this instance at an endpoint, in seconds.
+/// Estimated work of this instance at an endpoint, in seconds.
 #[derive(Default)]
 pub struct WorkEstimate {
-    /// Outstanding work when the last attempt started.
-    pub at_last_attempt: f64,
+    /// Work that was outstanding after the last attempt started, including that attempt.
+    pub outstanding_at_last_attempt: f64,
     pub last_attempt_at: Timestamp,
-    /// Completed work, with exponential decay.
+    /// Work completed until `completed_at`, with exponential decay over the overload window.
     pub completed: f64,
     pub completed_at: Timestamp,
 }
 
-/// Attempts of this instance in flight at an endpoint, and their limit.
+/// How much of an endpoint's capacity this instance uses and may use.
 #[derive(Default)]
 pub struct EndpointCapacity {
-    /// Attempts of this instance in flight.
+    /// Number of attempts of this instance in flight.
     pub in_flight: u32,
-    /// Maximum attempts of this instance in flight; below 1 it is a rate, in seconds of work per second.
+    /// Maximum number of attempts of this instance in flight. Below 1 it is a rate, in seconds of work per second.
     pub concurrency_limit: f64,
     pub limit_reduced_at: Timestamp,
     pub work: WorkEstimate,
 }
 
-/// An endpoint. Times are by this instance's clock.
+/// Everything that the policy knows of an endpoint.
 #[derive(Default)]
 pub struct Endpoint {
     pub listing: EndpointListing,
@@ -108,12 +108,12 @@
 }
 
 impl WorkEstimate {
-    /// Outstanding work in seconds, if `rate` seconds of it are completed per second.
+    /// Outstanding work in seconds, assuming that the endpoint completes `rate` seconds of work per second.
     pub fn outstanding(&self, rate: f64, now: Timestamp) -> f64 {
-        (self.at_last_attempt - rate * (now - self.last_attempt_at).as_secs_f64()).max(0.0)
+        (self.outstanding_at_last_attempt - rate * (now - self.last_attempt_at).as_secs_f64()).max(0.0)
     }
 
-    /// Work recently completed for this instance in seconds, with exponential decay over `window`.
+    /// Work completed for this instance until `now` in seconds, with exponential decay over `window`.
     pub fn recent(&self, window: TimeDelta, now: Timestamp) -> f64 {
         let elapsed = (now - self.completed_at).as_secs_f64();
         self.completed * (-elapsed / window.as_secs_f64().max(1e-9)).exp()
@@ -121,9 +121,9 @@
 }
 
 impl EndpointCapacity {
-    /// Records the start of an attempt with an expected work in seconds.
+    /// Records the start of an attempt that is expected to take `work` seconds of work.
     pub fn start_work(&mut self, work: f64, now: Timestamp) {
-        self.work.at_last_attempt = self.work.outstanding(self.concurrency_limit, now) + work;
+        self.work.outstanding_at_last_attempt = self.work.outstanding(self.concurrency_limit, now) + work;
         self.work.last_attempt_at = now;
         self.in_flight += 1;
     }
@@ -137,29 +137,30 @@
 }
 
 impl Endpoint {
-    /// Whether it has reported, since a time, a load above this fraction of its cores.
-    pub fn reported_busier_than(&self, busy: f64, since: Timestamp) -> bool {
-        self.reported.load.is_some_and(|load| load.at > since && load.busy > busy)
+    /// Whether the last load report arrived after `since` and states that more than `busy_fraction` of the
+    /// endpoint's cores are busy.
+    pub fn reported_busier_than(&self, busy_fraction: f64, since: Timestamp) -> bool {
+        self.reported.load.is_some_and(|load| load.received_at > since && load.busy_fraction > busy_fraction)
     }
 
-    /// Whether it has failed and has not answered since.
-    pub fn is_silent(&self) -> bool {
+    /// Whether the endpoint has failed and has not answered since then.
+    pub fn silent_since_failure(&self) -> bool {
         self.health.consecutive_failures > 0 && self.health.answered_at <= self.health.failed_at
     }
 
-    /// Whether it serves, has not failed recently, and its data is complete beyond a position.
+    /// Whether the endpoint is serving, has not failed recently, and has reported a position later than `position`.
     pub fn is_fresh_since(&self, position: Timestamp) -> bool {
         self.listing.serving
             && self.reported.position > Some(position)
             && self.health.consecutive_failures == 0
     }
 
-    /// Whether this instance has no attempt in flight at it.
+    /// Whether this instance has no attempt in flight at the endpoint.
     pub fn is_idle(&self) -> bool {
         self.capacity.in_flight == 0
     }
 
-    /// Whether it has ever answered.
+    /// Whether the endpoint has ever answered an attempt or a health check.
     pub fn has_answered(&self) -> bool {
         self.health.answered_at > Timestamp::DISTANT_PAST
     }
--- a/routing/src/state/group.rs
+++ b/routing/src/state/group.rs
@@ -3,21 +3,21 @@
 use crate::events::{EndpointIndex, PrimaryEligibility, RequestId};
 use std::collections::BTreeSet;
 
-/// A replication group.
+/// A replication group: a primary and its replicas.
 #[derive(Clone, Default)]
 pub struct Group {
     pub members: Vec<EndpointIndex>,
-    /// Waiting requests by method.
+    /// The requests that wait for an endpoint, by method.
     pub waiting: Vec<BTreeSet<RequestId>>,
-    /// The member that is assumed to be the primary.
+    /// The member that the policy assumes to be the primary.
     pub primary: Option<EndpointIndex>,
     pub eligibility: PrimaryEligibility,
-    /// Health checks that its requests have earned.
+    /// Number of health checks that may be made for the group; its requests add to it.
     pub health_check_credit: f64,
 }
 
 impl Group {
-    /// Creates a group without members for this many methods.
+    /// Creates a group without members, for settings with `methods` methods.
     pub fn new(methods: usize) -> Group {
         Group { waiting: vec![BTreeSet::new(); methods], ..Group::default() }
     }
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether any request waits.
+    /// Whether any request waits for an endpoint.
     pub fn has_waiting(&self) -> bool {
         self.waiting.iter().any(|requests| !requests.is_empty())
     }
--- a/routing/src/state/request.rs
+++ b/routing/src/state/request.rs
@@ -3,42 +3,42 @@
 use crate::events::{AttemptEnd, AttemptOutcome, EndpointIndex, GroupIndex, MethodIndex};
 use crate::time::{TimeDelta, Timestamp};
 
-/// Phase of a request.
+/// Phase in the lifecycle of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RequestPhase {
-    /// Waiting for an endpoint.
+    /// The request waits for an endpoint.
     #[default]
     Waiting,
-    /// An attempt is in flight.
+    /// An attempt of the request is in flight.
     InFlight,
-    /// Answered, or no answer is needed any more.
+    /// The request was answered or needs no answer any more.
     Done,
 }
 
 /// Event in the lifecycle of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEvent {
-    /// It may be possible to start an attempt: the request arrived, or its group changed.
-    Progress,
-    /// An endpoint was selected for its next attempt.
+    /// An attempt may have become possible: the request arrived, or the state of its group changed.
+    AttemptPossible,
+    /// An endpoint was selected for the next attempt.
     EndpointSelected(EndpointIndex),
-    /// No attempt that could still start would be of use.
-    NoProspect,
-    /// Its attempt ended without an answer for the client.
+    /// No further attempt can give a useful answer.
+    CannotSucceed,
+    /// The attempt in flight ended without an answer for the client.
     AttemptFailed,
-    /// No answer is needed any more.
+    /// The request needs no answer any more.
     Closed,
-    /// The final answer is due.
+    /// The final answer must be given now.
     AnswerDue,
 }
 
-/// Arrival and deadlines of a request.
+/// Arrival time and deadlines of a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestDeadlines {
     pub arrived_at: Timestamp,
     /// An answer after this time has no value.
     pub useful_until: Timestamp,
-    /// Its final answer must be given by this time.
+    /// The final answer must be given by this time.
     pub answer_by: Timestamp,
 }
 
@@ -49,15 +49,15 @@
     }
 }
 
-/// Session guarantees of a request: the position that a read must see, and the session that a write is recorded for.
+/// What session guarantees require: the position that a read must see, or the session whose write is recorded.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SessionRequirement {
-    /// Position that a read must see regardless of its bound on staleness: that of its arrival, or of what its
-    /// session wrote or read before.
+    /// Position that a read must see, in addition to its staleness bound: its arrival time for a strong read, or what
+    /// its session has written or seen before.
     pub required_position: Option<Timestamp>,
-    /// The required position includes one that the session has seen, which endpoints do not check themselves.
-    pub carries_position: bool,
-    /// Session that a write is recorded for, if this instance keeps session positions.
+    /// Whether `required_position` includes a position that the session has seen. Endpoints do not check it themselves.
+    pub includes_seen_position: bool,
+    /// Session for which a write is recorded; `None` for a read or if this instance keeps no session positions.
     pub recorded_session: Option<u64>,
 }
 
@@ -66,9 +66,9 @@
 pub struct AttemptHistory {
     /// Number of attempts started.
     pub started: u32,
-    /// An attempt has reached an endpoint, whether or not it was executed.
+    /// Whether an attempt has reached an endpoint, executed or not.
     pub reached_endpoint: bool,
-    /// End of the retry window, set once the request may have been executed.
+    /// End of the retry window; `None` until the request may have been executed.
     pub retry_until: Option<Timestamp>,
     /// Number of attempts rejected because the endpoint was not the primary or too stale.
     pub eligibility_rejections: u32,
@@ -77,7 +77,7 @@
 }
 
 impl AttemptHistory {
-    /// Records an attempt that ended without a value.
+    /// Records an attempt that did not succeed.
     pub fn record_failure(&mut self, end: &AttemptEnd) {
         let not_sent = matches!(end.outcome, AttemptOutcome::NotSent | AttemptOutcome::Unreachable);
         self.reached_endpoint |= !not_sent;
@@ -86,7 +86,7 @@
     }
 }
 
-/// An open request.
+/// A request that is waiting or has an attempt in flight.
 #[derive(Default)]
 pub struct Request {
     pub phase: RequestPhase,
@@ -94,21 +94,22 @@
     pub group: GroupIndex,
     pub deadlines: RequestDeadlines,
     pub session: SessionRequirement,
-    /// It is a client's retry: the client has most likely given up waiting for an earlier answer.
+    /// Whether the request is its client's retry. The client has then most likely stopped waiting for the answer to
+    /// its earlier request.
     pub client_retry: bool,
     pub attempts: AttemptHistory,
     pub in_flight: Option<InFlightAttempt>,
 }
 
-/// An attempt in flight.
+/// The attempt of a request that is in flight.
 pub struct InFlightAttempt {
-    /// Index among the attempts of its request.
+    /// Index among the attempts of the request, from 0.
     pub number: u32,
     pub started_at: Timestamp,
     /// Expected work at the endpoint, in seconds.
     pub work: f64,
-    /// Latency from which an answer indicates a queue at the endpoint.
+    /// An answer that takes at least this long counts as late, which indicates a queue at the endpoint.
     pub queue_threshold: TimeDelta,
-    /// At least half of the endpoint's concurrency limit was in use when it started.
+    /// Whether at least half of the endpoint's concurrency limit was in use when the attempt started.
     pub under_pressure: bool,
 }
--- a/routing/src/state/timer_tag.rs
+++ b/routing/src/state/timer_tag.rs
@@ -1,20 +1,20 @@
-//! Purposes of the routing policy's timers, encoded as the numbers that the host stores.
+//! The purposes of the routing policy's timers, encoded as numbers for the host.
 
 use crate::events::RequestId;
 
 /// The purpose of a timer.
 #[derive(Clone, Copy)]
 pub enum TimerTag {
-    /// The regular tick.
+    /// The periodic tick of the policy.
     Tick,
-    /// Half of a request's time has passed.
+    /// Half of the time between a request's arrival and its final answer has passed.
     HalfTime(RequestId),
-    /// The final answer of a request is due.
+    /// The final answer to a request must be given now.
     AnswerDue(RequestId),
 }
 
 impl TimerTag {
-    /// Encodes the tag.
+    /// Encodes the purpose: 0 for the tick, otherwise odd and even numbers for the two timers of a request.
     pub fn encode(self) -> u64 {
         match self {
             TimerTag::Tick => 0,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Decodes a tag.
+    /// Decodes a number that [`TimerTag::encode`] gave.
     pub fn decode(tag: u64) -> TimerTag {
         match tag {
             0 => TimerTag::Tick,
--- a/routing/src/time.rs
+++ b/routing/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time and signed time differences, kept apart by type.
+//! Points in time and signed time differences, as separate types.
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
@@ -14,7 +14,7 @@
 pub struct TimeDelta(pub i64);
 
 impl Timestamp {
-    /// Earlier than any time that a clock shows: the time of what has never happened.
+    /// A time earlier than any clock reading. It stands for the time of an event that has never happened.
     pub const DISTANT_PAST: Timestamp = Timestamp(i64::MIN / 4);
 }
 
@@ -25,15 +25,15 @@
 }
 
 impl TimeDelta {
-    /// No time at all.
+    /// The difference between equal points in time.
     pub const ZERO: TimeDelta = TimeDelta(0);
 
-    /// A difference of whole milliseconds.
+    /// Creates a difference of whole milliseconds.
     pub const fn from_millis(millis: i64) -> TimeDelta {
         TimeDelta(millis * NANOS_PER_MILLI)
     }
 
-    /// A difference in seconds, cut off to whole nanoseconds.
+    /// Creates a difference from seconds, truncated to whole nanoseconds.
     pub fn from_secs_f64(secs: f64) -> TimeDelta {
         TimeDelta((secs * NANOS_PER_SEC) as i64)
     }
@@ -43,13 +43,13 @@
         self.0 as f64 / NANOS_PER_SEC
     }
 
-    /// The difference scaled by a factor, cut off to whole nanoseconds.
+    /// The difference multiplied by a factor, truncated to whole nanoseconds.
     pub fn mul_f64(self, factor: f64) -> TimeDelta {
         TimeDelta((self.0 as f64 * factor) as i64)
     }
 }
 
-/// Implements an operator on the nanoseconds of both sides, saturating at the ends of `i64`.
+/// Implements an operator on the nanoseconds of both operands, saturating at the bounds of `i64`.
 macro_rules! saturating_operator {
     ($operator:ident, $method:ident, $saturating:ident: $left:ident, $right:ident => $output:ident) => {
         impl $operator<$right> for $left {
