--- a/routing/tests/positions.rs
+++ b/routing/tests/positions.rs
@@ -1,4 +1,4 @@
-//! Read your writes and monotonic reads: positions that sessions have seen or written limit where their reads may go.
+//! Read-your-writes and monotonic reads: which endpoints may serve a session's reads after its earlier requests.
 
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
@@ -10,13 +10,13 @@
 #[test]
 fn no_read_goes_to_a_replica_behind_the_position_its_session_has_seen() {
     for lag_handling in LAG_HANDLINGS {
-        let mut harness = Harness::with_reports(lag_handling, 1, 1);
+        let mut harness = Harness::with_health_checks(lag_handling, 1, 1);
         harness.seen_position = Some(harness.now + TimeDelta::from_millis(50));
         harness.advance(TimeDelta::from_millis(100));
         let reads = [ANY_READ, LONG_READ, BOUNDED_READ].map(|method| harness.arrive(method, 0, 1.0));
         assert!(
             reads.iter().all(|request| harness.open_requests[request].in_flight.is_none()),
-            "{lag_handling:?}: a read was sent although no replica had reported the position"
+            "{lag_handling:?}: a read was sent although no replica had reported its session's position"
         );
         harness.health_check_ended(
             2,
@@ -29,8 +29,8 @@
     }
 }
 
-/// A routing policy that tracks the positions of sessions' writes itself, with a primary (0) and a replica (1), and
-/// the actions that it has requested since the last arrival.
+/// A routing policy that keeps the positions of sessions' writes itself, with a primary (endpoint 0) and a replica
+/// (endpoint 1), and the actions that it has requested since the last arrival.
 struct SessionRouter {
     policy: RoutingPolicy,
     actions: Vec<Action>,
@@ -52,8 +52,8 @@
         self.policy.on_event(now, event, &mut self.actions);
     }
 
-    /// Reports a health check of `endpoint` at `now` with `position`.
-    fn check(&mut self, now: Timestamp, endpoint: EndpointIndex, position: Timestamp) {
+    /// Reports a successful health check of `endpoint` at `now` with `position`.
+    fn report_position(&mut self, now: Timestamp, endpoint: EndpointIndex, position: Timestamp) {
         let role = if endpoint == 0 { Role::Primary } else { Role::Replica };
         self.report(now, health_check_succeeded(endpoint, endpoint_report(position, role)));
     }
@@ -66,12 +66,12 @@
         self.report(now, Event::RequestArrived(arrival));
     }
 
-    /// The endpoint of the first attempt of `request` since the last arrival.
+    /// The endpoint of the first attempt of `request` that was started since the last arrival.
     fn sent_to(&self, request: RequestId) -> Option<EndpointIndex> {
         attempt_started(&self.actions, request)
     }
 
-    /// Whether an attempt of `request` was started to `endpoint` since the last arrival.
+    /// Whether an attempt of `request` at `endpoint` was started since the last arrival.
     fn starts(&self, request: RequestId, endpoint: EndpointIndex) -> bool {
         self.actions.iter().any(|action| {
             matches!(action, Action::StartAttempt { request: started, endpoint: to, .. }
@@ -82,28 +82,29 @@
     /// Reports `position` of the replica and then a read of session 7, both at `now`. Returns whether the read goes to
     /// the replica.
     fn read_goes_to_replica(&mut self, now: Timestamp, position: Timestamp) -> bool {
-        self.check(now, 1, position);
+        self.report_position(now, 1, position);
         self.arrive(now, 2, ANY_READ, 7);
         self.starts(2, 1)
     }
 }
 
-/// A router whose primary reported at [`START`], where write 1 of session 7 is in flight since then.
+/// A router whose primary reported its position at [`START`]. Write 1 of session 7 has been in flight at the primary
+/// since then.
 fn router_with_write_in_flight() -> SessionRouter {
     let mut router = SessionRouter::new();
-    router.check(START, 0, START);
+    router.report_position(START, 0, START);
     router.arrive(START, 1, WRITE, 7);
     assert!(router.starts(1, 0), "the write was not sent to the primary");
     router
 }
 
 #[test]
-fn positions_of_old_sessions_are_dropped_without_weakening_read_your_writes() {
+fn dropped_session_positions_still_guarantee_read_your_writes() {
     let mut router = SessionRouter::new();
-    router.check(START, 0, START);
-    router.check(START, 1, START);
-    // Far more sessions write, once each, than can be tracked. The replica makes no progress, so that no position
-    // becomes unnecessary.
+    router.report_position(START, 0, START);
+    router.report_position(START, 1, START);
+    // More sessions write, once each, than the policy keeps positions for. The replica applies none of the writes, so
+    // all their positions are still needed.
     let (session_count, mut now) = (80_000u64, START);
     for session in 0..session_count {
         now = now + TimeDelta(10_000);
@@ -120,27 +121,27 @@
     }
     router.report(now, Event::TimerFired { tag: 0 });
     let tracked = router.policy.tracked_sessions();
-    assert!(tracked <= 1 << 16, "{tracked} are tracked");
-    // The position of the first session was dropped. Its reads still do not go to a replica that may not have reached
-    // it.
+    assert!(tracked <= 1 << 16, "positions of {tracked} sessions are kept, at most {} are allowed", 1 << 16);
+    // The position of the first session was dropped. Its reads must still not go to a replica that may not have
+    // reached that position.
     for (request, session) in [(session_count, 0), (session_count + 1, session_count - 1)] {
         router.arrive(now, request, ANY_READ, session);
-        assert_ne!(router.sent_to(request), Some(1), "session {session}");
+        assert_ne!(router.sent_to(request), Some(1), "a read of session {session} went to the replica");
     }
-    // Once every endpoint has reached all positions, none is tracked. The last write lies anywhere within the
-    // millisecond that was reported.
+    // Once every endpoint has reached all positions, none is kept. Positions are reported in milliseconds, so the last
+    // write may have been committed at any time within the reported millisecond.
     now = now + TimeDelta::from_millis(1);
-    router.check(now, 0, now);
-    router.check(now, 1, now);
+    router.report_position(now, 0, now);
+    router.report_position(now, 1, now);
     router.report(now, Event::TimerFired { tag: 0 });
     assert_eq!(router.policy.tracked_sessions(), 0);
     router.arrive(now, session_count + 2, ANY_READ, 3);
     assert_eq!(router.sent_to(session_count + 2), Some(1));
 }
 
-/// Ends a write of session 7 at the primary, after its client has disconnected if `client_gone`. The answer reports
-/// the position `position` before the end of the write. Returns whether a read of the session 100 ms later goes to the
-/// replica, which is at the position `behind` before the end of the write.
+/// Ends a write of session 7 successfully, after its client has disconnected if `client_gone`. The answer reports a
+/// position that is `position` before the end of the write, if given. Returns whether a read of the session 100 ms
+/// later goes to the replica, whose position is `behind` before the end of the write.
 fn read_after_write_goes_to_replica(
     client_gone: bool,
     position: Option<TimeDelta>,
@@ -164,30 +165,30 @@
 }
 
 #[test]
-fn reads_see_their_sessions_write_even_if_its_client_left_or_no_position_was_reported() {
+fn a_read_sees_the_successful_write_of_its_session() {
     let ms = TimeDelta::from_millis;
     for client_gone in [false, true] {
         assert!(
             !read_after_write_goes_to_replica(client_gone, Some(ms(5)), ms(6)),
-            "client gone {client_gone}: the replica has not replicated the write yet"
+            "client gone: {client_gone}; the read went to the replica before it had replicated the write"
         );
         assert!(
             !read_after_write_goes_to_replica(client_gone, Some(ms(5)), ms(5)),
-            "client gone {client_gone}: both may lie anywhere within the same millisecond"
+            "client gone: {client_gone}; the write may be later than the replica within the same millisecond"
         );
         assert!(
             read_after_write_goes_to_replica(client_gone, Some(ms(5)), ms(4)),
-            "client gone {client_gone}: the replica has replicated the write"
+            "client gone: {client_gone}; the read did not go to the replica that had replicated the write"
         );
         assert!(
             !read_after_write_goes_to_replica(client_gone, None, ms(1)),
-            "client gone {client_gone}: without a position the write may have run at its end"
+            "client gone: {client_gone}; without a position the write may have been committed when it ended"
         );
     }
 }
 
-/// Ends the attempt of a write of session 7 with `outcome`, or leaves it in flight. Returns whether a read of the
-/// session 100 ms later goes to the replica, which is `behind` the time of the read.
+/// Ends the attempt of a write of session 7 with `outcome`, or leaves it in flight if that is `None`. Returns whether a
+/// read of the session 100 ms later goes to the replica, whose position is `behind` before the time of the read.
 fn read_after_unanswered_write_goes_to_replica(outcome: Option<AttemptOutcome>, behind: TimeDelta) -> bool {
     let mut router = router_with_write_in_flight();
     let now = START + TimeDelta::from_millis(500);
@@ -202,7 +203,7 @@
 }
 
 #[test]
-fn reads_see_their_sessions_write_that_may_have_run_without_an_answer() {
+fn a_read_sees_the_unanswered_write_of_its_session() {
     let ms = TimeDelta::from_millis;
     for may_have_run in [
         AttemptOutcome::ConnectionLost,
@@ -212,13 +213,19 @@
     ] {
         assert!(
             !read_after_unanswered_write_goes_to_replica(Some(may_have_run), ms(110)),
-            "{may_have_run:?}: the write may have run until the end of its attempt"
+            "{may_have_run:?}: the write may have been committed up to the end of its attempt"
         );
         assert!(
             read_after_unanswered_write_goes_to_replica(Some(may_have_run), ms(90)),
-            "{may_have_run:?}: the write cannot have run after the end of its attempt"
+            "{may_have_run:?}: the write cannot have been committed after the end of its attempt"
         );
     }
-    assert!(!read_after_unanswered_write_goes_to_replica(None, ms(1)), "a write in flight may run until now");
-    assert!(read_after_unanswered_write_goes_to_replica(None, ms(0)));
+    assert!(
+        !read_after_unanswered_write_goes_to_replica(None, ms(1)),
+        "a write in flight may be committed now"
+    );
+    assert!(
+        read_after_unanswered_write_goes_to_replica(None, ms(0)),
+        "the read did not go to the replica that is up to date"
+    );
 }
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -1,9 +1,9 @@
-//! Replays recorded sequences of events through the routing policy and compares every action with what the policy
-//! did when the recording was made, so that refactorings change no decision.
+//! Runs the routing policy on generated sequences of events and compares its actions with a recording, so that a
+//! refactoring cannot change a decision unnoticed.
 //!
-//! The events are generated from a seed and react to the actions, as those of a real host do. `tests/data/replay.txt`
-//! has the number of actions of each run and a checksum over them. `REPLAY_RECORD=1` rewrites that file, which belongs
-//! only in a commit that changes decisions on purpose and says why.
+//! The events are generated from a seed and depend on the policy's actions, as the events of a real host do.
+//! `tests/data/replay.txt` holds the number of recorded lines of each run and a checksum of them. `REPLAY_RECORD=1`
+//! rewrites that file. A commit may contain a rewritten file only if it changes decisions on purpose and says why.
 
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
@@ -21,6 +21,11 @@
 const STEPS: usize = 6_000;
 
 /// The settings of the runs, with their names in the recording.
+///
+/// The names are fixed by the recording. Their meaning, where it is not plain: "usual" has the default settings;
+/// "refuses" and "holds" have endpoints that reject a read for which they are too stale, or let it wait; "no-probes" is
+/// without health checks; "marks-remembered" has a policy that keeps the positions of sessions' writes; and in
+/// "gone-stays-open" endpoints missing from the list stay usable.
 fn recorded_settings() -> Vec<(&'static str, RoutingSettings)> {
     let defaults = || support::routing_settings(LagHandling::ServeStale);
     vec![
@@ -52,56 +57,58 @@
     request: RequestId,
     number: u32,
     endpoint: EndpointIndex,
-    sent: Timestamp,
+    sent_at: Timestamp,
 }
 
-/// A simulated host that reports random events.
-struct Player {
+/// A simulated host that reports random events and keeps a checksum of the actions.
+struct SimulatedHost {
     policy: RoutingPolicy,
     routing_settings: RoutingSettings,
     now: Timestamp,
-    draws: Mwc,
+    rng: Mwc,
     next_request: RequestId,
     attempts: Vec<Attempt>,
-    /// Number of attempts of each open request.
+    /// Number of attempts so far of each open request.
     open_requests: BTreeMap<RequestId, u32>,
     timers: BTreeSet<(Timestamp, u64)>,
     pending_health_checks: Vec<EndpointIndex>,
-    actions: usize,
+    /// Number of recorded lines.
+    line_count: usize,
     checksum: u64,
 }
 
-impl Player {
-    fn new(routing_settings: RoutingSettings, seed: u64) -> Player {
+impl SimulatedHost {
+    fn new(routing_settings: RoutingSettings, seed: u64) -> SimulatedHost {
         let (policy, actions) = support::policy_at_start(seed, &routing_settings);
         let now = support::START;
-        let mut player = Player {
+        let mut host = SimulatedHost {
             policy,
             routing_settings,
             now,
-            draws: Mwc::new(seed ^ 0x5eed),
+            rng: Mwc::new(seed ^ 0x5eed),
             next_request: 0,
             attempts: Vec::new(),
             open_requests: BTreeMap::new(),
             timers: BTreeSet::new(),
             pending_health_checks: Vec::new(),
-            actions: 0,
+            line_count: 0,
             checksum: 0xcbf2_9ce4_8422_2325,
         };
-        player.apply_actions(actions);
+        host.apply_actions(actions);
         let records =
-            (0..ENDPOINTS).map(|endpoint| player.entry(endpoint, EndpointStatus::Serving)).collect();
-        player.report(Event::EndpointList { complete: true, records });
-        player
+            (0..ENDPOINTS).map(|endpoint| host.list_record(endpoint, EndpointStatus::Serving)).collect();
+        host.report(Event::EndpointList { complete: true, records });
+        host
     }
 
-    fn draw(&mut self, end: usize) -> usize {
-        self.draws.below(end)
+    /// A random number below `end`.
+    fn random(&mut self, end: usize) -> usize {
+        self.rng.below(end)
     }
 
-    fn entry(&mut self, endpoint: EndpointIndex, status: EndpointStatus) -> EndpointRecord {
+    fn list_record(&mut self, endpoint: EndpointIndex, status: EndpointStatus) -> EndpointRecord {
         let started_at =
-            (self.draw(8) == 0).then(|| self.now - TimeDelta::from_millis(self.draw(4_000) as i64));
+            (self.random(8) == 0).then(|| self.now - TimeDelta::from_millis(self.random(4_000) as i64));
         EndpointRecord {
             endpoint,
             group: endpoint / 3,
@@ -109,62 +116,64 @@
             status,
             primary: endpoint.is_multiple_of(3),
             started_at,
-            start_is_upper_bound: self.draw(16) == 0,
+            start_is_upper_bound: self.random(16) == 0,
         }
     }
 
-    /// Draws a report of an endpoint: often correct, sometimes outdated, incomplete, or with a position in the future.
+    /// A random report of an endpoint: often correct, sometimes outdated, incomplete, or with a position in the future.
     fn endpoint_report(&mut self, endpoint: EndpointIndex) -> EndpointReport {
-        let lag = [0, 5, 40, 300, 1_200, -400][self.draw(6)];
-        let position = (self.draw(5) > 0).then(|| self.now - TimeDelta::from_millis(lag));
-        let primary = endpoint.is_multiple_of(3) != (self.draw(12) == 0);
-        let role = (self.draw(4) > 0).then_some(if primary { Role::Primary } else { Role::Replica });
-        let load = (self.draw(3) == 0).then(|| self.draw(100) as f64 / 100.0);
+        let lag = [0, 5, 40, 300, 1_200, -400][self.random(6)];
+        let position = (self.random(5) > 0).then(|| self.now - TimeDelta::from_millis(lag));
+        let primary = endpoint.is_multiple_of(3) != (self.random(12) == 0);
+        let role = (self.random(4) > 0).then_some(if primary { Role::Primary } else { Role::Replica });
+        let load = (self.random(3) == 0).then(|| self.random(100) as f64 / 100.0);
         EndpointReport { position, role, load }
     }
 
     fn arrive(&mut self) {
-        let method = self.draw(self.routing_settings.methods.len());
+        let method = self.random(self.routing_settings.methods.len());
         let deadline = self.now
-            + self.routing_settings.methods[method].deadline.mul_f64(0.3 + self.draw(70) as f64 / 100.0);
+            + self.routing_settings.methods[method].deadline.mul_f64(0.3 + self.random(70) as f64 / 100.0);
         let request = self.next_request;
         self.next_request += 1;
         self.open_requests.insert(request, 0);
         let arrival = RequestArrival {
             request,
             method,
-            group: self.draw(GROUPS),
-            session: (self.draw(2) == 0).then(|| self.draw(5) as u64),
-            last_write: (self.draw(4) == 0).then(|| TimeDelta::from_millis(self.draw(400) as i64)),
-            seen_position: (self.draw(8) == 0)
-                .then(|| self.now - TimeDelta::from_millis(self.draw(900) as i64)),
-            received_at: self.now - TimeDelta::from_millis(self.draw(3) as i64),
+            group: self.random(GROUPS),
+            session: (self.random(2) == 0).then(|| self.random(5) as u64),
+            last_write: (self.random(4) == 0).then(|| TimeDelta::from_millis(self.random(400) as i64)),
+            seen_position: (self.random(8) == 0)
+                .then(|| self.now - TimeDelta::from_millis(self.random(900) as i64)),
+            received_at: self.now - TimeDelta::from_millis(self.random(3) as i64),
             deadline,
-            client_retry: self.draw(6) == 0,
+            client_retry: self.random(6) == 0,
         };
         self.report(Event::RequestArrived(arrival));
     }
 
-    fn end_attempt(&mut self) {
+    fn end_random_attempt(&mut self) {
         if self.attempts.is_empty() {
             return;
         }
-        let nth = self.draw(self.attempts.len());
-        let Attempt { request, number, endpoint, sent } = self.attempts.remove(nth);
-        let confirmed = self.policy.may_send_attempt(self.now, request, number, endpoint);
-        self.record(&format!("confirms {request} {number} {endpoint} {confirmed}"));
-        // All outcomes except success.
-        let outcomes = &support::OUTCOMES[1..];
-        let outcome =
-            if self.draw(4) > 0 { AttemptOutcome::Succeeded } else { outcomes[self.draw(outcomes.len())] };
+        let nth = self.random(self.attempts.len());
+        let Attempt { request, number, endpoint, sent_at } = self.attempts.remove(nth);
+        let may_send = self.policy.may_send_attempt(self.now, request, number, endpoint);
+        self.record(&format!("confirms {request} {number} {endpoint} {may_send}"));
+        let failures = &support::OUTCOMES[1..];
+        let outcome = if self.random(4) > 0 {
+            AttemptOutcome::Succeeded
+        } else {
+            failures[self.random(failures.len())]
+        };
         let request_closed =
             outcome == AttemptOutcome::Succeeded || !self.open_requests.contains_key(&request);
         if request_closed {
             self.open_requests.remove(&request);
         }
         let (answer_report, load_report) = (self.endpoint_report(endpoint), self.endpoint_report(endpoint));
-        let write_session = (self.draw(3) == 0).then(|| self.draw(5) as u64);
-        let end = support::attempt_end(request, number, endpoint, outcome, self.now - sent);
+        let write_session = (self.random(3) == 0).then(|| self.random(5) as u64);
+        let end = support::attempt_end(request, number, endpoint, outcome, self.now - sent_at);
         self.report(Event::AttemptEnded(AttemptEnd {
             request_closed,
             write_session,
@@ -182,44 +191,39 @@
             AttemptOutcome::Succeeded,
             AttemptOutcome::Rejected,
             AttemptOutcome::TimedOut,
-        ][self.draw(5)];
-        let load_report = if outcome == AttemptOutcome::Succeeded {
+        ][self.random(5)];
+        let report = if outcome == AttemptOutcome::Succeeded {
             self.endpoint_report(endpoint)
         } else {
             EndpointReport::default()
         };
-        self.report(Event::HealthCheckEnded {
-            endpoint,
-            outcome,
-            elapsed: support::TICK,
-            report: load_report,
-        });
+        self.report(Event::HealthCheckEnded { endpoint, outcome, elapsed: support::TICK, report });
     }
 
     fn change_list(&mut self) {
-        let endpoint = self.draw(ENDPOINTS);
+        let endpoint = self.random(ENDPOINTS);
         let status = [
             EndpointStatus::Serving,
             EndpointStatus::Serving,
             EndpointStatus::Draining,
             EndpointStatus::Removed,
-        ][self.draw(4)];
-        let records = vec![self.entry(endpoint, status)];
+        ][self.random(4)];
+        let records = vec![self.list_record(endpoint, status)];
         self.report(Event::EndpointList { complete: false, records });
     }
 
     fn change_eligibility(&mut self) {
-        let group = self.draw(GROUPS);
-        let only = PrimaryEligibility::Only(group * 3 + self.draw(3));
+        let group = self.random(GROUPS);
+        let only = PrimaryEligibility::Only(group * 3 + self.random(3));
         let eligibility =
             [PrimaryEligibility::Any, PrimaryEligibility::Any, PrimaryEligibility::NoMember, only]
-                [self.draw(4)];
+                [self.random(4)];
         self.report(Event::PrimaryEligibility { group, eligibility });
     }
 
-    fn leave(&mut self) {
+    fn disconnect_client(&mut self) {
         let open_requests: Vec<RequestId> = self.open_requests.keys().copied().collect();
-        if let Some(&request) = open_requests.get(self.draw(open_requests.len().max(1))) {
+        if let Some(&request) = open_requests.get(self.random(open_requests.len().max(1))) {
             self.open_requests.remove(&request);
             self.report(Event::ClientGone { request });
         }
@@ -235,17 +239,17 @@
         self.now = until;
     }
 
-    fn step(&mut self) {
-        match self.draw(24) {
+    fn random_step(&mut self) {
+        match self.random(24) {
             0..=7 => self.arrive(),
-            8..=14 => self.end_attempt(),
+            8..=14 => self.end_random_attempt(),
             15..=17 => self.end_health_check(),
-            18 => self.leave(),
-            19 if self.draw(4) == 0 => self.change_list(),
-            19 if self.draw(4) == 0 => self.change_eligibility(),
-            19 if self.draw(4) == 0 => self.report(Event::EndpointListFailed),
+            18 => self.disconnect_client(),
+            19 if self.random(4) == 0 => self.change_list(),
+            19 if self.random(4) == 0 => self.change_eligibility(),
+            19 if self.random(4) == 0 => self.report(Event::EndpointListFailed),
             _ => {
-                let duration = TimeDelta::from_millis([0, 1, 4, 20, 90][self.draw(5)]);
+                let duration = TimeDelta::from_millis([0, 1, 4, 20, 90][self.random(5)]);
                 self.advance(duration);
             }
         }
@@ -257,13 +261,21 @@
         self.apply_actions(actions);
     }
 
+    /// Applies the actions and records one line for each. The first word of a line is part of the recorded checksum:
+    /// "withdraw" stands for a cancelled attempt, "remind" for a timer, "probe" for a health check and "remark" for a
+    /// log line.
     fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             let line = match action {
                 Action::StartAttempt { request, endpoint, timeout } => {
-                    let made = self.open_requests.entry(request).or_default();
-                    self.attempts.push(Attempt { request, number: *made, endpoint, sent: self.now });
-                    *made += 1;
+                    let attempt_count = self.open_requests.entry(request).or_default();
+                    self.attempts.push(Attempt {
+                        request,
+                        number: *attempt_count,
+                        endpoint,
+                        sent_at: self.now,
+                    });
+                    *attempt_count += 1;
                     format!("send {request} {endpoint} {}", timeout.0)
                 }
                 Action::Reject { request, retry_after } => {
@@ -291,25 +303,26 @@
         }
     }
 
-    /// Adds a line to the checksum (FNV-1a).
+    /// Adds a line to the checksum, which is computed by FNV-1a.
     fn record(&mut self, line: &str) {
-        self.actions += 1;
+        self.line_count += 1;
         for byte in line.bytes().chain([b'\n']) {
             self.checksum = (self.checksum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 }
 
-fn play() -> String {
+/// Runs all settings with all seeds. Returns one line for each run, as in the recording.
+fn run_all() -> String {
     let mut text = String::new();
     for (name, routing_settings) in recorded_settings() {
         for seed in 1..=6 {
-            let mut player = Player::new(routing_settings.clone(), seed);
+            let mut host = SimulatedHost::new(routing_settings.clone(), seed);
             for _ in 0..STEPS {
-                player.step();
+                host.random_step();
             }
-            let Player { actions, checksum, .. } = player;
-            writeln!(text, "{name} {seed} {actions} {checksum:016x}").expect("a string takes all");
+            let SimulatedHost { line_count, checksum, .. } = host;
+            writeln!(text, "{name} {seed} {line_count} {checksum:016x}").expect("a string accepts any text");
         }
     }
     text
@@ -317,13 +330,13 @@
 
 #[test]
 fn every_action_matches_the_recording() {
-    let played = play();
+    let actual = run_all();
     if std::env::var_os("REPLAY_RECORD").is_some() {
-        std::fs::write("tests/data/replay.txt", &played).expect("a writable file");
+        std::fs::write("tests/data/replay.txt", &actual).expect("the recording is writable");
         return;
     }
-    for (played, recorded) in played.lines().zip(RECORDED.lines()) {
-        assert_eq!(played, recorded, "run, seed, actions, checksum");
+    for (actual, recorded) in actual.lines().zip(RECORDED.lines()) {
+        assert_eq!(actual, recorded, "a run differs from its recording: name, seed, lines, checksum");
     }
-    assert_eq!(played.lines().count(), RECORDED.lines().count());
+    assert_eq!(actual.lines().count(), RECORDED.lines().count(), "the recording has another number of runs");
 }
--- a/routing/tests/rules.rs
+++ b/routing/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that the harness checks, under random events from a fixed seed.
+//! A property test: the rules that the harness checks hold for random sequences of events from a fixed seed.
 
 #[allow(dead_code)] // Each test file uses a part of it.
 mod support;
@@ -19,23 +19,24 @@
         without_health_checks in any::<bool>(),
         steps in prop::collection::vec((0..13u8, any::<u16>(), any::<u8>()), 1..400),
     ) {
-        let made = if without_health_checks { Harness::without_health_checks } else { Harness::with_reports };
-        let mut harness = made(LAG_HANDLINGS[lag_handling], 2, seed);
+        let new_harness =
+            if without_health_checks { Harness::without_health_checks } else { Harness::with_health_checks };
+        let mut harness = new_harness(LAG_HANDLINGS[lag_handling], 2, seed);
         for step in steps {
-            play(&mut harness, without_health_checks, step);
+            perform_step(&mut harness, without_health_checks, step);
         }
         harness.advance(TimeDelta::from_millis(10_000));
-        prop_assert!(harness.open_requests.is_empty(), "a request has no final answer");
+        prop_assert!(harness.open_requests.is_empty(), "a request has no final answer 10 s later");
     }
 }
 
-/// Performs one random step: `kind` selects the event, `pick` and `variant` its details.
-fn play(harness: &mut Harness, without_health_checks: bool, (kind, pick, variant): (u8, u16, u8)) {
+/// Reports one random event: `kind` selects its type, `pick` and `variant` select its details.
+fn perform_step(harness: &mut Harness, without_health_checks: bool, (kind, pick, variant): (u8, u16, u8)) {
     let (pick, variant) = (usize::from(pick), usize::from(variant));
     let endpoint = pick % harness.group_of.len();
     let old = TimeDelta::from_millis(variant as i64 * 20);
     match kind {
-        0..=3 => arrive_at_random(harness, pick, variant, old),
+        0..=3 => report_random_request(harness, pick, variant, old),
         4..=6 => end_random_attempt(harness, pick, variant),
         7..=8 if without_health_checks => {}
         7..=8 => {
@@ -49,7 +50,7 @@
             if variant % 4 == 0 {
                 harness.started_at[endpoint] = Some(harness.now - old / 10);
             }
-            harness.list(endpoint, status);
+            harness.update_listing(endpoint, status);
         }
         10 => harness.report(Event::EndpointListFailed),
         11 => {
@@ -61,16 +62,17 @@
     }
 }
 
-/// Reports a request of method `variant % 6` to group `pick % 2`. Every third has seen the position `old / 8` ago.
-fn arrive_at_random(harness: &mut Harness, pick: usize, variant: usize, old: TimeDelta) {
-    // Requests may have less time than the method's deadline, except strong reads: the harness derives their arrival
-    // time from the deadline.
-    let share = if variant % 6 == STRONG_READ { 1.0 } else { 0.4 + variant as f64 / 425.0 };
+/// Reports a request of method `variant % 6` to group `pick % 2`. The session of every third request has seen the
+/// position of `old / 8` ago.
+fn report_random_request(harness: &mut Harness, pick: usize, variant: usize, old: TimeDelta) {
+    // Requests may have less time than the method's deadline. Strong reads have all of it, because the harness derives
+    // their arrival time from the deadline.
+    let deadline_fraction = if variant % 6 == STRONG_READ { 1.0 } else { 0.4 + variant as f64 / 425.0 };
     harness.seen_position = pick.is_multiple_of(3).then(|| harness.now - old / 8);
-    harness.arrive(variant % 6, pick % 2, share);
+    harness.arrive(variant % 6, pick % 2, deadline_fraction);
 }
 
-/// Ends one of the attempts in flight, if there is one.
+/// Ends one of the attempts in flight with a random outcome, if there is an attempt in flight.
 fn end_random_attempt(harness: &mut Harness, pick: usize, variant: usize) {
     let in_flight: Vec<RequestId> = harness
         .open_requests
@@ -79,9 +81,9 @@
         .map(|(&request, _)| request)
         .collect();
     if let Some(&request) = in_flight.get(pick % in_flight.len().max(1)) {
-        // Half of all attempts succeed, so that runs continue past the first failure.
+        // Half of all attempts succeed, so that endpoints stay usable and the sequence continues.
         let outcome = OUTCOMES[if variant < 128 { 0 } else { variant % 9 }];
         let role = [None, Some(true), Some(false)][variant % 3];
-        harness.end(request, outcome, role);
+        harness.end_attempt(request, outcome, role);
     }
 }
--- a/routing/tests/support/events.rs
+++ b/routing/tests/support/events.rs
@@ -1,17 +1,17 @@
-//! Constructors of events and records with default fields, for tests with and without the harness.
+//! Constructors of events, reports and list entries with default values, for tests with and without the harness.
 
 use super::{START, TICK};
 use routing::time::{TimeDelta, Timestamp};
 use routing::*;
 
-/// Creates a policy at [`START`] with `seed`. Returns it with the actions that it requested.
+/// Creates a policy at [`START`]. Returns it with the actions that it requested at its start.
 pub fn policy_at_start(seed: u64, routing_settings: &RoutingSettings) -> (RoutingPolicy, Vec<Action>) {
     let mut actions = Vec::new();
     let policy = RoutingPolicy::new(seed, routing_settings, START, &mut actions);
     (policy, actions)
 }
 
-/// The list entry of a serving endpoint of group 0 and zone 0 with an unknown start time.
+/// The list entry of a serving endpoint of group 0 in zone 0 with an unknown start time.
 pub fn serving_record(endpoint: EndpointIndex, primary: bool) -> EndpointRecord {
     EndpointRecord {
         endpoint,
@@ -24,7 +24,7 @@
     }
 }
 
-/// A request to group 0 without a session, a position seen or an earlier write, which is not a retry by the client.
+/// A request to group 0 that is not a client's retry and has no session.
 pub fn arrival(
     request: RequestId,
     method: MethodIndex,
@@ -44,7 +44,7 @@
     }
 }
 
-/// The end of an attempt `elapsed` after it was sent. The request stays open, there is no write session, and the
+/// The end of an attempt `elapsed` after it was sent. The request stays open, the attempt has no write session, and the
 /// reports are empty.
 pub fn attempt_end(
     request: RequestId,
@@ -64,17 +64,17 @@
     }
 }
 
-/// A report of an endpoint with a position and a role, without load.
+/// An endpoint's report of a position and a role, without a load.
 pub fn endpoint_report(position: Timestamp, role: Role) -> EndpointReport {
     EndpointReport { position: Some(position), role: Some(role), load: None }
 }
 
-/// A health check of `endpoint` that succeeded after one [`TICK`] with `report`.
+/// The end of a health check of `endpoint` that succeeded with `report` after one [`TICK`].
 pub fn health_check_succeeded(endpoint: EndpointIndex, report: EndpointReport) -> Event {
     Event::HealthCheckEnded { endpoint, outcome: AttemptOutcome::Succeeded, elapsed: TICK, report }
 }
 
-/// The endpoint of the first attempt of `request` that `actions` start.
+/// The endpoint of the first attempt of `request` among `actions`.
 pub fn attempt_started(actions: &[Action], request: RequestId) -> Option<EndpointIndex> {
     actions.iter().find_map(|action| match action {
         Action::StartAttempt { request: started, endpoint, .. } if *started == request => Some(*endpoint),
--- a/routing/tests/support/settings.rs
+++ b/routing/tests/support/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the tests, with six methods and two instances, and lists of all lag handlings and outcomes.
+//! The settings that most tests use, and lists of all ways to handle lag and of all outcomes.
 
 use routing::time::{TimeDelta, Timestamp};
 use routing::*;
@@ -9,22 +9,22 @@
 pub const WRITE: MethodIndex = 0;
 /// The method of a write with an idempotency key, deduplicated within [`DEDUP_WINDOW`].
 pub const KEYED_WRITE: MethodIndex = 1;
-/// The method of a read that must see every acknowledged write.
+/// The method of a read that must see every write committed before it arrives.
 pub const STRONG_READ: MethodIndex = 2;
-/// The method of a read that may be at most [`BOUND`] behind.
+/// The method of a read whose data may be stale by at most [`BOUND`].
 pub const BOUNDED_READ: MethodIndex = 3;
 /// The method of a read that any endpoint may serve, with a deadline of 2 s.
 pub const ANY_READ: MethodIndex = 4;
 /// The method of a read that any endpoint may serve, with a latency objective of 3 s.
 pub const LONG_READ: MethodIndex = 5;
-/// The bound on staleness of a bounded read: 800 ms.
+/// The staleness bound of a bounded read: 800 ms.
 pub const BOUND: TimeDelta = TimeDelta::from_millis(800);
 /// The deduplication window of keyed writes: 3 s.
 pub const DEDUP_WINDOW: TimeDelta = TimeDelta::from_millis(3000);
-/// The start of every scripted run, far enough from zero that subtractions in tests stay positive.
+/// The time at which every test starts, late enough that earlier times in tests stay positive.
 pub const START: Timestamp = Timestamp(1_000_000_000_000);
 
-/// All ways in which endpoints handle a read for which they are too stale.
+/// All ways in which endpoints handle a read for which their data is too stale.
 pub const LAG_HANDLINGS: [LagHandling; 3] =
     [LagHandling::ServeStale, LagHandling::Reject, LagHandling::Wait(TimeDelta::from_millis(100))];
 /// All outcomes of an attempt.
@@ -40,13 +40,13 @@
     AttemptOutcome::NotEligible,
 ];
 
-/// Settings with the six methods above, two instances and `lag_handling` for reads that find endpoints too stale.
+/// Settings of a deployment with the six methods above, two instances and `lag_handling`.
 pub fn routing_settings(lag_handling: LagHandling) -> RoutingSettings {
     let ms = TimeDelta::from_millis;
-    let method = |access, idempotency, soft, deadline, late_value_fraction| MethodSettings {
+    let method = |access, idempotency, objective, deadline, late_value_fraction| MethodSettings {
         access,
         idempotency,
-        latency_objective: ms(soft),
+        latency_objective: ms(objective),
         deadline: ms(deadline),
         priority_weight: 1.0,
         late_value_fraction,
