--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -14,15 +14,15 @@
 const PRESSURE_SHARE: f64 = 0.5;
 
 impl RoutingPolicy {
-    /// Starts an attempt of a waiting request at an endpoint.
+    /// Starts an attempt of a request at the selected endpoint.
     pub(super) fn start_attempt(&mut self, id: RequestId, index: EndpointIndex) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let method = &self.settings.methods[request.method];
         // An endpoint starts no work after the timeout. The timeout of a read therefore ends when its answer
         // becomes worthless, so that the endpoint does no useless work.
-        let until =
+        let ends_at =
             if method.is_write() { request.deadlines.answer_by } else { request.deadlines.useful_until };
-        let timeout = (until - self.now).max(TimeDelta(1));
+        let timeout = (ends_at - self.now).max(TimeDelta(1));
         // All methods share the endpoint's queue. If methods with a looser objective tolerated a longer queue
         // than the tightest objective allows, they would starve the method with that objective.
         let p30_latency = self.p30_latency[request.method];
--- a/routing/src/policy/compiled_settings.rs
+++ b/routing/src/policy/compiled_settings.rs
@@ -58,7 +58,7 @@
     methods.iter().map(|method| method.latency_objective).min().unwrap_or(DEFAULT_OBJECTIVE)
 }
 
-/// A final answer is given this many clock resolutions before the request's deadline.
+/// Margin between a final answer and the request's deadline, in steps of the clock resolution.
 const ANSWER_MARGIN_STEPS: i64 = 2;
 /// The endpoint list is polled after its maximum poll interval divided by this, so that a failed poll leaves
 /// time for another one.
--- a/routing/src/policy/concurrency_limit.rs
+++ b/routing/src/policy/concurrency_limit.rs
@@ -8,8 +8,8 @@
 const SATURATED_LOAD: f64 = 0.9;
 /// A late answer multiplies the limit by this.
 const LIMIT_REDUCTION_FACTOR: f64 = 0.8;
-/// An endpoint whose limit is below 1 may get another attempt while its outstanding work is at most the
-/// tightest latency objective divided by this.
+/// A warm endpoint whose limit is below 1, but not below the initial limit, accepts another attempt while its
+/// outstanding work is at most the tightest latency objective divided by this.
 const BURST_TOLERANCE_DIVISOR: f64 = 4.0;
 /// One answer raises a limit below 2 by at most the limit divided by this.
 const MAX_RAISE_DIVISOR: f64 = 4.0;
--- a/routing/src/policy/ejection.rs
+++ b/routing/src/policy/ejection.rs
@@ -24,8 +24,8 @@
     }
 
     /// Whether an endpoint may get an attempt as far as its failures are concerned. After an ejection it gets
-    /// only one attempt at a time until one succeeds. If health checks are allowed, it must first have answered
-    /// since the failure.
+    /// only one attempt at a time until one succeeds. If health checks are allowed, the endpoint must first
+    /// have answered since the failure.
     pub(super) fn is_healthy(&self, endpoint: &Endpoint) -> bool {
         let without_health_checks = !self.settings.settings.may_check_health;
         let health = &endpoint.health;
--- a/routing/src/policy/endpoint_state.rs
+++ b/routing/src/policy/endpoint_state.rs
@@ -85,13 +85,13 @@
         self.now - self.settings.times.max_report_age * LOAD_REPORT_AGE_FACTOR
     }
 
-    /// Applies a report of an endpoint; `is_answer` says that it is part of an answer and therefore current. A
-    /// position holds however late its report arrives, because positions never decrease. A role holds only as
-    /// of the time of its report, which for a primary is its position.
+    /// Applies a report of an endpoint. `is_answer` says that the report is part of an answer and therefore
+    /// current. A position is valid however late its report arrives. A role is valid only as of the time of its
+    /// report, which for a primary is the reported position.
     pub(crate) fn apply_report(&mut self, index: EndpointIndex, report: EndpointReport, is_answer: bool) {
         let now = self.now;
         let Some(endpoint) = self.endpoints.get_mut(index) else { return };
-        // A report with a position in the future is ignored: its clock is wrong, so it proves no freshness.
+        // A report with a position in the future is no evidence of anything, in particular not of fresh data.
         let from_future = report.position > Some(now + self.settings.times.answer_margin);
         let report = if from_future { EndpointReport::default() } else { report };
         if let Some(position) = report.position {
--- a/routing/src/policy/health_checks.rs
+++ b/routing/src/policy/health_checks.rs
@@ -17,7 +17,7 @@
 const FRESH_REPORT_AGE_FACTOR: i64 = 4;
 
 impl RoutingPolicy {
-    /// Updates an endpoint's health after a health check of it.
+    /// Updates an endpoint's health at the end of a health check.
     pub(crate) fn on_health_check_ended(&mut self, index: EndpointIndex, outcome: AttemptOutcome) {
         self.endpoints[index].health.check_in_flight = false;
         match outcome {
--- a/routing/src/policy/replica_selection.rs
+++ b/routing/src/policy/replica_selection.rs
@@ -23,7 +23,7 @@
 type Candidates = Vec<EndpointIndex>;
 
 impl RoutingPolicy {
-    /// Selects the endpoint of a waiting request's next attempt. `None` means that the request waits on.
+    /// Selects the endpoint of a waiting request's next attempt. `None` means that it keeps waiting.
     pub(super) fn select_endpoint(&mut self, id: RequestId) -> Option<RequestEvent> {
         let request = &self.requests[&id];
         if self.cannot_succeed(request) {
@@ -72,10 +72,10 @@
         }
         let recent_since = self.now - self.settings.times.tightest_objective * PRIMARY_DENIAL_FACTOR;
         let denied_at = |index: EndpointIndex| self.endpoints[index].role.primary_denied_at;
-        let is_free = |index: EndpointIndex| self.endpoints[index].is_idle() && group.is_eligible(index);
+        let may_be_tried = |index: EndpointIndex| self.endpoints[index].is_idle() && group.is_eligible(index);
         let mut candidates = group.members.clone();
         candidates.retain(|&index| {
-            denied_at(index) < recent_since && is_free(index) && self.is_usable(index, method)
+            denied_at(index) < recent_since && may_be_tried(index) && self.is_usable(index, method)
         });
         let earliest_denial = candidates.iter().map(|&index| denied_at(index)).min()?;
         candidates.retain(|&index| denied_at(index) == earliest_denial);
@@ -100,9 +100,11 @@
         if method.delays_replication && !request.session.includes_seen_position && !replicas.is_empty() {
             return self.replica_for_long_read(replicas, share);
         }
-        let only_one = replicas.len() == 1 && request.attempts.eligibility_rejections == 0;
+        // The endpoint of the last failed attempt is tried again only if it is the only replica and no attempt of
+        // the request was rejected as too stale.
+        let may_repeat_endpoint = replicas.len() == 1 && request.attempts.eligibility_rejections == 0;
         replicas.retain(|&index| {
-            (only_one || Some(index) != request.attempts.last_failed_endpoint)
+            (may_repeat_endpoint || Some(index) != request.attempts.last_failed_endpoint)
                 && self.has_capacity(index, share)
         });
         let required = self.required_position(request);
@@ -132,6 +134,7 @@
                 replicas.retain(|index| catches_up(index, max_wait));
             }
             LagHandling::Reject if never_rejected_as_stale && !is_strong => {
+                // The freshest replica gets the read, and rejects it if its data is too stale.
                 let freshest =
                     replicas.into_iter().max_by_key(|&index| self.endpoints[index].reported.position);
                 replicas = freshest.into_iter().collect();
@@ -167,15 +170,15 @@
         let (settings, endpoints, rng) = (&self.settings.settings, &self.endpoints, &mut self.rng);
         candidates.iter().copied().min_by_key(|&index| {
             let endpoint = &endpoints[index];
-            let other_zone = endpoint.listing.zone != settings.zone;
+            let is_other_zone = endpoint.listing.zone != settings.zone;
             // Without health checks, only an answer shows an endpoint's role, so endpoints that have never
             // been tried come first.
             let is_untried = !endpoint.has_answered() && endpoint.is_idle();
             let comes_later = settings.may_check_health || !is_untried;
             (
                 comes_later,
-                endpoint.capacity.in_flight + u32::from(other_zone),
-                other_zone,
+                endpoint.capacity.in_flight + u32::from(is_other_zone),
+                is_other_zone,
                 rng.below(TIE_BREAK_RANGE),
             )
         })
--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a request as a table of transitions: its arrival, its waiting time and its final answer.
+//! The lifecycle of a request, from its arrival to its final answer, as a table of transitions.
 
 use crate::state::request::{Request, RequestDeadlines, RequestEvent, RequestPhase, SessionRequirement};
 use crate::state::timer_tag::TimerTag;
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Tries to send a group's waiting requests, the most urgent methods first. Once a request has to wait on,
-    /// the other requests of its method are not tried in the same order.
+    /// Tries to send a group's waiting requests, the most urgent methods first. Each of the two passes over a
+    /// method's requests ends at the first request that has to keep waiting.
     pub(crate) fn retry_waiting(&mut self, group: GroupIndex) {
         for nth in 0..self.settings.retry_order.len() {
             let method = self.settings.retry_order[nth];
--- a/routing/tests/rules.rs
+++ b/routing/tests/rules.rs
@@ -34,21 +34,21 @@
 fn perform_step(harness: &mut Harness, without_health_checks: bool, (kind, pick, variant): (u8, u16, u8)) {
     let (pick, variant) = (usize::from(pick), usize::from(variant));
     let endpoint = pick % harness.group_of.len();
-    let old = TimeDelta::from_millis(variant as i64 * 20);
+    let age = TimeDelta::from_millis(variant as i64 * 20);
     match kind {
-        0..=3 => report_random_request(harness, pick, variant, old),
+        0..=3 => report_random_request(harness, pick, variant, age),
         4..=6 => end_random_attempt(harness, pick, variant),
         7..=8 if without_health_checks => {}
         7..=8 => {
             let outcome = if variant < 200 { AttemptOutcome::Succeeded } else { AttemptOutcome::TimedOut };
-            let position = if variant % 11 == 0 { harness.now + old } else { harness.now - old };
+            let position = if variant % 11 == 0 { harness.now + age } else { harness.now - age };
             harness.health_check_ended(endpoint, outcome, position, variant % 7 == 0);
         }
         9 => {
             let status =
                 [EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed][variant % 3];
             if variant % 4 == 0 {
-                harness.started_at[endpoint] = Some(harness.now - old / 10);
+                harness.started_at[endpoint] = Some(harness.now - age / 10);
             }
             harness.update_listing(endpoint, status);
         }
@@ -63,12 +63,12 @@
 }
 
 /// Reports a request of method `variant % 6` to group `pick % 2`. The session of every third request has seen the
-/// position of `old / 8` ago.
-fn report_random_request(harness: &mut Harness, pick: usize, variant: usize, old: TimeDelta) {
+/// position of `age / 8` ago.
+fn report_random_request(harness: &mut Harness, pick: usize, variant: usize, age: TimeDelta) {
     // Requests may have less time than the method's deadline. Strong reads have all of it, because the harness derives
     // their arrival time from the deadline.
     let deadline_fraction = if variant % 6 == STRONG_READ { 1.0 } else { 0.4 + variant as f64 / 425.0 };
-    harness.seen_position = pick.is_multiple_of(3).then(|| harness.now - old / 8);
+    harness.seen_position = pick.is_multiple_of(3).then(|| harness.now - age / 8);
     harness.arrive(variant % 6, pick % 2, deadline_fraction);
 }
 
