--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -2,8 +2,8 @@
 
 use crate::control::control_loop::ControlLoop;
 use crate::control::router_state::RouterState;
-use crate::endpoints::health_check::DiscoveryQuery;
-use crate::messages::control::{ConnectError, QueryAnswer, QueryEnd};
+use crate::endpoints::health_check::RoleQuery;
+use crate::messages::control::{ConnectError, EndpointQueryAnswer, RoleQueryEnd};
 use crate::messages::endpoint_list::ListedEndpoint;
 use crate::runtime::clock::NANOS_PER_MILLI;
 use endpoint_cache::CachedEndpointList;
@@ -31,8 +31,8 @@
         complete: bool,
         endpoints: Vec<ListedEndpoint>,
     ) {
-        self.state.report_list_to_discovery(complete, &endpoints, now);
-        self.perform_discovery_actions(now);
+        self.state.report_list_to_primary_discovery(complete, &endpoints, now);
+        self.perform_primary_discovery_actions(now);
         if complete {
             self.listed.clear();
         }
@@ -47,22 +47,22 @@
     }
 
     /// Handles the end of a discovery query. Its load report counts as a health check too.
-    pub(super) fn on_query_ended(&mut self, now: Timestamp, end: QueryEnd) {
-        let QueryEnd { endpoint, queried_at, answer } = end;
+    pub(super) fn on_role_query_ended(&mut self, now: Timestamp, end: RoleQueryEnd) {
+        let RoleQueryEnd { endpoint, queried_at, answer } = end;
         let answered_report = match answer {
-            Ok(QueryAnswer { outcome: AttemptOutcome::Succeeded, report, identity }) => {
-                self.on_query_answered(now, endpoint, queried_at, report, identity.as_deref());
+            Ok(EndpointQueryAnswer { outcome: AttemptOutcome::Succeeded, report, identity }) => {
+                self.on_role_query_answered(now, endpoint, queried_at, report, identity.as_deref());
                 Some(report)
             }
             answer => {
                 let failure = query_failure(&answer);
-                self.state.report_to_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
+                self.state.report_to_primary_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
                 None
             }
         };
-        self.perform_discovery_actions(now);
+        self.perform_primary_discovery_actions(now);
         // If the identity does not match, another endpoint has answered at this address.
-        let is_identified = self.recovering(endpoint).is_some_and(RecoveringEndpoint::is_identified);
+        let is_identified = self.recovering_endpoint(endpoint).is_some_and(RecoveringEndpoint::is_identified);
         if let Some(report) = answered_report.filter(|_| is_identified) {
             let outcome = AttemptOutcome::Succeeded;
             let elapsed = now - queried_at;
@@ -72,7 +72,7 @@
     }
 
     /// Reports the answer to a discovery query to primary discovery.
-    fn on_query_answered(
+    fn on_role_query_answered(
         &mut self,
         now: Timestamp,
         endpoint: EndpointIndex,
@@ -85,7 +85,7 @@
             parse_identity(identity.filter(|_| self.queries_identity()), name);
         let report = RoleReport::new(report, timeline);
         let event = DiscoveryEvent::Answered { endpoint, queried_at, identity, report };
-        self.state.report_to_discovery(now, event);
+        self.state.report_to_primary_discovery(now, event);
     }
 
     /// Whether endpoints are queried for their identity.
@@ -94,21 +94,21 @@
     }
 
     /// The state of an endpoint in primary discovery.
-    fn recovering(&self, endpoint: EndpointIndex) -> Option<&RecoveringEndpoint> {
-        self.state.discovery.as_ref()?.endpoint(endpoint)
+    fn recovering_endpoint(&self, endpoint: EndpointIndex) -> Option<&RecoveringEndpoint> {
+        self.state.primary_discovery.as_ref()?.endpoint(endpoint)
     }
 
     /// Passes a report that an endpoint sent with an answer or health check to primary discovery and the cache.
-    pub(super) fn observe_report(
+    pub(super) fn record_endpoint_report(
         &mut self,
         now: Timestamp,
         endpoint: EndpointIndex,
         queried_at: Timestamp,
         report: EndpointReport,
     ) {
-        if report.role.is_some() && self.state.discovery.is_some() {
+        if report.role.is_some() && self.state.primary_discovery.is_some() {
             let event = DiscoveryEvent::Observed { endpoint, queried_at, report };
-            self.state.report_to_discovery(now, event);
+            self.state.report_to_primary_discovery(now, event);
             self.cache_report(endpoint);
         }
     }
@@ -116,16 +116,16 @@
     /// Saves an endpoint's latest report with the cached endpoint list.
     fn cache_report(&self, endpoint: EndpointIndex) {
         let cache = self.recovery.as_ref().and_then(|options| options.cache.as_ref());
-        if let (Some(cache), Some(recovering)) = (cache, self.recovering(endpoint)) {
+        if let (Some(cache), Some(recovering)) = (cache, self.recovering_endpoint(endpoint)) {
             cache.reported(self.state.endpoints.id(endpoint), recovering.report);
         }
     }
 
     /// Performs the pending actions of primary discovery, in order.
-    pub(super) fn perform_discovery_actions(&mut self, now: Timestamp) {
-        for action in std::mem::take(&mut self.state.discovery_actions) {
+    pub(super) fn perform_primary_discovery_actions(&mut self, now: Timestamp) {
+        for action in std::mem::take(&mut self.state.primary_discovery_actions) {
             match action {
-                Action::Query { endpoint } => self.query(now, endpoint),
+                Action::Query { endpoint } => self.start_role_query(now, endpoint),
                 Action::Admit { endpoint } => self.admit_endpoint(now, endpoint),
                 Action::Withdraw { endpoint } => self.withdraw_endpoint(now, endpoint),
                 Action::SetEligibility { group, eligibility } => {
@@ -136,15 +136,15 @@
     }
 
     /// Starts a discovery query; it fails at once if the endpoint has no address.
-    fn query(&mut self, now: Timestamp, endpoint: EndpointIndex) {
+    fn start_role_query(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         match self.state.addr(endpoint) {
             Some(addr) => {
                 let with_identity = self.queries_identity();
-                self.dispatcher.query(DiscoveryQuery { endpoint, addr, with_identity });
+                self.dispatcher.query_role(RoleQuery { endpoint, addr, with_identity });
             }
             None => {
                 let failure = QueryFailure::NoAnswer;
-                self.state.report_to_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
+                self.state.report_to_primary_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
             }
         }
     }
@@ -153,7 +153,7 @@
     /// because it is unknown when the endpoint was started.
     fn admit_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.state.not_admitted.remove(&endpoint) else { return };
-        let record = self.state.record(&listed, &self.config.zones);
+        let record = self.state.endpoint_record(&listed, &self.config.zones);
         let record =
             EndpointRecord { started_at: Some(now), start_is_upper_bound: true, primary: false, ..record };
         self.state.report(now, Event::EndpointList { complete: false, records: vec![record] });
@@ -162,7 +162,7 @@
     /// Withdraws an endpoint from the routing policy, as if it were draining.
     fn withdraw_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.listed.get(self.state.endpoints.id(endpoint)) else { return };
-        let record = self.state.record(listed, &self.config.zones);
+        let record = self.state.endpoint_record(listed, &self.config.zones);
         let record = EndpointRecord { status: EndpointStatus::Draining, ..record };
         self.state.not_admitted.insert(endpoint, listed.clone());
         self.state.report(now, Event::EndpointList { complete: false, records: vec![record] });
@@ -183,7 +183,7 @@
     ) {
         let mut members = Vec::with_capacity(endpoints.len());
         for listed in endpoints {
-            let member = self.member(&listed);
+            let member = self.register_endpoint(&listed);
             members.push(member);
             self.not_admitted.insert(member.endpoint, listed);
         }
@@ -191,17 +191,22 @@
             .into_iter()
             .map(|(group, minimum)| GroupMinimum { group: self.groups.intern(group), minimum })
             .collect();
-        self.report_to_discovery(now, DiscoveryEvent::CachedList { members, minimum_positions });
+        self.report_to_primary_discovery(now, DiscoveryEvent::CachedList { members, minimum_positions });
     }
 
     /// Reports a list from discovery to primary discovery, which happens before the routing policy is notified.
-    fn report_list_to_discovery(&mut self, complete: bool, endpoints: &[ListedEndpoint], now: Timestamp) {
-        if self.discovery.is_none() || (complete && endpoints.is_empty()) {
+    fn report_list_to_primary_discovery(
+        &mut self,
+        complete: bool,
+        endpoints: &[ListedEndpoint],
+        now: Timestamp,
+    ) {
+        if self.primary_discovery.is_none() || (complete && endpoints.is_empty()) {
             return;
         }
         let (mut members, mut removed) = (Vec::with_capacity(endpoints.len()), Vec::new());
         for listed in endpoints {
-            let member = self.member(listed);
+            let member = self.register_endpoint(listed);
             if listed.status() == EndpointStatus::Removed {
                 removed.push(member.endpoint);
             } else {
@@ -209,7 +214,7 @@
                 self.not_admitted.remove(&member.endpoint);
             }
         }
-        self.report_to_discovery(now, DiscoveryEvent::Listed { complete, members, removed });
+        self.report_to_primary_discovery(now, DiscoveryEvent::Listed { complete, members, removed });
     }
 
     /// Reports a list from discovery to the routing policy. Returns the addresses whose idle connections are outdated,
@@ -223,13 +228,13 @@
     ) -> Vec<SocketAddr> {
         let (mut records, mut outdated) = (Vec::with_capacity(endpoints.len()), Vec::new());
         for listed in endpoints {
-            let endpoint = self.member(listed).endpoint;
+            let endpoint = self.register_endpoint(listed).endpoint;
             let started_at = &mut self.listed[endpoint].started_at;
             if listed.status() != EndpointStatus::Serving || *started_at != listed.started_at() {
                 outdated.extend(listed.socket_addr());
             }
             *started_at = listed.started_at();
-            records.push(self.record(listed, zones));
+            records.push(self.endpoint_record(listed, zones));
         }
         self.report(now, Event::EndpointList { complete, records });
         outdated
@@ -238,7 +243,7 @@
 
 /// The failure of a discovery query that has no usable answer. A query that was not sent, or was rejected for lack of
 /// capacity, tells nothing about the endpoint.
-fn query_failure(answer: &Result<QueryAnswer, ConnectError>) -> QueryFailure {
+fn query_failure(answer: &Result<EndpointQueryAnswer, ConnectError>) -> QueryFailure {
     match answer {
         Err(ConnectError { refused: true, .. }) => QueryFailure::Refused,
         Err(ConnectError { outcome: AttemptOutcome::NotSent | AttemptOutcome::Rejected, .. }) => {
