--- a/host-support/src/id_interner.rs
+++ b/host-support/src/id_interner.rs
@@ -17,7 +17,7 @@
 }
 
 impl<K: Hash + Eq + Clone> IdInterner<K> {
-    /// Returns the index of an identifier, and assigns the next one if it has none.
+    /// Returns the index of an identifier. If it has none, the next index is assigned to it.
     pub fn intern(&mut self, id: K) -> usize {
         if let Some(&index) = self.indices.get(&id) {
             return index;
@@ -28,7 +28,7 @@
         index
     }
 
-    /// The index of an identifier, if it has one.
+    /// The index of an identifier, if one is assigned.
     pub fn get<Q: Hash + Eq + ?Sized>(&self, id: &Q) -> Option<usize>
     where
         K: Borrow<Q>,
@@ -36,7 +36,7 @@
         self.indices.get(id).copied()
     }
 
-    /// Whether no index is assigned.
+    /// Whether no index is assigned yet.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
--- a/host-support/src/lib.rs
+++ b/host-support/src/lib.rs
@@ -1,9 +1,9 @@
 //! Support code for hosts of the routing policy, independent of their wire protocol. It makes no routing decisions.
 //!
-//! - [`bootstrap_config`]: the bootstrap configuration of an instance, with the key names of the operators' pages
-//! - [`routing_settings`]: its validation and conversion to the settings of the routing policy
+//! - [`bootstrap_config`]: the bootstrap configuration of an instance, as deserialized from JSON
+//! - [`routing_settings`]: validation of the bootstrap configuration and conversion to the policy's settings
 //! - [`id_interner`]: mapping of identifiers to dense indices and back
-//! - [`request_registry`]: data of open requests and the life cycle of their attempts
+//! - [`request_registry`]: the host's data of each request, until the request and its attempts have ended
 
 #![warn(clippy::too_many_lines)]
 
--- a/host-support/src/request_registry.rs
+++ b/host-support/src/request_registry.rs
@@ -1,4 +1,4 @@
-//! Registry of open requests. A request is registered until it is closed and its last attempt has ended.
+//! Registry of the requests of a host. A request stays registered until it is closed and its last attempt has ended.
 
 use routing::RequestId;
 use std::collections::HashMap;
@@ -9,12 +9,12 @@
     attempts: u32,
     /// Number of attempts in flight.
     in_flight: u32,
-    /// The request was answered, or its client has disconnected.
+    /// Whether the request was answered or its client has disconnected.
     closed: bool,
 }
 
-/// The host's data of each open request. It is returned exactly once, when the request is closed and no attempt is in
-/// flight.
+/// The host's data of each registered request. The data of a request is returned exactly once: when the request is
+/// closed and none of its attempts is in flight.
 pub struct RequestRegistry<T> {
     entries: HashMap<RequestId, Entry<T>>,
 }
@@ -26,7 +26,7 @@
 }
 
 impl<T> RequestRegistry<T> {
-    /// Registers a request with the host's data.
+    /// Registers an open request with the host's data.
     pub fn insert(&mut self, request: RequestId, value: T) {
         self.entries.insert(request, Entry { value, attempts: 0, in_flight: 0, closed: false });
     }
@@ -36,7 +36,7 @@
         self.entries.get(&request).map(|entry| &entry.value)
     }
 
-    /// The mutable data of a request, if it is registered.
+    /// The data of a request for modification, if it is registered.
     pub fn get_mut(&mut self, request: RequestId) -> Option<&mut T> {
         self.entries.get_mut(&request).map(|entry| &mut entry.value)
     }
@@ -46,12 +46,13 @@
         self.entries.iter().map(|(request, entry)| (*request, &entry.value))
     }
 
-    /// Whether the client is still waiting for an answer.
+    /// Whether a request is registered and its client is still waiting for an answer.
     pub fn is_open(&self, request: RequestId) -> bool {
         self.entries.get(&request).is_some_and(|entry| !entry.closed)
     }
 
-    /// Records the start of an attempt and returns its number within the request, from 0.
+    /// Records the start of an attempt and returns its number within the request, from 0. Without effect if the request
+    /// is not registered.
     pub fn start_attempt(&mut self, request: RequestId) -> u32 {
         let Some(entry) = self.entries.get_mut(&request) else { return 0 };
         let number = entry.attempts;
@@ -60,23 +61,23 @@
         number
     }
 
-    /// Records the end of an attempt. `closed` means that the client needs no further answer. Returns the data of the
-    /// request if it is removed.
+    /// Records the end of an attempt. `closed` closes the request as well, because its client needs no further answer.
+    /// Returns the data of the request if this removes it.
     pub fn end_attempt(&mut self, request: RequestId, closed: bool) -> Option<T> {
         let entry = self.entries.get_mut(&request)?;
         entry.in_flight = entry.in_flight.saturating_sub(1);
         entry.closed |= closed;
-        self.remove_if_over(request)
+        self.remove_if_finished(request)
     }
 
-    /// Closes a request that was answered or whose client has disconnected. Returns the data of the request if it is
-    /// removed.
+    /// Closes a request that was answered or whose client has disconnected. Returns the data of the request if this
+    /// removes it.
     pub fn close(&mut self, request: RequestId) -> Option<T> {
         self.entries.get_mut(&request)?.closed = true;
-        self.remove_if_over(request)
+        self.remove_if_finished(request)
     }
 
-    fn remove_if_over(&mut self, request: RequestId) -> Option<T> {
+    fn remove_if_finished(&mut self, request: RequestId) -> Option<T> {
         let entry = self.entries.get(&request)?;
         if !entry.closed || entry.in_flight > 0 {
             return None;
--- a/host-support/src/routing_settings.rs
+++ b/host-support/src/routing_settings.rs
@@ -5,41 +5,63 @@
 use routing::{Access, Idempotency, LagHandling, MethodSettings, RoutingSettings};
 use thiserror::Error;
 
-/// Why a bootstrap configuration is invalid. Every error names the key.
+/// Why a bootstrap configuration is invalid. Every message begins with the key in the file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A value is not positive.
-    #[error("{0}: must be above 0")]
-    NotPositive(&'static str),
-    /// A value is not supported by its key.
-    #[error("{key}: {value:?} is not known")]
-    UnknownValue {
-        /// Key with the value.
+    /// A value that must be positive is not.
+    #[error("{key}: must be greater than 0, not {value}")]
+    NotPositive {
+        /// Key of the value.
         key: &'static str,
-        /// The unsupported value.
+        /// The value.
+        value: i64,
+    },
+    /// A value is not one of the allowed words.
+    #[error("{key}: {value:?} is not one of {allowed}")]
+    NotOneOf {
+        /// Key of the value.
+        key: &'static str,
+        /// The value.
         value: String,
+        /// The allowed words, separated by commas.
+        allowed: &'static str,
     },
     /// A list does not have one entry per method.
-    #[error("{0}: not one entry a class")]
-    NotOnePerMethod(&'static str),
-    /// The latency objective of a method is not between 0 and its deadline.
-    #[error("classes[{0}].aimNs: not between 0 and deadlineNs")]
-    ObjectiveOutOfRange(usize),
+    #[error("{key}: expected {methods} entries, one for each entry of classes, found {entries}")]
+    NotOnePerMethod {
+        /// Key of the list.
+        key: &'static str,
+        /// Number of entries of the list.
+        entries: usize,
+        /// Number of methods.
+        methods: usize,
+    },
+    /// The latency objective of a method is not positive, or exceeds the method's deadline.
+    #[error("classes[{method}].aimNs: {objective_ns} is not between 1 and deadlineNs ({deadline_ns})")]
+    ObjectiveOutOfRange {
+        /// Index of the method.
+        method: usize,
+        /// Latency objective in nanoseconds.
+        objective_ns: i64,
+        /// Deadline in nanoseconds.
+        deadline_ns: i64,
+    },
 }
 
-fn unknown(key: &'static str, value: &str) -> SettingsError {
-    SettingsError::UnknownValue { key, value: value.to_string() }
+fn not_one_of(key: &'static str, value: &str, allowed: &'static str) -> SettingsError {
+    SettingsError::NotOneOf { key, value: value.to_string(), allowed }
 }
 
 /// Validates and converts a bootstrap configuration.
 ///
 /// # Errors
-/// The first error found.
+/// The first error that is found.
 pub fn routing_settings(config: &BootstrapConfig) -> Result<RoutingSettings, SettingsError> {
     check_positive(config)?;
     let replication = &config.replication;
-    if replication.method_access.len() != config.methods.len() {
-        return Err(SettingsError::NotOnePerMethod("familyInfo.classRead"));
+    let (entries, methods) = (replication.method_access.len(), config.methods.len());
+    if entries != methods {
+        return Err(SettingsError::NotOnePerMethod { key: "familyInfo.classRead", entries, methods });
     }
     let methods = (0..config.methods.len()).map(|index| method_settings(config, index));
     Ok(RoutingSettings {
@@ -73,22 +95,23 @@
         ("allowed.connIdleNs", config.allowed.idle_timeout_ns),
     ];
     match values.iter().find(|(_, value)| *value <= 0) {
-        Some((key, _)) => Err(SettingsError::NotPositive(key)),
+        Some(&(key, value)) => Err(SettingsError::NotPositive { key, value }),
         None => Ok(()),
     }
 }
 
 fn method_settings(config: &BootstrapConfig, index: usize) -> Result<MethodSettings, SettingsError> {
     let method = &config.methods[index];
-    if method.latency_objective_ns <= 0 || method.deadline_ns < method.latency_objective_ns {
-        return Err(SettingsError::ObjectiveOutOfRange(index));
+    let (objective_ns, deadline_ns) = (method.latency_objective_ns, method.deadline_ns);
+    if objective_ns <= 0 || deadline_ns < objective_ns {
+        return Err(SettingsError::ObjectiveOutOfRange { method: index, objective_ns, deadline_ns });
     }
     let bound_ns = config.replication.staleness_bounds_ns.get(index).copied().unwrap_or(0);
     Ok(MethodSettings {
         access: access(&config.replication.method_access[index], TimeDelta(bound_ns))?,
         idempotency: idempotency(method)?,
-        latency_objective: TimeDelta(method.latency_objective_ns),
-        deadline: TimeDelta(method.deadline_ns),
+        latency_objective: TimeDelta(objective_ns),
+        deadline: TimeDelta(deadline_ns),
         priority_weight: method.priority_weight,
         late_value_fraction: method.late_value_fraction,
     })
@@ -101,7 +124,7 @@
         "own_writes" => Ok(Access::SessionRead),
         "recent" => Ok(Access::BoundedRead(bound)),
         "loose" => Ok(Access::AnyRead),
-        other => Err(unknown("familyInfo.classRead", other)),
+        other => Err(not_one_of("familyInfo.classRead", other, "update, latest, own_writes, recent, loose")),
     }
 }
 
@@ -111,11 +134,12 @@
         ("read_like", _) => Ok(Idempotency::Idempotent),
         ("idempotency_key", "all") => Ok(Idempotency::Keyed { all_groups: true, dedup_window }),
         ("idempotency_key", "cell") => Ok(Idempotency::Keyed { all_groups: false, dedup_window }),
-        // Any other scope, such as a zone, is not a group of endpoints, so no endpoint can be relied on to drop
-        // duplicates.
+        // Any other scope, such as a zone, is not a group of endpoints, so no endpoint is relied on to drop duplicates.
         ("idempotency_key", _) => Ok(Idempotency::Keyed { all_groups: false, dedup_window: TimeDelta::ZERO }),
         ("non_idempotent", _) => Ok(Idempotency::NonIdempotent),
-        (other, _) => Err(unknown("classes[].effect", other)),
+        (other, _) => {
+            Err(not_one_of("classes[].effect", other, "read_like, idempotency_key, non_idempotent"))
+        }
     }
 }
 
@@ -124,7 +148,7 @@
         "off" => Ok(LagHandling::ServeStale),
         "reject" => Ok(LagHandling::Reject),
         "hold" => Ok(LagHandling::Wait(TimeDelta(config.replication.max_catch_up_wait_ns))),
-        other => Err(unknown("familyInfo.guards", other)),
+        other => Err(not_one_of("familyInfo.guards", other, "off, reject, hold")),
     }
 }
 
@@ -132,6 +156,6 @@
     match config.membership_mode.as_str() {
         "push" => Ok(None),
         "ask" => Ok(Some(TimeDelta(config.rules.list_poll_within_ns))),
-        other => Err(unknown("membershipMode", other)),
+        other => Err(not_one_of("membershipMode", other, "push, ask")),
     }
 }
--- a/host-support/tests/request_registry.rs
+++ b/host-support/tests/request_registry.rs
@@ -1,5 +1,5 @@
-//! The registry of requests against a model: each value is returned once, when its request is closed and no attempt
-//! is in flight.
+//! The request registry against a model: the value of each request is returned exactly once, when the request is closed
+//! and none of its attempts is in flight.
 
 use host_support::request_registry::RequestRegistry;
 use proptest::prelude::*;
@@ -7,7 +7,7 @@
 use routing::RequestId;
 use std::collections::BTreeMap;
 
-/// One step of a random sequence, for one request.
+/// One step of a random sequence. It applies to one request.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Insert,
@@ -25,15 +25,16 @@
     ]
 }
 
-/// What is true of a request that was inserted.
+/// The expected state of a request.
 #[derive(Clone, Copy, Debug, Default)]
 struct Model {
+    /// The registry has returned the value of the request.
     returned: bool,
     in_flight: u32,
     closed: bool,
 }
 
-/// A registry of requests whose values are their own ids, and a model of each.
+/// A registry in which the value of each request is its own id, and the models of the requests.
 #[derive(Default)]
 struct CheckedRegistry {
     registry: RequestRegistry<RequestId>,
@@ -41,7 +42,7 @@
 }
 
 impl CheckedRegistry {
-    /// Applies a step that is possible for the request; the value is returned with the last one.
+    /// Applies a step if it is possible for the request, and checks that the last step returns the value.
     fn apply(&mut self, request: RequestId, step: Step) -> TestCaseResult {
         let Some(value) = self.apply_if_possible(request, step) else { return Ok(()) };
         let model = self.models.get_mut(&request).expect("inserted");
@@ -55,7 +56,7 @@
         Ok(())
     }
 
-    /// What the registry returned, or none if the step is not possible for the request.
+    /// Applies a step and returns what the registry returned, or `None` if the step is not possible for the request.
     fn apply_if_possible(&mut self, request: RequestId, step: Step) -> Option<Option<RequestId>> {
         let Some(model) = self.models.get_mut(&request) else {
             if let Step::Insert = step {
@@ -87,11 +88,11 @@
 
 proptest! {
     #[test]
-    fn each_value_is_returned_once_when_its_request_is_closed_and_no_attempt_is_in_flight(
+    fn a_value_is_returned_once_after_its_request_and_attempts_end(
         steps in prop::collection::vec((0u64..8, any_step()), 1..200),
     ) {
         let mut registry = CheckedRegistry::default();
-        // In the end every request is closed and every attempt ends.
+        // At the end of the sequence, every request is closed and every attempt ends.
         let ending = [Step::Close].into_iter().chain([Step::EndAttempt { closed: true }; 200]);
         let endings = (0..8).flat_map(|request| ending.clone().map(move |step| (request, step)));
         for (request, step) in steps.into_iter().chain(endings) {
