--- a/admission/src/accept_backoff.rs
+++ b/admission/src/accept_backoff.rs
@@ -1,17 +1,17 @@
-//! Backoff of the accept loop: what to do when accept(2) fails, so that the loop neither spins nor stalls.
+//! Backoff of the accept loop: what to do when accept(2) fails, so that the loop neither busy-waits nor stops.
 
 use routing::time::TimeDelta;
 
 /// Classes of accept(2) errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptError {
-    /// The connection failed before it was accepted (ECONNABORTED, EPROTO and the network errors that accept(2) passes
-    /// on). It has left the listen queue.
+    /// The connection failed before it was accepted (ECONNABORTED, EPROTO, and network errors that accept(2) reports).
+    /// It is no longer in the listen queue.
     Aborted,
-    /// No file descriptor is left (EMFILE, ENFILE). The connection stays in the listen queue.
+    /// No file descriptor is available (EMFILE, ENFILE). The connection stays in the listen queue.
     NoDescriptor,
-    /// No memory for socket buffers (ENOBUFS, ENOMEM). The connection stays in the listen queue or is dropped by the
-    /// kernel.
+    /// No memory is available for socket buffers (ENOBUFS, ENOMEM). The connection stays in the listen queue, or the
+    /// kernel drops it.
     NoMemory,
     /// The call was interrupted (EINTR).
     Interrupted,
@@ -22,31 +22,33 @@
 /// What to do before the next connection is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptAction {
-    /// Call accept again immediately.
+    /// Call accept(2) again immediately.
     RetryNow,
-    /// Use the reserved file descriptor to accept and reject one client, then wait.
+    /// Accept one connection with the reserved file descriptor and reject it, then wait.
     RejectOne {
-        /// How long to wait if a client was rejected.
+        /// How long to wait if a connection was rejected.
         wait: TimeDelta,
-        /// How long to wait if that failed.
+        /// How long to wait if no connection could be accepted.
         wait_on_failure: TimeDelta,
     },
     /// Wait for this long.
     Wait(TimeDelta),
 }
 
-/// The first wait; each further one is twice as long.
+/// The first wait. Each consecutive one is twice as long, up to [`MAX_WAIT`].
 const MIN_WAIT: TimeDelta = TimeDelta::from_millis(1);
 /// The longest wait.
 const MAX_WAIT: TimeDelta = TimeDelta::from_millis(100);
-/// Consecutive errors without a wait. Bounded because a peer can abort connections at any rate.
+/// Maximum number of consecutive retries without a wait. It is limited because a client can abort connections at any
+/// rate.
 const MAX_IMMEDIATE_RETRIES: u32 = 8;
 
 /// Backoff state of one accept loop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AcceptBackoff {
-    /// Errors since the last accepted connection.
+    /// Number of errors since the last accepted connection.
     errors: u32,
+    /// The last wait since the last accepted connection; zero if there was none.
     wait: TimeDelta,
 }
 
@@ -56,7 +58,7 @@
         *self = AcceptBackoff::default();
     }
 
-    /// Records a failed accept and returns what to do next.
+    /// Records a failed call of accept(2) and returns what to do next.
     pub fn failed(&mut self, error: AcceptError) -> AcceptAction {
         let may_retry_now = self.errors % (MAX_IMMEDIATE_RETRIES + 1) < MAX_IMMEDIATE_RETRIES;
         self.errors = self.errors.wrapping_add(1);
@@ -66,13 +68,13 @@
                 self.wait = TimeDelta::ZERO;
                 AcceptAction::RetryNow
             }
-            // Queued clients are rejected one at a time, slowly enough to leave the worker to other connections.
+            // Waiting connections are rejected one at a time, so that the worker thread has time for open connections.
             AcceptError::NoDescriptor => {
                 self.wait = MIN_WAIT;
                 AcceptAction::RejectOne { wait: MIN_WAIT, wait_on_failure: MAX_WAIT / 2 }
             }
             AcceptError::Interrupted | AcceptError::Aborted => self.wait_for(MIN_WAIT),
-            // Memory becomes free as other connections end, which may take short or long.
+            // Memory becomes available when other connections end, which can take any time.
             AcceptError::NoMemory | AcceptError::Other => self.wait_for(doubled),
         }
     }
--- a/admission/src/client_address.rs
+++ b/admission/src/client_address.rs
@@ -1,5 +1,5 @@
-//! Client addresses: the connections each one holds and its state of the connection rate limit, in a table of
-//! bounded size.
+//! Client addresses: a table of bounded size with the number of open connections and the rate-limit state of each
+//! address.
 
 use crate::client_class::ConnectionRate;
 use routing::time::{TimeDelta, Timestamp};
@@ -7,14 +7,17 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::{IpAddr, Ipv6Addr};
 
-/// Maximum number of remembered addresses without a connection, about 150 bytes each. A client that connects from
-/// this many addresses before one of them conforms to its rate again can have that address evicted, which then
-/// starts with a full burst.
+/// Maximum number of addresses that are remembered although they have no connection, at about 150 bytes each. A
+/// client that controls more addresses can cause one to be evicted before it conforms to its rate again. Such an
+/// address may then open a full burst of connections.
 pub const MAX_REMEMBERED: usize = 1 << 16;
 /// Tables of this capacity (entries) or less are not shrunk: the memory is too small to matter.
 const MIN_CAPACITY: usize = 1_024;
+/// Bits that precede the IPv4 address in an IPv4-mapped IPv6 address.
+const MAPPED_PREFIX_BITS: u8 = 96;
 
-/// Prefix lengths by which addresses identify a client: one client may control every address of such a network.
+/// Prefix lengths of addresses. Addresses with the same prefix count as one client, because one client may control
+/// all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressPrefixes {
     /// Prefix length of IPv4 addresses in bits, 8 to 32.
@@ -29,15 +32,15 @@
     }
 }
 
-/// The address of a client, truncated to the configured prefix.
+/// The address of a client, truncated to the configured prefix length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientAddress(u128);
 
 impl ClientAddress {
-    /// Truncates the peer address of a connection. An IPv4-mapped IPv6 address counts as the IPv4 address.
+    /// Truncates the peer address of a connection. An IPv4-mapped IPv6 address is treated as the IPv4 address.
     pub fn new(from: IpAddr, prefixes: AddressPrefixes) -> ClientAddress {
         let (bits, prefix) = match from.to_canonical() {
-            IpAddr::V4(v4) => (v4.to_ipv6_mapped().to_bits(), 96 + prefixes.v4.min(32)),
+            IpAddr::V4(v4) => (v4.to_ipv6_mapped().to_bits(), MAPPED_PREFIX_BITS + prefixes.v4.min(32)),
             IpAddr::V6(v6) => (v6.to_bits(), prefixes.v6.min(128)),
         };
         let mask = u128::MAX.checked_shl(128 - u32::from(prefix)).unwrap_or(0);
@@ -54,8 +57,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct AddressState {
     connections: usize,
-    /// When the address conforms to its rate again: the theoretical arrival time of the generic cell rate
-    /// algorithm.
+    /// When the address conforms to its rate again: the theoretical arrival time of the generic cell rate algorithm
+    /// (GCRA).
     conforms_at: Timestamp,
 }
 
@@ -77,7 +80,7 @@
 }
 
 impl AddressTable {
-    /// Number of connections that an address holds.
+    /// Number of open connections of an address.
     pub fn connections(&self, address: ClientAddress) -> usize {
         self.addresses.get(&address).map_or(0, |state| state.connections)
     }
@@ -93,24 +96,34 @@
         top
     }
 
-    /// Number of remembered addresses.
+    /// Number of addresses in the table, with and without connections.
     pub fn len(&self) -> usize {
         self.addresses.len()
     }
 
-    /// Whether no address is remembered.
+    /// Whether the table contains no address.
     pub fn is_empty(&self) -> bool {
         self.addresses.is_empty()
     }
 
-    /// Time until an address may open its next connection at its rate; zero if it may now.
-    pub fn wait(&self, now: Timestamp, address: ClientAddress, rate: ConnectionRate) -> TimeDelta {
+    /// Time until the rate allows the next connection of an address; zero if it does now.
+    pub fn wait_until_conforming(
+        &self,
+        now: Timestamp,
+        address: ClientAddress,
+        rate: ConnectionRate,
+    ) -> TimeDelta {
         let conforms_at = self.addresses.get(&address).map_or(now, |state| state.conforms_at);
         (conforms_at - now - rate.tolerance()).max(TimeDelta::ZERO)
     }
 
     /// Records a new connection of an address.
-    pub fn connected(&mut self, now: Timestamp, address: ClientAddress, rate: Option<ConnectionRate>) {
+    pub fn record_connection(
+        &mut self,
+        now: Timestamp,
+        address: ClientAddress,
+        rate: Option<ConnectionRate>,
+    ) {
         let state = self.addresses.entry(address).or_default();
         if state.connections == 0 {
             self.idle.remove(&(state.conforms_at, address));
@@ -121,7 +134,7 @@
     }
 
     /// Records the end of a connection. The address is remembered until it conforms to its rate again.
-    pub fn disconnected(&mut self, now: Timestamp, address: ClientAddress) {
+    pub fn record_disconnection(&mut self, now: Timestamp, address: ClientAddress) {
         let Some(state) = self.addresses.get_mut(&address) else { return };
         state.connections = state.connections.saturating_sub(1);
         if state.connections == 0 {
@@ -130,7 +143,8 @@
         self.expire(now);
     }
 
-    /// Evicts addresses that conform to their rate and, beyond [`MAX_REMEMBERED`], those that conform soonest.
+    /// Evicts idle addresses that conform to their rate again and, if more than [`MAX_REMEMBERED`] remain, those that
+    /// conform soonest. Shrinks the table when it is mostly empty.
     pub fn expire(&mut self, now: Timestamp) {
         while let Some(&(conforms_at, address)) = self.idle.first() {
             if conforms_at > now && self.idle.len() <= MAX_REMEMBERED {
--- a/admission/src/client_class.rs
+++ b/admission/src/client_class.rs
@@ -1,4 +1,4 @@
-//! Client classes as configured by operators: their limits, validation, and the classification of a client.
+//! Client classes as configured by operators: their limits, their validation, and the classification of clients.
 
 use ipnet::IpNet;
 use routing::time::TimeDelta;
@@ -17,7 +17,7 @@
 pub struct ConnectionRate {
     /// Sustained rate in connections per second, 1 to 100,000.
     pub per_second: u32,
-    /// Connections that may arrive at once after an idle period, 1 to 100,000.
+    /// Number of connections that may arrive at once after a pause, 1 to 100,000.
     pub burst: u32,
 }
 
@@ -27,14 +27,14 @@
         TimeDelta(NANOS_PER_SECOND / i64::from(self.per_second.max(1)))
     }
 
-    /// How far ahead of the sustained rate an address may run: the burst tolerance of the generic cell rate
-    /// algorithm (ITU-T I.371).
+    /// How much earlier than at the sustained rate a connection may arrive: the burst tolerance of the generic cell rate
+    /// algorithm (GCRA, ITU-T I.371).
     pub fn tolerance(self) -> TimeDelta {
         self.interval() * i64::from(self.burst.max(1) - 1)
     }
 }
 
-/// A class of clients and its limits. A limit of `None` is unlimited.
+/// A class of clients and its limits. `None` means no limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientClass {
     /// Unique name of the class.
@@ -42,9 +42,9 @@
     /// Networks of its clients. Empty for [`DEFAULT_CLASS`]; empty together with `users` means any network.
     pub networks: Vec<IpNet>,
     /// If not empty, only clients that present one of these user names belong to the class. User names are not
-    /// authenticated: a class without networks is open to anyone who knows a name.
+    /// authenticated: anyone who knows a user name can join a class without networks.
     pub users: Vec<Arc<str>>,
-    /// Connections reserved for the class, regardless of the load of other classes.
+    /// Number of connections reserved for the class: other classes cannot use them.
     pub reserved: usize,
     /// Maximum connections of the whole class.
     pub max_connections: Option<usize>,
@@ -52,18 +52,18 @@
     pub max_per_address: Option<usize>,
     /// Rate limit on new connections from one address.
     pub rate: Option<ConnectionRate>,
-    /// Weight of the class when requests queue for the concurrency limit, 1 to 1,000.
+    /// Weight of the class when requests wait for the concurrency limit, 1 to 1,000.
     pub weight: u32,
-    /// Maximum requests of the whole class, in flight and waiting.
+    /// Maximum requests of the whole class, in flight and waiting together.
     pub max_requests: Option<usize>,
 }
 
 /// How closely a class matches a client. The order of the fields is the order of comparison.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Specificity {
-    /// The class matches by user name.
+    /// Whether the class matches by user name.
     by_user: bool,
-    /// Prefix length in bits of the longest matching network.
+    /// Prefix length in bits of the narrowest matching network; 0 for a class without networks.
     prefix_length: u8,
 }
 
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Whether clients match by their user name alone, from any network.
-    fn is_by_users_alone(&self) -> bool {
+    /// Whether the class matches by user name alone, with clients of any network.
+    fn matches_any_network(&self) -> bool {
         self.networks.is_empty() && !self.users.is_empty()
     }
 
@@ -96,7 +96,7 @@
         }
         let containing = self.networks.iter().filter(|network| network.contains(&from));
         let longest_prefix = containing.map(IpNet::prefix_len).max();
-        let any_network = self.is_by_users_alone().then_some(0);
+        let any_network = self.matches_any_network().then_some(0);
         let prefix_length = longest_prefix.or(any_network)?;
         Some(Specificity { by_user, prefix_length })
     }
@@ -109,38 +109,58 @@
     }
 }
 
-/// Why a set of client classes is invalid.
+/// Why a set of client classes is invalid. The messages are for operators and name the properties of the operators'
+/// file: `from` (networks), `user`, `keep` (reserved connections) and `most` (maximum connections).
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ClassError {
     /// Two classes have the same name.
-    #[error("{0} is there twice")]
+    #[error("class {0} is defined more than once")]
     DuplicateName(Arc<str>),
     /// A class reserves more connections than its own maximum.
-    #[error("{0} keeps more than its most")]
-    ReservesMoreThanLimit(Arc<str>),
+    #[error(
+        "class {class} reserves more connections (keep {reserved}) than its maximum (most {max_connections})"
+    )]
+    ReservesMoreThanLimit {
+        /// Name of the class.
+        class: Arc<str>,
+        /// Connections reserved for the class.
+        reserved: usize,
+        /// Maximum connections of the class.
+        max_connections: usize,
+    },
     /// The classes together reserve more connections than the server's capacity.
-    #[error("{reserved} connections are kept in all, and there is room for {capacity}")]
+    #[error("the classes reserve {reserved} connections (keep), more than the capacity of {capacity}")]
     ReservesMoreThanCapacity {
         /// Connections reserved by all classes.
         reserved: usize,
-        /// Connections of the server.
+        /// Maximum connections of the server.
         capacity: usize,
     },
-    /// Two classes list the same network for the same clients.
-    #[error("{0} stands in two classes")]
-    DuplicateNetwork(IpNet),
+    /// Two classes list the same network, and the same user or no users.
+    #[error("classes {} and {} both list network {network} (from) for the same clients", .classes[0], .classes[1])]
+    DuplicateNetwork {
+        /// The network that both classes list.
+        network: IpNet,
+        /// Names of the classes.
+        classes: [Arc<str>; 2],
+    },
     /// Two classes without networks list the same user.
-    #[error("user {0} stands in two classes")]
-    DuplicateUser(Arc<str>),
+    #[error("classes {} and {} both list user {user} and have no networks (from)", .classes[0], .classes[1])]
+    DuplicateUser {
+        /// The user that both classes list.
+        user: Arc<str>,
+        /// Names of the classes.
+        classes: [Arc<str>; 2],
+    },
     /// The default class lists networks or users.
-    #[error("{DEFAULT_CLASS} are those in no other class")]
-    DefaultClassDescribed,
-    /// A class other than the default one lists neither networks nor users.
-    #[error("{0} has no ranges and no users, so nobody is of it")]
-    DescribesNobody(Arc<str>),
+    #[error("class {DEFAULT_CLASS} contains the clients of no other class; it cannot have from or user")]
+    DefaultClassHasCriteria,
+    /// A class other than the default class lists neither networks nor users.
+    #[error("class {0} matches no client; it requires from, user or both")]
+    MatchesNoClient(Arc<str>),
 }
 
-/// Returns every error in a set of classes, for a server of `capacity` connections.
+/// Returns every error in a set of classes, for a server with a capacity of `capacity` connections.
 pub fn validate(classes: &[ClientClass], capacity: usize) -> Vec<ClassError> {
     let mut errors = Vec::new();
     for (index, class) in classes.iter().enumerate() {
@@ -153,37 +173,48 @@
     errors
 }
 
-fn validate_class(class: &ClientClass, before: &[ClientClass], errors: &mut Vec<ClassError>) {
-    if before.iter().any(|other| other.name == class.name) {
+/// Appends the errors of a class, by itself and compared with the classes that precede it.
+fn validate_class(class: &ClientClass, preceding: &[ClientClass], errors: &mut Vec<ClassError>) {
+    if preceding.iter().any(|other| other.name == class.name) {
         errors.push(ClassError::DuplicateName(class.name.clone()));
     }
-    if class.max_connections.is_some_and(|max_connections| class.reserved > max_connections) {
-        errors.push(ClassError::ReservesMoreThanLimit(class.name.clone()));
+    if let Some(max_connections) = class.max_connections.filter(|max| class.reserved > *max) {
+        let (class, reserved) = (class.name.clone(), class.reserved);
+        errors.push(ClassError::ReservesMoreThanLimit { class, reserved, max_connections });
     }
-    let describes_nobody = class.networks.is_empty() && class.users.is_empty();
-    match (describes_nobody, &*class.name == DEFAULT_CLASS) {
-        (false, true) => errors.push(ClassError::DefaultClassDescribed),
-        (true, false) => errors.push(ClassError::DescribesNobody(class.name.clone())),
+    let matches_no_client = class.networks.is_empty() && class.users.is_empty();
+    match (matches_no_client, &*class.name == DEFAULT_CLASS) {
+        (false, true) => errors.push(ClassError::DefaultClassHasCriteria),
+        (true, false) => errors.push(ClassError::MatchesNoClient(class.name.clone())),
         _ => {}
     }
-    let is_duplicate_network = |network: &&IpNet| {
-        let mut competitors = before.iter().filter(|other| class.competes_with(other));
-        competitors.any(|other| other.networks.contains(network))
-    };
-    if let Some(network) = class.networks.iter().find(is_duplicate_network) {
-        errors.push(ClassError::DuplicateNetwork(*network));
-    }
-    let is_duplicate_user = |user: &&Arc<str>| {
-        let mut by_users = before.iter().filter(|other| other.is_by_users_alone());
-        class.is_by_users_alone() && by_users.any(|other| other.users.contains(user))
-    };
-    if let Some(user) = class.users.iter().find(is_duplicate_user) {
-        errors.push(ClassError::DuplicateUser(user.clone()));
-    }
+    errors.extend(duplicate_network(class, preceding));
+    errors.extend(duplicate_user(class, preceding));
+}
+
+/// The first network of a class that a preceding class lists for the same clients.
+fn duplicate_network(class: &ClientClass, preceding: &[ClientClass]) -> Option<ClassError> {
+    class.networks.iter().find_map(|network| {
+        let mut competitors = preceding.iter().filter(|other| class.competes_with(other));
+        let other = competitors.find(|other| other.networks.contains(network))?;
+        let classes = [other.name.clone(), class.name.clone()];
+        Some(ClassError::DuplicateNetwork { network: *network, classes })
+    })
+}
+
+/// The first user of a class without networks that a preceding class without networks lists as well.
+fn duplicate_user(class: &ClientClass, preceding: &[ClientClass]) -> Option<ClassError> {
+    let mut users = class.users.iter().filter(|_| class.matches_any_network());
+    users.find_map(|user| {
+        let mut by_user_alone = preceding.iter().filter(|other| other.matches_any_network());
+        let other = by_user_alone.find(|other| other.users.contains(user))?;
+        let classes = [other.name.clone(), class.name.clone()];
+        Some(ClassError::DuplicateUser { user: user.clone(), classes })
+    })
 }
 
-/// Returns the index of the class that matches a client most closely, or of the default class, which must exist.
-/// Of several equally specific classes the first one wins.
+/// Returns the index of the class that matches a client most closely, or that of the default class if none matches. The
+/// first of several equally specific classes is used. The default class must exist.
 pub fn classify(classes: &[ClientClass], from: IpAddr, user: Option<&str>) -> usize {
     let matching = classes.iter().enumerate().filter_map(|(index, class)| {
         let specificity = class.specificity(from, user)?;
--- a/admission/src/concurrency_limiter/arrival_table.rs
+++ b/admission/src/concurrency_limiter/arrival_table.rs
@@ -1,9 +1,9 @@
-//! The admission decision for an arriving request, as a table of rules.
+//! Table of rules that decides on an arriving request.
 
 use super::types::ShedReason;
 
-/// Input of the admission decision for an arriving request.
-pub struct Case {
+/// Input of the decision on an arriving request.
+pub struct ArrivalInput {
     pub is_retry: bool,
     pub within_retry_budget: bool,
     pub class_requests: usize,
@@ -18,39 +18,39 @@
     pub max_queue_share: u64,
 }
 
-/// Outcome of the admission decision.
+/// Outcome of the decision on an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ArrivalOutcome {
     Admit,
     Wait,
-    /// Wait, and displace another request from the full queue.
+    /// Wait in the place of another request, which is displaced from the full queue.
     Displace,
     Shed(ShedReason),
 }
 
-/// In the cases that `matches` accepts, the decision is `step`.
+/// A rule: inputs that `matches` accepts have this outcome.
 struct Rule {
-    matches: fn(&Case) -> bool,
-    step: Step,
+    matches: fn(&ArrivalInput) -> bool,
+    outcome: ArrivalOutcome,
 }
 
-/// The first rule that matches applies.
+/// The rules in order of precedence. The first one that matches the input applies.
 const RULES: &[Rule] = &[
     Rule {
-        matches: |case| case.is_retry && !case.within_retry_budget,
-        step: Step::Shed(ShedReason::RetryBudget),
+        matches: |input| input.is_retry && !input.within_retry_budget,
+        outcome: ArrivalOutcome::Shed(ShedReason::RetryBudget),
     },
     Rule {
-        matches: |case| case.class_requests >= case.max_class_requests,
-        step: Step::Shed(ShedReason::ClassLimit),
+        matches: |input| input.class_requests >= input.max_class_requests,
+        outcome: ArrivalOutcome::Shed(ShedReason::ClassLimit),
     },
-    Rule { matches: |case| case.in_flight < case.max_in_flight, step: Step::Admit },
-    Rule { matches: |case| case.waiting < case.max_waiting, step: Step::Wait },
-    Rule { matches: |case| case.queue_share < case.max_queue_share, step: Step::Displace },
-    Rule { matches: |_| true, step: Step::Shed(ShedReason::QueueFull) },
+    Rule { matches: |input| input.in_flight < input.max_in_flight, outcome: ArrivalOutcome::Admit },
+    Rule { matches: |input| input.waiting < input.max_waiting, outcome: ArrivalOutcome::Wait },
+    Rule { matches: |input| input.queue_share < input.max_queue_share, outcome: ArrivalOutcome::Displace },
+    Rule { matches: |_| true, outcome: ArrivalOutcome::Shed(ShedReason::QueueFull) },
 ];
 
-/// Decides on an arriving request.
-pub fn decide(case: &Case) -> Step {
-    RULES.iter().find(|rule| (rule.matches)(case)).map_or(Step::Admit, |rule| rule.step)
+/// The outcome of the first rule that matches.
+pub fn decide(input: &ArrivalInput) -> ArrivalOutcome {
+    RULES.iter().find(|rule| (rule.matches)(input)).map_or(ArrivalOutcome::Admit, |rule| rule.outcome)
 }
--- a/admission/src/concurrency_limiter/fair_queue.rs
+++ b/admission/src/concurrency_limiter/fair_queue.rs
@@ -1,5 +1,6 @@
-//! The queue of one class: start-time fair queueing (Goyal, Vin, Cheng, SIGCOMM 1996) among the clients with the
-//! fewest requests in flight. The limiter applies the same algorithm among classes.
+//! The queue of one class. The client with the fewest requests in flight is served next; among several, the order is
+//! that of start-time fair queueing (Goyal, Vin, Cheng, SIGCOMM 1996). The limiter applies the same algorithm among
+//! classes.
 
 use super::types::RequestId;
 use crate::client_address::ClientAddress;
@@ -7,15 +8,15 @@
 use routing::time::Timestamp;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Virtual service time of one request at a weight of one. Large enough that dividing it by a weight of up to 1,000
-/// loses no precision that matters.
+/// Virtual service time of one request at a weight of one. It is large compared with the maximum weight of 1,000, so
+/// that its quotient by a weight is precise enough.
 pub const VIRTUAL_SERVICE: u64 = 1_000_000;
-/// Fixed-point unit of queue shares: a share of this value is one request at a weight of one.
+/// Fixed-point unit of queue shares: the share of one request at a weight of one.
 const SHARE_UNIT: u64 = 1_000;
 /// Tables of this capacity (entries) or less are not shrunk: the memory is too small to matter.
 const MIN_CAPACITY: usize = 1_024;
 
-/// The requests and service tags of one client that has requests or was served recently.
+/// The requests and the start tag of one client that has requests or had some recently.
 #[derive(Debug, Default)]
 pub struct Flow {
     pub in_flight: usize,
@@ -24,8 +25,9 @@
     waiting_since: Timestamp,
     /// Start tag of its next request, in the virtual time of its class.
     pub start_tag: u64,
-    /// Number of the change that set its current rank: breaks ties between equal start tags.
-    ordered_since: u64,
+    /// Number of the change that set its current rank. Of several flows with equal start tags, the one with the lowest
+    /// number is served first.
+    rank_change_number: u64,
     /// When its oldest waiting request exceeds the target wait.
     head_expiry: Option<Timestamp>,
     /// Since when it has had no requests; `None` while it has any.
@@ -37,7 +39,7 @@
 struct FlowRank {
     in_flight: usize,
     start_tag: u64,
-    ordered_since: u64,
+    rank_change_number: u64,
     address: ClientAddress,
 }
 
@@ -52,12 +54,12 @@
         self.waiting.front().copied()
     }
 
-    /// The request that arrived last.
+    /// The waiting request that arrived last.
     pub fn newest(&self) -> Option<RequestId> {
         self.waiting.back().copied()
     }
 
-    /// Appends a request to the queue.
+    /// Appends a request to the client's queue.
     pub fn push(&mut self, request: RequestId, now: Timestamp) {
         if self.waiting.is_empty() {
             self.waiting_since = now;
@@ -65,7 +67,7 @@
         self.waiting.push_back(request);
     }
 
-    /// Removes a request from the queue.
+    /// Removes a request from the client's queue.
     pub fn remove(&mut self, request: RequestId) {
         if self.oldest() == Some(request) {
             self.waiting.pop_front();
@@ -74,26 +76,27 @@
         }
     }
 
-    /// Applies the change with this number and updates the fields that rank the flow within its class.
+    /// Applies a change and updates the fields that determine the rank of the flow within its class. `number` is the
+    /// number of the change.
     fn apply(&mut self, change: impl FnOnce(&mut Flow), number: u64, class_virtual_time: u64) {
         let (was_waiting, before) = (self.waiting() > 0, (self.in_flight, self.start_tag));
         change(self);
         if !was_waiting && self.waiting() > 0 {
-            // Service that was not used while the queue was empty is not carried over.
+            // A client does not accumulate unused service while its queue is empty.
             self.start_tag = self.start_tag.max(class_virtual_time);
         }
         if !was_waiting || before != (self.in_flight, self.start_tag) {
-            self.ordered_since = number;
+            self.rank_change_number = number;
         }
     }
 
     fn rank(&self, address: ClientAddress) -> FlowRank {
-        let Flow { in_flight, start_tag, ordered_since, .. } = *self;
-        FlowRank { in_flight, start_tag, ordered_since, address }
+        let Flow { in_flight, start_tag, rank_change_number, .. } = *self;
+        FlowRank { in_flight, start_tag, rank_change_number, address }
     }
 }
 
-/// The fields of a client's flow that the limiter's indexes are keyed by, before or after a change.
+/// The fields of a client's flow by which the limiter's indexes are ordered, before or after a change.
 #[derive(Clone, Copy)]
 pub struct FlowSnapshot {
     /// Number of waiting requests.
@@ -108,7 +111,7 @@
 pub struct FlowChange {
     pub before: FlowSnapshot,
     pub after: FlowSnapshot,
-    /// When its oldest waiting request exceeded the target wait, as set before the change.
+    /// When its oldest waiting request before the change would have exceeded the target wait.
     pub head_expiry_before: Option<Timestamp>,
     /// Its oldest waiting request after the change.
     pub oldest: Option<RequestId>,
@@ -133,7 +136,7 @@
 }
 
 impl ClassQueue {
-    /// Creates the queue of a class. Without a class: weight one and no limit.
+    /// Creates the queue of a class. Without a class, the weight is one and requests are not limited.
     pub fn new(class: Option<&ClientClass>) -> ClassQueue {
         let mut queue = ClassQueue {
             weight: 1,
@@ -149,7 +152,7 @@
         queue
     }
 
-    /// Sets the weight and the request limit to those of the class.
+    /// Sets the weight and the request limit of the class, as for [`ClassQueue::new`].
     pub fn set_limits(&mut self, class: Option<&ClientClass>) {
         self.weight = class.map_or(1, |class| u64::from(class.weight.max(1)));
         self.max_requests = class.and_then(|class| class.max_requests).unwrap_or(usize::MAX);
@@ -195,13 +198,13 @@
         busy.map(|(address, flow)| (*address, flow))
     }
 
-    /// The client to serve next.
+    /// The client to serve next, if any has waiting requests.
     pub fn next_client(&self) -> Option<ClientAddress> {
         self.service_order.first().map(|rank| rank.address)
     }
 
     /// Records that a client with start tag `client_tag` was served while the class had start tag `class_tag`.
-    pub fn served(&mut self, class_tag: u64, client_tag: u64) {
+    pub fn record_service(&mut self, class_tag: u64, client_tag: u64) {
         self.start_tag = class_tag + VIRTUAL_SERVICE / self.weight;
         self.virtual_time = self.virtual_time.max(client_tag);
     }
--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -1,11 +1,11 @@
-//! Concurrency limiter: bounds the requests in flight, queues excess requests fairly, and sheds requests before any
-//! work is spent on them.
+//! Concurrency limiter: limits the requests in flight, queues excess requests fairly, and sheds requests before any
+//! work is done for them.
 //!
 //! Below the limit every request is admitted. At the limit, classes share the capacity in proportion to their weights
-//! and the clients of a class share it equally; unused shares are redistributed. Queueing time is bounded by
-//! controlled delay (CoDel) as in Maurer, *Fail at Scale* (ACM Queue 13:8, 2015), applied per client: a request may
-//! wait up to [`INTERVAL`], but only up to the target wait once its client's queue has not been empty for
-//! [`INTERVAL`]. So a short burst is worked off, while a standing queue is kept short.
+//! and the clients of a class share it equally; unused shares are redistributed. The wait is limited by controlled
+//! delay (CoDel) as in Maurer, *Fail at Scale* (ACM Queue 13:8, 2015), applied per client: a request may wait up to
+//! [`CODEL_INTERVAL`], or only up to the target wait once its client's queue has not been empty for
+//! [`CODEL_INTERVAL`]. As a result, the requests of a short burst are executed, while a standing queue stays short.
 
 mod arrival_table;
 mod fair_queue;
@@ -21,17 +21,17 @@
 use crate::reason_counts::ReasonCounts;
 use crate::retry_after_jitter::RetryAfterJitter;
 use crate::retry_budget::RetryBudgets;
-use arrival_table::{Case, Step};
+use arrival_table::{ArrivalInput, ArrivalOutcome};
 use fair_queue::{ClassQueue, Flow, FlowChange, VIRTUAL_SERVICE};
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// How long a client's queue may be non-empty before the target wait applies to it.
-pub const INTERVAL: TimeDelta = TimeDelta::from_millis(100);
+pub const CODEL_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
 
-/// A request waits for at most one in this many parts of the time to its deadline: the rest is left to its execution.
-const DEADLINE_FRACTION: i64 = 4;
+/// A request may wait for a fourth of the time until its deadline. The rest is left for its execution.
+const DEADLINE_DIVISOR: i64 = 4;
 
 /// A request that was admitted or is waiting.
 #[derive(Debug)]
@@ -39,26 +39,27 @@
     Waiting {
         client: ClientKey,
         since: Timestamp,
-        /// When the request is shed at the latest.
+        /// When the request is shed unless it is admitted before.
         until: Timestamp,
     },
     InFlight(ClientKey),
 }
 
-/// The request that is admitted next.
+/// The waiting request that is admitted next.
 struct NextRequest {
     client: ClientKey,
     request: RequestId,
 }
 
-/// How long the service tags of an idle client are kept. Without them, a client that returns after a pause would be
-/// queued behind clients that always have requests.
+/// How long the start tag of an idle client is kept. Without it, a client that returns after a pause would be queued
+/// behind clients that always have requests.
 const IDLE_CLIENT_TTL: TimeDelta = TimeDelta::from_millis(5_000);
-/// Maximum number of remembered idle clients, about 150 bytes each. A client that uses this many addresses before
-/// idle ones expire can have its used share forgotten, once per address.
+/// Maximum number of remembered idle clients, at about 150 bytes each. A client that uses more addresses than this
+/// before idle clients expire can have the start tag of each address forgotten once, and with it the service that the
+/// address has already received.
 pub const MAX_IDLE_CLIENTS: usize = 1 << 16;
 
-/// Requests in flight and waiting requests, with the limits that apply to them.
+/// The concurrency limiter: requests in flight and waiting, and the limits that apply to them.
 pub struct ConcurrencyLimiter {
     limits: ConcurrencyLimits,
     classes: Vec<ClientClass>,
@@ -68,15 +69,15 @@
     waiting: usize,
     /// Virtual time of fair queueing among the classes.
     virtual_time: u64,
-    /// Number of changes to client flows so far: breaks ties in the service order by arrival.
-    changes: u64,
-    /// Waiting requests by when they are shed at the latest.
+    /// Number of changes to client flows so far. Ties in the service order are broken by the number of the change.
+    change_count: u64,
+    /// Waiting requests, ordered by when they are shed unless they are admitted before.
     expiries: BTreeSet<(Timestamp, RequestId)>,
-    /// Clients by when their oldest waiting request exceeds the target wait.
+    /// Clients with waiting requests, ordered by when their oldest one exceeds the target wait.
     head_expiries: BTreeSet<(Timestamp, ClientKey)>,
-    /// Clients without requests, by when they became idle.
+    /// Clients without requests, ordered by when they became idle.
     idle: BTreeSet<(Timestamp, ClientKey)>,
-    /// Clients with waiting requests, by their share of the queue.
+    /// Clients with waiting requests, ordered by their share of the queue.
     queue_shares: BTreeSet<(u64, ClientKey)>,
     retry_budgets: Option<RetryBudgets<ClientKey>>,
     jitter: RetryAfterJitter,
@@ -89,7 +90,7 @@
 }
 
 impl ConcurrencyLimiter {
-    /// Creates a limiter whose Retry-After times are at most `max_retry_after`; `seed` is that of their jitter.
+    /// Creates a limiter whose Retry-After times are at most `max_retry_after`, with a jitter that `seed` determines.
     pub fn new(
         limits: ConcurrencyLimits,
         classes: Vec<ClientClass>,
@@ -104,7 +105,7 @@
             in_flight: 0,
             waiting: 0,
             virtual_time: 0,
-            changes: 0,
+            change_count: 0,
             expiries: BTreeSet::new(),
             head_expiries: BTreeSet::new(),
             idle: BTreeSet::new(),
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Changes the limits. Requests that are in flight or waiting are not shed because of the change.
+    /// Changes the limits. Requests in flight and waiting requests are kept, even if they exceed the new limits.
     pub fn set_limits(
         &mut self,
         now: Timestamp,
@@ -162,23 +163,22 @@
         self.queues.get(&client.class).map_or(0, |queue| queue.queue_share(waiting))
     }
 
-    /// Decides on an arriving request, and on waiting requests that have expired by now.
+    /// Decides on an arriving request, after it sheds waiting requests that have exceeded their wait.
     pub fn arrive(&mut self, now: Timestamp, arrival: Arrival, decisions: &mut Vec<Decision>) {
         self.tick(now, decisions);
-        let case = self.case(now, &arrival);
-        let step = arrival_table::decide(&case);
+        let outcome = arrival_table::decide(&self.arrival_input(now, &arrival));
         let Arrival { request, client, is_retry, deadline } = arrival;
-        if let Step::Shed(reason) = step {
+        if let ArrivalOutcome::Shed(reason) = outcome {
             return self.shed(now, request, client.class, reason, decisions);
         }
         if let Some(budgets) = &mut self.retry_budgets {
-            budgets.admitted(now, &client, is_retry);
+            budgets.record_admitted(now, &client, is_retry);
         }
-        if step == Step::Displace {
+        if outcome == ArrivalOutcome::Displace {
             self.displace(now, decisions);
         }
-        if step == Step::Admit {
-            self.start(now, &client);
+        if outcome == ArrivalOutcome::Admit {
+            self.record_in_flight(now, &client);
             self.requests.insert(request, Request::InFlight(client));
             decisions.push(Decision::Admit { request, waited: TimeDelta::ZERO });
         } else {
@@ -186,7 +186,7 @@
         }
     }
 
-    fn case(&mut self, now: Timestamp, arrival: &Arrival) -> Case {
+    fn arrival_input(&mut self, now: Timestamp, arrival: &Arrival) -> ArrivalInput {
         let client = &arrival.client;
         let budgets = self.retry_budgets.as_ref();
         let within_retry_budget = budgets.is_none_or(|budgets| budgets.allows_retry(now, client));
@@ -194,7 +194,7 @@
         let (limits, in_flight, waiting) = (self.limits, self.in_flight, self.waiting);
         let queue = self.queue(&client.class);
         let client_waiting = queue.flow(client.address).map_or(0, Flow::waiting);
-        Case {
+        ArrivalInput {
             is_retry: arrival.is_retry,
             within_retry_budget,
             class_requests: queue.requests(),
@@ -209,7 +209,7 @@
     }
 
     fn enqueue(&mut self, now: Timestamp, request: RequestId, client: ClientKey, deadline: Timestamp) {
-        let until = now + INTERVAL.min((deadline - now) / DEADLINE_FRACTION);
+        let until = now + CODEL_INTERVAL.min((deadline - now) / DEADLINE_DIVISOR);
         self.expiries.insert((until, request));
         self.requests.insert(request, Request::Waiting { client: client.clone(), since: now, until });
         self.update_client(now, &client, |flow| flow.push(request, now));
@@ -241,9 +241,9 @@
         self.admit_next(now, decisions);
     }
 
-    /// Sheds requests that have exceeded their maximum or target wait.
+    /// Sheds waiting requests that have exceeded their maximum wait or the target wait.
     pub fn tick(&mut self, now: Timestamp, decisions: &mut Vec<Decision>) {
-        while let Some(request) = self.expired(now) {
+        while let Some(request) = self.next_expired(now) {
             let Some(Request::Waiting { client, .. }) = self.requests.get(&request) else { return };
             let class = client.class.clone();
             self.dequeue(now, request);
@@ -251,7 +251,7 @@
         }
     }
 
-    fn expired(&self, now: Timestamp) -> Option<RequestId> {
+    fn next_expired(&self, now: Timestamp) -> Option<RequestId> {
         if let Some((_, request)) = self.expiries.first().filter(|(at, _)| *at <= now) {
             return Some(*request);
         }
@@ -259,7 +259,7 @@
         self.flow(client)?.oldest()
     }
 
-    /// When [`ConcurrencyLimiter::tick`] must be called next, if any request is waiting.
+    /// When [`ConcurrencyLimiter::tick`] must be called next; `None` if no request is waiting.
     pub fn next_tick(&self) -> Option<Timestamp> {
         let expiry = self.expiries.first().map(|(at, _)| *at);
         let head_expiry = self.head_expiries.first().map(|(at, _)| *at);
@@ -273,14 +273,15 @@
                 Some(Request::Waiting { since, .. }) => now - *since,
                 _ => TimeDelta::ZERO,
             };
-            self.account_service(now, &client);
+            self.record_service(now, &client);
             self.dequeue(now, request);
             self.requests.insert(request, Request::InFlight(client));
             decisions.push(Decision::Admit { request, waited });
         }
     }
 
-    /// The next request to admit, by the shares of classes and then of clients within the class.
+    /// The request to admit next: the class with the smallest share in flight is chosen first, then the client of this
+    /// class that is served next.
     fn next_waiting(&self) -> Option<NextRequest> {
         let waiting = self.queues.iter().filter(|(_, queue)| queue.waiting > 0);
         let (class, queue) = waiting.min_by_key(|(_, queue)| (queue.in_flight_share(), queue.start_tag))?;
@@ -289,18 +290,18 @@
         Some(NextRequest { client, request })
     }
 
-    /// Accounts for a request taken from the queue: advances the virtual times and the start tags of the class and the
-    /// client.
-    fn account_service(&mut self, now: Timestamp, client: &ClientKey) {
+    /// Records that a waiting request of a client is admitted: counts it as in flight, and advances the virtual times and
+    /// the start tags of the class and the client.
+    fn record_service(&mut self, now: Timestamp, client: &ClientKey) {
         let client_tag = self.flow(client).map_or(0, |flow| flow.start_tag);
         let class_tag = self.queue(&client.class).start_tag;
         self.virtual_time = self.virtual_time.max(class_tag);
-        self.start(now, client);
-        self.queue(&client.class).served(class_tag, client_tag);
+        self.record_in_flight(now, client);
+        self.queue(&client.class).record_service(class_tag, client_tag);
         self.update_client(now, client, |flow| flow.start_tag += VIRTUAL_SERVICE);
     }
 
-    fn start(&mut self, now: Timestamp, client: &ClientKey) {
+    fn record_in_flight(&mut self, now: Timestamp, client: &ClientKey) {
         self.in_flight += 1;
         self.queue(&client.class).in_flight += 1;
         self.update_client(now, client, |flow| flow.in_flight += 1);
@@ -315,10 +316,10 @@
 
     /// Changes a client's flow and updates every index that contains it.
     fn update_client(&mut self, now: Timestamp, client: &ClientKey, change: impl FnOnce(&mut Flow)) {
-        self.changes += 1;
-        let (changes, virtual_time) = (self.changes, self.virtual_time);
+        self.change_count += 1;
+        let (change_number, virtual_time) = (self.change_count, self.virtual_time);
         let queue = self.queue(&client.class);
-        let changed = queue.update_flow(now, client.address, changes, virtual_time, change);
+        let changed = queue.update_flow(now, client.address, change_number, virtual_time, change);
         self.waiting = self.waiting + changed.after.waiting - changed.before.waiting;
         self.update_queue_share(client, &changed);
         self.update_idle(client, &changed);
@@ -350,7 +351,7 @@
         }
         let Some(oldest) = changed.oldest else { return };
         let Some(Request::Waiting { since, .. }) = self.requests.get(&oldest) else { return };
-        let expiry = (*since + self.limits.target_wait).max(changed.waiting_since + INTERVAL);
+        let expiry = (*since + self.limits.target_wait).max(changed.waiting_since + CODEL_INTERVAL);
         self.head_expiries.insert((expiry, client.clone()));
         self.queue(&client.class).set_head_expiry(client.address, expiry);
     }
--- a/admission/src/concurrency_limiter/types.rs
+++ b/admission/src/concurrency_limiter/types.rs
@@ -10,7 +10,7 @@
 /// Identifier of a request, assigned by the caller and never reused.
 pub type RequestId = u64;
 
-/// The client that requests are attributed to: an address within a client class.
+/// A client of the concurrency limiter: an address in a client class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientKey {
     /// Name of the client class.
@@ -33,13 +33,13 @@
     pub max_in_flight: usize,
     /// Maximum waiting requests.
     pub max_waiting: usize,
-    /// Maximum wait of a request once its client's queue has not been empty for [`super::INTERVAL`].
+    /// Maximum wait of a request once its client's queue has not been empty for [`super::CODEL_INTERVAL`].
     pub target_wait: TimeDelta,
     /// Allowed retries as a percentage of first attempts; `None` disables the retry budget.
     pub retry_percent: Option<u32>,
 }
 
-/// Why a request was shed. No work was done for it.
+/// Why a request was shed: rejected before any work was done for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShedReason {
     /// The retry budget is exhausted.
@@ -48,7 +48,8 @@
     ClassLimit,
     /// The queue is full, and no client has a larger share of it.
     QueueFull,
-    /// Displaced by a request of another client, because its own client had the largest share of the full queue.
+    /// The queue was full, and a request of another client took its place because its own client had the largest
+    /// share of the queue.
     Displaced,
     /// The request exceeded its maximum wait.
     WaitedTooLong,
@@ -110,13 +111,13 @@
     pub request: RequestId,
     /// The client that sent it.
     pub client: ClientKey,
-    /// The client marked the request as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
     /// When the client's timeout expires.
     pub deadline: Timestamp,
 }
 
-/// A decision of the limiter. Each request is admitted or shed exactly once, unless it is removed before that.
+/// A decision on a request. Each request is either admitted or shed, exactly once, unless it is removed before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The request is in flight from now on.
--- a/admission/src/concurrency_limiter/views.rs
+++ b/admission/src/concurrency_limiter/views.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 
 impl ConcurrencyLimiter {
-    /// Request counts of each class that has any.
+    /// Request counts of each class that has requests.
     pub fn requests_by_class(&self) -> impl Iterator<Item = ClassRequests> + '_ {
         let busy = self.queues.iter().filter(|(_, queue)| !queue.is_idle());
         busy.map(|(class, queue)| ClassRequests {
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -1,5 +1,5 @@
-//! Connection limiter: admits or rejects new connections by a table of rules, and counts the open ones by class and
-//! address.
+//! Connection limiter: a table of rules decides whether a new connection is admitted or rejected. Open connections are
+//! counted by class and address.
 
 use crate::client_address::{AddressConnections, AddressPrefixes, AddressTable, ClientAddress};
 use crate::client_class::{classify, validate, ClassError, ClientClass, DEFAULT_CLASS};
@@ -11,65 +11,78 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
+// Error texts that rejected clients receive. They are part of the wire format and must not change.
+
+/// The address exceeds its rate of new connections.
+const RATE_LIMIT_MESSAGE: &str = "connections come too fast from this address";
+/// The address has the maximum number of connections.
+const ADDRESS_LIMIT_MESSAGE: &str = "this address holds as many connections as it may";
+/// The client class has the maximum number of connections.
+const CLASS_LIMIT_MESSAGE: &str = "clients of this class hold as many connections as they may";
+/// The server has its maximum number of connections, or the rest is reserved for other client classes.
+const RESERVED_MESSAGE: &str = "the connections that are free are kept for others";
+/// The handshake queue has no slot for the connection, or another connection has displaced it from there.
+const HANDSHAKE_QUEUE_FULL_MESSAGE: &str = "too many connections have not said yet who they are";
+
 /// Why a connection was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
     /// The address exceeds its rate of new connections.
-    Rate,
-    /// The address is at its maximum of connections.
+    RateLimit,
+    /// The address has its maximum number of connections.
     AddressLimit,
-    /// The class is at its maximum of connections.
+    /// The class has its maximum number of connections.
     ClassLimit,
-    /// The remaining capacity is reserved for other classes, or there is none.
+    /// The server is at its capacity, or the rest of it is reserved for other classes.
     Reserved,
-    /// Too many connections are waiting for their clients to identify themselves.
-    Handshakes,
+    /// The connection was displaced from the handshake queue, or not added to it.
+    HandshakeQueueFull,
 }
 
 impl RejectionReason {
-    /// All reasons.
+    /// All reasons, in the order of the variants.
     pub const ALL: [RejectionReason; 5] = [
-        RejectionReason::Rate,
+        RejectionReason::RateLimit,
         RejectionReason::AddressLimit,
         RejectionReason::ClassLimit,
         RejectionReason::Reserved,
-        RejectionReason::Handshakes,
+        RejectionReason::HandshakeQueueFull,
     ];
 
-    /// Error text sent to the client. Part of the wire format.
+    /// Error text that the client receives.
     pub fn message(self) -> &'static str {
         match self {
-            RejectionReason::Rate => "connections come too fast from this address",
-            RejectionReason::AddressLimit => "this address holds as many connections as it may",
-            RejectionReason::ClassLimit => "clients of this class hold as many connections as they may",
-            RejectionReason::Reserved => "the connections that are free are kept for others",
-            RejectionReason::Handshakes => "too many connections have not said yet who they are",
+            RejectionReason::RateLimit => RATE_LIMIT_MESSAGE,
+            RejectionReason::AddressLimit => ADDRESS_LIMIT_MESSAGE,
+            RejectionReason::ClassLimit => CLASS_LIMIT_MESSAGE,
+            RejectionReason::Reserved => RESERVED_MESSAGE,
+            RejectionReason::HandshakeQueueFull => HANDSHAKE_QUEUE_FULL_MESSAGE,
         }
     }
 
     /// Label of the reason in metrics under their earlier names.
     pub fn label(self) -> &'static str {
         match self {
-            RejectionReason::Rate => "rate",
+            RejectionReason::RateLimit => "rate",
             RejectionReason::AddressLimit => "each",
             RejectionReason::ClassLimit => "most",
             RejectionReason::Reserved => "room",
-            RejectionReason::Handshakes => "lobby",
+            RejectionReason::HandshakeQueueFull => "lobby",
         }
     }
 
     /// Label of the reason in metrics under their standard names.
     pub fn standard_label(self) -> &'static str {
         match self {
-            RejectionReason::Rate => "rate_limit",
+            RejectionReason::RateLimit => "rate_limit",
             RejectionReason::AddressLimit => "address_limit",
             RejectionReason::ClassLimit => "class_limit",
             RejectionReason::Reserved => "reserved",
-            RejectionReason::Handshakes => "handshake_queue_full",
+            RejectionReason::HandshakeQueueFull => "handshake_queue_full",
         }
     }
 
-    /// Whether closing an idle connection of the class would make room for the next client.
+    /// Whether the next client of the class could be admitted if an idle connection of the class were closed.
     pub fn reclaims_idle(self) -> bool {
         matches!(self, RejectionReason::ClassLimit | RejectionReason::Reserved)
     }
@@ -86,7 +99,7 @@
     pub retry_after: TimeDelta,
 }
 
-/// An admitted connection. Must be passed to [`ConnectionLimiter::release`] exactly once, when it has ended.
+/// An admitted connection. The caller must pass it to [`ConnectionLimiter::release`] when it has ended.
 #[derive(Debug, PartialEq, Eq)]
 pub struct AdmittedConnection {
     /// Class of the client.
@@ -95,7 +108,7 @@
 }
 
 impl AdmittedConnection {
-    /// The client that requests on this connection are attributed to.
+    /// The client to which the concurrency limiter attributes the requests on this connection.
     pub fn client(&self) -> ClientKey {
         ClientKey { class: self.class.clone(), address: self.address }
     }
@@ -113,14 +126,14 @@
 /// Number of connections of one class that were rejected for one reason.
 pub type RejectionCount = ReasonCount<RejectionReason>;
 
-/// Input of the admission decision for a new connection.
-struct Arrival<'a> {
+/// Input of the decision on a new connection.
+struct AdmissionInput<'a> {
     class: &'a ClientClass,
     /// Open connections of the class.
     class_connections: usize,
     /// Open connections of the address.
     address_connections: usize,
-    /// Time until the address may connect at its rate.
+    /// Time until the rate allows the next connection of the address; zero if it does now.
     wait: TimeDelta,
     /// Open connections of all classes.
     connections: usize,
@@ -129,48 +142,47 @@
     capacity: usize,
 }
 
-/// A reason to reject a connection.
-struct Rule {
-    /// Whether the connection is rejected for this reason.
-    applies: fn(&Arrival) -> bool,
+/// A rule that rejects connections.
+struct RejectionRule {
+    /// Whether the rule rejects the connection.
+    applies: fn(&AdmissionInput) -> bool,
     reason: RejectionReason,
 }
 
-/// The first rule that applies rejects the connection; if none does, the connection is admitted.
-const REJECTION_RULES: &[Rule] = &[
-    Rule { applies: |arrival| arrival.wait > TimeDelta::ZERO, reason: RejectionReason::Rate },
-    Rule {
-        applies: |arrival| {
-            arrival.class.max_per_address.is_some_and(|max| arrival.address_connections >= max)
-        },
+/// The rules in order of precedence. A connection is rejected for the reason of the first rule that applies, and
+/// admitted if none does.
+const REJECTION_RULES: &[RejectionRule] = &[
+    RejectionRule { applies: |input| input.wait > TimeDelta::ZERO, reason: RejectionReason::RateLimit },
+    RejectionRule {
+        applies: |input| input.class.max_per_address.is_some_and(|max| input.address_connections >= max),
         reason: RejectionReason::AddressLimit,
     },
-    Rule {
-        applies: |arrival| arrival.class.max_connections.is_some_and(|max| arrival.class_connections >= max),
+    RejectionRule {
+        applies: |input| input.class.max_connections.is_some_and(|max| input.class_connections >= max),
         reason: RejectionReason::ClassLimit,
     },
-    // Within its own reservation, a class is rejected only when the server is full.
-    Rule {
-        applies: |arrival| {
-            arrival.class_connections < arrival.class.reserved && arrival.connections >= arrival.capacity
+    // A class that has not used up its reservation is rejected only if the server is at its capacity.
+    RejectionRule {
+        applies: |input| {
+            input.class_connections < input.class.reserved && input.connections >= input.capacity
         },
         reason: RejectionReason::Reserved,
     },
-    Rule {
-        applies: |arrival| {
-            let claimed = arrival.connections + arrival.reserved_for_others;
-            arrival.class_connections >= arrival.class.reserved && claimed >= arrival.capacity
+    RejectionRule {
+        applies: |input| {
+            let unavailable = input.connections + input.reserved_for_others;
+            input.class_connections >= input.class.reserved && unavailable >= input.capacity
         },
         reason: RejectionReason::Reserved,
     },
 ];
 
-/// Client classes, and how connections are assigned to clients.
+/// Client classes, and how addresses identify clients.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClassSettings {
     /// The client classes. If empty, every connection is admitted while there is capacity.
     pub classes: Vec<ClientClass>,
-    /// Prefix lengths by which addresses identify a client.
+    /// Prefix lengths: addresses with the same prefix count as one client.
     pub prefixes: AddressPrefixes,
 }
 
@@ -179,13 +191,13 @@
 pub struct ConnectionLimits {
     /// The client classes.
     pub classes: Vec<ClientClass>,
-    /// Prefix lengths by which addresses identify a client.
+    /// Prefix lengths: addresses with the same prefix count as one client.
     pub prefixes: AddressPrefixes,
     /// Maximum connections of the server.
     pub capacity: usize,
 }
 
-/// Open connections by class and address, with the limits that apply to them.
+/// The connection limiter: counts of open connections by class and address, and the limits that apply to them.
 pub struct ConnectionLimiter {
     limits: ConnectionLimits,
     by_class: BTreeMap<Arc<str>, usize>,
@@ -197,10 +209,10 @@
 }
 
 impl ConnectionLimiter {
-    /// Creates a limiter whose Retry-After times are at most `max_retry_after`; `seed` is that of their jitter.
+    /// Creates a limiter whose Retry-After times are at most `max_retry_after`, with a jitter that `seed` determines.
     ///
     /// # Errors
-    /// Every error in the set of classes.
+    /// All errors in the set of classes.
     pub fn new(
         limits: ConnectionLimits,
         max_retry_after: TimeDelta,
@@ -218,35 +230,36 @@
         })
     }
 
-    /// Changes the limits. Open connections are not closed and still count towards the class with their class's name,
-    /// even if it is over its new limits.
+    /// Changes the limits. Open connections are kept, even if they exceed the new limits, and count towards the new class
+    /// with the name of their class.
     ///
     /// # Errors
     /// As [`ConnectionLimiter::new`]; the limits are then unchanged.
     pub fn set_limits(&mut self, limits: ConnectionLimits) -> Result<(), Vec<ClassError>> {
         let limits = with_default_class(limits)?;
         if self.limits.prefixes != limits.prefixes {
-            // Counts by the old prefixes cannot be converted to the new ones: counting starts over.
+            // Counts by the previous prefix lengths cannot be converted, so counting starts again from zero.
             self.addresses = AddressTable::default();
         }
         self.limits = limits;
         Ok(())
     }
 
-    /// Whether any class matches by user name. If not, connections can be admitted by their address alone.
+    /// Whether any class matches by user name. If none does, connections are admitted by their address alone.
     pub fn needs_user_name(&self) -> bool {
         self.limits.classes.iter().any(|class| !class.users.is_empty())
     }
 
-    /// The address that a client's connections are counted by.
+    /// The address, truncated to its prefix, by which the connections of a client are counted.
     pub fn client_address(&self, from: IpAddr) -> ClientAddress {
         ClientAddress::new(from, self.limits.prefixes)
     }
 
-    /// Admits or rejects a new connection. `user` is the user name that the client presented, if it was asked for one.
+    /// Admits or rejects a new connection. `user` is the user name that the client presented, which is only needed if
+    /// [`ConnectionLimiter::needs_user_name`].
     ///
     /// # Errors
-    /// The connection is rejected.
+    /// The rejection of the connection.
     pub fn admit(
         &mut self,
         now: Timestamp,
@@ -256,22 +269,29 @@
         self.addresses.expire(now);
         let class = &self.limits.classes[classify(&self.limits.classes, from.to_canonical(), user)];
         let address = ClientAddress::new(from, self.limits.prefixes);
-        let arrival = self.arrival(now, class, address);
-        let (name, rate, wait) = (class.name.clone(), class.rate, arrival.wait);
-        if let Some(rule) = REJECTION_RULES.iter().find(|rule| (rule.applies)(&arrival)) {
+        let input = self.admission_input(now, class, address);
+        let (name, rate, wait) = (class.name.clone(), class.rate, input.wait);
+        if let Some(rule) = REJECTION_RULES.iter().find(|rule| (rule.applies)(&input)) {
             return Err(self.reject(now, rule.reason, name, wait));
         }
-        self.addresses.connected(now, address, rate);
+        self.addresses.record_connection(now, address, rate);
         *self.by_class.entry(name.clone()).or_default() += 1;
         self.connections += 1;
         Ok(AdmittedConnection { class: name, address })
     }
 
-    fn arrival<'a>(&self, now: Timestamp, class: &'a ClientClass, address: ClientAddress) -> Arrival<'a> {
+    fn admission_input<'a>(
+        &self,
+        now: Timestamp,
+        class: &'a ClientClass,
+        address: ClientAddress,
+    ) -> AdmissionInput<'a> {
         let held = |class: &ClientClass| self.by_class.get(&class.name).copied().unwrap_or(0);
         let others = self.limits.classes.iter().filter(|other| other.name != class.name);
-        let wait = class.rate.map_or(TimeDelta::ZERO, |rate| self.addresses.wait(now, address, rate));
-        Arrival {
+        let wait = class
+            .rate
+            .map_or(TimeDelta::ZERO, |rate| self.addresses.wait_until_conforming(now, address, rate));
+        AdmissionInput {
             class,
             class_connections: held(class),
             address_connections: self.addresses.connections(address),
@@ -282,9 +302,9 @@
         }
     }
 
-    /// Rejects a connection that was displaced from the handshake queue or not added to it.
+    /// Counts the rejection of a connection that was displaced from the handshake queue or not added to it.
     pub fn reject_handshake(&mut self, now: Timestamp) -> Rejection {
-        self.reject(now, RejectionReason::Handshakes, DEFAULT_CLASS.into(), TimeDelta::ZERO)
+        self.reject(now, RejectionReason::HandshakeQueueFull, DEFAULT_CLASS.into(), TimeDelta::ZERO)
     }
 
     fn reject(
@@ -304,11 +324,11 @@
             *connections = connections.saturating_sub(1);
         }
         self.connections = self.connections.saturating_sub(1);
-        self.addresses.disconnected(now, connection.address);
+        self.addresses.record_disconnection(now, connection.address);
         self.remove_unconfigured_class(&connection.class);
     }
 
-    /// Removes the count of a class that is no longer configured and has no connection left.
+    /// Removes the count of a class if the class is no longer configured and has no connections left.
     fn remove_unconfigured_class(&mut self, class: &Arc<str>) {
         let is_configured = self.limits.classes.iter().any(|configured| configured.name == *class);
         if !is_configured && self.by_class.get(class) == Some(&0) {
@@ -338,13 +358,13 @@
         self.rejections.iter()
     }
 
-    /// Number of addresses with remembered state.
+    /// Number of addresses in the table, with and without connections.
     pub fn remembered_addresses(&self) -> usize {
         self.addresses.len()
     }
 }
 
-/// Validates the limits and adds the default class, without limits of its own, if it is not configured.
+/// Validates the limits. If the default class is not configured, adds it without limits.
 fn with_default_class(mut limits: ConnectionLimits) -> Result<ConnectionLimits, Vec<ClassError>> {
     let errors = validate(&limits.classes, limits.capacity);
     if !errors.is_empty() {
--- a/admission/src/handshake_queue.rs
+++ b/admission/src/handshake_queue.rs
@@ -1,12 +1,12 @@
-//! Handshake queue: connections whose admission depends on the user name and whose client has not sent it yet.
+//! Handshake queue: connections whose class depends on the user name, until their client has sent it.
 //!
-//! The queue is small and always accepts a new connection, by displacing an old one when it is full. A client that
-//! sends its user name promptly is admitted before a flood of clients that never do can displace it.
+//! The queue is small. When it is full, a new connection displaces an old one. A client that sends its user name promptly
+//! leaves the queue before a flood of clients that never send theirs can displace it.
 
 use crate::client_address::ClientAddress;
 use std::collections::{BTreeSet, HashMap};
 
-/// Identifier of a connection in the queue, ascending in order of arrival.
+/// Identifier of a connection in the queue. Identifiers ascend in the order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HandshakeId(u64);
 
@@ -15,37 +15,39 @@
 pub enum EnqueueResult {
     /// The connection was added.
     Added(HandshakeId),
-    /// The connection was added and displaced another: the oldest one of the address with the most connections in
-    /// the queue.
+    /// The connection was added and displaced the oldest connection of the address with the most connections in the
+    /// queue.
     AddedByDisplacing {
         /// The added connection.
         added: HandshakeId,
         /// The displaced connection, which the caller must close.
         displaced: HandshakeId,
     },
-    /// The connection was not added: too many displaced connections still hold their file descriptors.
+    /// The connection was not added: the queue is full, and too many displaced connections are still open.
     Rejected,
 }
 
 /// The handshake queue of a server.
 pub struct HandshakeQueue {
+    /// Maximum number of connections in the queue, and of displaced connections that are still open.
     max_waiting: usize,
     last_id: u64,
     waiting: HashMap<HandshakeId, ClientAddress>,
     by_address: HashMap<ClientAddress, BTreeSet<HandshakeId>>,
-    /// Addresses by their number of connections in the queue.
+    /// Addresses, ordered by their number of connections in the queue.
     by_count: BTreeSet<(usize, ClientAddress)>,
     /// Displaced connections that are not closed yet.
     displaced: BTreeSet<HandshakeId>,
 }
 
-/// One in this many of a server's connections may be in the queue, and as many may be displaced but not closed.
+/// The queue holds at most the server's capacity divided by this number, and as many displaced connections may still be
+/// open.
 const CAPACITY_DIVISOR: usize = 32;
-/// Size of the queue of a server with few connections.
-const MIN_WAITING: usize = 2;
+/// Maximum number of connections in the queue of a server with a small capacity.
+const MIN_MAX_WAITING: usize = 2;
 
 impl HandshakeQueue {
-    /// Creates a queue of at most `max_waiting` connections; as many may be displaced but not closed.
+    /// Creates a queue of at most `max_waiting` connections. As many displaced connections may still be open.
     pub fn new(max_waiting: usize) -> HandshakeQueue {
         HandshakeQueue {
             max_waiting: max_waiting.max(1),
@@ -57,10 +59,10 @@
         }
     }
 
-    /// Creates the queue of a server with `capacity` connections. Including displaced connections, it uses at most one
-    /// in sixteen of them.
+    /// Creates the queue of a server with a capacity of `capacity` connections. With displaced connections, it uses at
+    /// most a sixteenth of the capacity, unless the capacity is small.
     pub fn for_capacity(capacity: usize) -> HandshakeQueue {
-        HandshakeQueue::new((capacity / CAPACITY_DIVISOR).max(MIN_WAITING))
+        HandshakeQueue::new((capacity / CAPACITY_DIVISOR).max(MIN_MAX_WAITING))
     }
 
     /// Whether a connection is in the queue and has not been displaced.
@@ -83,7 +85,7 @@
         self.max_waiting * 2
     }
 
-    /// Adds a connection, displacing another if the queue is full.
+    /// Adds a connection. If the queue is full, the new connection displaces another one.
     pub fn enqueue(&mut self, address: ClientAddress) -> EnqueueResult {
         let is_full = self.waiting.len() >= self.max_waiting;
         if is_full && self.displaced.len() >= self.max_waiting {
@@ -110,23 +112,28 @@
         self.last_id += 1;
         let id = HandshakeId(self.last_id);
         self.waiting.insert(id, address);
-        self.update(address, |ids| ids.insert(id));
+        self.update_address(address, |ids| ids.insert(id));
         id
     }
 
-    /// Removes a connection whose client has identified itself or disconnected. Returns false if the connection had
-    /// been displaced before that.
+    /// Removes a connection that has been admitted or closed. Returns false if the connection was displaced before. The
+    /// caller must call this for displaced connections as well, when they are closed.
     pub fn remove(&mut self, id: HandshakeId) -> bool {
         self.remove_waiting(id) || !self.displaced.remove(&id)
     }
 
     fn remove_waiting(&mut self, id: HandshakeId) -> bool {
         let Some(address) = self.waiting.remove(&id) else { return false };
-        self.update(address, |ids| ids.remove(&id));
+        self.update_address(address, |ids| ids.remove(&id));
         true
     }
 
-    fn update(&mut self, address: ClientAddress, change: impl FnOnce(&mut BTreeSet<HandshakeId>) -> bool) {
+    /// Changes the connections of an address, and updates the index by their number.
+    fn update_address(
+        &mut self,
+        address: ClientAddress,
+        change: impl FnOnce(&mut BTreeSet<HandshakeId>) -> bool,
+    ) {
         let ids = self.by_address.entry(address).or_default();
         self.by_count.remove(&(ids.len(), address));
         change(ids);
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -1,13 +1,13 @@
-//! Admission control: decides which client connections and requests are admitted, which are rejected and why,
-//! and the Retry-After time of rejected ones. No I/O and no clock: the caller passes the current time.
+//! Admission control: decides which client connections and requests are admitted and which are rejected, for which
+//! reason and with which Retry-After time. Without I/O and without a clock: the caller passes the current time.
 //!
-//! - [`client_class`]: client classes as configured by operators, and their validation
-//! - [`client_address`]: connection counts and rates per client address
+//! - [`client_class`]: client classes as configured by operators, their validation and the classification of clients
+//! - [`client_address`]: connection counts and rate-limit states per client address
 //! - [`connection_limiter`]: admission of connections
-//! - [`handshake_queue`]: connections whose client has not identified itself yet
+//! - [`handshake_queue`]: connections whose client has not sent its user name yet
 //! - [`concurrency_limiter`]: admission and fair queueing of requests
-//! - [`retry_budget`]: limit on the fraction of requests that are retries
-//! - [`accept_backoff`]: backoff of the accept loop after an error
+//! - [`retry_budget`]: limit on retries as a fraction of first attempts
+//! - [`accept_backoff`]: backoff of the accept loop after errors
 
 #![warn(clippy::too_many_lines)]
 
--- a/admission/src/reason_counts.rs
+++ b/admission/src/reason_counts.rs
@@ -3,18 +3,18 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How often connections or requests of one class were rejected for one reason.
+/// Number of connections or requests of one class that were rejected for one reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReasonCount<Reason> {
     /// Name of the class.
     pub class: Arc<str>,
     /// Why they were rejected.
     pub reason: Reason,
-    /// Their number since the start.
+    /// Number of rejections since the start of the process.
     pub count: u64,
 }
 
-/// The counts of a limiter since the start.
+/// The counts of one limiter since the start of the process.
 #[derive(Debug)]
 pub(crate) struct ReasonCounts<Reason>(BTreeMap<(Arc<str>, Reason), u64>);
 
@@ -30,7 +30,7 @@
         *self.0.entry((class, reason)).or_default() += 1;
     }
 
-    /// All counts, in the order of the classes and then of the reasons.
+    /// All counts, ordered by class and then by reason.
     pub(crate) fn iter(&self) -> impl Iterator<Item = ReasonCount<Reason>> + '_ {
         let count = |((class, reason), count): (&(Arc<str>, Reason), &u64)| ReasonCount {
             class: class.clone(),
--- a/admission/src/retry_after_jitter.rs
+++ b/admission/src/retry_after_jitter.rs
@@ -1,35 +1,35 @@
-//! Retry-After times with jitter for rejected clients. They grow and spread out with the number of recent
-//! rejections, so that clients do not return all at once.
+//! Retry-After times with jitter for rejected clients. The times become longer and more spread out as the number of
+//! recent rejections grows, so that clients do not all return at once.
 
 use routing::rng::Mwc;
 use routing::time::{TimeDelta, Timestamp};
 
 /// The shortest Retry-After time.
 const MIN_WAIT: TimeDelta = TimeDelta::from_millis(200);
-/// Ratio of the longest to the shortest Retry-After time of one range of jitter.
-const SPREAD: i64 = 4;
-/// Rejections are counted over windows of this length.
+/// Ratio of the longest to the shortest Retry-After time within one jitter range.
+const SPREAD_RATIO: i64 = 4;
+/// Length of the windows in which rejections are counted.
 const COUNT_WINDOW: TimeDelta = TimeDelta::from_millis(1_000);
 const NANOS_PER_MILLI: i64 = 1_000_000;
 
 /// Generator of Retry-After times.
 pub struct RetryAfterJitter {
-    /// Clients that the server can admit at once.
+    /// Number of clients that the server can admit at the same time.
     capacity: usize,
     max_retry_after: TimeDelta,
-    window_began: Timestamp,
+    window_start: Timestamp,
     rejected_in_window: i64,
     rng: Mwc,
 }
 
 impl RetryAfterJitter {
-    /// Creates the generator of a server that admits `capacity` clients at once, with Retry-After times of at most
-    /// `max_retry_after`.
+    /// Creates the generator for a server that can admit `capacity` clients at the same time. Retry-After times are at
+    /// most `max_retry_after`.
     pub fn new(capacity: usize, max_retry_after: TimeDelta, seed: u64) -> RetryAfterJitter {
         RetryAfterJitter {
             capacity,
             max_retry_after,
-            window_began: Timestamp(0),
+            window_start: Timestamp(0),
             rejected_in_window: 0,
             rng: Mwc::new(seed),
         }
@@ -38,18 +38,18 @@
     /// The Retry-After time of the next rejected client: at least `min_wait`, unless that exceeds the configured
     /// maximum.
     pub fn next(&mut self, now: Timestamp, min_wait: TimeDelta) -> TimeDelta {
-        if now - self.window_began >= COUNT_WINDOW {
-            self.window_began = now;
+        if now - self.window_start >= COUNT_WINDOW {
+            self.window_start = now;
             self.rejected_in_window = 0;
         }
         self.rejected_in_window += 1;
-        // One capacity's worth of clients may return within each multiple of the shortest wait.
+        // As many clients as the server can admit get the same multiple of the shortest wait.
         let multiple = 1 + self.rejected_in_window / (self.capacity.max(1) as i64);
         let wait = min_wait.max(MIN_WAIT) * multiple;
-        // The start of the range is limited, not the result: clamping the result to the maximum would remove the
-        // jitter, and all clients would return at once.
-        let wait = wait.min(self.max_retry_after / SPREAD);
-        let jitter_range_ms = (wait.0 / NANOS_PER_MILLI * (SPREAD - 1)).max(1);
+        // Limits the start of the jitter range instead of the result: if the results were clamped to the maximum, they
+        // would have no jitter, and all clients would return at once.
+        let wait = wait.min(self.max_retry_after / SPREAD_RATIO);
+        let jitter_range_ms = (wait.0 / NANOS_PER_MILLI * (SPREAD_RATIO - 1)).max(1);
         wait + TimeDelta::from_millis(self.rng.below(jitter_range_ms as usize) as i64)
     }
 }
--- a/admission/tests/concurrency_limiter_model.rs
+++ b/admission/tests/concurrency_limiter_model.rs
@@ -1,11 +1,12 @@
-//! The concurrency limiter against a model, over random sequences of steps.
+//! Property test: over random sequences of steps, the concurrency limiter agrees with a model.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use admission::client_class::DEFAULT_CLASS;
 use admission::concurrency_limiter::{
-    Arrival, ClientKey, ConcurrencyLimiter, ConcurrencyLimits, Decision, RequestId, ShedReason, INTERVAL,
+    Arrival, ClientKey, ConcurrencyLimiter, ConcurrencyLimits, Decision, RequestId, ShedReason,
+    CODEL_INTERVAL,
 };
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseResult;
@@ -15,22 +16,26 @@
 use std::sync::Arc;
 use support::requests::{classes, client, limits, MAX_RETRY_AFTER};
 
-/// The classes that the property test draws clients from.
+/// The classes to which the clients of the property test belong.
 const CLASS_NAMES: [&str; 3] = ["desk", "batch", DEFAULT_CLASS];
 
 /// One step of a random sequence.
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { class: u8, nth: u8, is_retry: bool, timeout_ms: i64 },
+    /// A request arrives from the client `client` of the class with index `class`.
+    Arrive { class: u8, client: u8, is_retry: bool, timeout_ms: i64 },
+    /// One of the requests that wait or are in flight ends. The number selects which one.
     Remove(u8),
+    /// Time passes.
     Advance { ms: i64 },
+    /// The limits change.
     SetLimits { max_in_flight: u8, max_waiting: u8 },
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0..3u8, 0..4u8, any::<bool>(), 1..2_000i64).prop_map(|(class, nth, is_retry, timeout_ms)| {
-            Step::Arrive { class, nth, is_retry, timeout_ms }
+        6 => (0..3u8, 0..4u8, any::<bool>(), 1..2_000i64).prop_map(|(class, client, is_retry, timeout_ms)| {
+            Step::Arrive { class, client, is_retry, timeout_ms }
         }),
         4 => any::<u8>().prop_map(Step::Remove),
         3 => (0..60i64).prop_map(|ms| Step::Advance { ms }),
@@ -48,7 +53,7 @@
     timeout: TimeDelta,
 }
 
-/// A limiter, and the state that its input and its decisions so far must have led to.
+/// A limiter, and the state that is expected after the steps and decisions so far.
 struct CheckedLimiter {
     limiter: ConcurrencyLimiter,
     limits: ConcurrencyLimits,
@@ -56,6 +61,7 @@
     last_request: RequestId,
     waiting: BTreeMap<RequestId, WaitingRequest>,
     in_flight: BTreeMap<RequestId, ClientKey>,
+    /// Requests that were shed or have ended.
     finished: BTreeSet<RequestId>,
 }
 
@@ -76,11 +82,11 @@
     fn apply(&mut self, step: Step) -> TestCaseResult {
         let limit_before = self.limits.max_in_flight;
         match step {
-            Step::Arrive { class, nth, is_retry, timeout_ms } => {
-                let client = client(CLASS_NAMES[usize::from(class)], u32::from(nth));
+            Step::Arrive { class, client: offset, is_retry, timeout_ms } => {
+                let client = client(CLASS_NAMES[usize::from(class)], u32::from(offset));
                 self.arrive(client, is_retry, TimeDelta::from_millis(timeout_ms))?;
             }
-            Step::Remove(nth) => self.remove(usize::from(nth))?,
+            Step::Remove(index) => self.remove(usize::from(index))?,
             Step::Advance { ms } => self.advance(TimeDelta::from_millis(ms))?,
             Step::SetLimits { max_in_flight, max_waiting } => {
                 self.set_limits(max_in_flight.into(), max_waiting.into())?;
@@ -100,10 +106,10 @@
         self.record(decisions)
     }
 
-    /// Ends one of the requests that wait or are in flight, if there is any.
-    fn remove(&mut self, nth: usize) -> TestCaseResult {
+    /// Ends one of the requests that wait or are in flight, if there are any.
+    fn remove(&mut self, index: usize) -> TestCaseResult {
         let open: Vec<RequestId> = self.waiting.keys().chain(self.in_flight.keys()).copied().collect();
-        let Some(&request) = open.get(nth % open.len().max(1)) else { return Ok(()) };
+        let Some(&request) = open.get(index % open.len().max(1)) else { return Ok(()) };
         self.waiting.remove(&request);
         self.in_flight.remove(&request);
         self.finished.insert(request);
@@ -112,14 +118,14 @@
         self.record(decisions)
     }
 
-    /// Time passes; the limiter is called whenever it is due, as by the timers of its host.
+    /// Lets time pass, and calls the limiter at the times that it requests, as the timers of the server do.
     fn advance(&mut self, by: TimeDelta) -> TestCaseResult {
         let until = self.now + by;
-        while let Some(due) = self.limiter.next_tick().filter(|due| *due <= until) {
-            self.now = self.now.max(due);
+        while let Some(next_tick) = self.limiter.next_tick().filter(|next_tick| *next_tick <= until) {
+            self.now = self.now.max(next_tick);
             let mut decisions = Vec::new();
             self.limiter.tick(self.now, &mut decisions);
-            prop_assert!(!decisions.is_empty(), "due with nothing to shed");
+            prop_assert!(!decisions.is_empty(), "a tick was requested, but it shed no request");
             self.record(decisions)?;
         }
         self.now = until;
@@ -133,7 +139,8 @@
         self.record(decisions)
     }
 
-    /// Each request is decided on once, in time, and a shed one gets a Retry-After within the limit.
+    /// Checks that each decision is the first on its request and in time, and that the Retry-After time of a shed request
+    /// is within the limit. Updates the expected state.
     fn record(&mut self, decisions: Vec<Decision>) -> TestCaseResult {
         for decision in decisions {
             let request = match &decision {
@@ -141,10 +148,13 @@
                 Decision::Shed(shed) => shed.request,
             };
             let is_decided = self.finished.contains(&request) || self.in_flight.contains_key(&request);
-            prop_assert!(!is_decided, "decided twice: {decision:?}");
-            let waiting = self.waiting.remove(&request).expect("a decision is on a waiting request");
+            prop_assert!(!is_decided, "a second decision on a request: {decision:?}");
+            let waiting = self.waiting.remove(&request).expect("the decision is on a waiting request");
             let waited = self.now - waiting.arrived;
-            prop_assert!(waited <= INTERVAL.min(waiting.timeout / 4), "it waited {waited:?}");
+            prop_assert!(
+                waited <= CODEL_INTERVAL.min(waiting.timeout / 4),
+                "the request waited for {waited:?}"
+            );
             match decision {
                 Decision::Admit { .. } => _ = self.in_flight.insert(request, waiting.client),
                 Decision::Shed(shed) => {
@@ -158,7 +168,8 @@
         Ok(())
     }
 
-    /// No more requests are in flight than the limit allows, unless it was just lowered, and none waits below it.
+    /// Checks that no more requests are in flight than the limit allows, unless the limit was just lowered, and that no
+    /// request waits while fewer are in flight.
     fn check_capacity(&self, limit_was_lowered: bool) -> TestCaseResult {
         let (in_flight, limit) = (self.in_flight.len(), self.limits.max_in_flight);
         prop_assert!(
@@ -169,13 +180,14 @@
         );
         prop_assert!(
             self.waiting.is_empty() || in_flight >= limit,
-            "there is capacity and {:?} wait",
+            "requests wait below the concurrency limit: {:?}",
             self.waiting
         );
         Ok(())
     }
 
-    /// The limiter's own counts by class agree, and the class with a request limit is within it.
+    /// Checks that the limiter's counts by class agree with the expected state, and that the class with a request limit is
+    /// within the limit.
     fn check_counts(&self) -> TestCaseResult {
         let counts: BTreeMap<Arc<str>, (usize, usize)> = self
             .limiter
@@ -199,8 +211,8 @@
 proptest! {
     #![proptest_config(seeded_cases(400, 20_27))]
 
-    /// Over any sequence of steps each request is decided on once and in time, no request waits while there is
-    /// capacity, none is admitted while there is none, and all counts agree.
+    /// Over any sequence of steps, there is one decision on each request and it is in time, no request waits below the
+    /// concurrency limit, none is admitted above it, and all counts agree.
     #[test]
     fn each_request_is_decided_once_and_none_waits_while_there_is_capacity(
         steps in prop::collection::vec(any_step(), 1..200),
--- a/admission/tests/connection_limiter.rs
+++ b/admission/tests/connection_limiter.rs
@@ -1,6 +1,6 @@
-//! Admission of connections: limits, rates, reservations and Retry-After times.
+//! The connection limiter: limits, rates, reservations, Retry-After times and the validation of classes.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use admission::client_address::{ClientAddress, MAX_REMEMBERED};
@@ -15,7 +15,7 @@
 use support::at;
 use support::connections::{connection_limits, limiter, v4};
 
-/// A class of clients with four reserved connections.
+/// A class with four reserved connections.
 fn desk() -> ClientClass {
     ClientClass {
         networks: vec!["127.9.0.0/16".parse().expect("a valid network")],
@@ -24,13 +24,13 @@
     }
 }
 
-/// The default class with at most one connection.
+/// The default class with a maximum of one connection.
 fn single_connection() -> ClientClass {
     ClientClass { max_connections: Some(1), ..ClientClass::named(DEFAULT_CLASS) }
 }
 
-/// Why a connection is rejected, or none if it is admitted (and never released).
-fn reason(limiter: &mut ConnectionLimiter, ms: i64, address: IpAddr) -> Option<RejectionReason> {
+/// Lets a client connect. Returns why the connection is rejected, or `None` if it is admitted; it is never released.
+fn rejection_reason(limiter: &mut ConnectionLimiter, ms: i64, address: IpAddr) -> Option<RejectionReason> {
     limiter.admit(at(ms), address, None).err().map(|rejection| rejection.reason)
 }
 
@@ -42,46 +42,55 @@
     for nth in 0..200 {
         admitted.extend(limiter.admit(at(nth), v4(1, 0, nth as u8), None));
     }
-    assert_eq!(admitted.len(), 6, "the others get what is not reserved");
-    assert_eq!(reason(&mut limiter, 300, v4(1, 0, 250)), Some(RejectionReason::Reserved));
+    assert_eq!(admitted.len(), 6, "other clients get the connections that are not reserved");
+    assert_eq!(rejection_reason(&mut limiter, 300, v4(1, 0, 250)), Some(RejectionReason::Reserved));
     for nth in 0..4 {
         admitted.push(limiter.admit(at(301), v4(9, 1, nth), None).expect("a reserved connection"));
     }
-    assert_eq!(reason(&mut limiter, 302, v4(9, 1, 9)), Some(RejectionReason::Reserved), "at capacity");
-    // A connection released by the others is available to every class.
+    assert_eq!(
+        rejection_reason(&mut limiter, 302, v4(9, 1, 9)),
+        Some(RejectionReason::Reserved),
+        "at capacity"
+    );
+    // A connection that another class releases is available to every class.
     limiter.release(at(303), admitted.remove(0));
     admitted.push(limiter.admit(at(304), v4(9, 1, 9), None).expect("a released connection"));
-    // What the desk releases beyond its reservation is available to the others as well.
-    limiter.release(at(305), admitted.pop().expect("the last one"));
-    assert_eq!(reason(&mut limiter, 306, v4(1, 0, 250)), None);
+    // A connection that the class releases beyond its reservation is available to every class.
+    limiter.release(at(305), admitted.pop().expect("the last connection"));
+    assert_eq!(rejection_reason(&mut limiter, 306, v4(1, 0, 250)), None);
     let expected = [("desk", 4), (DEFAULT_CLASS, 6)];
     let expected = expected.map(|(class, connections)| ClassConnections { class: class.into(), connections });
     assert_eq!(limiter.connections_by_class().collect::<Vec<_>>(), expected);
 }
 
 #[test]
-fn an_address_has_a_limit_and_a_rate_and_a_prefix_counts_as_one_address() {
+fn limits_and_rates_apply_to_all_addresses_of_a_prefix_together() {
     let rate = Some(ConnectionRate { per_second: 10, burst: 3 });
     let class = ClientClass { rate, max_per_address: Some(5), ..ClientClass::named(DEFAULT_CLASS) };
     let mut limiter = limiter(vec![class], 1_000);
     let address = |host: u128| IpAddr::from(Ipv6Addr::from_bits((0x2001_0db8 << 96) | host));
     let burst: Vec<AdmittedConnection> =
         (0..3).map(|host| limiter.admit(at(0), address(host), None).expect("within the burst")).collect();
-    let rejection = limiter.admit(at(0), address(77), None).expect_err("one /64 counts as one address");
-    assert_eq!(rejection.reason, RejectionReason::Rate);
+    let rejection =
+        limiter.admit(at(0), address(77), None).expect_err("all addresses of a /64 network count as one");
+    assert_eq!(rejection.reason, RejectionReason::RateLimit);
     let expected = TimeDelta::from_millis(100)..TimeDelta::from_millis(801);
     assert!(expected.contains(&rejection.retry_after), "{rejection:?}");
-    assert_eq!(reason(&mut limiter, 0, address(1 << 64)), None, "the next /64 is another address");
-    assert_eq!(reason(&mut limiter, 99, address(3)), Some(RejectionReason::Rate));
-    assert_eq!(reason(&mut limiter, 100, address(3)), None);
-    assert_eq!(reason(&mut limiter, 200, address(3)), None);
-    assert_eq!(reason(&mut limiter, 9_000, address(3)), Some(RejectionReason::AddressLimit));
+    assert_eq!(
+        rejection_reason(&mut limiter, 0, address(1 << 64)),
+        None,
+        "the next /64 network counts separately"
+    );
+    assert_eq!(rejection_reason(&mut limiter, 99, address(3)), Some(RejectionReason::RateLimit));
+    assert_eq!(rejection_reason(&mut limiter, 100, address(3)), None);
+    assert_eq!(rejection_reason(&mut limiter, 200, address(3)), None);
+    assert_eq!(rejection_reason(&mut limiter, 9_000, address(3)), Some(RejectionReason::AddressLimit));
     burst.into_iter().for_each(|connection| limiter.release(at(9_001), connection));
-    assert_eq!(reason(&mut limiter, 9_002, address(3)), None);
+    assert_eq!(rejection_reason(&mut limiter, 9_002, address(3)), None);
 }
 
 #[test]
-fn a_mapped_address_is_its_ipv4_address_and_prefixes_are_configurable() {
+fn mapped_addresses_count_as_ipv4_and_prefix_lengths_are_configurable() {
     let mapped = IpAddr::from(Ipv4Addr::new(10, 0, 0, 1).to_ipv6_mapped());
     let (plain, prefixes) = (IpAddr::from([10, 0, 0, 1]), AddressPrefixes::default());
     assert_eq!(ClientAddress::new(mapped, prefixes), ClientAddress::new(plain, prefixes));
@@ -92,17 +101,18 @@
 }
 
 #[test]
-fn retry_after_times_of_a_flood_are_spread() {
+fn retry_after_times_of_simultaneous_rejections_are_spread() {
     let mut limiter = limiter(vec![single_connection()], 50);
-    let _held = limiter.admit(at(0), v4(1, 1, 1), None).expect("the first");
+    let _held = limiter.admit(at(0), v4(1, 1, 1), None).expect("the first connection");
     let retry_after_ms: Vec<i64> = (0..1_000)
         .map(|nth| {
-            let rejection = limiter.admit(at(1), v4(1, 2, nth as u8), None).expect_err("at the limit");
+            let rejection =
+                limiter.admit(at(1), v4(1, 2, nth as u8), None).expect_err("the class is at its limit");
             rejection.retry_after.0 / 1_000_000
         })
         .collect();
-    // All arrive at the same time: later ones get a longer Retry-After, and no tenth of a second gets a tenth of
-    // them.
+    // All connections arrive at the same time. Later ones must get a longer Retry-After time, and less than a tenth of
+    // them may return within the same tenth of a second.
     let mut by_tenth: BTreeMap<i64, usize> = BTreeMap::new();
     retry_after_ms.iter().for_each(|ms| *by_tenth.entry(ms / 100).or_default() += 1);
     assert!(by_tenth.values().all(|count| *count < 100), "{by_tenth:?}");
@@ -115,14 +125,15 @@
 }
 
 #[test]
-fn retry_after_times_are_spread_within_a_short_maximum_as_well() {
+fn retry_after_times_are_spread_within_a_short_maximum() {
     let max_retry_after = TimeDelta::from_millis(500);
     let limits = connection_limits(vec![single_connection()], 50);
     let mut limiter = ConnectionLimiter::new(limits, max_retry_after, 7).expect("valid classes");
-    let _held = limiter.admit(at(0), v4(1, 1, 1), None).expect("the first");
+    let _held = limiter.admit(at(0), v4(1, 1, 1), None).expect("the first connection");
     let mut by_tenth: BTreeMap<i64, usize> = BTreeMap::new();
     for nth in 0..1_000 {
-        let rejection = limiter.admit(at(1), v4(1, 2, nth as u8), None).expect_err("at the limit");
+        let rejection =
+            limiter.admit(at(1), v4(1, 2, nth as u8), None).expect_err("the class is at its limit");
         assert!(rejection.retry_after <= max_retry_after);
         *by_tenth.entry(rejection.retry_after.0 / 100_000_000).or_default() += 1;
     }
@@ -130,16 +141,16 @@
 }
 
 #[test]
-fn all_contradictions_of_limits_are_reported_at_once() {
-    let range = "10.0.0.0/8".parse().expect("a valid network");
+fn all_errors_in_a_set_of_classes_are_reported_at_once() {
+    let network = "10.0.0.0/8".parse().expect("a valid network");
     let classes = vec![
         ClientClass {
-            networks: vec![range],
+            networks: vec![network],
             reserved: 9,
             max_connections: Some(8),
             ..ClientClass::named("a")
         },
-        ClientClass { networks: vec![range], ..ClientClass::named("b") },
+        ClientClass { networks: vec![network], ..ClientClass::named("b") },
         ClientClass::named("b"),
         ClientClass {
             networks: vec!["::/0".parse().expect("a valid network")],
@@ -147,20 +158,20 @@
             ..ClientClass::named(DEFAULT_CLASS)
         },
     ];
-    let faults = validate(&classes, 13);
-    for fault in [
-        ClassError::ReservesMoreThanLimit("a".into()),
-        ClassError::DuplicateNetwork(range),
+    let errors = validate(&classes, 13);
+    for error in [
+        ClassError::ReservesMoreThanLimit { class: "a".into(), reserved: 9, max_connections: 8 },
+        ClassError::DuplicateNetwork { network, classes: ["a".into(), "b".into()] },
         ClassError::DuplicateName("b".into()),
-        ClassError::DescribesNobody("b".into()),
-        ClassError::DefaultClassDescribed,
+        ClassError::MatchesNoClient("b".into()),
+        ClassError::DefaultClassHasCriteria,
         ClassError::ReservesMoreThanCapacity { reserved: 14, capacity: 13 },
     ] {
-        assert!(faults.contains(&fault), "{fault}: {faults:?}");
+        assert!(errors.contains(&error), "{error}: {errors:?}");
     }
     let mut limiter = limiter(vec![desk()], 10);
     assert!(limiter.set_limits(connection_limits(classes, 10)).is_err());
-    assert_eq!(reason(&mut limiter, 0, v4(9, 0, 0)), None, "the limits before stay in force");
+    assert_eq!(rejection_reason(&mut limiter, 0, v4(9, 0, 0)), None, "the previous limits stay in effect");
 }
 
 #[test]
@@ -172,17 +183,19 @@
         let connection = limiter.admit(at(0), over_rate, None).expect("within the burst");
         limiter.release(at(0), connection);
     }
-    assert_eq!(reason(&mut limiter, 1, over_rate), Some(RejectionReason::Rate));
+    assert_eq!(rejection_reason(&mut limiter, 1, over_rate), Some(RejectionReason::RateLimit));
     for nth in 0..1_000_000u32 {
-        // All within the second in which each is remembered.
+        // All connections are within one second, the time for which each address is remembered.
         let now = Timestamp(1_000_000 + i64::from(nth) * 900);
-        let connection = limiter.admit(now, Ipv4Addr::from_bits(nth).into(), None).expect("its first");
+        let connection = limiter
+            .admit(now, Ipv4Addr::from_bits(nth).into(), None)
+            .expect("the first connection of the address");
         limiter.release(now, connection);
         assert!(limiter.remembered_addresses() <= MAX_REMEMBERED + 1);
     }
     assert_eq!(limiter.remembered_addresses(), MAX_REMEMBERED);
-    // The address that is most over its rate is forgotten last: all others connected once.
-    assert_eq!(reason(&mut limiter, 950, over_rate), Some(RejectionReason::Rate));
+    // The address that exceeds its rate the most is evicted last: all others have connected once.
+    assert_eq!(rejection_reason(&mut limiter, 950, over_rate), Some(RejectionReason::RateLimit));
     let connection = limiter.admit(at(60_000), over_rate, None).expect("within its rate again");
     limiter.release(at(70_000), connection);
     assert_eq!(limiter.remembered_addresses(), 0);
--- a/admission/tests/connection_limiter_model.rs
+++ b/admission/tests/connection_limiter_model.rs
@@ -1,6 +1,6 @@
-//! The connection limiter against a model, over random sequences of steps.
+//! Property test: over random sequences of steps, the connection limiter agrees with a model.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use admission::client_class::DEFAULT_CLASS;
@@ -15,12 +15,12 @@
 use std::net::IpAddr;
 use support::connections::{connection_limits, limiter, v4};
 
-/// The capacity in the property test.
+/// Maximum connections of the limiter.
 const CAPACITY: usize = 16;
 
 /// The limits that a random sequence starts with.
 #[derive(Clone, Copy, Debug)]
-struct DrawnLimits {
+struct InitialLimits {
     desk_reserved: usize,
     house_reserved: usize,
     house_max: usize,
@@ -28,18 +28,18 @@
     others_rate: ConnectionRate,
 }
 
-fn any_limits() -> impl Strategy<Value = DrawnLimits> {
+fn any_limits() -> impl Strategy<Value = InitialLimits> {
     let limits = (1..9usize, 1..9usize, 1..20u32, 1..5u32);
     ((0..6usize, 0..6usize), limits).prop_map(|((desk_reserved, house_reserved), limits)| {
         let (house_max, others_max_per_address, per_second, burst) = limits;
         let others_rate = ConnectionRate { per_second, burst };
-        DrawnLimits { desk_reserved, house_reserved, house_max, others_max_per_address, others_rate }
+        InitialLimits { desk_reserved, house_reserved, house_max, others_max_per_address, others_rate }
     })
 }
 
-impl DrawnLimits {
-    /// Class `house` is within the networks round class `desk`: the narrowest network counts. Its limit is lowered
-    /// by `house_lowered_by`, but never below its reservation.
+impl InitialLimits {
+    /// The network of class `house` contains that of class `desk`, so that a client of `desk` must be matched to the
+    /// narrower network. The limit of `house` is lowered by `house_lowered_by`, but never below its reservation.
     fn classes(&self, house_lowered_by: usize) -> [ClientClass; 3] {
         let class = |name: &str, network: &str, reserved| ClientClass {
             networks: vec![network.parse().expect("a valid network")],
@@ -62,41 +62,43 @@
     }
 }
 
-/// What one step of a random sequence does.
+/// One step of a random sequence.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A client of 127.(7 + net).0.host connects.
+    /// A client connects from the address 127.(7 + net).0.host.
     Connect { net: u8, host: u8 },
-    /// One of the connections is released.
-    Release { nth: u8 },
+    /// One of the open connections is released. `index` selects which one.
+    Release { index: u8 },
     /// The limit of class `house` is lowered by this much.
     LowerLimit { by: u8 },
 }
 
-/// A step, and the time in milliseconds that passes before it.
+/// The time in milliseconds that passes before a step, and the step.
 fn any_step() -> impl Strategy<Value = (i64, Step)> {
     (0..10u8, 0..4u8, 0..4u8, 0..400i64).prop_map(|(kind, net, host, wait)| {
         let step = match kind {
             0..=5 => Step::Connect { net, host },
-            6..=8 => Step::Release { nth: host },
+            6..=8 => Step::Release { index: host },
             _ => Step::LowerLimit { by: host },
         };
         (wait / 8, step)
     })
 }
 
-/// What the model knows at a connection attempt, before the limiter decides.
-struct Expectation {
+/// State of the model when a client connects, before the limiter decides.
+struct StateBefore {
     class: ClientClass,
-    /// Connections of the class, and of the address.
+    /// Open connections of the class.
     of_class: usize,
+    /// Open connections of the address.
     of_address: usize,
+    /// Open connections of all classes.
     total: usize,
-    /// Unused reservations of the other classes.
+    /// Connections that are reserved for other classes and not used by them.
     reserved_for_others: usize,
 }
 
-impl Expectation {
+impl StateBefore {
     fn is_class_full(&self) -> bool {
         self.class.max_connections.is_some_and(|max| self.of_class >= max)
     }
@@ -114,20 +116,22 @@
     }
 }
 
-/// A limiter, and the connections that its decisions so far must have led to.
+/// A limiter, and the connections that it has admitted and that are not released.
 struct CheckedLimiter {
     limiter: ConnectionLimiter,
-    limits: DrawnLimits,
+    limits: InitialLimits,
     now: Timestamp,
     house_lowered_by: usize,
-    /// Once limits changed, a class may have more than is now allowed, so that reservations may be short.
+    /// Whether the limits were changed. After a change, a class may exceed its new limits, so that less than the whole
+    /// reservation of another class may be available.
     limits_changed: bool,
     connections: Vec<(AdmittedConnection, IpAddr)>,
+    /// Times of all admissions by address.
     admitted_at: BTreeMap<IpAddr, Vec<Timestamp>>,
 }
 
 impl CheckedLimiter {
-    fn new(limits: DrawnLimits) -> CheckedLimiter {
+    fn new(limits: InitialLimits) -> CheckedLimiter {
         CheckedLimiter {
             limiter: limiter(limits.classes(0).into(), CAPACITY),
             limits,
@@ -143,7 +147,7 @@
         self.now = self.now + TimeDelta::from_millis(wait_ms);
         match step {
             Step::Connect { net, host } => self.connect(net, host)?,
-            Step::Release { nth } => self.release(usize::from(nth)),
+            Step::Release { index } => self.release(usize::from(index)),
             Step::LowerLimit { by } => self.lower_limit(usize::from(by)),
         }
         let held: usize = self.limiter.connections_by_class().map(|class| class.connections).sum();
@@ -158,28 +162,28 @@
         self.limiter.set_limits(limits).expect("valid classes");
     }
 
-    fn release(&mut self, nth: usize) {
+    fn release(&mut self, index: usize) {
         if !self.connections.is_empty() {
-            let (connection, _) = self.connections.swap_remove(nth % self.connections.len());
+            let (connection, _) = self.connections.swap_remove(index % self.connections.len());
             self.limiter.release(self.now, connection);
         }
     }
 
     fn connect(&mut self, net: u8, host: u8) -> TestCaseResult {
         let address = v4(7 + net, 0, host);
-        let expectation = self.expectation(net, address);
+        let before = self.state_before(net, address);
         match self.limiter.admit(self.now, address, None) {
             Ok(connection) => {
-                self.check_admission(&expectation, &connection)?;
-                self.check_rate(&expectation.class, address)?;
+                self.check_admission(&before, &connection)?;
+                self.check_rate(&before.class, address)?;
                 self.connections.push((connection, address));
                 Ok(())
             }
-            Err(rejection) => self.check_rejection(&expectation, &rejection),
+            Err(rejection) => self.check_rejection(&before, &rejection),
         }
     }
 
-    fn expectation(&self, net: u8, address: IpAddr) -> Expectation {
+    fn state_before(&self, net: u8, address: IpAddr) -> StateBefore {
         let classes = self.limits.classes(self.house_lowered_by);
         let class = match net {
             2 => &classes[0],
@@ -189,7 +193,7 @@
         let held = |class: &ClientClass| {
             self.connections.iter().filter(|(held, _)| held.class == class.name).count()
         };
-        Expectation {
+        StateBefore {
             of_class: held(class),
             of_address: self.connections.iter().filter(|(_, other)| *other == address).count(),
             total: self.connections.len(),
@@ -202,17 +206,17 @@
         }
     }
 
-    /// No connection is admitted above a limit, or on what is reserved for others.
-    fn check_admission(&self, expected: &Expectation, connection: &AdmittedConnection) -> TestCaseResult {
-        prop_assert_eq!(&connection.class, &expected.class.name);
-        prop_assert!(!expected.is_class_full());
-        prop_assert!(!expected.is_address_full());
-        prop_assert!(expected.total < CAPACITY);
-        prop_assert!(self.limits_changed || expected.has_reservation() || !expected.is_rest_reserved());
+    /// Checks that an admitted connection is within all limits and does not use the reservation of another class.
+    fn check_admission(&self, before: &StateBefore, connection: &AdmittedConnection) -> TestCaseResult {
+        prop_assert_eq!(&connection.class, &before.class.name);
+        prop_assert!(!before.is_class_full());
+        prop_assert!(!before.is_address_full());
+        prop_assert!(before.total < CAPACITY);
+        prop_assert!(self.limits_changed || before.has_reservation() || !before.is_rest_reserved());
         Ok(())
     }
 
-    /// In any second an address has no more connections than its rate and its burst together.
+    /// Checks that within one second no more connections of an address are admitted than its rate and burst together.
     fn check_rate(&mut self, class: &ClientClass, address: IpAddr) -> TestCaseResult {
         let admitted_at = self.admitted_at.entry(address).or_default();
         admitted_at.push(self.now);
@@ -222,27 +226,28 @@
             let rate = self.limits.others_rate;
             prop_assert!(
                 within_second <= (rate.per_second + rate.burst) as usize,
-                "{within_second} within a second"
+                "{within_second} connections admitted within a second"
             );
         }
         Ok(())
     }
 
-    /// The limit that a rejection names is exhausted, and a class with a free reservation is not rejected.
-    fn check_rejection(&self, expected: &Expectation, rejection: &Rejection) -> TestCaseResult {
-        let is_exhausted = match rejection.reason {
-            RejectionReason::Rate => expected.class.rate.is_some(),
-            RejectionReason::AddressLimit => expected.is_address_full(),
-            RejectionReason::ClassLimit => expected.is_class_full(),
-            RejectionReason::Reserved => expected.is_rest_reserved(),
-            RejectionReason::Handshakes => false,
+    /// Checks that the limit that the reason of a rejection names is reached, and that the class has not been denied a
+    /// connection reserved for it.
+    fn check_rejection(&self, before: &StateBefore, rejection: &Rejection) -> TestCaseResult {
+        let is_limit_reached = match rejection.reason {
+            RejectionReason::RateLimit => before.class.rate.is_some(),
+            RejectionReason::AddressLimit => before.is_address_full(),
+            RejectionReason::ClassLimit => before.is_class_full(),
+            RejectionReason::Reserved => before.is_rest_reserved(),
+            RejectionReason::HandshakeQueueFull => false,
         };
-        prop_assert!(is_exhausted, "{rejection:?}");
+        prop_assert!(is_limit_reached, "{rejection:?}");
         prop_assert!(rejection.retry_after > TimeDelta::ZERO);
-        let is_reserved = expected.has_reservation() && !expected.is_class_full();
+        let is_reserved = before.has_reservation() && !before.is_class_full();
         prop_assert!(
             self.limits_changed || !is_reserved || rejection.reason != RejectionReason::Reserved,
-            "a connection was reserved for its class"
+            "rejected although a connection is reserved for the class"
         );
         Ok(())
     }
@@ -251,8 +256,8 @@
 proptest! {
     #![proptest_config(seeded_cases(256, 20_26))]
 
-    /// Over any sequence of connections, releases and new limits: none is admitted above a limit, none is rejected
-    /// below it, and what is reserved for a class is available to it.
+    /// Over any sequence of connections, releases and changes of limits, no connection is admitted above a limit or
+    /// rejected below it, and reserved connections are available to their class.
     #[test]
     fn connections_are_admitted_up_to_each_limit_and_rejected_only_above(
         limits in any_limits(),
--- a/admission/tests/handshakes.rs
+++ b/admission/tests/handshakes.rs
@@ -1,4 +1,4 @@
-//! The handshake queue, the backoff after failed accepts, and classification by network and user.
+//! The handshake queue, the backoff of the accept loop, and the classification of clients by network and user.
 
 use admission::accept_backoff::{AcceptAction, AcceptBackoff, AcceptError};
 use admission::client_address::ClientAddress;
@@ -12,59 +12,60 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// The loopback address 127.0.0.nth.
-fn address(nth: u8) -> ClientAddress {
-    ClientAddress::new(IpAddr::from(Ipv4Addr::new(127, 0, 0, nth)), AddressPrefixes::default())
+/// The client address 127.0.0.host.
+fn address(host: u8) -> ClientAddress {
+    ClientAddress::new(IpAddr::from(Ipv4Addr::new(127, 0, 0, host)), AddressPrefixes::default())
 }
 
-/// Enqueues a handshake into a full queue; returns it and the one it displaces.
-fn enqueue_displacing(queue: &mut HandshakeQueue, nth: u8) -> (HandshakeId, HandshakeId) {
-    match queue.enqueue(address(nth)) {
+/// Adds a connection to a full queue. Returns this connection and the one that it displaces.
+fn enqueue_displacing(queue: &mut HandshakeQueue, host: u8) -> (HandshakeId, HandshakeId) {
+    match queue.enqueue(address(host)) {
         EnqueueResult::AddedByDisplacing { added, displaced } => (added, displaced),
-        other => panic!("a full queue displaces a handshake: {other:?}"),
+        other => panic!("expected a connection to be displaced: {other:?}"),
     }
 }
 
 #[test]
-fn handshakes_that_never_end_displace_those_of_their_own_address() {
+fn a_flood_of_one_address_displaces_its_own_connections() {
     let mut queue = HandshakeQueue::new(8);
     for _ in 0..1_000 {
         match queue.enqueue(address(1)) {
             EnqueueResult::Added(_) => {}
             EnqueueResult::AddedByDisplacing { displaced, .. } => {
-                assert!(!queue.remove(displaced), "it is displaced already");
+                assert!(!queue.remove(displaced), "the connection was displaced before");
             }
-            EnqueueResult::Rejected => panic!("all displaced handshakes have left"),
+            EnqueueResult::Rejected => panic!("no displaced connection is still open"),
         }
     }
     let (desk, _) = enqueue_displacing(&mut queue, 2);
-    // With one handshake per address the oldest is displaced, so that a client has time for one round trip.
+    // Connections of other addresses first displace those of the address with the most connections, so that this client
+    // has time to send its user name.
     for nth in 3..10 {
         let (_, displaced) = enqueue_displacing(&mut queue, nth);
         assert_ne!(displaced, desk);
         queue.remove(displaced);
     }
-    assert!(queue.remove(desk), "its handshake ends in the queue");
+    assert!(queue.remove(desk), "the connection is still in the queue");
 }
 
 #[test]
-fn while_displaced_handshakes_stay_open_no_more_enter_than_there_are_descriptors() {
+fn a_full_queue_rejects_connections_until_displaced_ones_are_closed() {
     let mut queue = HandshakeQueue::new(4);
-    let (mut displaced, mut full) = (Vec::new(), 0);
+    let (mut displaced, mut rejected) = (Vec::new(), 0);
     for nth in 0..100 {
         match queue.enqueue(address(nth)) {
             EnqueueResult::Added(_) => {}
             EnqueueResult::AddedByDisplacing { displaced: other, .. } => displaced.push(other),
-            EnqueueResult::Rejected => full += 1,
+            EnqueueResult::Rejected => rejected += 1,
         }
     }
-    assert_eq!((displaced.len(), full, queue.len()), (4, 92, 4));
+    assert_eq!((displaced.len(), rejected, queue.len()), (4, 92, 4));
     queue.remove(displaced[0]);
     assert!(matches!(queue.enqueue(address(200)), EnqueueResult::AddedByDisplacing { .. }));
 }
 
 #[test]
-fn failing_accepts_neither_spin_nor_stall() {
+fn repeated_accept_errors_lead_to_short_waits_and_no_busy_loop() {
     for error in [
         AcceptError::Aborted,
         AcceptError::NoDescriptor,
@@ -85,16 +86,19 @@
             };
             (total, longest) = (total + wait, longest.max(wait));
         }
-        assert!(total >= TimeDelta::from_millis(100), "{error:?}: a thousand accepts within {total:?}");
-        assert!(longest <= TimeDelta::from_millis(100), "{error:?}: no accept for {longest:?}");
+        assert!(
+            total >= TimeDelta::from_millis(100),
+            "{error:?}: the waits of 1,000 calls add up to only {total:?}"
+        );
+        assert!(longest <= TimeDelta::from_millis(100), "{error:?}: a wait of {longest:?}");
     }
 }
 
 #[test]
-fn the_accept_backoff_starts_again_after_a_success() {
+fn an_accepted_connection_resets_the_accept_backoff() {
     let mut backoff = AcceptBackoff::default();
     let aborted = backoff.failed(AcceptError::Aborted);
-    assert_eq!(aborted, AcceptAction::RetryNow, "an aborted connection does not delay the next");
+    assert_eq!(aborted, AcceptAction::RetryNow, "an aborted connection does not delay the next one");
     (0..10).for_each(|_| _ = backoff.failed(AcceptError::NoMemory));
     backoff.accepted();
     let first_wait = AcceptAction::Wait(TimeDelta::from_millis(1));
@@ -102,9 +106,9 @@
 }
 
 #[test]
-fn a_client_is_in_the_class_that_describes_it_most_closely() {
+fn a_client_belongs_to_the_class_that_matches_most_closely() {
     let class = |name: &str, networks: &[&str], users: &[&str]| ClientClass {
-        networks: networks.iter().map(|range| range.parse().expect("a valid network")).collect(),
+        networks: networks.iter().map(|network| network.parse().expect("a valid network")).collect(),
         users: users.iter().map(|user| (*user).into()).collect(),
         ..ClientClass::named(name)
     };
@@ -118,66 +122,66 @@
     assert_eq!(validate(&classes, 10), []);
     let northern = IpAddr::from([10, 1, 2, 3]);
     let name = |address, user| &*classes[classify(&classes, address, user)].name;
-    assert_eq!(name(northern, Some("till")), "desk", "a user goes before a narrower network");
+    assert_eq!(name(northern, Some("till")), "desk", "a match by user precedes one by a narrower network");
     assert_eq!(name(northern, Some("clerk")), "north");
     assert_eq!(name(northern, None), "north");
     assert_eq!(name(IpAddr::from([10, 9, 2, 3]), None), "house");
     assert_eq!(name(IpAddr::from([11, 1, 2, 3]), Some("till")), DEFAULT_CLASS);
     assert_eq!(name(IpAddr::from([11, 1, 2, 3]), Some("report")), "report");
     let network = "10.0.0.0/8".parse().expect("a valid network");
-    let twice = [class("a", &["10.0.0.0/8"], &["x", "y"]), class("b", &["10.0.0.0/8"], &["y"])];
-    assert_eq!(validate(&twice, 10), [ClassError::DuplicateNetwork(network)]);
-    let twice = [class("a", &[], &["x", "y"]), class("b", &[], &["z", "y"])];
-    assert_eq!(validate(&twice, 10), [ClassError::DuplicateUser("y".into())]);
+    let names = ["a".into(), "b".into()];
+    let same_network = [class("a", &["10.0.0.0/8"], &["x", "y"]), class("b", &["10.0.0.0/8"], &["y"])];
+    assert_eq!(
+        validate(&same_network, 10),
+        [ClassError::DuplicateNetwork { network, classes: names.clone() }]
+    );
+    let same_user = [class("a", &[], &["x", "y"]), class("b", &[], &["z", "y"])];
+    assert_eq!(validate(&same_user, 10), [ClassError::DuplicateUser { user: "y".into(), classes: names }]);
 }
 
-/// What one step of a random sequence does; the addresses are 127.0.0.0 to 127.0.0.4.
+/// One step of a random sequence.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Enqueue {
-        address: u8,
-    },
-    /// One of the handshakes in the queue ends.
-    End {
-        nth: u8,
-    },
-    /// One of the displaced handshakes closes its connection.
-    CloseDisplaced {
-        nth: u8,
-    },
+    /// A connection from the address 127.0.0.host is added.
+    Enqueue { host: u8 },
+    /// A connection in the queue is removed. `index` selects which one.
+    Remove { index: u8 },
+    /// A displaced connection is closed. `index` selects which one.
+    CloseDisplaced { index: u8 },
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    (0..8u8, any::<u8>()).prop_map(|(kind, nth)| match kind {
-        0..=4 => Step::Enqueue { address: kind },
-        5 | 6 => Step::End { nth },
-        _ => Step::CloseDisplaced { nth },
+    (0..8u8, any::<u8>()).prop_map(|(kind, index)| match kind {
+        0..=4 => Step::Enqueue { host: kind },
+        5 | 6 => Step::Remove { index },
+        _ => Step::CloseDisplaced { index },
     })
 }
 
-/// A queue, and the handshakes that must be in it and that it has displaced.
+/// A queue, and its expected state after the steps so far.
 struct CheckedQueue {
     queue: HandshakeQueue,
-    max_handshakes: usize,
-    /// The handshakes in the queue, by the address each is from.
+    max_waiting: usize,
+    /// The connections in the queue, each with the host number of its address.
     queued: BTreeMap<HandshakeId, u8>,
+    /// The displaced connections that are not closed yet.
     displaced: Vec<HandshakeId>,
 }
 
 impl CheckedQueue {
     fn apply(&mut self, step: Step) -> TestCaseResult {
         match step {
-            Step::Enqueue { address } => self.enqueue(address)?,
-            Step::End { nth } => {
-                let nth = usize::from(nth) % self.queued.len().max(1);
-                if let Some(handshake) = self.queued.keys().nth(nth).copied() {
-                    self.queued.remove(&handshake);
-                    prop_assert!(self.queue.remove(handshake));
+            Step::Enqueue { host } => self.enqueue(host)?,
+            Step::Remove { index } => {
+                let index = usize::from(index) % self.queued.len().max(1);
+                if let Some(connection) = self.queued.keys().nth(index).copied() {
+                    self.queued.remove(&connection);
+                    prop_assert!(self.queue.remove(connection));
                 }
             }
-            Step::CloseDisplaced { nth } if !self.displaced.is_empty() => {
-                let handshake = self.displaced.swap_remove(usize::from(nth) % self.displaced.len());
-                prop_assert!(!self.queue.remove(handshake));
+            Step::CloseDisplaced { index } if !self.displaced.is_empty() => {
+                let connection = self.displaced.swap_remove(usize::from(index) % self.displaced.len());
+                prop_assert!(!self.queue.remove(connection));
             }
             Step::CloseDisplaced { .. } => {}
         }
@@ -186,22 +190,24 @@
         Ok(())
     }
 
-    fn enqueue(&mut self, from: u8) -> TestCaseResult {
-        match self.queue.enqueue(address(from)) {
+    fn enqueue(&mut self, host: u8) -> TestCaseResult {
+        match self.queue.enqueue(address(host)) {
             EnqueueResult::Added(added) => {
-                prop_assert!(self.queued.len() < self.max_handshakes);
-                self.queued.insert(added, from);
+                prop_assert!(self.queued.len() < self.max_waiting);
+                self.queued.insert(added, host);
             }
             EnqueueResult::AddedByDisplacing { added, displaced } => {
-                let most = self.queued.remove(&displaced).expect("a displaced handshake was in the queue");
-                let count = |address| self.queued.values().filter(|other| **other == address).count();
-                prop_assert!((0..5).all(|address| address == most || count(address) <= count(most) + 1));
+                let displaced_host =
+                    self.queued.remove(&displaced).expect("a displaced connection was in the queue");
+                let count = |host| self.queued.values().filter(|other| **other == host).count();
+                let max_count = count(displaced_host) + 1;
+                prop_assert!((0..5).all(|host| host == displaced_host || count(host) <= max_count));
                 self.displaced.push(displaced);
-                self.queued.insert(added, from);
+                self.queued.insert(added, host);
             }
             EnqueueResult::Rejected => {
-                prop_assert!(self.queued.len() >= self.max_handshakes);
-                prop_assert!(self.displaced.len() >= self.max_handshakes);
+                prop_assert!(self.queued.len() >= self.max_waiting);
+                prop_assert!(self.displaced.len() >= self.max_waiting);
             }
         }
         Ok(())
@@ -211,16 +217,16 @@
 proptest! {
     #![proptest_config(seeded_cases(256, 20_28))]
 
-    /// Over any sequence of steps the queue holds no more than its limit, a displaced handshake is one of an
-    /// address with the most, and each leaves once.
+    /// Over any sequence of steps, the queue holds no more connections than its limit, a displaced connection is of an
+    /// address with the most connections, and each connection is removed once.
     #[test]
-    fn the_queue_is_bounded_and_displaces_handshakes_of_the_address_with_most(
-        max_handshakes in 1..6usize,
+    fn the_queue_is_bounded_and_displaces_the_address_with_most_connections(
+        max_waiting in 1..6usize,
         steps in prop::collection::vec(any_step(), 1..200),
     ) {
-        let queue = HandshakeQueue::new(max_handshakes);
+        let queue = HandshakeQueue::new(max_waiting);
         let mut queue =
-            CheckedQueue { queue, max_handshakes, queued: BTreeMap::new(), displaced: Vec::new() };
+            CheckedQueue { queue, max_waiting, queued: BTreeMap::new(), displaced: Vec::new() };
         for step in steps {
             queue.apply(step)?;
         }
--- a/operator-config/src/error.rs
+++ b/operator-config/src/error.rs
@@ -1,130 +1,139 @@
-//! Errors of an operators' file.
+//! Errors in the operators' file.
 
 use crate::tokens::QuoteError;
 use admission::ClassError;
 use std::fmt;
 use thiserror::Error;
 
-/// An error in a line.
+/// An error in one line of the file. Displayed as `LINE: KEYWORD: KIND`, for use after the path of the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     /// Number of the line, from 1.
     pub line: usize,
     /// Keyword of the line; empty if the line could not be split into tokens.
     pub keyword: String,
-    /// Why the line is invalid.
-    pub problem: Problem,
+    /// What is wrong with the line.
+    pub kind: ConfigErrorKind,
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let ConfigError { line, keyword, problem } = self;
+        let ConfigError { line, keyword, kind } = self;
         if keyword.is_empty() {
-            write!(f, "{line}: {problem}")
+            write!(f, "{line}: {kind}")
         } else {
-            write!(f, "{line}: {keyword}: {problem}")
+            write!(f, "{line}: {keyword}: {kind}")
         }
     }
 }
 
 impl std::error::Error for ConfigError {}
 
-/// Why a line is invalid.
+/// What is wrong with a line. The messages follow the keyword of the line.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Problem {
+pub enum ConfigErrorKind {
     /// The line cannot be split into tokens.
     #[error(transparent)]
-    Quotes(#[from] QuoteError),
+    Quoting(#[from] QuoteError),
     /// The keyword is unknown and not similar to a known one.
-    #[error("is no keyword")]
+    #[error("unknown keyword")]
     UnknownKeyword,
-    /// The keyword is unknown and similar to this one.
-    #[error("is no keyword; is {0} meant?")]
+    /// The keyword is unknown and similar to this known one.
+    #[error("unknown keyword; did you mean {0}?")]
     MisspeltKeyword(&'static str),
-    /// The keyword was already used on this line.
-    #[error("stands on line {0} already")]
-    Repeated(usize),
-    /// The line has this number of values instead of one.
-    #[error("takes one value, not {0}")]
+    /// The keyword, which may be used once, was already used on the line with this number.
+    #[error("already set on line {0}; it may be set only once")]
+    RepeatedKeyword(usize),
+    /// The keyword takes one value and is followed by this number of values.
+    #[error("expected one value, found {0}")]
     ValueCount(usize),
-    /// The value is invalid.
+    /// The value of the keyword is invalid.
     #[error(transparent)]
     Value(#[from] ValueError),
     /// The name of a client class is missing.
-    #[error("names no class")]
-    NoClassName,
+    #[error("missing class name; expected admit NAME [PROPERTY VALUE]...")]
+    MissingClassName,
     /// The name of a client class is invalid.
-    #[error("{0:?} is no name of 1 to 32 letters, digits, - and _")]
-    BadClassName(String),
-    /// A property of a client class has no value.
-    #[error("{0} has no value")]
-    MissingValue(String),
-    /// A property of a client class is unknown.
-    #[error("{name:?} is none of {known}")]
+    #[error("{0:?} is not a class name; expected 1 to 32 ASCII letters, digits, - or _")]
+    InvalidClassName(String),
+    /// The last property on the line has no value.
+    #[error("missing value of property {0:?}")]
+    MissingPropertyValue(String),
+    /// The property is unknown.
+    #[error("unknown property {name:?}; expected one of {known}")]
     UnknownProperty {
         /// The unknown property.
         name: String,
         /// The known properties, separated by commas.
         known: String,
     },
-    /// A property of a client class is repeated.
-    #[error("{0} stands there twice")]
+    /// The property is used more than once on the line.
+    #[error("property {0:?} is set more than once")]
     RepeatedProperty(&'static str),
-    /// The value of a property of a client class is invalid.
+    /// The value of a property is invalid.
     #[error("{property}: {error}")]
-    Property {
-        /// The property.
+    InvalidProperty {
+        /// Name of the property.
         property: &'static str,
         /// Why its value is invalid.
         error: ValueError,
     },
-    /// The client classes are inconsistent with each other.
+    /// The client classes of the file are inconsistent.
     #[error(transparent)]
     Classes(#[from] ClassError),
 }
 
-/// Why a value is invalid.
+/// Why the value of a keyword or of a property is invalid. The messages follow its name.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ValueError {
-    /// The path is not absolute.
+    /// The value is not an absolute path.
     #[error("{0:?} is not an absolute path")]
-    NotAbsolute(String),
-    /// The value is out of range.
+    NotAbsolutePath(String),
+    /// The value is not an integer, or is out of range.
+    #[error("{value:?} is not an integer between {min} and {max}")]
+    NotIntegerInRange {
+        /// The value.
+        value: String,
+        /// Smallest allowed value.
+        min: String,
+        /// Largest allowed value.
+        max: String,
+    },
+    /// The value is a duration or a size that is out of range.
     #[error("{value:?} is not between {min} and {max}")]
     OutOfRange {
         /// The value.
         value: String,
-        /// Lower bound.
+        /// Smallest allowed value, with its unit.
         min: String,
-        /// Upper bound.
+        /// Largest allowed value, with its unit.
         max: String,
     },
     /// The value cannot be parsed.
-    #[error("{value:?}: {reason}")]
-    Unreadable {
+    #[error("{value:?} is not {expected}: {reason}")]
+    Unparsable {
         /// The value.
         value: String,
-        /// Error of the parser.
+        /// What the value must be, such as "a duration".
+        expected: &'static str,
+        /// What the parser found wrong, or an example of a valid value.
         reason: String,
     },
     /// The value is not one of the allowed words.
-    #[error("{value:?} is none of {known}")]
+    #[error("{value:?} is not one of {allowed}")]
     NotOneOf {
         /// The value.
         value: String,
         /// The allowed words, separated by commas.
-        known: String,
+        allowed: String,
     },
-    /// The value is not a percentage.
-    #[error("{0:?} is no part, as 10% is")]
-    NotAPercentage(String),
-    /// The value is not a valid user name.
-    #[error("{0:?} is no name of 1 to 63 bytes")]
-    BadUser(String),
-    /// A burst is not preceded by a rate.
-    #[error("a burst stands behind its rate")]
+    /// The value is not an integer percentage, or is out of range.
+    #[error("{0:?} is not an integer percentage between 0% and 100%")]
+    NotPercentage(String),
+    /// The value contains an invalid user name.
+    #[error("{0:?} is not a user name; expected 1 to 63 bytes without control characters")]
+    InvalidUserName(String),
+    /// `burst` is not preceded by `rate`.
+    #[error("requires the property rate before it on the same line")]
     BurstWithoutRate,
-    /// A weight exceeds its maximum.
-    #[error("is over 1000")]
-    WeightTooLarge,
 }
--- a/operator-config/src/keywords.rs
+++ b/operator-config/src/keywords.rs
@@ -1,11 +1,11 @@
-//! Keywords with one value.
+//! The keywords that take one value, with the parsers and ranges of their values.
 
 use crate::error::ValueError;
 use crate::settings::{EndpointIdentity, JournalMode, LogFormat, OperatorSettings};
-use crate::values::{duration, number, one_of, path, percentage, size};
+use crate::values::{absolute_path, duration, integer, one_of, percentage, size};
 use bytesize::ByteSize;
 
-/// A keyword and the function that parses and sets its value.
+/// A keyword, with the function that parses and sets its value.
 pub struct Keyword {
     pub name: &'static str,
     pub set: fn(&mut OperatorSettings, &str) -> Result<(), ValueError>,
@@ -24,41 +24,46 @@
     Ok(())
 }
 
-/// All keywords with one value, in the order of the operators' page.
+/// All keywords that take one value, in the order of `deploy/gingerwick.conf.sample`.
 pub const KEYWORDS: &[Keyword] = &[
-    keyword("state-dir", |settings, value| store(&mut settings.storage.state_dir, path(value).map(Some))),
+    keyword("state-dir", |settings, value| {
+        store(&mut settings.storage.state_dir, absolute_path(value).map(Some))
+    }),
     keyword("save-gap", |settings, value| {
         store(&mut settings.storage.min_save_interval, duration(value, "100ms", "1h"))
     }),
     keyword("store-identity", |settings, value| {
-        let known = [("none", EndpointIdentity::None), ("postgres", EndpointIdentity::Postgres)];
-        store(&mut settings.endpoint_identity, one_of(value, &known))
+        let allowed = [("none", EndpointIdentity::None), ("postgres", EndpointIdentity::Postgres)];
+        store(&mut settings.endpoint_identity, one_of(value, &allowed))
+    }),
+    keyword("session-keys", |settings, value| {
+        store(&mut settings.sessions.keys_path, absolute_path(value).map(Some))
     }),
-    keyword("session-keys", |settings, value| store(&mut settings.sessions.keys_path, path(value).map(Some))),
     keyword("session-lasts", |settings, value| {
         store(&mut settings.sessions.lifetime, duration(value, "1s", "30days"))
     }),
     keyword("write-journal", |settings, value| {
-        let known = [("off", JournalMode::Off), ("system", JournalMode::System), ("disk", JournalMode::Disk)];
-        store(&mut settings.storage.journal.mode, one_of(value, &known))
+        let allowed =
+            [("off", JournalMode::Off), ("system", JournalMode::System), ("disk", JournalMode::Disk)];
+        store(&mut settings.storage.journal.mode, one_of(value, &allowed))
     }),
     keyword("write-journal-keeps", |settings, value| {
         store(&mut settings.storage.journal.max_age, duration(value, "1m", "30days"))
     }),
     keyword("write-journal-most", |settings, value| {
-        store(&mut settings.storage.journal.max_records, number(value, 1_000..=100_000_000))
+        store(&mut settings.storage.journal.max_records, integer(value, 1_000..=100_000_000))
     }),
     keyword("admit-prefix-4", |settings, value| {
-        store(&mut settings.admission.clients.prefixes.v4, number(value, 8..=32))
+        store(&mut settings.admission.clients.prefixes.v4, integer(value, 8..=32))
     }),
     keyword("admit-prefix-6", |settings, value| {
-        store(&mut settings.admission.clients.prefixes.v6, number(value, 16..=64))
+        store(&mut settings.admission.clients.prefixes.v6, integer(value, 16..=64))
     }),
     keyword("rpcs-at-once", |settings, value| {
-        store(&mut settings.admission.requests.max_in_flight, number(value, 1..=100_000).map(Some))
+        store(&mut settings.admission.requests.max_in_flight, integer(value, 1..=100_000).map(Some))
     }),
     keyword("rpcs-waiting", |settings, value| {
-        store(&mut settings.admission.requests.max_waiting, number(value, 0..=100_000).map(Some))
+        store(&mut settings.admission.requests.max_waiting, integer(value, 0..=100_000).map(Some))
     }),
     keyword("rpcs-target", |settings, value| {
         store(&mut settings.admission.requests.target_wait, duration(value, "1ms", "1s"))
@@ -66,10 +71,12 @@
     keyword("repeats", |settings, value| {
         store(&mut settings.admission.requests.retry_percent, percentage(value).map(Some))
     }),
-    keyword("operators-socket", |settings, value| store(&mut settings.admin_socket, path(value).map(Some))),
+    keyword("operators-socket", |settings, value| {
+        store(&mut settings.admin_socket, absolute_path(value).map(Some))
+    }),
     keyword("log-format", |settings, value| {
-        let known = [("text", LogFormat::Text), ("json", LogFormat::Json)];
-        store(&mut settings.log.format, one_of(value, &known))
+        let allowed = [("text", LogFormat::Text), ("json", LogFormat::Json)];
+        store(&mut settings.log.format, one_of(value, &allowed))
     }),
     keyword("log-level", |settings, value| {
         let levels = ["error", "warn", "info", "debug"].map(|level| (level, level));
--- a/operator-config/src/lib.rs
+++ b/operator-config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Parser of the operators' file: a keyword and its values on each line, `#` begins a comment, quoted values may
-//! contain blanks. No I/O: converts the text to settings or to a list of all errors.
+//! Parser of the operators' file. Each line has a keyword and its values; `#` begins a comment, and a quoted value may
+//! contain spaces. Without I/O: the text of the file is converted to settings, or to a list of all its errors.
 
 #![warn(clippy::too_many_lines)]
 
@@ -11,10 +11,10 @@
 mod tokens;
 mod values;
 
-pub use error::{ConfigError, Problem, ValueError};
+pub use error::{ConfigError, ConfigErrorKind, ValueError};
 pub use parser::parse;
 pub use settings::{
     AdmissionSettings, EndpointIdentity, JournalMode, JournalSettings, LogFormat, LogSettings,
     OperatorSettings, RequestSettings, SessionSettings, StorageSettings,
 };
-pub use tokens::{split, QuoteError};
+pub use tokens::{tokenize, QuoteError};
--- a/operator-config/src/parser.rs
+++ b/operator-config/src/parser.rs
@@ -1,20 +1,20 @@
-//! Parser of a whole file, which collects all errors.
+//! Parser of the whole file. It continues after an invalid line, so that all errors are reported at once.
 
 use crate::client_class_line::parse_class;
-use crate::error::{ConfigError, Problem};
+use crate::error::{ConfigError, ConfigErrorKind};
 use crate::keywords::{Keyword, KEYWORDS};
 use crate::settings::OperatorSettings;
-use crate::tokens::split;
+use crate::tokens::tokenize;
 
-/// Keyword of a client class; may be repeated, once for each class.
+/// Keyword of a line that defines a client class. Unlike other keywords, it may be used on several lines.
 const CLASS_KEYWORD: &str = "admit";
-/// Maximum edit distance, in letters, of an unknown word to the keyword that is suggested for it.
-const MAX_MISSPELT_LETTERS: usize = 3;
+/// Maximum edit distance between an unknown keyword and the known one that is suggested for it.
+const MAX_SUGGESTION_DISTANCE: usize = 3;
 
 /// Parses the text of an operators' file.
 ///
 /// # Errors
-/// All errors in the file, in the order of the lines.
+/// All errors in the file: those of single lines in the order of the lines, then those between client classes.
 pub fn parse(text: &str) -> Result<OperatorSettings, Vec<ConfigError>> {
     let mut parser = Parser::default();
     for (index, line) in text.lines().enumerate() {
@@ -27,17 +27,17 @@
 struct Parser {
     settings: OperatorSettings,
     errors: Vec<ConfigError>,
-    /// Keywords with one value that were used so far, with their lines.
+    /// Keywords used so far, except [`CLASS_KEYWORD`], with the number of their line.
     seen: Vec<(&'static str, usize)>,
-    /// Line of the last client class: errors of the set of classes are reported there.
+    /// Number of the last line that defines a client class. Inconsistencies between classes are reported there.
     last_class_line: usize,
 }
 
 impl Parser {
     fn parse_line(&mut self, line: usize, text: &str) {
-        let tokens = match split(text) {
+        let tokens = match tokenize(text) {
             Ok(tokens) => tokens,
-            Err(error) => return self.fail(line, "", error.into()),
+            Err(error) => return self.add_error(line, "", error.into()),
         };
         let Some((keyword, values)) = tokens.split_first() else { return };
         let result = if keyword == CLASS_KEYWORD {
@@ -46,36 +46,36 @@
         } else {
             self.apply_keyword(line, keyword, values)
         };
-        if let Err(problem) = result {
-            self.fail(line, keyword, problem);
+        if let Err(kind) = result {
+            self.add_error(line, keyword, kind);
         }
     }
 
-    fn add_class(&mut self, values: &[String]) -> Result<(), Problem> {
+    fn add_class(&mut self, values: &[String]) -> Result<(), ConfigErrorKind> {
         self.settings.admission.clients.classes.push(parse_class(values)?);
         Ok(())
     }
 
-    fn apply_keyword(&mut self, line: usize, name: &str, values: &[String]) -> Result<(), Problem> {
+    fn apply_keyword(&mut self, line: usize, name: &str, values: &[String]) -> Result<(), ConfigErrorKind> {
         let keyword = find_keyword(name)?;
-        if let Some((_, before)) = self.seen.iter().find(|(name, _)| *name == keyword.name) {
-            return Err(Problem::Repeated(*before));
+        if let Some((_, first_line)) = self.seen.iter().find(|(name, _)| *name == keyword.name) {
+            return Err(ConfigErrorKind::RepeatedKeyword(*first_line));
         }
         self.seen.push((keyword.name, line));
-        let [value] = values else { return Err(Problem::ValueCount(values.len())) };
+        let [value] = values else { return Err(ConfigErrorKind::ValueCount(values.len())) };
         (keyword.set)(&mut self.settings, value)?;
         Ok(())
     }
 
-    fn fail(&mut self, line: usize, keyword: &str, problem: Problem) {
-        self.errors.push(ConfigError { line, keyword: keyword.to_string(), problem });
+    fn add_error(&mut self, line: usize, keyword: &str, kind: ConfigErrorKind) {
+        self.errors.push(ConfigError { line, keyword: keyword.to_string(), kind });
     }
 
     fn finish(mut self) -> Result<OperatorSettings, Vec<ConfigError>> {
-        // The capacity is only known at the start of the server, which validates the classes against it.
+        // The capacity is not known here: the server validates the classes against it when it starts.
         let classes = &self.settings.admission.clients.classes;
         for error in admission::client_class::validate(classes, usize::MAX) {
-            self.fail(self.last_class_line, CLASS_KEYWORD, error.into());
+            self.add_error(self.last_class_line, CLASS_KEYWORD, error.into());
         }
         if self.errors.is_empty() {
             Ok(self.settings)
@@ -85,15 +85,17 @@
     }
 }
 
-fn find_keyword(name: &str) -> Result<&'static Keyword, Problem> {
+fn find_keyword(name: &str) -> Result<&'static Keyword, ConfigErrorKind> {
     KEYWORDS.iter().find(|keyword| keyword.name == name).ok_or_else(|| unknown_keyword(name))
 }
 
-fn unknown_keyword(name: &str) -> Problem {
+fn unknown_keyword(name: &str) -> ConfigErrorKind {
     let known = KEYWORDS.iter().map(|keyword| keyword.name).chain([CLASS_KEYWORD]);
     let nearest = known.map(|known| (strsim::damerau_levenshtein(known, name), known)).min();
     match nearest {
-        Some((letters, known)) if letters <= MAX_MISSPELT_LETTERS => Problem::MisspeltKeyword(known),
-        _ => Problem::UnknownKeyword,
+        Some((distance, known)) if distance <= MAX_SUGGESTION_DISTANCE => {
+            ConfigErrorKind::MisspeltKeyword(known)
+        }
+        _ => ConfigErrorKind::UnknownKeyword,
     }
 }
--- a/operator-config/src/settings.rs
+++ b/operator-config/src/settings.rs
@@ -6,13 +6,13 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Format of the log.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Lines of text.
+    /// Human-readable text.
     #[default]
     Text,
-    /// Lines of JSON.
+    /// A JSON object per line.
     Json,
 }
 
@@ -22,35 +22,35 @@
     /// Endpoints do not report their identity.
     #[default]
     None,
-    /// By PostgreSQL's built-in functions, see `docs/recovery.md`.
+    /// The instance queries it with built-in functions of PostgreSQL, see `docs/recovery.md`.
     Postgres,
 }
 
-/// Whether writes are recorded in the write journal, and how durable a record must be before its write is sent.
+/// How durable the record of a write in the write journal must be before the write is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum JournalMode {
     /// Writes are not recorded.
     #[default]
     Off,
-    /// Written to the operating system: survives a crash of the process.
+    /// The record is written to the operating system: it survives a crash of the process.
     System,
-    /// Synced to disk: survives a crash of the machine.
+    /// The record is synced to disk: it survives a crash of the machine.
     Disk,
 }
 
-/// Limit of requests in flight if only other limits on requests are configured: the largest allowed value.
+/// Maximum requests in flight if only other limits on requests are configured: the largest value that operators may set.
 const DEFAULT_MAX_REQUESTS_IN_FLIGHT: usize = 100_000;
-/// Default ratio of the maximum of waiting requests to the maximum in flight.
+/// Ratio of the default maximum of waiting requests to the maximum of requests in flight.
 const WAITING_PER_IN_FLIGHT: usize = 4;
 
-/// Write journal in the state directory.
+/// Settings of the write journal, which is in the state directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JournalSettings {
-    /// `write-journal`: mode of the journal.
+    /// `write-journal`: durability of records; `Off` disables the journal.
     pub mode: JournalMode,
-    /// `write-journal-keeps`: maximum age of records. A minute to 30 days.
+    /// `write-journal-keeps`: maximum age of records, 1 minute to 30 days.
     pub max_age: Duration,
-    /// `write-journal-most`: maximum number of records. 1,000 to 100 million.
+    /// `write-journal-most`: maximum number of records, 1,000 to 100 million.
     pub max_records: u64,
 }
 
@@ -64,14 +64,15 @@
     }
 }
 
-/// Data on disk.
+/// Settings of the data on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StorageSettings {
-    /// `state-dir`: directory of the endpoint cache and the write journal. Without it the endpoint list is not cached.
+    /// `state-dir`: directory of the cached endpoint list and the write journal. If `None`, the list is not cached, and
+    /// the write journal cannot be used.
     pub state_dir: Option<PathBuf>,
-    /// `save-gap`: minimum interval between two saves of the endpoint list. 100 ms to an hour.
+    /// `save-gap`: minimum time between two saves of the endpoint list, 100 ms to 1 hour.
     pub min_save_interval: Duration,
-    /// The write journal.
+    /// Settings of the write journal.
     pub journal: JournalSettings,
 }
 
@@ -85,12 +86,12 @@
     }
 }
 
-/// Session tokens, in which clients carry the positions of their sessions.
+/// Settings of session tokens, in which clients carry the positions of their sessions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionSettings {
-    /// `session-keys`: file of the keys that authenticate session tokens; `None` disables tokens.
+    /// `session-keys`: path of the file with the keys that authenticate session tokens. `None` disables tokens.
     pub keys_path: Option<PathBuf>,
-    /// `session-lasts`: lifetime of session tokens. 1 s to 30 days.
+    /// `session-lasts`: lifetime of session tokens, 1 s to 30 days.
     pub lifetime: Duration,
 }
 
@@ -103,14 +104,13 @@
 /// Limits on requests in flight and waiting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestSettings {
-    /// `rpcs-at-once`: maximum requests in flight. 1 to 100,000; `None` means no limit.
+    /// `rpcs-at-once`: maximum requests in flight, 1 to 100,000. `None` means no limit.
     pub max_in_flight: Option<usize>,
-    /// `rpcs-waiting`: maximum waiting requests. 0 to 100,000; `None` means four times the maximum in flight.
+    /// `rpcs-waiting`: maximum waiting requests, 0 to 100,000. `None` means four times the maximum in flight.
     pub max_waiting: Option<usize>,
-    /// `rpcs-target`: maximum wait of a request whose client has a standing queue. 1 ms to 1 s.
+    /// `rpcs-target`: maximum wait of a request whose client has a standing queue, 1 ms to 1 s.
     pub target_wait: Duration,
-    /// `repeats`: allowed client retries as a percentage of first attempts. 0 to 100; `None` disables the retry
-    /// budget.
+    /// `repeats`: allowed client retries as a percentage of first attempts, 0 to 100. `None` disables the retry budget.
     pub retry_percent: Option<u32>,
 }
 
@@ -125,13 +125,13 @@
     }
 }
 
-/// Admission of connections and requests.
+/// Settings of the admission of connections and requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// `admit`: client classes. `admit-prefix-4`, `admit-prefix-6`: prefix lengths in bits by which addresses identify a
-    /// client, 8 to 32 for IPv4 and 16 to 64 for IPv6.
+    /// `admit`: client classes. `admit-prefix-4` and `admit-prefix-6`: prefix lengths in bits, 8 to 32 for IPv4 and 16 to
+    /// 64 for IPv6; addresses with the same prefix count as one client.
     pub clients: ClassSettings,
-    /// The limits on requests.
+    /// Limits on requests in flight and waiting.
     pub requests: RequestSettings,
 }
 
@@ -153,14 +153,14 @@
     }
 }
 
-/// Log of the process.
+/// Settings of the log of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// `log-format`: format of the log.
+    /// `log-format`: format of log lines.
     pub format: LogFormat,
-    /// `log-level`: `error`, `warn`, `info` or `debug`.
+    /// `log-level`: least severe level that is logged: `error`, `warn`, `info` or `debug`.
     pub level: String,
-    /// `log-buffer`: maximum size in bytes of the buffer between the log and its writer. 4 kB to 16 MB.
+    /// `log-buffer`: maximum size in bytes of the lines that wait to be written, 4 kB to 16 MB.
     pub max_queued_bytes: usize,
 }
 
@@ -170,20 +170,20 @@
     }
 }
 
-/// All settings. A setting without a line in the file is off or has its default value.
+/// All settings of the operators' file. A setting that the file does not contain is off or has its default value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperatorSettings {
-    /// Data on disk.
+    /// Settings of the data on disk.
     pub storage: StorageSettings,
     /// `store-identity`: how endpoints report their identity.
     pub endpoint_identity: EndpointIdentity,
-    /// Session tokens.
+    /// Settings of session tokens.
     pub sessions: SessionSettings,
-    /// Admission of connections and requests.
+    /// Settings of the admission of connections and requests.
     pub admission: AdmissionSettings,
-    /// `operators-socket`: path of the admin socket; `None` disables it.
+    /// `operators-socket`: path of the admin socket. `None` disables the socket.
     pub admin_socket: Option<PathBuf>,
-    /// Log of the process.
+    /// Settings of the log.
     pub log: LogSettings,
 }
 
@@ -193,7 +193,7 @@
         self.admission.concurrency_limits()
     }
 
-    /// Keywords whose values differ in `newer` and that take effect only after a restart.
+    /// The keywords that have a different value in `newer` which takes effect only at the next start.
     pub fn changed_start_keywords(&self, newer: &OperatorSettings) -> Vec<&'static str> {
         let (storage, newer_storage) = (&self.storage, &newer.storage);
         let (journal, newer_journal) = (&storage.journal, &newer_storage.journal);
@@ -206,8 +206,8 @@
             ("write-journal", journal.mode != newer_journal.mode),
             ("write-journal-keeps", journal.max_age != newer_journal.max_age),
             ("write-journal-most", journal.max_records != newer_journal.max_records),
-            // Classes can be reloaded by SIGHUP, but whether there are any determines the division of file
-            // descriptors.
+            // SIGHUP reloads the classes, but whether there are any determines how file descriptors are divided at the
+            // start.
             ("admit", clients.classes.is_empty() != newer_clients.classes.is_empty()),
             ("operators-socket", self.admin_socket != newer.admin_socket),
             ("log-format", self.log.format != newer.log.format),
--- a/operator-config/src/tokens.rs
+++ b/operator-config/src/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokenizer for a line of the operators' file.
+//! Tokenizer of a line of the operators' file.
 
 use std::iter::Peekable;
 use std::str::Chars;
@@ -7,31 +7,32 @@
 /// Why a line cannot be split into tokens.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum QuoteError {
-    /// A backslash within quotes is followed by a character other than a quote or a backslash.
-    #[error("in quotes a \\ stands before a quote or another \\ only")]
-    BadEscape,
-    /// A quote is not closed.
-    #[error("a quote is not closed")]
-    Unclosed,
-    /// A closing quote is followed by a character other than a blank or `#`.
-    #[error("a blank must stand behind a closing quote")]
-    NoBlankBehind,
-    /// A quote begins within a token.
-    #[error("a quote may only stand at the beginning of a word")]
-    WithinToken,
+    /// A backslash in a quoted value is followed by a character other than a quote or a backslash.
+    #[error("invalid escape sequence in a quoted value; expected \\\" or \\\\")]
+    InvalidEscape,
+    /// A quoted value has no closing quote.
+    #[error("missing closing quote")]
+    MissingClosingQuote,
+    /// A closing quote is followed by a character other than whitespace or `#`.
+    #[error("unexpected character after a closing quote; expected a space, # or the end of the line")]
+    TextAfterClosingQuote,
+    /// A quote follows other characters of a token.
+    #[error("unexpected quote within a value; expected quotes around the whole value")]
+    QuoteWithinToken,
 }
 
-/// Splits a line into tokens. A token may be quoted, with `\"` and `\\` inside; outside quotes `#` begins a comment.
+/// Splits a line into tokens. Whitespace separates tokens. A token may be quoted; the escape sequences `\"` and `\\`
+/// are allowed within the quotes. Outside quotes `#` begins a comment.
 ///
 /// # Errors
-/// A quote is misplaced.
-pub fn split(line: &str) -> Result<Vec<String>, QuoteError> {
+/// A quote or an escape sequence is misplaced.
+pub fn tokenize(line: &str) -> Result<Vec<String>, QuoteError> {
     let mut tokens = Vec::new();
     let mut chars = line.chars().peekable();
     while let Some(&first) = chars.peek() {
         match first {
             '#' => break,
-            blank if blank.is_whitespace() => {
+            space if space.is_whitespace() => {
                 chars.next();
             }
             '"' => tokens.push(quoted_token(&mut chars)?),
@@ -46,6 +47,7 @@
 }
 
 fn quoted_token(chars: &mut Peekable<Chars>) -> Result<String, QuoteError> {
+    // Skips the opening quote.
     chars.next();
     let mut value = String::new();
     loop {
@@ -53,14 +55,14 @@
             Some('"') => break,
             Some('\\') => match chars.next() {
                 Some(escaped @ ('"' | '\\')) => value.push(escaped),
-                _ => return Err(QuoteError::BadEscape),
+                _ => return Err(QuoteError::InvalidEscape),
             },
             Some(char) => value.push(char),
-            None => return Err(QuoteError::Unclosed),
+            None => return Err(QuoteError::MissingClosingQuote),
         }
     }
     match chars.peek() {
-        Some(&next) if !ends_token(next) => Err(QuoteError::NoBlankBehind),
+        Some(&next) if !ends_token(next) => Err(QuoteError::TextAfterClosingQuote),
         _ => Ok(value),
     }
 }
@@ -69,7 +71,7 @@
     let mut value = String::new();
     while let Some(&char) = chars.peek().filter(|char| !ends_token(**char)) {
         if char == '"' {
-            return Err(QuoteError::WithinToken);
+            return Err(QuoteError::QuoteWithinToken);
         }
         value.push(char);
         chars.next();
--- a/server/tests/admission.rs
+++ b/server/tests/admission.rs
@@ -173,9 +173,10 @@
     // A file with contradictory limits is rejected as a whole.
     fixture.reload(&daemon, "admit desk from 127.9.0.0/16 keep 5 most 4\n");
     assert!(daemon.has_logged("reload: operators' file not usable, nothing changed"));
-    assert!(daemon.has_logged("1: admit: desk keeps more than its most"));
+    assert!(daemon
+        .has_logged("1: admit: class desk reserves more connections (keep 5) than its maximum (most 4)"));
     fixture.reload(&daemon, "admit desk from 127.9.0.0/16 keep 5000\n");
-    assert!(daemon.has_logged("5000 connections are kept in all, and there is room for"));
+    assert!(daemon.has_logged("the classes reserve 5000 connections (keep), more than the capacity of "));
     assert_eq!(open().rejected_with.as_deref(), Some("53300"), "the earlier limits still apply");
     // The limit is lowered below the connections in use: new ones are rejected, admitted ones stay.
     fixture.reload(&daemon, &format!("{desk}admit others each 1\n"));
@@ -304,5 +305,7 @@
     let fixture = Fixture::new();
     let mut daemon = fixture.begin("admit desk from 127.9.0.0/16 keep 5000\n");
     assert_eq!(daemon.exit_status_within(Duration::from_secs(5)), Some(78));
-    assert!(daemon.has_logged("admit: 5000 connections are kept in all, and there is room for"));
+    assert!(
+        daemon.has_logged("admit: the classes reserve 5000 connections (keep), more than the capacity of ")
+    );
 }
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -263,7 +263,7 @@
     assert_eq!(code, Some(78));
     for expected in [
         format!("ROUTER_CONFIG: {}: 2: seed: not hex digits", bootstrap.display()),
-        format!("{with}:1: log-fromat: is no keyword; is log-format meant?"),
+        format!("{with}:1: log-fromat: unknown keyword; did you mean log-format?"),
         format!("{with}:3: state-dir: \"there\" is not an absolute path"),
     ] {
         assert!(stderr.contains(&expected), "{expected} in {stderr}");
