--- a/admission/src/client_address.rs
+++ b/admission/src/client_address.rs
@@ -67,7 +67,7 @@
 pub struct AddressConnections {
     /// The address, truncated to its prefix.
     pub address: ClientAddress,
-    /// Its open connections.
+    /// Number of open connections of the address.
     pub connections: usize,
 }
 
--- a/admission/src/client_class.rs
+++ b/admission/src/client_class.rs
@@ -39,7 +39,7 @@
 pub struct ClientClass {
     /// Unique name of the class.
     pub name: Arc<str>,
-    /// Networks of its clients. Empty for [`DEFAULT_CLASS`]; empty together with `users` means any network.
+    /// Networks of the clients. Empty for [`DEFAULT_CLASS`]. For a class with users, empty means any network.
     pub networks: Vec<IpNet>,
     /// If not empty, only clients that present one of these user names belong to the class. User names are not
     /// authenticated: anyone who knows a user name can join a class without networks.
--- a/admission/src/concurrency_limiter/arrival_table.rs
+++ b/admission/src/concurrency_limiter/arrival_table.rs
@@ -6,13 +6,16 @@
 pub struct ArrivalInput {
     pub is_retry: bool,
     pub within_retry_budget: bool,
+    /// Requests of the client's class, in flight and waiting.
     pub class_requests: usize,
     pub max_class_requests: usize,
+    /// Requests in flight of all classes.
     pub in_flight: usize,
     pub max_in_flight: usize,
+    /// Waiting requests of all classes.
     pub waiting: usize,
     pub max_waiting: usize,
-    /// Waiting requests of its client including this one, divided by the weight of its class.
+    /// Waiting requests of the client, including this one, divided by the weight of the class.
     pub queue_share: u64,
     /// The largest queue share of any client.
     pub max_queue_share: u64,
--- a/admission/src/concurrency_limiter/fair_queue.rs
+++ b/admission/src/concurrency_limiter/fair_queue.rs
@@ -23,14 +23,14 @@
     waiting: VecDeque<RequestId>,
     /// Since when the client's queue has not been empty.
     waiting_since: Timestamp,
-    /// Start tag of its next request, in the virtual time of its class.
+    /// Start tag of the client's next request, in the virtual time of the class.
     pub start_tag: u64,
-    /// Number of the change that set its current rank. Of several flows with equal start tags, the one with the lowest
+    /// Number of the change that set the current rank of the flow. Of several flows with equal start tags, the one with the lowest
     /// number is served first.
     rank_change_number: u64,
-    /// When its oldest waiting request exceeds the target wait.
+    /// When the client's oldest waiting request exceeds the target wait.
     head_expiry: Option<Timestamp>,
-    /// Since when it has had no requests; `None` while it has any.
+    /// Since when the client has had no requests; `None` if it has any.
     idle_since: Option<Timestamp>,
 }
 
@@ -101,9 +101,9 @@
 pub struct FlowSnapshot {
     /// Number of waiting requests.
     pub waiting: usize,
-    /// Its queue share, see [`ClassQueue::queue_share`].
+    /// Queue share of the client, see [`ClassQueue::queue_share`].
     pub queue_share: u64,
-    /// Since when it has had no request in flight or waiting.
+    /// Since when the client has had no requests; `None` if it has any.
     pub idle_since: Option<Timestamp>,
 }
 
@@ -111,11 +111,11 @@
 pub struct FlowChange {
     pub before: FlowSnapshot,
     pub after: FlowSnapshot,
-    /// When its oldest waiting request before the change would have exceeded the target wait.
+    /// When the client's oldest waiting request before the change would have exceeded the target wait.
     pub head_expiry_before: Option<Timestamp>,
-    /// Its oldest waiting request after the change.
+    /// The client's oldest waiting request after the change.
     pub oldest: Option<RequestId>,
-    /// Since when its queue has not been empty.
+    /// Since when the client's queue has not been empty.
     pub waiting_since: Timestamp,
 }
 
--- a/admission/src/concurrency_limiter/types.rs
+++ b/admission/src/concurrency_limiter/types.rs
@@ -44,12 +44,12 @@
 pub enum ShedReason {
     /// The retry budget is exhausted.
     RetryBudget,
-    /// The class is at its maximum of requests.
+    /// The class has its maximum number of requests.
     ClassLimit,
     /// The queue is full, and no client has a larger share of it.
     QueueFull,
-    /// The queue was full, and a request of another client took its place because its own client had the largest
-    /// share of the queue.
+    /// A request of another client displaced the request from the full queue, because the client of the displaced
+    /// request had the largest share of the queue.
     Displaced,
     /// The request exceeded its maximum wait.
     WaitedTooLong,
@@ -93,9 +93,9 @@
 pub struct ShedRequest {
     /// The request that was shed.
     pub request: RequestId,
-    /// Class of its client.
+    /// Class of the client.
     pub class: Arc<str>,
-    /// Why it was shed.
+    /// Why the request was shed.
     pub reason: ShedReason,
     /// Retry-After time for the client.
     pub retry_after: TimeDelta,
@@ -122,9 +122,9 @@
 pub enum Decision {
     /// The request is in flight from now on.
     Admit {
-        /// The request.
+        /// The admitted request.
         request: RequestId,
-        /// How long it waited.
+        /// How long the request has waited.
         waited: TimeDelta,
     },
     /// The request is shed.
@@ -152,7 +152,7 @@
 pub struct ClassRequests {
     /// Name of the class.
     pub class: Arc<str>,
-    /// Its requests.
+    /// Requests of the class.
     pub requests: RequestCounts,
 }
 
@@ -161,6 +161,6 @@
 pub struct ClientRequests {
     /// The client.
     pub client: ClientKey,
-    /// Its requests.
+    /// Requests of the client.
     pub requests: RequestCounts,
 }
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -91,7 +91,7 @@
 /// A rejected connection, and when its client may retry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why it was rejected.
+    /// Why the connection was rejected.
     pub reason: RejectionReason,
     /// Class of the client.
     pub class: Arc<str>,
@@ -119,7 +119,7 @@
 pub struct ClassConnections {
     /// Name of the class.
     pub class: Arc<str>,
-    /// Its open connections.
+    /// Number of open connections of the class.
     pub connections: usize,
 }
 
@@ -128,6 +128,7 @@
 
 /// Input of the decision on a new connection.
 struct AdmissionInput<'a> {
+    /// Class of the client.
     class: &'a ClientClass,
     /// Open connections of the class.
     class_connections: usize,
@@ -137,7 +138,7 @@
     wait: TimeDelta,
     /// Open connections of all classes.
     connections: usize,
-    /// Connections reserved for other classes and not used by them.
+    /// Connections that are reserved for other classes and that those classes do not use.
     reserved_for_others: usize,
     capacity: usize,
 }
@@ -234,7 +235,7 @@
     /// with the name of their class.
     ///
     /// # Errors
-    /// As [`ConnectionLimiter::new`]; the limits are then unchanged.
+    /// All errors in the set of classes. The limits are not changed in this case.
     pub fn set_limits(&mut self, limits: ConnectionLimits) -> Result<(), Vec<ClassError>> {
         let limits = with_default_class(limits)?;
         if self.limits.prefixes != limits.prefixes {
--- a/operator-config/src/error.rs
+++ b/operator-config/src/error.rs
@@ -134,6 +134,6 @@
     #[error("{0:?} is not a user name; expected 1 to 63 bytes without control characters")]
     InvalidUserName(String),
     /// `burst` is not preceded by `rate`.
-    #[error("requires the property rate before it on the same line")]
+    #[error("must follow the property rate on the same line")]
     BurstWithoutRate,
 }
