--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::log;
 use crate::messages::journal_entry::{JournalEntry, JournalVerdict};
-use crate::runtime::clock::wall_ms;
+use crate::runtime::clock::unix_time_ms;
 use may::sync::mpsc::channel;
 use std::path::Path;
 use std::sync::mpsc::{self, Receiver};
@@ -25,7 +25,7 @@
 
 /// Why the journal cannot be used.
 #[derive(Debug, Error)]
-pub enum OpenError {
+pub enum JournalStartError {
     /// The journal's files cannot be opened.
     #[error(transparent)]
     Journal(#[from] JournalError),
@@ -73,7 +73,7 @@
         durability: Durability,
         retention: Retention,
         random_id: u64,
-    ) -> Result<Arc<WriteJournal>, OpenError> {
+    ) -> Result<Arc<WriteJournal>, JournalStartError> {
         let journal = Journal::open(path, durability, retention, random_id)?;
         let (jobs, received) = mpsc::channel();
         let origin = Mutex::new(journal.origin());
@@ -111,7 +111,7 @@
     }
 
     /// Records the outcome of a write, without waiting for it.
-    pub fn record_end(&self, id: &str, event: RecordEvent) {
+    pub fn record_outcome(&self, id: &str, event: RecordEvent) {
         let operation = Operation::Record { id: id.to_string(), event, deduplication: None };
         self.submit(operation, |_| ());
     }
@@ -145,7 +145,7 @@
             let needs_uptime =
                 |operation: &Operation| matches!(operation, Operation::Record { deduplication: Some(_), .. });
             let uptime = operations.iter().any(needs_uptime).then(uptime).flatten();
-            let replies = journal.apply(ClockReading { wall_ms: wall_ms(), uptime }, &operations);
+            let replies = journal.apply(ClockReading { wall_ms: unix_time_ms(), uptime }, &operations);
             *lock(&self.origin) = journal.origin();
             log_transition(&replies, &mut failing);
             let mut replies = replies.unwrap_or_default().into_iter();
