--- a/server/src/cli/arguments.rs
+++ b/server/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments of the command line.
+//! The command-line arguments. The doc comments of the parsed types are the texts of `--help`.
 
 use crate::admin::socket::PAGES;
 use clap::builder::{PossibleValue, PossibleValuesParser};
@@ -6,14 +6,19 @@
 use clap_complete::Shell;
 use std::path::PathBuf;
 
-/// A query router for sharded, replicated databases.
+/// A query router for sharded, replicated databases
+///
+/// Clients connect to it as to a PostgreSQL server. It forwards each query to one of the database instances
+/// (endpoints) that store the queried data. Without a command, it runs the server. The server reads the path of its
+/// bootstrap file (JSON) from the environment variable ROUTER_CONFIG.
 #[derive(Parser)]
 #[command(name = "query-router", version, about)]
 pub struct Arguments {
-    /// The operators' file; without one everything that it sets is off
+    /// The operators' file, which configures the log and optional features: endpoint cache, write journal, session
+    /// tokens, admission control and admin socket. Without this file, these features are off
     #[arg(long, value_name = "FILE", env = "GINGERWICK_CONF", global = true)]
     pub conf: Option<PathBuf>,
-    /// What is done
+    /// `None` runs the server, as [`Command::Serve`] does.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
@@ -21,61 +26,62 @@
 /// The commands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serves until a signal ends it; so does `query-router` without a command
+    /// Run the server until SIGTERM or SIGINT; this is the default. SIGHUP reloads the configuration
     Serve,
-    /// Reads the bootstrap file and the operators' file and reports all that is wrong with them; starts nothing
+    /// Report all errors in the bootstrap file and the operators' file, without starting the server
     Check,
-    /// Looks at an endpoint list that is cached on disk
+    /// Same as `cache`, with the output in the terms of earlier releases
     List {
-        /// What is done with it
+        /// The operation on the list.
         #[command(subcommand)]
-        command: ListCommand,
+        command: CachedListCommand,
     },
-    /// Looks at an endpoint list that is cached on disk, in standard terms
+    /// Inspect the endpoint list that a server has cached on disk
     Cache {
-        /// What is done with it
+        /// The operation on the list.
         #[command(subcommand)]
-        command: ListCommand,
+        command: CachedListCommand,
     },
-    /// Asks a running server for a page, by its operators-socket
+    /// Print a page about the state of a running server, requested on its admin socket
     Show {
-        /// The page
+        /// The page to print
         #[arg(value_name = "WHAT", value_parser = page_names())]
         page: String,
-        /// Instead of the one that the operators' file names
+        /// The path of the server's admin socket [default: operators-socket in the operators' file]
         #[arg(long, value_name = "PATH")]
         socket: Option<PathBuf>,
     },
-    /// Prints completions for a shell
+    /// Print a completion script for a shell
     Completions {
-        /// The shell
+        /// The shell that will load the script
         shell: Shell,
     },
 }
 
-/// What can be done with a cached list.
+/// An operation on a cached endpoint list.
 #[derive(Subcommand)]
-pub enum ListCommand {
-    /// Prints its age, version and endpoints, and how far a start would trust it now
+pub enum CachedListCommand {
+    /// Print the list's version and age, its endpoints, and how a server that starts from the list now would verify
+    /// them
     Show {
-        /// The state directory, or one file in it
+        /// The state directory of the server (state-dir in the operators' file), or one list file in it
         path: PathBuf,
-        /// The whole list as JSON
+        /// Print the whole list as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Checks whether each file is complete; ends with 65 if one is not, or there is none
+    /// Check that each list file is complete. The exit status is 65 if a file is damaged or there is no list
     Verify {
-        /// The state directory, or one file in it
+        /// The state directory of the server (state-dir in the operators' file), or one list file in it
         path: PathBuf,
     },
 }
 
 fn page_names() -> PossibleValuesParser {
-    let metrics = PossibleValue::new("metrics").help("counters in the text format of Prometheus");
+    let metrics = PossibleValue::new("metrics").help("all metrics, in the text format of Prometheus");
     let standard = PAGES.iter().map(|page| PossibleValue::new(page.name.standard).help(page.description));
     let earlier = PAGES.iter().map(|page| {
-        let help = format!("`{}` in earlier terms", page.name.standard);
+        let help = format!("same as `{}`, in the terms of earlier releases", page.name.standard);
         PossibleValue::new(page.name.earlier).help(help)
     });
     standard.chain([metrics]).chain(earlier).collect::<Vec<_>>().into()
--- a/server/src/cli/cached_list.rs
+++ b/server/src/cli/cached_list.rs
@@ -1,5 +1,5 @@
-//! `query-router list` and `query-router cache`: the endpoint list that is cached on disk, in the earlier and the
-//! standard terms.
+//! `query-router list` and `query-router cache`: the endpoint list that is cached on disk, in earlier and in standard
+//! terms.
 
 use crate::cli::output::{print, print_error};
 use crate::exit_status::{ExitStatus, Failure};
@@ -19,42 +19,43 @@
 const ENDPOINTS: Term = Term::new("stores", "endpoints");
 const REPORTED: Term = Term::new("said", "reported");
 const NO_REPORT: Term = Term::new("nothing", "-");
-const VERSION_OF: Term = Term::new(" of discovery", "");
+const VERSION_SUFFIX: Term = Term::new(" of discovery", "");
 const CONFIRMED: Term = Term::new("stood by it", "confirmed it");
 const VERIFICATION: Term = Term::new("believed", "verified");
-const AT_A_TIME: Term = Term::new("stores at a time", "endpoints queried at a time");
+const CONCURRENT_QUERIES: Term = Term::new("stores at a time", "endpoints queried at a time");
 const CLAIMS: Term = Term::new("answers of its own", "claim(s) of its own");
 const ACCOUNTED_FOR: Term =
     Term::new("all members heard or refusing", "all members answered or refusing connections");
 const FOLLOWED: Term = Term::new("a majority seen to follow it", "a majority following it");
-const WITHOUT_IDENTITY: Term =
+const ACCEPTS_WITHOUT_IDENTITY: Term =
     Term::new("stores that can't say who they are", "endpoints without an identity accepted");
 const LEVELS_TITLE: Term = Term::new("steps", "levels");
-/// The width of the column of titles above the endpoints.
+/// The width of the titles in the heading, in characters.
 const TITLE_WIDTH: usize = 12;
 
-/// Prints a cached list.
+/// Prints the newest valid list at `path`, which is a state directory or one list file. Errors in other files are
+/// printed to standard error.
 ///
 /// # Errors
-/// The path cannot be read, or holds no valid list.
+/// The path cannot be read, or contains no valid list.
 pub fn show(path: &Path, json: bool, vocabulary: Vocabulary) -> Result<(), Failure> {
     let loaded = load(path)?;
     for error in &loaded.errors {
         print_error(&error.to_string());
     }
     let Some(LoadedList { list, file }) = &loaded.list else {
-        return Err(Failure::new(ExitStatus::DataError, no_list(path, vocabulary)));
+        return Err(Failure::new(ExitStatus::DataError, no_list_message(path, vocabulary)));
     };
     if json {
         let text = serde_json::to_string_pretty(list);
         print(&text.map_err(|error| Failure::new(ExitStatus::IoError, error))?);
     } else {
-        print(&format_list(list, file, wall_clock(), vocabulary));
+        print(&format_list(list, file, wall_clock_now(), vocabulary));
     }
     Ok(())
 }
 
-/// Checks all files of a cached list.
+/// Checks all list files at `path`, which is a state directory or one list file.
 ///
 /// # Errors
 /// The path cannot be read, a file is invalid, or there is no valid list.
@@ -67,7 +68,7 @@
             let (complete, noun) = (COMPLETE.text(vocabulary), ENDPOINTS.text(vocabulary));
             print(&format!("{}: {complete}, generation {generation}, {endpoints} {noun}", file.display()));
         }
-        None => problems.push(no_list(path, vocabulary)),
+        None => problems.push(no_list_message(path, vocabulary)),
     }
     if problems.is_empty() {
         Ok(())
@@ -76,11 +77,11 @@
     }
 }
 
-fn no_list(path: &Path, vocabulary: Vocabulary) -> String {
+fn no_list_message(path: &Path, vocabulary: Vocabulary) -> String {
     format!("{}: {}", path.display(), NO_LIST.text(vocabulary))
 }
 
-/// Loads a state directory, or one file.
+/// Loads all list files of a state directory, or one list file.
 fn load(path: &Path) -> Result<LoadedCache, Failure> {
     let metadata = std::fs::metadata(path);
     let metadata = metadata
@@ -96,7 +97,7 @@
     Ok(loaded)
 }
 
-fn wall_clock() -> Timestamp {
+fn wall_clock_now() -> Timestamp {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Timestamp(unix.as_nanos() as i64)
 }
@@ -126,10 +127,10 @@
     vec![
         line("file", &file.display().to_string()),
         line("generation", &list.generation.to_string()),
-        line("version", &format!("{}{}", list.version, text(VERSION_OF))),
+        line("version", &format!("{}{}", list.version, text(VERSION_SUFFIX))),
         line("age", &age),
         line(text(VERIFICATION), &verification(level, vocabulary)),
-        line("", &format!("{}: {identified_by_address}", text(WITHOUT_IDENTITY))),
+        line("", &format!("{}: {identified_by_address}", text(ACCEPTS_WITHOUT_IDENTITY))),
         line(text(LEVELS_TITLE), &levels.join(", ")),
     ]
 }
@@ -137,7 +138,7 @@
 fn verification(level: &VerificationLevel, vocabulary: Vocabulary) -> String {
     let (queries, claims) = (level.max_queries, level.claims_required);
     let members = if level.accounting_suffices { ACCOUNTED_FOR } else { FOLLOWED };
-    let (endpoints, of_its_own) = (AT_A_TIME.text(vocabulary), CLAIMS.text(vocabulary));
+    let (endpoints, of_its_own) = (CONCURRENT_QUERIES.text(vocabulary), CLAIMS.text(vocabulary));
     let members = members.text(vocabulary);
     format!("{queries} {endpoints}; a primary after {claims} {of_its_own} and {members}")
 }
--- a/server/src/cli/check.rs
+++ b/server/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `query-router check`: reports all errors of the configuration at once.
+//! `query-router check`: reports all errors of the configuration files at once.
 
 use crate::cli::output::print;
 use crate::config::bootstrap::ReadAt;
@@ -8,7 +8,10 @@
 use operator_config::OperatorSettings;
 use std::path::Path;
 
-/// Checks both configuration files, and the files that they name.
+/// The output if no error was found.
+const VALID: &str = "the configuration is valid";
+
+/// Checks the bootstrap file, the operators' file, and the state directory and session keys that the latter names.
 pub fn run(operator_file: Option<&Path>) -> Result<(), Failure> {
     let bootstrap = read_bootstrap(ReadAt::Start);
     let mut problems: Vec<String> = Vec::new();
@@ -23,7 +26,7 @@
     if !problems.is_empty() {
         return Err(Failure::all(ExitStatus::ConfigError, problems));
     }
-    print("all fit");
+    print(VALID);
     Ok(())
 }
 
@@ -31,7 +34,7 @@
     let path = settings.storage.state_dir.as_ref()?;
     match std::fs::metadata(path) {
         Ok(found) if found.is_dir() => None,
-        Ok(_) => Some(format!("state-dir: {}: no directory", path.display())),
+        Ok(_) => Some(format!("state-dir: {}: not a directory", path.display())),
         Err(error) => Some(format!("state-dir: {}: {error}", path.display())),
     }
 }
--- a/server/src/cli/run.rs
+++ b/server/src/cli/run.rs
@@ -1,6 +1,6 @@
-//! The entry point: parses the arguments, runs the command, and turns its result into an exit status.
+//! The entry point: parses the arguments, runs the command, and converts its result to an exit status.
 
-use crate::cli::arguments::{Arguments, Command, ListCommand};
+use crate::cli::arguments::{Arguments, CachedListCommand, Command};
 use crate::cli::cached_list;
 use crate::cli::check;
 use crate::cli::output::print_error;
@@ -11,7 +11,7 @@
 use clap::{CommandFactory, Parser};
 use clap_complete::Shell;
 
-/// Runs the command that the arguments of the process name.
+/// Runs the command in the process's arguments. Errors are printed to standard error.
 pub fn run() -> ExitStatus {
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
@@ -45,10 +45,10 @@
     }
 }
 
-fn run_list_command(command: ListCommand, vocabulary: Vocabulary) -> Result<(), Failure> {
+fn run_list_command(command: CachedListCommand, vocabulary: Vocabulary) -> Result<(), Failure> {
     match command {
-        ListCommand::Show { path, json } => cached_list::show(&path, json, vocabulary),
-        ListCommand::Verify { path } => cached_list::verify(&path, vocabulary),
+        CachedListCommand::Show { path, json } => cached_list::show(&path, json, vocabulary),
+        CachedListCommand::Verify { path } => cached_list::verify(&path, vocabulary),
     }
 }
 
--- a/server/src/cli/show.rs
+++ b/server/src/cli/show.rs
@@ -1,4 +1,4 @@
-//! `query-router show`: a page of a running server.
+//! `query-router show`: prints a page about a running server.
 
 use crate::admin::socket::request_page;
 use crate::cli::output::print;
@@ -6,7 +6,11 @@
 use crate::exit_status::{ExitStatus, Failure};
 use std::path::{Path, PathBuf};
 
-/// Requests a page and prints it.
+/// The error if the path of the admin socket is not known.
+const NO_SOCKET: &str =
+    "no admin socket: pass --socket PATH, or pass --conf FILE with a file that sets operators-socket";
+
+/// Requests a page and prints it. Without `socket`, the path is taken from the operators' file.
 pub fn run(operator_file: Option<&Path>, socket: Option<PathBuf>, page: &str) -> Result<(), Failure> {
     let path = match socket {
         Some(path) => path,
@@ -20,6 +24,5 @@
 fn configured_socket(operator_file: Option<&Path>) -> Result<PathBuf, Failure> {
     let settings = operator_file::read(operator_file);
     let settings = settings.map_err(|errors| Failure::all(ExitStatus::ConfigError, errors))?;
-    let missing = "no --socket, and no operators-socket in the operators' file";
-    settings.admin_socket.ok_or_else(|| Failure::new(ExitStatus::Usage, missing))
+    settings.admin_socket.ok_or_else(|| Failure::new(ExitStatus::Usage, NO_SOCKET))
 }
--- a/server/src/exit_status.rs
+++ b/server/src/exit_status.rs
@@ -1,25 +1,25 @@
-//! Exit statuses of the process, after sysexits.h, and the failure of a command.
+//! The exit statuses of the process, which follow sysexits.h, and the failure of a command.
 
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// An exit status of the process.
+/// An exit status of the process, with its name in sysexits.h.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
     /// The command succeeded.
     Success = 0,
-    /// The command line is invalid (EX_USAGE).
+    /// The command line is invalid, or lacks a required option (EX_USAGE).
     Usage = 64,
-    /// The content of a file is invalid (EX_DATAERR).
+    /// A cached endpoint list is damaged or missing (EX_DATAERR).
     DataError = 65,
-    /// A file cannot be opened (EX_NOINPUT).
+    /// A path on the command line cannot be read (EX_NOINPUT).
     NoInput = 66,
-    /// Another process does not respond (EX_UNAVAILABLE).
+    /// The server whose admin socket was queried did not answer (EX_UNAVAILABLE).
     Unavailable = 69,
-    /// A resource of the operating system is not available (EX_OSERR).
+    /// The operating system refused a resource, such as a port or a thread (EX_OSERR).
     OsError = 71,
-    /// Writing failed (EX_IOERR).
+    /// Output could not be produced (EX_IOERR).
     IoError = 74,
     /// The configuration is invalid (EX_CONFIG).
     ConfigError = 78,
@@ -36,7 +36,7 @@
 pub struct Failure {
     /// The exit status of the process.
     pub status: ExitStatus,
-    /// The lines that are written to standard error.
+    /// The messages for standard error, one line each.
     pub messages: Vec<String>,
 }
 
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -1,10 +1,10 @@
-//! The daemon: client connections, endpoint connections and discovery around the routing policy.
+//! The query router's server: client connections, endpoint connections and discovery around the routing policy.
 //!
-//! Modules from the bottom up; each uses only those before it:
+//! The modules in layers, from the lowest to the highest; each uses only modules above it in this list:
 //!
-//! - [`runtime`]: clock, coroutines, cancellation, resource limits, log, counters, vocabularies
+//! - [`runtime`]: clock, coroutines, cancellation, resource limits, log, metrics, earlier and standard terms
 //! - [`protocol`]: the wire protocol, without I/O
-//! - [`messages`]: the messages between the parts
+//! - [`messages`]: the messages between the components
 //! - [`storage`]: the threads that write to disk
 //! - [`endpoints`]: connections to endpoints, attempts, health checks
 //! - [`discovery`]: the watch on the endpoint list
--- a/server/src/main.rs
+++ b/server/src/main.rs
@@ -1,4 +1,4 @@
-//! `query-router`, the daemon and its command line.
+//! The `query-router` program: the server and its command line.
 
 use std::process::ExitCode;
 
