--- a/server/src/config/operator_file.rs
+++ b/server/src/config/operator_file.rs
@@ -1,11 +1,11 @@
-//! Reading of the operators' file. Without one, all its features are off.
+//! Reads the operators' file. Without one, all features that it configures are off.
 
-use crate::runtime::log::LogStyle;
+use crate::runtime::log::LogOptions;
 use operator_config::{ConfigError, LogFormat, OperatorSettings};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The greatest length of an operators' file in bytes.
+/// The maximum length of an operators' file.
 const MAX_BYTES: u64 = 1 << 20;
 
 /// Why an operators' file cannot be used.
@@ -16,15 +16,15 @@
     Io {
         /// The path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         error: std::io::Error,
     },
     /// The file is too long.
-    #[error("{}: {bytes} bytes, more than {MAX_BYTES}", path.display())]
+    #[error("{}: the file has {bytes} bytes; the maximum is {MAX_BYTES}", path.display())]
     TooLong {
         /// The path of the file.
         path: PathBuf,
-        /// The length of the file.
+        /// The length of the file in bytes.
         bytes: u64,
     },
     /// A line of the file is invalid.
@@ -32,15 +32,15 @@
     Line {
         /// The path of the file.
         path: PathBuf,
-        /// The line and its fault.
+        /// The number of the line, its keyword, and why it is invalid.
         error: Box<ConfigError>,
     },
 }
 
-/// Reads the operators' file; without a path, returns the default settings.
+/// Reads and parses the operators' file; without a path, returns the default settings.
 ///
 /// # Errors
-/// The file cannot be read or is too long, or every fault of its lines.
+/// The file cannot be read or is too long; otherwise, the errors of all its lines.
 pub fn read(path: Option<&Path>) -> Result<OperatorSettings, Vec<OperatorFileError>> {
     let Some(path) = path else { return Ok(OperatorSettings::default()) };
     let text = read_text(path).map_err(|error| vec![error])?;
@@ -57,9 +57,9 @@
     std::fs::read_to_string(path).map_err(io_error)
 }
 
-/// The format and limits of the log.
-pub fn log_style(settings: &OperatorSettings) -> LogStyle {
-    LogStyle {
+/// The options of the log; the level is `info` if it cannot be parsed.
+pub fn log_options(settings: &OperatorSettings) -> LogOptions {
+    LogOptions {
         json: settings.log.format == LogFormat::Json,
         level: settings.log.level.parse().unwrap_or(tracing::Level::INFO),
         max_queued_bytes: settings.log.max_queued_bytes,
--- a/server/src/runtime/cancellation.rs
+++ b/server/src/runtime/cancellation.rs
@@ -1,20 +1,23 @@
-//! Cancellation of a coroutine's work from another coroutine or thread, without access to the socket that it waits for.
+//! The cancellation of a coroutine's work by another coroutine or thread, which needs no access to the socket that
+//! the coroutine waits for.
 
 use may::coroutine::Coroutine;
 use may::io::WaitIoWaker;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// A token that cancels the work of one coroutine at a time.
+/// A token by which the work of one coroutine at a time can be cancelled.
 #[derive(Default)]
 pub struct CancellationToken {
     cancelled: AtomicBool,
     waiter: Mutex<Option<Waiter>>,
 }
 
-/// What is woken up when the token is cancelled.
+/// The coroutine to wake when the token is cancelled.
 enum Waiter {
+    /// It waits for a socket.
     Socket(WaitIoWaker),
+    /// It is parked.
     Coroutine(Coroutine),
 }
 
@@ -23,7 +26,7 @@
         self.waiter.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Cancels the work, and wakes up the coroutine that is registered.
+    /// Cancels the work, and wakes the registered coroutine.
     pub fn cancel(&self) {
         self.cancelled.store(true, Ordering::Release);
         match &*self.lock() {
@@ -33,17 +36,17 @@
         }
     }
 
-    /// Whether the work was cancelled.
+    /// Whether [`CancellationToken::cancel`] has been called.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.load(Ordering::Acquire)
     }
 
-    /// Registers the calling coroutine, which is about to park, to be woken up on cancellation.
+    /// Registers the calling coroutine, which is about to park, to be woken on cancellation.
     pub fn register_current_coroutine(&self) {
         *self.lock() = Some(Waiter::Coroutine(may::coroutine::current()));
     }
 
-    /// Registers the coroutine that waits for a socket to be woken up on cancellation.
+    /// Registers a socket for which a coroutine is about to wait, so that the coroutine is woken on cancellation.
     pub fn register_socket(&self, waker: WaitIoWaker) {
         *self.lock() = Some(Waiter::Socket(waker));
     }
--- a/server/src/runtime/idle_clients.rs
+++ b/server/src/runtime/idle_clients.rs
@@ -1,34 +1,33 @@
-//! The registry of idle clients, which selects the one to close when descriptors run short.
+//! The registry of idle clients, which selects a client to close when descriptors run short.
 
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How long a client is not asked to close after it has connected, because it is about to send its first
-/// query.
+/// How long a client is not asked to close after it has connected, because its first query will probably arrive soon.
 const NEW_CLIENT_GRACE: TimeDelta = TimeDelta::from_millis(100);
-/// How long a client is not asked to close after its last response, because it may send another query soon.
+/// How long a client is not asked to close after its last response, because it may soon send another query.
 const IDLE_CLIENT_GRACE: TimeDelta = TimeDelta::from_millis(2_000);
 
-/// A connection that can be close_requested to close.
+/// A connection that can be asked to close.
 pub trait RequestClose: Send + Sync {
-    /// Requests the close of the connection.
+    /// Asks the connection to close as soon as it is idle.
     fn request_close(&self);
 }
 
-/// The state of an idle client. Clients are closed in the order of the variants when descriptors run short.
+/// The state of an idle client. When descriptors run short, clients are closed in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum IdleRank {
-    /// The connection is being closed, and the client has time to read its last responses.
+    /// The connection is being closed gracefully: the client has time to read its last responses.
     Closing,
     /// The client has not sent a query yet.
     NeverQueried,
-    /// All queries of the client were answered.
+    /// All queries of the client have been answered.
     Idle,
 }
 
 impl IdleRank {
-    /// The time for which a client is not asked to close after it has become idle.
+    /// How long a client is not asked to close after it has become idle.
     fn grace(self) -> TimeDelta {
         match self {
             IdleRank::Closing => TimeDelta::ZERO,
@@ -38,18 +37,18 @@
     }
 }
 
-/// The registration of an idle client, needed to remove it.
+/// The key of an idle client in the registry, in the order in which clients are closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleRegistration {
     rank: IdleRank,
     serial: u64,
 }
 
-/// An idle client.
+/// An idle client in the registry.
 struct IdleClient {
     since: Timestamp,
     connection: Arc<dyn RequestClose>,
-    /// The client class, if classes are configured.
+    /// The name of the client's class; `None` if no classes are configured.
     class: Option<Arc<str>>,
 }
 
@@ -58,9 +57,9 @@
 pub struct IdleClients {
     /// The idle clients, in the order in which they are closed.
     clients: BTreeMap<IdleRegistration, IdleClient>,
-    /// The serial numbers of clients that were asked to close, and have neither closed nor become busy since.
+    /// The serial numbers of the clients that were asked to close and are still registered.
     close_requested: BTreeSet<u64>,
-    /// The serial number that was assigned last.
+    /// The serial number of the client that was registered last.
     last_serial: u64,
 }
 
@@ -85,24 +84,24 @@
         self.close_requested.remove(&registration.serial);
     }
 
-    /// Shortens the close of one client that is being closed.
+    /// Asks one client that is being closed gracefully to finish sooner.
     pub fn expedite_closing(&mut self, now: Timestamp) {
         self.request_first_close(now, |rank, _| rank == IdleRank::Closing);
     }
 
-    /// Asks the first idle client to close.
+    /// Asks the first client to close that is not being closed already.
     pub fn reclaim(&mut self, now: Timestamp) {
         self.request_first_close(now, |rank, _| rank != IdleRank::Closing);
     }
 
-    /// Asks the first idle client of a class to close.
+    /// Asks the first client of a class to close that is not being closed already.
     pub fn reclaim_of_class(&mut self, now: Timestamp, class: &str) {
         let is_of_class = |client: &IdleClient| client.class.as_deref() == Some(class);
         self.request_first_close(now, |rank, client| rank != IdleRank::Closing && is_of_class(client));
     }
 
-    /// Asks the first client to close that `may_close` allows, whose grace period has ended and that was not
-    /// close_requested yet.
+    /// Asks the first client to close that satisfies `may_close`, whose grace period has ended, and that has not yet
+    /// been asked.
     fn request_first_close(&mut self, now: Timestamp, may_close: impl Fn(IdleRank, &IdleClient) -> bool) {
         let candidate = self.clients.iter().find(|(registration, client)| {
             may_close(registration.rank, client)
@@ -115,7 +114,7 @@
         }
     }
 
-    /// The number of clients that are closing or were close_requested to close, whose descriptors will soon be free.
+    /// The number of clients that are being closed or were asked to close, whose descriptors will soon be free.
     pub fn closing(&self) -> usize {
         let is_closing = |registration: &&IdleRegistration| {
             registration.rank == IdleRank::Closing || self.close_requested.contains(&registration.serial)
--- a/server/src/runtime/log.rs
+++ b/server/src/runtime/log.rs
@@ -1,5 +1,5 @@
-//! The log: `tracing` events as lines of text or JSON on standard error, rate-limited for each call site. A
-//! separate thread writes them, so that a slow reader of standard error never blocks the coroutine runtime.
+//! The log: `tracing` events as lines of text or JSON on standard error, with a rate limit for each call site. A
+//! separate thread writes the lines, so that a slow reader of standard error never blocks the coroutine runtime.
 
 use std::fmt;
 use std::io::Write;
@@ -14,52 +14,54 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields, MakeWriter};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Lines from one call site in a [`RATE_WINDOW`]. Without a limit, a common failure would take much of the worker's
-/// time.
+/// The maximum number of lines from one call site in a [`RATE_WINDOW`]. Without it, logging a frequent failure would
+/// take much of the worker thread's time.
 const MAX_LINES_PER_WINDOW: u32 = 5;
-/// The window of the rate limit.
+/// The window of the rate limit, which starts with the first line after the previous window.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
-/// The timeout of a flush, at the end of the process.
+/// The timeout of [`flush`], which delays the exit of the process.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The format and limits of the log, from the operators' file.
 #[derive(Clone, Debug)]
-pub struct LogStyle {
-    /// Lines are JSON objects instead of text.
+pub struct LogOptions {
+    /// Whether each line is a JSON object instead of text.
     pub json: bool,
     /// The least severe level that is written.
     pub level: Level,
-    /// The limit on bytes that wait for the writer; further lines are dropped.
+    /// The maximum size of the writer thread's queue in bytes; lines that exceed it are dropped.
     pub max_queued_bytes: usize,
 }
 
-/// The lines of one call site in the present window.
+/// The current window of a call site.
 #[derive(Clone, Copy)]
 struct RateWindow {
     started: Instant,
-    /// The lines that were requested, dropped ones included.
+    /// The lines logged in the window, including dropped ones.
     lines: u32,
 }
 
-/// The limit on lines from one call site.
+/// The rate limit of one call site.
 pub struct RateLimit(Mutex<Option<RateWindow>>);
 
 impl RateLimit {
-    /// Creates an unused limit.
+    /// Creates a limit whose first window starts with the first line; `const` for use in a `static`.
     pub const fn new() -> RateLimit {
         RateLimit(Mutex::new(None))
     }
 
-    /// Counts a line. If it may be written, returns the number of lines that were dropped in the window before.
+    /// Counts a line. If the line may be written, returns how many lines of the previous window were dropped; this is
+    /// zero except for the first line of a window.
     pub fn admit(&self) -> Option<u32> {
         let mut window = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         match &mut *window {
-            Some(present) if present.started.elapsed() < RATE_WINDOW => {
-                present.lines += 1;
-                (present.lines <= MAX_LINES_PER_WINDOW).then_some(0)
+            Some(current) if current.started.elapsed() < RATE_WINDOW => {
+                current.lines += 1;
+                (current.lines <= MAX_LINES_PER_WINDOW).then_some(0)
             }
             window => {
-                let dropped = window.map_or(0, |last| last.lines.saturating_sub(MAX_LINES_PER_WINDOW));
+                let dropped =
+                    window.map_or(0, |previous| previous.lines.saturating_sub(MAX_LINES_PER_WINDOW));
                 *window = Some(RateWindow { started: Instant::now(), lines: 1 });
                 Some(dropped)
             }
@@ -75,9 +77,9 @@
 
 /// An entry of the writer thread's queue.
 enum Entry {
-    /// A line to write.
+    /// A line to write, with its line feed.
     Line(Vec<u8>),
-    /// Closes the channel once all lines before it were written.
+    /// Closes the channel once all lines before this entry have been written.
     Flush(SyncSender<()>),
 }
 
@@ -87,9 +89,9 @@
     max_bytes: usize,
 }
 
-/// The queue of the writer thread, once the log was started.
+/// The queue of the writer thread, once [`start`] has been called.
 static QUEUE: OnceLock<Queue> = OnceLock::new();
-/// Bytes in the queue.
+/// The size of all lines in the queue, in bytes.
 static QUEUED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
 impl Queue {
@@ -111,7 +113,7 @@
     }
 
     /// Queues a line, or drops it if the queue is full.
-    fn put(&self, line: Vec<u8>) {
+    fn push_line(&self, line: Vec<u8>) {
         let bytes = line.len();
         if QUEUED_BYTES.fetch_add(bytes, Ordering::AcqRel) + bytes > self.max_bytes {
             QUEUED_BYTES.fetch_sub(bytes, Ordering::AcqRel);
@@ -125,7 +127,7 @@
     }
 }
 
-/// The bytes of one event, queued when it is dropped.
+/// The line of one event. It is queued for the writer thread when it is dropped.
 pub struct Line(Vec<u8>);
 
 impl Write for Line {
@@ -142,12 +144,12 @@
 impl Drop for Line {
     fn drop(&mut self) {
         if let Some(queue) = QUEUE.get().filter(|_| !self.0.is_empty()) {
-            queue.put(std::mem::take(&mut self.0));
+            queue.push_line(std::mem::take(&mut self.0));
         }
     }
 }
 
-/// Creates a [`Line`] for each event.
+/// Gives `tracing` a new [`Line`] for each event.
 struct QueueWriter;
 
 impl MakeWriter<'_> for QueueWriter {
@@ -158,10 +160,10 @@
     }
 }
 
-/// The text format: `gingerwick: message (3 dropped) request_id=7 endpoint=s-1`.
+/// The text format, such as `gingerwick: message (3 dropped) request_id=7 endpoint=s-1`.
 struct TextFormat;
 
-/// Collects the parts of a line of text from an event's fields.
+/// Collects the parts of a line in the text format from an event's fields.
 #[derive(Default)]
 struct TextVisitor {
     message: String,
@@ -205,11 +207,11 @@
     }
 }
 
-/// Starts the log. Before that, nothing is written; later calls have no effect.
-pub fn start(style: &LogStyle) {
+/// Starts the log. Events before this call are discarded; further calls have no effect.
+pub fn start(style: &LogOptions) {
     QUEUE.get_or_init(|| Queue::start(style.max_queued_bytes));
     let fmt = tracing_subscriber::fmt().with_max_level(style.level).with_writer(QueueWriter).with_ansi(false);
-    // Fails on a second call, in which case the first subscriber stays.
+    // This fails on a second call, and the first subscriber stays in place.
     let _ = if style.json {
         tracing::subscriber::set_global_default(fmt.json().flatten_event(true).finish())
     } else {
@@ -217,7 +219,7 @@
     };
 }
 
-/// Waits until all queued lines were written, `FLUSH_TIMEOUT` at most. Called before the process exits.
+/// Waits until all queued lines have been written, but at most [`FLUSH_TIMEOUT`]. Called before the process exits.
 pub fn flush() {
     let Some(queue) = QUEUE.get() else { return };
     let (done, written) = sync_channel(0);
@@ -225,7 +227,8 @@
     let _ = written.recv_timeout(FLUSH_TIMEOUT);
 }
 
-/// Logs an event, as in `log!(INFO, request_id = 7; "message")`, at most five a second from each call site.
+/// Logs an event, as in `log!(INFO, request_id = 7; "message")`: a level, fields, and a message with its arguments.
+/// Each call site logs at most five events a second; the next event that is logged carries the number of dropped ones.
 #[macro_export]
 macro_rules! log {
     ($level:ident $(, $field:ident = $value:expr)*; $($message:tt)*) => {{
--- a/server/src/runtime/metrics.rs
+++ b/server/src/runtime/metrics.rs
@@ -1,5 +1,5 @@
 //! The counters and histograms for operators. Without an admin socket no recorder is installed, and each call returns
-//! at once.
+//! immediately.
 
 use crate::runtime::terms::Term;
 use metrics::{counter, histogram, Counter, Histogram};
@@ -7,22 +7,22 @@
 use routing::time::TimeDelta;
 use routing::{AttemptOutcome, MethodIndex};
 
-/// How a request was answered.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// By a value.
+    /// It was answered with a value.
     Value,
-    /// The request was not executed, or it can safely be retried.
+    /// It was not executed, or can safely be retried.
     Rejected,
-    /// The request may have been executed.
+    /// It may have been executed.
     Aborted,
-    /// The request is invalid.
+    /// It is invalid.
     Error,
-    /// The client disconnected before the response.
+    /// Its client disconnected before the response.
     ClientGone,
 }
 
-/// All kinds of responses, and their labels.
+/// All kinds of responses, and their label values.
 pub const RESPONSE_KINDS: [(ResponseKind, Term); 5] = [
     (ResponseKind::Value, Term::same("ok")),
     (ResponseKind::Rejected, Term::new("pushed back", "rejected")),
@@ -31,7 +31,7 @@
     (ResponseKind::ClientGone, Term::new("gone", "client_gone")),
 ];
 
-/// All outcomes of attempts and health checks, and their labels.
+/// All outcomes of attempts and health checks, and their label values.
 pub const ATTEMPT_OUTCOMES: [(AttemptOutcome, Term); 9] = [
     (AttemptOutcome::Succeeded, Term::same("ok")),
     (AttemptOutcome::Failed, Term::new("errored", "failed")),
@@ -44,17 +44,17 @@
     (AttemptOutcome::NotEligible, Term::new("lagged", "not_eligible")),
 ];
 
-/// The upper bounds of the histograms' buckets in seconds, from a tenth of a millisecond to the longest waits of
-/// clients.
+/// The upper bounds of the histograms' buckets, in seconds: from a tenth of a millisecond to the longest time that
+/// clients wait.
 const LATENCY_BUCKETS: [f64; 13] = [1e-4, 3e-4, 1e-3, 3e-3, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
-/// The counters of one method.
+/// The metrics of requests of one method.
 struct MethodMetrics {
     responses: [Counter; RESPONSE_KINDS.len()],
     latency: Histogram,
 }
 
-/// The counters of requests, attempts and health checks.
+/// The metrics of requests, attempts and health checks.
 pub struct Metrics {
     methods: Vec<MethodMetrics>,
     attempts: [Counter; ATTEMPT_OUTCOMES.len()],
@@ -73,7 +73,8 @@
 }
 
 impl Metrics {
-    /// Creates the counters for methods of these names. They are recorded only if the recorder was installed before.
+    /// Creates the metrics, for methods of these names. They are recorded only if the recorder has been installed
+    /// before.
     pub fn new(methods: &[String]) -> Metrics {
         Metrics {
             methods: methods.iter().map(|name| MethodMetrics::new(name)).collect(),
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Counts the response to a request, and its latency.
+    /// Counts a request that has ended, and records its latency. Does nothing if the method's index is unknown.
     pub fn request_answered(&self, method: MethodIndex, kind: ResponseKind, latency: TimeDelta) {
         let Some(method) = self.methods.get(method) else { return };
         if let Some(index) = RESPONSE_KINDS.iter().position(|(known, _)| *known == kind) {
@@ -94,13 +95,13 @@
         method.latency.record(latency.as_secs_f64());
     }
 
-    /// Counts the end of an attempt, and its latency.
+    /// Counts an attempt that has ended, and records its latency.
     pub fn attempt_ended(&self, outcome: AttemptOutcome, latency: TimeDelta) {
         count(&self.attempts, outcome);
         self.attempt_latency.record(latency.as_secs_f64());
     }
 
-    /// Counts the end of a health check.
+    /// Counts a health check that has ended.
     pub fn health_check_ended(&self, outcome: AttemptOutcome) {
         count(&self.health_checks, outcome);
     }
@@ -113,7 +114,7 @@
     }
 }
 
-/// Installs the recorder of all counters that are created from now on.
+/// Installs the recorder of all metrics that are created from now on. The handle renders them.
 ///
 /// # Errors
 /// A recorder is installed already.
--- a/server/src/runtime/mod.rs
+++ b/server/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! The runtime that all other layers use: time, coroutines, cancellation, resource limits, the log and metrics.
+//! The runtime that all other layers use: time, coroutines, cancellation, resource limits, log, metrics and terms.
 
 pub mod cancellation;
 pub mod clock;
--- a/server/src/runtime/resource_limits.rs
+++ b/server/src/runtime/resource_limits.rs
@@ -1,5 +1,5 @@
-//! The limits on descriptors and buffer memory. A descriptor is acquired before a socket is opened, and released
-//! when it is dropped; the memory of every buffer is charged.
+//! The limits on descriptors and buffer memory. A [`Descriptor`] is acquired before a socket is opened and released
+//! by dropping it. The memory of every buffer is accounted for by a [`BufferCharge`].
 
 use crate::runtime::idle_clients::{IdleClients, IdleRank, IdleRegistration, RequestClose};
 use routing::time::Timestamp;
@@ -8,52 +8,53 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The use of a descriptor. Each class has its own limit.
+/// What a descriptor is used for. Each class has its own limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptorClass {
-    /// Connections of clients.
+    /// Connections of clients that are served, or rejected for lack of a descriptor.
     Clients,
     /// Connections to endpoints.
     Endpoints,
     /// Connections to discovery.
     Discovery,
-    /// Connections of clients that are sent the reason for their rejection.
+    /// Connections of clients that admission control has rejected, while they are sent the reason.
     RejectedClients,
 }
 
-/// Descriptors of the process itself: standard streams, the listener, the event loop, the signal pipe.
+/// The descriptors set aside for the process itself: standard streams, listener, event loop, signal pipe.
 const PROCESS_DESCRIPTORS: usize = 24;
-/// Descriptors for connections to discovery.
+/// The descriptors for connections to discovery.
 const DISCOVERY_DESCRIPTORS: usize = 4;
 /// The number of descriptor classes.
-const CLASSES: usize = 4;
-/// The overflow descriptors for clients are this fraction of all descriptors.
+const DESCRIPTOR_CLASS_COUNT: usize = 4;
+/// One of this many descriptors is an overflow descriptor for clients.
 const OVERFLOW_DIVISOR: usize = 16;
-/// The least number of overflow descriptors.
+/// The minimum number of overflow descriptors.
 const MIN_OVERFLOW: usize = 16;
-/// Idle clients are asked to close once less than this fraction of the clients' descriptors is free.
+/// Idle clients are asked to close while at most one in this many of the clients' descriptors is free.
 const RECLAIM_DIVISOR: usize = 16;
-/// The least number of descriptors for clients and endpoints together: one of each.
+/// The minimum number of descriptors for clients and endpoints together: one for each.
 const MIN_SHARED: usize = 2;
-/// Two fifths of the shared descriptors are for endpoints. A request in flight uses one of each kind, while waiting
-/// requests and idle clients use only the client's.
+/// The numerator of the endpoints' share of the descriptors that clients and endpoints share: two fifths. A request
+/// in flight uses one descriptor of each, but waiting requests and idle clients use only a client's.
 const ENDPOINT_SHARE_NUMERATOR: usize = 2;
-/// The denominator of [`ENDPOINT_SHARE_NUMERATOR`].
+/// The denominator of the endpoints' share.
 const ENDPOINT_SHARE_DENOMINATOR: usize = 5;
-/// One endpoint may use at most this fraction of the endpoints' descriptors, so that one that does not respond
-/// cannot exhaust them.
+/// The endpoints' descriptors are divided by this for the maximum of one endpoint, so that an endpoint that does not
+/// respond cannot use up all of them.
 const PER_ENDPOINT_DIVISOR: usize = 2;
-/// Memory is short once buffers use more than this fraction of it; the rest is for stacks and everything else.
+/// Memory is short once buffers use more than the process's memory divided by this. The rest is for stacks and all
+/// other allocations.
 const SHORT_MEMORY_DIVISOR: usize = 3;
-/// Memory is critical once buffers use more than this fraction of it.
+/// Memory is critical once buffers use more than the process's memory divided by this.
 const CRITICAL_MEMORY_DIVISOR: usize = 2;
 
-/// The descriptors in use.
+/// The descriptors in use, and the idle clients whose descriptors can be reclaimed.
 #[derive(Default)]
 struct State {
-    /// By class.
-    in_use: [usize; CLASSES],
-    /// Descriptors for endpoints, by address.
+    /// The number of descriptors in use, by class.
+    in_use: [usize; DESCRIPTOR_CLASS_COUNT],
+    /// The number of descriptors in use for each endpoint.
     by_endpoint: HashMap<SocketAddr, usize>,
     idle: IdleClients,
 }
@@ -61,9 +62,9 @@
 /// The limits on descriptors and buffer memory, and their use.
 pub struct ResourceLimits {
     /// The limits on descriptors, by class.
-    limits: [usize; CLASSES],
-    /// Descriptors for clients beyond their limit. Such a client either replaces one that was asked to close, or is
-    /// rejected.
+    limits: [usize; DESCRIPTOR_CLASS_COUNT],
+    /// The number of overflow descriptors: those for clients beyond the limit of their class. A client that gets one
+    /// either replaces a client that was asked to close, or is rejected.
     overflow: usize,
     /// The memory of the process in bytes.
     memory: usize,
@@ -71,7 +72,7 @@
     state: Mutex<State>,
 }
 
-/// The permission to use one descriptor, released when it is dropped.
+/// The permission to use one descriptor, released on drop.
 pub struct Descriptor {
     limits: Arc<ResourceLimits>,
     class: DescriptorClass,
@@ -79,12 +80,12 @@
 }
 
 impl Descriptor {
-    /// Creates a charge, of 0 bytes, for a buffer of the descriptor's connection.
+    /// Creates a charge of 0 bytes, for buffers of the descriptor's connection.
     pub fn buffer_charge(&self) -> BufferCharge {
         self.limits.buffer_charge()
     }
 
-    /// Whether buffers use more than half of the memory.
+    /// Whether all buffers together use more than half of the process's memory.
     pub fn is_memory_critical(&self) -> bool {
         self.limits.buffer_bytes() > self.limits.memory / CRITICAL_MEMORY_DIVISOR
     }
@@ -105,14 +106,14 @@
     }
 }
 
-/// The charge for the memory of some buffers, released when it is dropped.
+/// The memory of some buffers, counted in the total of all buffers until the charge is dropped.
 pub struct BufferCharge {
     limits: Arc<ResourceLimits>,
     bytes: usize,
 }
 
 impl BufferCharge {
-    /// Sets the charge to `bytes`.
+    /// Sets the size of the buffers, in bytes.
     pub fn set(&mut self, bytes: usize) {
         self.limits.buffer_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.limits.buffer_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
@@ -128,15 +129,16 @@
 
 /// A descriptor for a client.
 pub struct ClientDescriptor {
-    /// The descriptor.
+    /// The descriptor of the client's connection.
     pub descriptor: Descriptor,
-    /// The client is served; if false, the descriptor is an overflow one, and the client must be rejected.
+    /// Whether the client may be served. If false, the descriptor is an overflow descriptor, and the client must be
+    /// rejected.
     pub admitted: bool,
 }
 
 impl ResourceLimits {
-    /// Divides the descriptors of the process between the classes. `memory` is in bytes; `rejects_clients` reserves
-    /// descriptors for clients that admission control rejects.
+    /// Divides the descriptors of the process between the classes. `memory` is the process's memory in bytes. If
+    /// `rejects_clients` is set, some descriptors are reserved for clients that admission control rejects.
     pub fn new(descriptors: usize, memory: usize, rejects_clients: bool) -> Arc<ResourceLimits> {
         let overflow = (descriptors / OVERFLOW_DIVISOR).max(MIN_OVERFLOW);
         let rejected = if rejects_clients { overflow } else { 0 };
@@ -160,7 +162,7 @@
         Descriptor { limits: self.clone(), class, endpoint }
     }
 
-    /// Acquires a descriptor; `None` if its class is at its limit.
+    /// Acquires a descriptor; `None` if the class is at its limit.
     pub fn acquire(self: &Arc<Self>, class: DescriptorClass) -> Option<Descriptor> {
         let in_use = &mut self.lock().in_use[class as usize];
         if *in_use >= self.limit(class) {
@@ -184,15 +186,15 @@
 
     /// Acquires a descriptor for a new client; `None` if even the overflow descriptors are in use.
     ///
-    /// If few descriptors are left, one idle client is asked to close for each new one. If the limit is exceeded by
-    /// more than the clients that are closing, the new client gets an overflow descriptor and must be rejected.
+    /// If few descriptors are free, one idle client is asked to close for each new client. If the limit is exceeded
+    /// by more clients than are closing, the new client must be rejected.
     pub fn acquire_for_client(self: &Arc<Self>, now: Timestamp) -> Option<ClientDescriptor> {
         let limit = self.limit(DescriptorClass::Clients);
         let mut state = self.lock();
         let in_use = state.in_use[DescriptorClass::Clients as usize];
         let mut admitted = true;
         if in_use + limit / RECLAIM_DIVISOR >= limit {
-            // A client that is being closed counts as closed below, so its close is expedited.
+            // Clients that are being closed count as closed below, so one of them is asked to finish sooner.
             state.idle.expedite_closing(now);
             if in_use >= limit + self.overflow {
                 return None;
@@ -205,42 +207,42 @@
         Some(ClientDescriptor { descriptor, admitted })
     }
 
-    /// Asks one idle client of a class to close.
+    /// Asks one idle client of the class `class` to close.
     pub fn reclaim_idle_of_class(&self, now: Timestamp, class: &str) {
         self.lock().idle.reclaim_of_class(now, class);
     }
 
-    /// The limit on the descriptors of a class.
+    /// The maximum number of descriptors of a class, without overflow descriptors.
     pub fn limit(&self, class: DescriptorClass) -> usize {
         self.limits[class as usize]
     }
 
-    /// The number of descriptors of a class in use.
+    /// The number of descriptors of a class that are in use.
     pub fn in_use(&self, class: DescriptorClass) -> usize {
         self.lock().in_use[class as usize]
     }
 
-    /// Creates a charge of 0 bytes.
+    /// Creates a charge of 0 bytes, for buffers that belong to no descriptor.
     pub fn buffer_charge(self: &Arc<Self>) -> BufferCharge {
         BufferCharge { limits: self.clone(), bytes: 0 }
     }
 
-    /// Whether buffers use more than a third of the memory.
+    /// Whether all buffers together use more than a third of the process's memory.
     pub fn is_memory_short(&self) -> bool {
         self.buffer_bytes() > self.max_buffer_bytes()
     }
 
-    /// The bytes that all buffers use.
+    /// The size of all buffers together, in bytes.
     pub fn buffer_bytes(&self) -> usize {
         self.buffer_bytes.load(Ordering::Relaxed)
     }
 
-    /// The bytes that buffers may use before memory is short.
+    /// The size of all buffers above which memory is short, in bytes.
     pub fn max_buffer_bytes(&self) -> usize {
         self.memory / SHORT_MEMORY_DIVISOR
     }
 
-    /// Registers a client that has become idle.
+    /// Registers a client that has become idle, so that it can be asked to close when descriptors run short.
     pub fn register_idle(
         &self,
         rank: IdleRank,
@@ -251,7 +253,7 @@
         self.lock().idle.register(rank, since, connection, class)
     }
 
-    /// Removes the registration of a client that is busy again or has disconnected.
+    /// Removes the registration of an idle client that is busy again or has disconnected.
     pub fn unregister_idle(&self, registration: IdleRegistration) {
         self.lock().idle.unregister(registration);
     }
--- a/server/src/runtime/terms.rs
+++ b/server/src/runtime/terms.rs
@@ -1,7 +1,7 @@
-//! The two vocabularies of the texts that operators' programs read. Each text keeps its earlier terms under its
-//! earlier name, and is also available in the standard terms of the field under a second name.
+//! The two vocabularies of the pages, metrics and command outputs that operators' programs read. Under its earlier
+//! name each of them keeps the terms of the first releases; under a second name it is available in standard terms.
 
-/// The vocabulary of a text.
+/// The vocabulary in which a text is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Vocabulary {
     /// The terms of the first releases, for existing programs.
@@ -30,7 +30,7 @@
         Term { earlier: term, standard: term }
     }
 
-    /// The term in a vocabulary.
+    /// The term in the vocabulary `vocabulary`.
     pub fn text(self, vocabulary: Vocabulary) -> &'static str {
         match vocabulary {
             Vocabulary::Earlier => self.earlier,
--- a/server/src/startup/signals.rs
+++ b/server/src/startup/signals.rs
@@ -1,6 +1,6 @@
-//! The main thread, which starts the server and then handles signals.
+//! The main thread: starts the server, then handles signals.
 
-use crate::config::operator_file::log_style;
+use crate::config::operator_file::log_options;
 use crate::exit_status::{ExitStatus, Failure};
 use crate::runtime::clock::Clock;
 use crate::runtime::log;
@@ -10,17 +10,19 @@
 use signal_hook::iterator::Signals;
 use std::path::PathBuf;
 
-/// Runs the server until a signal ends the process: SIGHUP reloads, SIGTERM and SIGINT begin the shutdown.
+/// Runs the server until the process exits. SIGHUP reloads the configuration; SIGTERM and SIGINT begin the graceful
+/// shutdown, at whose end the process exits.
 ///
 /// # Errors
 /// The server could not be started, or signals cannot be received.
 pub fn run(operator_file: Option<PathBuf>) -> Result<(), Failure> {
     let clock = Clock::start();
-    // Registered first, so that a signal during the start is handled after it.
-    let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])
-        .map_err(|error| Failure::new(ExitStatus::OsError, format!("signals: {error}")))?;
+    // Registered before the start, so that a signal that arrives during the start is handled after it.
+    let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|error| {
+        Failure::new(ExitStatus::OsError, format!("cannot register the signal handlers: {error}"))
+    })?;
     let configuration = Configuration::read(operator_file)?;
-    log::start(&log_style(&configuration.operators));
+    log::start(&log_options(&configuration.operators));
     let mut server = Server::start(clock, configuration)?;
     for signal in signals.forever() {
         match signal {
@@ -28,5 +30,5 @@
             _ => server.shut_down(),
         }
     }
-    Err(Failure::new(ExitStatus::OsError, "signals: no more can be received"))
+    Err(Failure::new(ExitStatus::OsError, "the signal handlers have stopped"))
 }
