--- a/server/src/config/bootstrap.rs
+++ b/server/src/config/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The bootstrap file, by which the platform configures an instance at its start, and again on SIGHUP.
+//! The bootstrap file, in which the platform configures an instance. It is read at the start and on SIGHUP.
 
 use crate::messages::endpoint_list::EndpointListUpdate;
 use host_support::bootstrap_config::BootstrapConfig;
@@ -8,7 +8,6 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use std::num::ParseIntError;
 use thiserror::Error;
 
 /// The environment variable with the path of the bootstrap file.
@@ -17,15 +16,15 @@
 const NAME_VARIABLE: &str = "ROUTER_NAME";
 /// The environment variable that overrides the listen address.
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
-/// The environment variable that overrides the address of discovery at the start.
+/// The environment variable that overrides the address of discovery, at the start only.
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
-/// The base of the seed's digits.
-const HEXADECIMAL: u32 = 16;
-/// Keys that may differ in a newer file without a warning: `discovery` is applied, `known` and `seed` are of use
-/// only at a start.
-const KEYS_OF_ONE_START: [&str; 3] = ["discovery", "known", "seed"];
+/// The radix of the seed, which is a hexadecimal number.
+const SEED_RADIX: u32 = 16;
+/// Top-level keys whose changes need no restart: a reload applies `discovery`, and `known` and `seed` are used at the
+/// start only. A reload logs every other key that has changed.
+const KEYS_WITHOUT_RESTART: [&str; 3] = ["discovery", "known", "seed"];
 
-/// The content of the file.
+/// The file as it is written.
 #[derive(Deserialize)]
 struct BootstrapFile {
     #[serde(default)]
@@ -41,18 +40,18 @@
     settings: BootstrapConfig,
 }
 
-/// The number of descriptors that the process may open, unless the file sets one.
+/// The default of [`ProcessLimits::sockets`].
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// The memory in MiB that the process may use, unless the file sets one.
+/// The default of [`ProcessLimits::memory_mb`].
 const DEFAULT_MEMORY_MB: usize = 192;
 
-/// The resource limits of the process.
+/// `limits`: the resource limits of the process.
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct ProcessLimits {
-    /// The number of descriptors.
+    /// The number of file descriptors that the process may open.
     pub sockets: usize,
-    /// The memory in MiB.
+    /// The memory that the process may use, in MiB.
     pub memory_mb: usize,
 }
 
@@ -62,49 +61,49 @@
     }
 }
 
-/// The validated settings of the bootstrap file and its environment variables.
+/// The validated settings of the bootstrap file and of the environment variables that override them.
 pub struct Bootstrap {
-    /// The name of the instance.
+    /// The name of the instance, shown in the log and on the admin socket; may be empty.
     pub name: String,
     /// The address on which clients are accepted.
     pub listen: SocketAddr,
-    /// The address of discovery.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The seed of random numbers.
+    /// The seed of the random numbers of the routing policy and the discovery watch.
     pub seed: u64,
-    /// The resource limits of the process.
+    /// The limits on descriptors and memory.
     pub limits: ProcessLimits,
-    /// An endpoint list from before the start.
+    /// `known`: an endpoint list that the platform has obtained before the start.
     pub known_endpoints: Option<EndpointListUpdate>,
-    /// The settings of the deployment.
+    /// `settings`: the settings of the deployment, as the file has them.
     pub config: BootstrapConfig,
     /// The settings of the routing policy, derived from `config`.
     pub settings: RoutingSettings,
-    /// The keys that cannot be changed at run time, with their values.
-    fixed: Map<String, Value>,
+    /// The top-level keys that take effect only at a start, with their values.
+    restart_keys: Map<String, Value>,
 }
 
-/// The occasion on which the file is read. On a reload, the file's address of discovery takes precedence over the
-/// environment variable, which cannot be changed while the process runs.
+/// When the file is read. On a reload, the file's address of discovery overrides the environment variable, which
+/// cannot be changed while the process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadAt {
-    /// At the start.
+    /// At the start of the process.
     Start,
     /// On SIGHUP.
     Reload,
 }
 
-/// The fault of one key or variable.
+/// Why the file, a key or a variable is invalid.
 #[derive(Debug, Error)]
 enum Problem {
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     #[error(transparent)]
-    Shape(#[from] serde_path_to_error::Error<serde_json::Error>),
-    #[error("{0:?} is no address with a port")]
-    NoAddress(String),
-    #[error("not hex digits")]
-    BadSeed(#[from] ParseIntError),
+    Structure(#[from] serde_path_to_error::Error<serde_json::Error>),
+    #[error("{0:?} is not an IP address with a port, such as \"10.0.0.1:5432\"")]
+    NotAnAddress(String),
+    #[error("{0:?} is not a hexadecimal number of up to 64 bits")]
+    NotASeed(String),
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
@@ -112,38 +111,38 @@
 /// An error in the bootstrap file or its environment variables.
 #[derive(Debug, Error)]
 pub enum BootstrapError {
-    /// The variable with the file's path is not set.
-    #[error("{CONFIG_VARIABLE}: not set")]
+    /// `ROUTER_CONFIG` is not set.
+    #[error("{CONFIG_VARIABLE}: not set; it must contain the path of the bootstrap file")]
     NotSet,
     /// The file cannot be read.
     #[error("{CONFIG_VARIABLE}: {path}: {error}")]
     Io {
         /// The path of the file.
         path: String,
-        /// The system's error.
+        /// The error of the operating system.
         error: std::io::Error,
     },
     /// A variable is invalid.
     #[error("{name}: {problem}")]
     Variable {
-        /// The name of the variable.
+        /// The variable, such as `ROUTER_LISTEN`.
         name: &'static str,
-        /// The fault.
+        /// Why its value is invalid.
         problem: String,
     },
-    /// The file is invalid.
+    /// The file as a whole, or one of its keys, is invalid.
     #[error("{CONFIG_VARIABLE}: {path}: {location}{problem}")]
     Key {
         /// The path of the file.
         path: String,
-        /// The line and the key, each followed by a colon, as far as they are known.
+        /// The line and the key, each followed by `: `; empty if the file as a whole is invalid.
         location: String,
-        /// The fault.
+        /// Why it is invalid.
         problem: String,
     },
 }
 
-/// The source of a value.
+/// Where an invalid value was found.
 #[derive(Clone, Copy)]
 enum Source {
     /// The file as a whole.
@@ -154,18 +153,18 @@
     Variable(&'static str),
 }
 
-/// A fault and its source.
-struct Fault {
+/// A problem and where it was found.
+struct LocatedProblem {
     source: Source,
     problem: Problem,
 }
 
-impl Fault {
-    fn new(source: Source, problem: impl Into<Problem>) -> Fault {
-        Fault { source, problem: problem.into() }
+impl LocatedProblem {
+    fn new(source: Source, problem: impl Into<Problem>) -> LocatedProblem {
+        LocatedProblem { source, problem: problem.into() }
     }
 
-    /// Adds the path of the file, and the line of the key.
+    /// Converts the problem to an error with the path of the file and, if a key is known, its line.
     fn locate(self, path: &str, text: &[u8]) -> BootstrapError {
         let problem = self.problem.to_string();
         let key = match self.source {
@@ -181,10 +180,10 @@
 }
 
 impl Bootstrap {
-    /// Reads the file whose path `ROUTER_CONFIG` holds; `variable` looks up environment variables.
+    /// Reads the file whose path is in `ROUTER_CONFIG`; `variable` looks up environment variables.
     ///
     /// # Errors
-    /// Every fault of the file and the variables.
+    /// All problems of the file and of the variables.
     pub fn read(
         at: ReadAt,
         variable: impl Fn(&str) -> Option<String>,
@@ -193,34 +192,34 @@
         let text =
             std::fs::read(&path).map_err(|error| vec![BootstrapError::Io { path: path.clone(), error }])?;
         Bootstrap::parse(&text, at, variable)
-            .map_err(|faults| faults.into_iter().map(|fault| fault.locate(&path, &text)).collect())
+            .map_err(|problems| problems.into_iter().map(|problem| problem.locate(&path, &text)).collect())
     }
 
     /// Parses and validates the content of the file.
     ///
     /// # Errors
-    /// A file that is not valid JSON, or every fault of its values and of the variables.
+    /// The file is not valid JSON or lacks a key; otherwise, all problems of its values and of the variables.
     fn parse(
         text: &[u8],
         at: ReadAt,
         variable: impl Fn(&str) -> Option<String>,
-    ) -> Result<Bootstrap, Vec<Fault>> {
-        let whole_file = |problem: Problem| vec![Fault::new(Source::File, problem)];
-        let mut fixed: Map<String, Value> =
+    ) -> Result<Bootstrap, Vec<LocatedProblem>> {
+        let whole_file = |problem: Problem| vec![LocatedProblem::new(Source::File, problem)];
+        let mut restart_keys: Map<String, Value> =
             serde_json::from_slice(text).map_err(|error| whole_file(error.into()))?;
         let file: BootstrapFile =
             serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))
                 .map_err(|error| whole_file(error.into()))?;
-        let listen = address(variable(LISTEN_VARIABLE), LISTEN_VARIABLE, "listen", file.listen);
+        let listen = parse_address(variable(LISTEN_VARIABLE), LISTEN_VARIABLE, "listen", file.listen);
         let discovery = variable(DISCOVERY_VARIABLE).filter(|_| at == ReadAt::Start);
-        let discovery = address(discovery, DISCOVERY_VARIABLE, "discovery", file.discovery);
-        let seed = u64::from_str_radix(&file.seed, HEXADECIMAL);
-        let seed = seed.map_err(|error| Fault::new(Source::Key("seed"), error));
+        let discovery = parse_address(discovery, DISCOVERY_VARIABLE, "discovery", file.discovery);
+        let seed = u64::from_str_radix(&file.seed, SEED_RADIX);
+        let seed = seed.map_err(|_| LocatedProblem::new(Source::Key("seed"), Problem::NotASeed(file.seed)));
         let settings = routing_settings(&file.settings);
-        let settings = settings.map_err(|error| Fault::new(Source::Key("settings"), error));
+        let settings = settings.map_err(|error| LocatedProblem::new(Source::Key("settings"), error));
         match (listen, discovery, seed, settings) {
             (Ok(listen), Ok(discovery), Ok(seed), Ok(settings)) => {
-                fixed.retain(|key, _| !KEYS_OF_ONE_START.contains(&key.as_str()));
+                restart_keys.retain(|key, _| !KEYS_WITHOUT_RESTART.contains(&key.as_str()));
                 Ok(Bootstrap {
                     name: variable(NAME_VARIABLE).unwrap_or(file.name),
                     listen,
@@ -230,35 +229,35 @@
                     known_endpoints: file.known,
                     settings,
                     config: file.settings,
-                    fixed,
+                    restart_keys,
                 })
             }
             (listen, discovery, seed, settings) => {
-                let faults = [listen.err(), discovery.err(), seed.err(), settings.err()];
-                Err(faults.into_iter().flatten().collect())
+                let problems = [listen.err(), discovery.err(), seed.err(), settings.err()];
+                Err(problems.into_iter().flatten().collect())
             }
         }
     }
 
-    /// The keys that differ in a newer file and take effect only at a start.
+    /// The top-level keys that differ in `newer` and take effect only at a start.
     pub fn changed_keys(&self, newer: &Bootstrap) -> BTreeSet<String> {
-        let keys = self.fixed.keys().chain(newer.fixed.keys());
-        keys.filter(|key| self.fixed.get(*key) != newer.fixed.get(*key)).cloned().collect()
+        let keys = self.restart_keys.keys().chain(newer.restart_keys.keys());
+        keys.filter(|key| self.restart_keys.get(*key) != newer.restart_keys.get(*key)).cloned().collect()
     }
 }
 
-/// Parses an address from its variable, or from its key if the variable is not set.
-fn address(
+/// Parses an address from its environment variable or, if that is not set, from its key in the file.
+fn parse_address(
     variable: Option<String>,
     name: &'static str,
     key: &'static str,
     from_file: String,
-) -> Result<SocketAddr, Fault> {
+) -> Result<SocketAddr, LocatedProblem> {
     let (source, text) = match variable {
         Some(text) => (Source::Variable(name), text),
         None => (Source::Key(key), from_file),
     };
-    text.parse().map_err(|_| Fault::new(source, Problem::NoAddress(text)))
+    text.parse().map_err(|_| LocatedProblem::new(source, Problem::NotAnAddress(text)))
 }
 
 /// The line of the first occurrence of a key, counted from 1.
--- a/server/src/startup/configuration.rs
+++ b/server/src/startup/configuration.rs
@@ -9,22 +9,22 @@
 use sessions::token::Keys;
 use std::path::{Path, PathBuf};
 
-/// The configuration of a start.
+/// The validated configuration with which the server starts.
 pub struct Configuration {
-    /// The path of the operators' file, if there is one.
+    /// The path of the operators' file, if one was given.
     pub operator_file: Option<PathBuf>,
     /// The settings of the bootstrap file.
     pub bootstrap: Bootstrap,
-    /// The settings of the operators' file.
+    /// The settings of the operators' file, or the defaults without one.
     pub operators: OperatorSettings,
     /// The keys of session tokens, if a key file is configured.
     pub session_keys: Option<Keys>,
 }
 
-/// Reads the bootstrap file whose path is in the environment.
+/// Reads the bootstrap file, with the environment variables of the process.
 ///
 /// # Errors
-/// Every fault of the file and of the variables.
+/// All problems of the file and of the variables.
 pub fn read_bootstrap(at: ReadAt) -> Result<Bootstrap, Vec<BootstrapError>> {
     Bootstrap::read(at, |name| std::env::var(name).ok())
 }
@@ -32,7 +32,7 @@
 /// Reads the keys of session tokens.
 ///
 /// # Errors
-/// The fault of the file, as a line that starts with the keyword `session-keys`.
+/// A message that starts with the keyword `session-keys`: the file cannot be read, or one of its lines is invalid.
 pub fn read_session_keys(path: &Path) -> Result<Keys, String> {
     read_keys(path).map_err(|error| format!("session-keys: {error}"))
 }
@@ -41,7 +41,7 @@
     /// Reads all configuration files.
     ///
     /// # Errors
-    /// Every fault of the bootstrap file and the operators' file together, or that of the key file.
+    /// All problems of the bootstrap file and the operators' file; if there are none, that of the key file.
     pub fn read(operator_file: Option<PathBuf>) -> Result<Configuration, Failure> {
         let bootstrap = read_bootstrap(ReadAt::Start);
         let operators = operator_file::read(operator_file.as_deref());
@@ -58,8 +58,8 @@
         Ok(Configuration { operator_file, bootstrap, operators, session_keys })
     }
 
-    /// Whether the instance has an operators' file. Without one, the platform has set the process's resource limits
-    /// already.
+    /// Whether the instance has an operators' file. Without one, the process keeps the resource limits that the
+    /// platform has set.
     pub fn has_operator_file(&self) -> bool {
         self.operator_file.is_some()
     }
--- a/server/src/startup/initial_list.rs
+++ b/server/src/startup/initial_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that is used from the start until discovery provides one.
+//! The endpoint list that is used until discovery sends one.
 
 use crate::log;
 use crate::messages::control::ControlMessage;
@@ -12,23 +12,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The endpoint list at the start.
+/// The endpoint list with which the server starts.
 pub enum InitialList {
-    /// No list is known.
+    /// Neither the cache nor the bootstrap file has a list.
     Unknown,
-    /// The list of the bootstrap file, without an endpoint cache. It is used as if it came from discovery.
+    /// The list of the bootstrap file, if there is no endpoint cache. It is used as if discovery had sent it.
     Bootstrap(EndpointListUpdate),
-    /// A list whose endpoints are verified before they are used.
+    /// A list, cached or from the bootstrap file, whose endpoints must be verified before they are used.
     ToVerify {
-        /// The list.
+        /// The list to verify.
         list: CachedEndpointList,
-        /// When the list was confirmed and saved; `None` if its age is unknown.
+        /// When discovery last confirmed the list, and when it was saved; `None` if its age is unknown.
         times: Option<CacheTimes>,
     },
 }
 
 impl InitialList {
-    /// When a cached list was confirmed and saved, if that is known.
+    /// When discovery last confirmed the list, and when it was saved; `None` if that is unknown, or without a list to
+    /// verify.
     pub fn cache_times(&self) -> Option<CacheTimes> {
         match self {
             InitialList::ToVerify { times, .. } => *times,
@@ -57,31 +58,32 @@
     }
 }
 
-/// The endpoint cache, as it was opened at the start.
+/// The endpoint cache after it was opened at the start.
 pub struct EndpointCache {
     list: Option<CachedEndpointList>,
-    /// Saves new lists; `None` if the directory cannot be written.
+    /// Saves new lists; `None` if the directory cannot be written or another process has locked it.
     pub writer: Option<Arc<EndpointCacheWriter>>,
 }
 
 impl EndpointCache {
-    /// Opens the cache. Faults are logged and do not fail the start.
+    /// Opens the cache. Errors are logged and do not fail the start, because the cache is optional.
     pub fn open(path: &Path, clock: Clock, save_interval: Duration) -> EndpointCache {
         let (directory, loaded) = open_directory(path);
         for error in &loaded.errors {
-            log!(WARN, reason = error; "cached endpoint list not used");
+            log!(WARN, reason = error; "invalid file of the cached endpoint list ignored");
         }
         let list = loaded.list.map(|newest| newest.list);
         let writer = directory.and_then(|directory| {
             let writer = EndpointCacheWriter::start(clock, directory, list.as_ref(), save_interval);
             writer
-                .map_err(|error| log!(WARN, reason = error; "endpoint list not cached, service goes on"))
+                .map_err(|error| log!(WARN, reason = error; "endpoint list not cached, continuing without the cache"))
                 .ok()
         });
         EndpointCache { list, writer }
     }
 
-    /// The list with the higher version, the cached one or the bootstrap file's. The age of the latter is unknown.
+    /// Returns the list with the higher version, of the cached list and that of the bootstrap file, whose age is
+    /// unknown.
     pub fn initial_list(&mut self, bootstrap: Option<EndpointListUpdate>, clock: Clock) -> InitialList {
         let cached = self.list.take();
         let cached_version = cached.as_ref().map(|list| list.version);
@@ -104,12 +106,13 @@
     CachedEndpointList { version: list.version, endpoints, ..CachedEndpointList::default() }
 }
 
-/// Opens the cache directory. If another process has locked it, or it cannot be written, its list is only read.
+/// Opens the cache directory for writing and loads its list. If another process has locked the directory, or it
+/// cannot be written, only the list is returned.
 fn open_directory(path: &Path) -> (Option<CacheDirectory>, LoadedCache) {
     match CacheDirectory::open(path) {
         Ok((directory, loaded)) => (Some(directory), loaded),
         Err(error) => {
-            log!(WARN, reason = error; "endpoint list not cached, service goes on");
+            log!(WARN, reason = error; "endpoint list not cached, continuing without the cache");
             (None, CacheDirectory::read(path))
         }
     }
--- a/server/src/startup/mod.rs
+++ b/server/src/startup/mod.rs
@@ -1,10 +1,10 @@
-//! The life cycle of the process: configuration, creation of the server's parts, signals, reload and shutdown.
+//! The life cycle of the process: configuration, creation of the server's components, signals, reload and shutdown.
 
 pub mod configuration;
-mod foundation;
 mod initial_list;
 mod reload;
 mod server;
+mod shared_services;
 mod signals;
 
 pub use signals::run;
--- a/server/src/startup/reload.rs
+++ b/server/src/startup/reload.rs
@@ -1,4 +1,5 @@
-//! Reload on SIGHUP: both configuration files are read again. An invalid file changes nothing.
+//! Reload on SIGHUP: both configuration files are read again. An invalid file is logged, and its settings stay as
+//! they are.
 
 use crate::clients::session_tokens::read_keys;
 use crate::config::bootstrap::{Bootstrap, BootstrapError, ReadAt};
@@ -12,7 +13,8 @@
 use std::fmt::Display;
 
 impl Server {
-    /// Reads both files again and applies the settings that can be changed at run time.
+    /// Reads both files again and applies the settings that can be changed while the server runs. Changes to other
+    /// settings are logged.
     pub fn reload(&self) {
         match read_bootstrap(ReadAt::Reload) {
             Ok(newer) => self.apply_bootstrap(&newer),
@@ -36,7 +38,8 @@
         log!(INFO, discovery = newer.discovery, changed = changed; "bootstrap file reloaded");
     }
 
-    /// Applies the settings of a newer operators' file.
+    /// Applies the save interval, the client classes and the limits on requests from a newer operators' file, and
+    /// reads the session keys again.
     fn apply_operator_settings(&self, newer: &OperatorSettings) {
         for keyword in self.configuration.operators.changed_keywords(newer) {
             log_needs_restart(keyword);
@@ -57,7 +60,7 @@
     /// Replaces the client classes, if classes were configured at the start and still are.
     ///
     /// # Errors
-    /// Every fault of the classes.
+    /// All problems of the classes.
     fn apply_classes(&self, newer: &OperatorSettings) -> Result<(), Vec<ClassError>> {
         let clients = &newer.admission.clients;
         let Some(admission) = self.admission.as_ref().filter(|_| !clients.classes.is_empty()) else {
@@ -68,13 +71,15 @@
         Ok(())
     }
 
-    /// Reads the key file again. Its path is the one from the start.
+    /// Reads the session keys again, from the path that was configured at the start.
     fn apply_session_keys(&self) {
         let path = self.configuration.operators.sessions.keys.as_ref();
         let (Some(tokens), Some(path)) = (&self.session_tokens, path) else { return };
         match read_keys(path) {
             Ok(keys) => tokens.set_keys(keys),
-            Err(error) => log!(WARN, reason = error; "reload: session-keys not changed"),
+            Err(error) => {
+                log!(WARN, reason = error; "reload: session-keys file cannot be used, keys unchanged")
+            }
         }
     }
 }
@@ -84,20 +89,20 @@
 }
 
 fn log_bootstrap_errors(errors: &[BootstrapError]) {
-    log!(WARN, reason = join(errors); "reload: bootstrap file not usable, nothing changed");
+    log!(WARN, reason = join(errors); "reload: bootstrap file cannot be used, its settings are unchanged");
 }
 
 fn log_operator_errors(errors: &[OperatorFileError]) {
-    log!(WARN, reason = join(errors); "reload: operators' file not usable, nothing changed");
+    log!(WARN, reason = join(errors); "reload: operators' file cannot be used, its settings are unchanged");
 }
 
 fn log_class_errors(errors: &[ClassError]) {
     for error in errors {
-        log!(WARN, reason = error; "reload: client classes not changed");
+        log!(WARN, reason = error; "reload: client classes are invalid, classes unchanged");
     }
 }
 
-/// Joins errors to one line.
+/// Joins errors in one line, separated by semicolons.
 fn join(errors: &[impl Display]) -> String {
     let errors: Vec<String> = errors.iter().map(|error| error.to_string()).collect();
     errors.join("; ")
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -1,4 +1,4 @@
-//! Creation of the server's parts, and the running server.
+//! Creation of the server's components, and the running server.
 
 use crate::admin::socket;
 use crate::admin::view::AdminView;
@@ -21,8 +21,8 @@
 use crate::runtime::resource_limits::DescriptorClass;
 use crate::runtime::tasks::{spawn, spawn_long_lived};
 use crate::startup::configuration::Configuration;
-use crate::startup::foundation::{admin_socket_failure, unpredictable_seed, Foundation};
 use crate::startup::initial_list::{EndpointCache, InitialList};
+use crate::startup::shared_services::{admin_socket_failure, unpredictable_seed, SharedServices};
 use crate::storage::endpoint_cache_writer::EndpointCacheWriter;
 use crate::storage::journal::WriteJournal;
 use may::io::{WaitIo, WaitIoWaker};
@@ -41,18 +41,19 @@
 
 /// The interval at which expired idle connections to endpoints are closed.
 const POOL_CLEANUP_INTERVAL: TimeDelta = TimeDelta::from_millis(1_000);
-/// The timeout of the last save of the endpoint list at the shutdown. Clients are still served meanwhile.
+/// The timeout of the last save of the endpoint list, when the shutdown begins. Clients are still served during it.
 const LAST_SAVE_TIMEOUT: Duration = Duration::from_millis(50);
-/// The directory of the write journal within the state directory.
+/// The subdirectory of the state directory in which the write journal is stored.
 const JOURNAL_DIRECTORY: &str = "writes";
-/// The membership mode of the bootstrap file in which a local agent pushes endpoint lists as they change.
+/// The value of `membershipMode` in the bootstrap file with which a local agent sends each change of the endpoint
+/// list.
 const LOCAL_AGENT_MODE: &str = "push";
-/// The id of the first request.
+/// The process-internal id of the first request.
 const FIRST_REQUEST: u64 = 0;
-/// The id of the first connection, which its BackendKeyData message carries.
+/// The id of the first client connection, sent to the client in BackendKeyData.
 const FIRST_CONNECTION: u64 = 1;
 
-/// Stops the accept loop.
+/// A handle that stops the accept loop.
 struct AcceptStop {
     stopping: Arc<AtomicBool>,
     listener: WaitIoWaker,
@@ -65,7 +66,7 @@
     }
 }
 
-/// A running server.
+/// A running server, as the thread that handles signals holds it.
 pub struct Server {
     pub(super) configuration: Configuration,
     pub(super) discovery_target: Arc<DiscoveryTarget>,
@@ -79,31 +80,31 @@
     accept_stop: Option<AcceptStop>,
 }
 
-/// Creates and starts the parts of a server.
+/// Creates and starts the components of a server.
 struct Builder {
     clock: Clock,
     configuration: Configuration,
-    foundation: Foundation,
+    services: SharedServices,
     control: Sender<ControlMessage>,
     journal: Option<Arc<WriteJournal>>,
     cache: Option<EndpointCache>,
 }
 
 impl Server {
-    /// Creates all parts and starts accepting connections.
+    /// Creates all components and starts accepting connections.
     ///
     /// # Errors
-    /// The client classes are invalid, the listen address is in use, the write journal cannot be opened, or the
-    /// operating system lacks a resource.
+    /// The client classes are invalid, the listen address cannot be bound, the write journal cannot be opened, or the
+    /// operating system refuses a resource.
     pub fn start(clock: Clock, configuration: Configuration) -> Result<Server, Failure> {
-        let foundation = Foundation::new(clock, &configuration)?;
-        let listener = bind(configuration.bootstrap.listen)?;
+        let services = SharedServices::new(clock, &configuration)?;
+        let listener = bind_listener(configuration.bootstrap.listen)?;
         let journal = open_journal(&configuration.operators.storage)?;
         let storage = &configuration.operators.storage;
         let open_cache = |path: &std::path::PathBuf| EndpointCache::open(path, clock, storage.save_interval);
         let cache = storage.state_dir.as_ref().map(open_cache);
         let (control, messages) = channel();
-        let builder = Builder { clock, configuration, foundation, control, journal, cache };
+        let builder = Builder { clock, configuration, services, control, journal, cache };
         builder.start(listener, messages)
     }
 
@@ -118,13 +119,13 @@
 }
 
 impl Builder {
-    /// Starts all parts, the accept loop last.
+    /// Starts all components, the accept loop last.
     fn start(mut self, listener: TcpListener, messages: Receiver<ControlMessage>) -> Result<Server, Failure> {
-        let initial_list = self.take_initial_list();
+        let initial_list = self.choose_initial_list();
         let incarnation = initial_list.incarnation();
         self.start_control_loop(messages, initial_list)?;
         let discovery_target = self.start_discovery(incarnation)?;
-        let shutdown = GracefulShutdown::new(end_process);
+        let shutdown = GracefulShutdown::new(exit_process);
         let session_tokens = self.session_tokens();
         self.serve_admin_socket(&shutdown)?;
         let accept_stop = self.accept_connections(listener, &shutdown, session_tokens.clone());
@@ -134,9 +135,9 @@
             discovery_target,
             endpoint_cache: self.cache_writer(),
             session_tokens,
-            admission: self.foundation.admission,
+            admission: self.services.admission,
             control: self.control,
-            timers: self.foundation.timers,
+            timers: self.services.timers,
             shutdown,
             accept_stop: Some(accept_stop),
             configuration: self.configuration,
@@ -147,8 +148,8 @@
         self.cache.as_ref().and_then(|cache| cache.writer.clone())
     }
 
-    /// The endpoint list at the start, from the cache or the bootstrap file.
-    fn take_initial_list(&mut self) -> InitialList {
+    /// Takes the endpoint list to start with from the cache and the bootstrap file.
+    fn choose_initial_list(&mut self) -> InitialList {
         let bootstrap = self.configuration.bootstrap.known_endpoints.take();
         match &mut self.cache {
             Some(cache) => cache.initial_list(bootstrap, self.clock),
@@ -156,13 +157,13 @@
         }
     }
 
-    /// Starts the control loop, with the initial endpoint list and the limits on requests as its first messages.
+    /// Starts the control loop, whose first messages are the initial endpoint list and the limits on requests.
     fn start_control_loop(
         &self,
         messages: Receiver<ControlMessage>,
         initial_list: InitialList,
     ) -> Result<(), Failure> {
-        let Foundation { timers, resources, metrics, .. } = &self.foundation;
+        let SharedServices { timers, resources, metrics, .. } = &self.services;
         let bootstrap = &self.configuration.bootstrap;
         let allowed = &bootstrap.config.allowed;
         let connect_timeout = TimeDelta(allowed.dial_timeout_ns);
@@ -193,23 +194,23 @@
         if let Some(limits) = queue_limits(&self.configuration.operators) {
             let _ = self.control.send(ControlMessage::SetQueueLimits(Some(limits)));
         }
-        spawn_part(move || control_loop.run())?;
-        clean_up_pool(timers.clone(), pool);
+        spawn_component(move || control_loop.run())?;
+        spawn_pool_cleanup(timers.clone(), pool);
         Ok(())
     }
 
-    /// The options of primary discovery, if the endpoint list is cached.
+    /// The options of primary discovery; `None` if the endpoint list is not cached.
     fn recovery_options(&self, initial_list: &InitialList) -> Option<RecoveryOptions> {
         let cache = self.cache.as_ref()?;
         Some(RecoveryOptions {
             cache_times: initial_list.cache_times(),
             queries_identity: self.configuration.operators.endpoint_identity == EndpointIdentity::Postgres,
-            descriptors: self.foundation.resources.limit(DescriptorClass::Endpoints),
+            descriptors: self.services.resources.limit(DescriptorClass::Endpoints),
             cache: cache.writer.clone(),
         })
     }
 
-    /// Starts the watch on discovery.
+    /// Starts the watch on the discovery service.
     fn start_discovery(&self, incarnation: IncarnationTracker) -> Result<Arc<DiscoveryTarget>, Failure> {
         let bootstrap = &self.configuration.bootstrap;
         let config = &bootstrap.config;
@@ -217,8 +218,8 @@
         let target = Arc::new(DiscoveryTarget::new(bootstrap.discovery));
         let watch = DiscoveryWatch {
             target: target.clone(),
-            timers: self.foundation.timers.clone(),
-            resources: self.foundation.resources.clone(),
+            timers: self.services.timers.clone(),
+            resources: self.services.resources.clone(),
             control: self.control.clone(),
             progress: WatchProgress {
                 incarnation,
@@ -228,11 +229,11 @@
             cache: self.cache_writer(),
             rng: Mwc::new(bootstrap.seed),
         };
-        spawn_part(move || watch.run())?;
+        spawn_component(move || watch.run())?;
         Ok(target)
     }
 
-    /// Session tokens, if session keys are configured.
+    /// Creates the issuer of session tokens, if session keys are configured.
     fn session_tokens(&mut self) -> Option<Arc<SessionTokens>> {
         let keys = self.configuration.session_keys.take()?;
         let lifetime = TimeDelta(self.configuration.operators.sessions.lifetime.as_nanos() as i64);
@@ -242,19 +243,19 @@
     /// Serves the admin socket, if one is configured.
     fn serve_admin_socket(&mut self, shutdown: &Arc<GracefulShutdown>) -> Result<(), Failure> {
         let path = self.configuration.operators.admin_socket.as_deref();
-        let (Some(path), Some(recorder)) = (path, self.foundation.recorder.take()) else { return Ok(()) };
+        let (Some(path), Some(recorder)) = (path, self.services.recorder.take()) else { return Ok(()) };
         let view = AdminView {
             name: self.configuration.bootstrap.name.clone(),
             control: self.control.clone(),
-            resources: self.foundation.resources.clone(),
-            admission: self.foundation.admission.clone(),
+            resources: self.services.resources.clone(),
+            admission: self.services.admission.clone(),
             shutdown: shutdown.clone(),
-            methods: self.foundation.methods.clone(),
+            methods: self.services.methods.clone(),
         };
         socket::serve(path, recorder, view).map_err(admin_socket_failure)
     }
 
-    /// Starts the accept loop, which closes the server when it has stopped.
+    /// Starts the accept loop. When it has stopped, it closes the server: no further queries are read.
     fn accept_connections(
         &self,
         listener: TcpListener,
@@ -267,7 +268,7 @@
         let has_operator_file = self.configuration.has_operator_file();
         let reserve =
             if has_operator_file { ReserveDescriptor::open() } else { ReserveDescriptor::default() };
-        let timers = self.foundation.timers.clone();
+        let timers = self.services.timers.clone();
         let mut queue = ListenerQueue { listener, reserve, timers, stopping: accept_stop.stopping.clone() };
         spawn(move || {
             acceptor::run(&mut queue, |accepted| acceptor::spawn_connection(&context, accepted));
@@ -277,13 +278,13 @@
         accept_stop
     }
 
-    /// The context that all client connections share.
+    /// Creates the context that all client connections share.
     fn client_context(
         &self,
         shutdown: &Arc<GracefulShutdown>,
         session_tokens: Option<Arc<SessionTokens>>,
     ) -> ClientContext {
-        let Foundation { timers, resources, admission, methods, .. } = &self.foundation;
+        let SharedServices { timers, resources, admission, methods, .. } = &self.services;
         let settings = &self.configuration.bootstrap.settings;
         let prefixes = self.configuration.operators.admission.clients.prefixes;
         ClientContext {
@@ -304,34 +305,36 @@
 }
 
 /// Binds the listener for clients.
-fn bind(listen: SocketAddr) -> Result<TcpListener, Failure> {
-    TcpListener::bind(listen)
-        .map_err(|error| Failure::new(ExitStatus::OsError, format!("ROUTER_LISTEN: {listen}: {error}")))
+fn bind_listener(listen: SocketAddr) -> Result<TcpListener, Failure> {
+    TcpListener::bind(listen).map_err(|error| {
+        Failure::new(ExitStatus::OsError, format!("ROUTER_LISTEN: cannot listen on {listen}: {error}"))
+    })
 }
 
-/// Starts a coroutine that lives as long as the process.
-fn spawn_part(run: impl FnOnce() + Send + 'static) -> Result<(), Failure> {
-    spawn_long_lived(run)
-        .map_err(|error| Failure::new(ExitStatus::OsError, format!("no stack for a coroutine: {error}")))
+/// Spawns the coroutine of a component that runs until the process exits.
+fn spawn_component(run: impl FnOnce() + Send + 'static) -> Result<(), Failure> {
+    spawn_long_lived(run).map_err(|error| {
+        Failure::new(ExitStatus::OsError, format!("cannot allocate the stack of a coroutine: {error}"))
+    })
 }
 
-/// Starts the coroutine that closes expired idle connections.
-fn clean_up_pool(timers: Arc<Timers>, pool: Arc<ConnectionPool>) {
+/// Spawns the coroutine that closes expired idle connections to endpoints.
+fn spawn_pool_cleanup(timers: Arc<Timers>, pool: Arc<ConnectionPool>) {
     spawn(move || loop {
         timers.sleep(POOL_CLEANUP_INTERVAL);
         pool.close_expired();
     });
 }
 
-/// Exits at the end of the graceful shutdown.
-fn end_process() {
-    log!(INFO; "shut down, no connection left");
+/// Exits the process at the end of the graceful shutdown.
+fn exit_process() {
+    log!(INFO; "shutdown complete, all connections closed");
     crate::runtime::log::flush();
     std::process::exit(ExitStatus::Success as i32);
 }
 
-/// Opens the write journal, if one is configured. The start fails without it, because the guarantees for writes
-/// depend on it.
+/// Opens the write journal, if one is configured. If it cannot be opened, the start fails, because the guarantees for
+/// writes depend on it.
 fn open_journal(settings: &StorageSettings) -> Result<Option<Arc<WriteJournal>>, Failure> {
     let durability = match settings.journal.mode {
         JournalMode::Off => return Ok(None),
@@ -340,7 +343,8 @@
     };
     let failure =
         |problem: String| Failure::new(ExitStatus::ConfigError, format!("write-journal: {problem}"));
-    let state_dir = settings.state_dir.as_ref().ok_or_else(|| failure("it needs a state-dir".into()))?;
+    let state_dir =
+        settings.state_dir.as_ref().ok_or_else(|| failure("requires state-dir, which is not set".into()))?;
     let retention = Retention {
         max_records: settings.journal.max_records,
         max_age_ms: settings.journal.max_age.as_millis() as i64,
@@ -350,7 +354,7 @@
     journal.map(Some).map_err(|error| failure(error.to_string()))
 }
 
-/// The limits on requests and the client classes that share them, if the operators' file sets limits.
+/// The limits on requests and the client classes that share them; `None` if the operators' file sets no limits.
 pub(super) fn queue_limits(operators: &OperatorSettings) -> Option<QueueLimits> {
     let limits = operators.concurrency_limits()?;
     Some(QueueLimits { limits, classes: operators.admission.clients.classes.clone() })
--- a/server/src/startup/foundation.rs
+++ b/server/src/startup/shared_services.rs
@@ -1,4 +1,5 @@
-//! The shared services of the server, which are created first: timers, resource limits, counters and admission control.
+//! The services that all components of the server share and that are created before them: timers, resource limits,
+//! metrics and admission control.
 
 use crate::admin::socket;
 use crate::clients::admission_control::AdmissionControl;
@@ -16,45 +17,45 @@
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::sync::Arc;
 
-/// The number of finished coroutines whose stacks are kept for reuse.
+/// The maximum number of finished coroutines whose stacks are kept for reuse.
 const POOLED_COROUTINES: usize = 64;
-/// Worker threads of the coroutine runtime: with one, coroutines never run in parallel.
+/// The worker threads of the coroutine runtime. With only one, coroutines never run in parallel.
 const WORKERS: usize = 1;
-/// A MiB is 1 shifted left by this.
+/// The base-2 logarithm of the bytes in a MiB.
 const BYTES_PER_MIB_SHIFT: u32 = 20;
 
-/// The services that all parts of the server share.
-pub struct Foundation {
-    /// The timers of the process.
+/// The services that all components of the server share.
+pub struct SharedServices {
+    /// The timers of the process, on one thread.
     pub timers: Arc<Timers>,
     /// The limits on descriptors and buffer memory.
     pub resources: Arc<ResourceLimits>,
-    /// The counters of the process.
+    /// The counters and histograms of the process.
     pub metrics: Arc<Metrics>,
-    /// Renders the counters for the admin socket, if there is one.
+    /// Renders the metrics page of the admin socket; `None` without an admin socket.
     pub recorder: Option<PrometheusHandle>,
-    /// Admission control, if client classes are configured.
+    /// `None` if no client classes are configured.
     pub admission: Option<Arc<AdmissionControl>>,
-    /// The names of the methods, by index.
+    /// The name of each method, at the method's index.
     pub methods: Vec<String>,
 }
 
-impl Foundation {
+impl SharedServices {
     /// Configures the coroutine runtime and creates the shared services.
     ///
     /// # Errors
-    /// The client classes are invalid, or the recorder of the counters could not be installed.
-    pub fn new(clock: Clock, configuration: &Configuration) -> Result<Foundation, Failure> {
+    /// The client classes are invalid, or the metrics recorder could not be installed.
+    pub fn new(clock: Clock, configuration: &Configuration) -> Result<SharedServices, Failure> {
         configure_coroutines();
         let timers = Arc::new(Timers::start(clock));
         let resources = resource_limits(configuration);
         let admission = admission_control(configuration, &timers, &resources)?;
-        // The recorder comes before the counters: those created earlier would not be recorded.
+        // The recorder is installed first, because it does not record counters that were created before it.
         let recorder = configuration.operators.admin_socket.as_ref().map(|_| install_recorder()).transpose();
         let recorder = recorder.map_err(admin_socket_failure)?;
         let methods = method_names(configuration);
         let metrics = Arc::new(Metrics::new(&methods));
-        Ok(Foundation { timers, resources, metrics, recorder, admission, methods })
+        Ok(SharedServices { timers, resources, metrics, recorder, admission, methods })
     }
 }
 
@@ -63,12 +64,12 @@
     Failure::new(ExitStatus::OsError, format!("operators-socket: {error}"))
 }
 
-/// A random seed, independent of the configured one. Session ids must differ between starts and between instances.
+/// A random seed, independent of the configured one, for ids that must differ between starts and between instances.
 pub fn unpredictable_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
-/// Configures the coroutine runtime, and logs panics.
+/// Configures the coroutine runtime, and logs panics instead of printing them.
 fn configure_coroutines() {
     let config = may::config();
     config
@@ -79,12 +80,13 @@
     std::panic::set_hook(Box::new(|panic| log!(WARN; "{panic}")));
 }
 
-/// The names of the methods, by index.
+/// The name of each method, at the method's index.
 fn method_names(configuration: &Configuration) -> Vec<String> {
     configuration.bootstrap.config.classes.iter().map(|method| method.name.clone()).collect()
 }
 
-/// The limits on descriptors and buffer memory. With an operators' file, the process's own limit is raised first.
+/// Creates the limits on descriptors and buffer memory. With an operators' file, the process's own limit on
+/// descriptors is raised first.
 fn resource_limits(configuration: &Configuration) -> Arc<ResourceLimits> {
     let limits = &configuration.bootstrap.limits;
     let operators = &configuration.operators;
@@ -98,8 +100,8 @@
     ResourceLimits::new(descriptors, memory_bytes, !operators.admission.clients.classes.is_empty())
 }
 
-/// The descriptors that features of the operators' file hold: the endpoint cache, the write journal and the admin
-/// socket.
+/// The number of descriptors that features of the operators' file use: the endpoint cache, the write journal and the
+/// admin socket.
 fn descriptors_for_operators(operators: &OperatorSettings) -> usize {
     let cache = if operators.storage.state_dir.is_some() { endpoint_cache::DESCRIPTORS } else { 0 };
     let has_journal = operators.storage.journal.mode != JournalMode::Off;
@@ -111,7 +113,7 @@
 /// Creates admission control, if client classes are configured.
 ///
 /// # Errors
-/// Every fault of the client classes.
+/// All problems of the client classes.
 fn admission_control(
     configuration: &Configuration,
     timers: &Arc<Timers>,
@@ -121,7 +123,7 @@
     if clients.classes.is_empty() {
         return Ok(None);
     }
-    // Without a limit, rejections carry no Retry-After, so the value is not used.
+    // Without a maximum, rejections carry no Retry-After, and this value is not used.
     let max_retry_after = configuration.bootstrap.settings.max_retry_after.unwrap_or(TimeDelta::ZERO);
     let seed = unpredictable_seed();
     let admission = AdmissionControl::new(clients, max_retry_after, seed, timers.clone(), resources.clone());
--- a/server/tests/admission.rs
+++ b/server/tests/admission.rs
@@ -172,7 +172,7 @@
     assert!(fifth.retry_after_ms.is_some_and(|ms| (1..=1_000).contains(&ms)), "{:?}", fifth.retry_after_ms);
     // A file with contradictory limits is rejected as a whole.
     fixture.reload(&daemon, "admit desk from 127.9.0.0/16 keep 5 most 4\n");
-    assert!(daemon.has_logged("reload: operators' file not usable, nothing changed"));
+    assert!(daemon.has_logged("reload: operators' file cannot be used, its settings are unchanged"));
     assert!(daemon.has_logged("1: admit: desk keeps more than its most"));
     fixture.reload(&daemon, "admit desk from 127.9.0.0/16 keep 5000\n");
     assert!(daemon.has_logged("5000 connections are kept in all, and there is room for"));
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -262,7 +262,10 @@
     let (code, _, stderr) = run(&["check", "--conf", with], &bootstrap);
     assert_eq!(code, Some(78));
     for expected in [
-        format!("ROUTER_CONFIG: {}: 2: seed: not hex digits", bootstrap.display()),
+        format!(
+            "ROUTER_CONFIG: {}: 2: seed: \"xyz\" is not a hexadecimal number of up to 64 bits",
+            bootstrap.display()
+        ),
         format!("{with}:1: log-fromat: is no keyword; is log-format meant?"),
         format!("{with}:3: state-dir: \"there\" is not an absolute path"),
     ] {
@@ -298,7 +301,7 @@
     daemon.has_logged("changed setting takes effect at the next start");
     std::fs::write(&file, "save-gap never\n").expect("written");
     daemon.signal("HUP");
-    daemon.has_logged("not usable, nothing changed");
+    daemon.has_logged("cannot be used, its settings are unchanged");
     fixture.time_until_served(Kind::Write, "b");
     daemon.signal("TERM");
     let mut daemon = daemon;
@@ -311,7 +314,7 @@
     let needs_restart = lines.iter().find(|line| line["setting"] == "store-identity");
     let needs_restart = needs_restart.unwrap_or_else(|| panic!("{log}"));
     assert_eq!(needs_restart["message"], "reload: changed setting takes effect at the next start");
-    assert!(logged("reload: operators' file not usable, nothing changed"), "{log}");
+    assert!(logged("reload: operators' file cannot be used, its settings are unchanged"), "{log}");
     let reason =
         |line: &serde_json::Value| line["reason"].as_str().is_some_and(|it| it.contains("1: save-gap: "));
     assert!(lines.iter().any(reason), "{log}");
