--- a/server/src/clients/acceptor.rs
+++ b/server/src/clients/acceptor.rs
@@ -1,6 +1,6 @@
-//! The accept loop. A failing accept(2) neither busies the worker thread nor blocks the listen queue. After a stop
-//! request the loop still drains the listen queue, because those clients are connected already and may have sent a
-//! query.
+//! The accept loop. While accept(2) fails, the loop backs off instead of occupying the worker thread, and rejects
+//! clients so that they do not stay in the listen queue. After a stop request it still drains the listen queue,
+//! because the clients in it are connected already and may have sent a query.
 
 use crate::clients::connection;
 use crate::clients::context::{AdmissionDecision, ClientContext, NewConnection};
@@ -22,43 +22,45 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// The message for a client that is rejected for lack of a descriptor.
+/// The error message for a client that is rejected because all descriptors for clients are in use.
 const NO_DESCRIPTOR: &str = "no descriptor is free";
-/// Connections accepted without a pause. More would starve the other coroutines of the single worker thread in a flood.
+/// The maximum number of connections accepted without a pause. With more, a flood of connections would starve the
+/// other coroutines of the single worker thread.
 const MAX_ACCEPT_BURST: usize = 8;
-/// Pause between two attempts to acquire a descriptor for a client that is to be rejected.
+/// The pause between two attempts to acquire a descriptor while even the overflow descriptors are in use.
 const DESCRIPTOR_RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(2);
 
-/// A connection from the listen queue.
+/// A connection accepted from the listen queue.
 pub struct AcceptedConnection {
     /// The socket, registered with the coroutine runtime.
     pub stream: TcpStream,
-    /// The client's IP address.
+    /// The peer address, without the port.
     pub client_address: IpAddr,
 }
 
-/// The source of new connections.
+/// The source of new connections for the accept loop.
 pub trait AcceptQueue {
     /// Waits for the next connection; `None` once the listener is stopping and its queue is empty.
     ///
     /// # Errors
     /// accept(2) failed, or the socket could not be registered with the runtime.
     fn accept(&mut self) -> Result<Option<AcceptedConnection>>;
-    /// Accepts and rejects one client for lack of a descriptor; returns false if none could be accepted.
+    /// Accepts one client and rejects it for lack of a descriptor; returns false if none could be accepted.
     fn reject_one(&mut self) -> bool;
     /// Suspends the calling coroutine.
     fn pause(&self, time: TimeDelta);
 }
 
-/// A listening socket, with a reserve descriptor for rejections.
+/// A listening socket, with a reserve descriptor by which it can reject clients when the process is out of
+/// descriptors.
 pub struct ListenerQueue {
-    /// The listening socket.
+    /// The socket on which clients connect.
     pub listener: TcpListener,
     /// Released to accept and reject one client when the process is out of descriptors.
     pub reserve: ReserveDescriptor,
-    /// The timers that pauses use.
+    /// The timers by which the accept loop pauses.
     pub timers: Arc<Timers>,
-    /// Set before the listener is woken up to stop.
+    /// Whether to stop once the queue is empty; set before the listener is woken.
     pub stopping: Arc<AtomicBool>,
 }
 
@@ -97,11 +99,11 @@
     let descriptor = stream.into_raw_fd();
     // SAFETY: `into_raw_fd` has transferred ownership of the descriptor, so nothing else closes it.
     let registered = catch_unwind(AssertUnwindSafe(|| unsafe { TcpStream::from_raw_fd(descriptor) }));
-    // `from_raw_fd` panics if epoll has no memory for another descriptor; the unwinding closes the connection.
+    // `from_raw_fd` panics if the kernel has no memory to add the socket to epoll; the unwinding closes the socket.
     registered.map_err(|_| Error::from_raw_os_error(libc::ENOMEM))
 }
 
-/// Accepts connections and passes them to `on_accepted` until the queue has stopped.
+/// Accepts connections and passes them to `on_accepted`, until the queue has stopped and is empty.
 pub fn run(queue: &mut impl AcceptQueue, mut on_accepted: impl FnMut(AcceptedConnection)) {
     let mut backoff = AcceptBackoff::default();
     let mut burst = 0;
@@ -124,7 +126,7 @@
     }
 }
 
-/// Carries out the backoff step that follows a failed accept(2).
+/// Performs the step that the backoff has chosen after a failed accept(2).
 fn recover(queue: &mut impl AcceptQueue, step: AcceptStep) {
     match step {
         AcceptStep::RetryNow => {}
@@ -136,7 +138,7 @@
     }
 }
 
-/// Decides on the admission of a connection and runs it in its own coroutine.
+/// Admits or rejects a connection, and spawns the coroutine that serves it or sends it the rejection.
 pub fn spawn_connection(context: &Arc<ClientContext>, accepted: AcceptedConnection) {
     if let Some(DecidedConnection { descriptor, decision }) = decide_admission(context, &accepted) {
         // Registered before the coroutine is spawned, so that the process cannot exit in between.
@@ -147,16 +149,17 @@
     }
 }
 
-/// The decision on a connection, with the descriptor that the connection is counted by.
+/// A connection's admission decision, and the descriptor that accounts for its socket.
 struct DecidedConnection {
     descriptor: Descriptor,
     decision: AdmissionDecision,
 }
 
-/// Decides whether a connection is admitted, and acquires its descriptor; `None` if the client was rejected here.
+/// Decides whether a connection is admitted, and acquires its descriptor; `None` if the client was already sent its
+/// rejection.
 ///
-/// While all descriptors for rejections are in use, a client is rejected without a coroutine. If it keeps sending, the
-/// close resets the connection and the client may lose the error message.
+/// If all descriptors for rejected clients are in use, the rejection is sent without a coroutine. If the client is
+/// still sending at that moment, the close resets the connection, and the client may lose the error message.
 fn decide_admission(context: &ClientContext, accepted: &AcceptedConnection) -> Option<DecidedConnection> {
     let admission = context.admission.as_ref();
     let permit = admission.map(|admission| admission.admit_or_enqueue(accepted.client_address)).transpose();
@@ -182,15 +185,15 @@
     Some(DecidedConnection { descriptor, decision })
 }
 
-/// Acquires a descriptor for a client, and waits for one if even the overflow descriptors are in use.
+/// Acquires a descriptor for a client, and waits for one while even the overflow descriptors are in use.
 ///
-/// Closing the connection instead would discard the query that the client may have sent with it.
+/// Closing the connection instead would discard a query that the client may already have sent.
 fn acquire_descriptor(context: &ClientContext) -> ClientDescriptor {
     loop {
         if let Some(descriptor) = context.resources.acquire_for_client(context.timers.now()) {
             return descriptor;
         }
-        log!(WARN, reason = "all descriptors for rejections in use"; "clients wait to be rejected");
+        log!(WARN, reason = "all client descriptors in use, including overflow"; "accept loop waits for a descriptor");
         context.timers.sleep(DESCRIPTOR_RETRY_INTERVAL);
     }
 }
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -1,5 +1,5 @@
-//! Admission control for connections, used if the operators' file defines client classes. An admitted connection
-//! holds a [`ConnectionPermit`], which is released when it is dropped.
+//! Admission control for connections, which is used if the operators' file defines client classes. Each connection
+//! that is not rejected holds a [`ConnectionPermit`], and is counted until the permit is dropped.
 
 use crate::messages::response::ResponseChannel;
 use crate::runtime::clock::Timers;
@@ -18,23 +18,23 @@
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The state that connections share, under one lock.
+/// The state of admission control, under one lock.
 struct State {
     limiter: ConnectionLimiter,
     handshakes: HandshakeQueue,
-    /// The channels of the connections in the handshake queue, to request a close when one is displaced.
+    /// The channels of the connections in the handshake queue, by which a displaced one is asked to close.
     channels: HashMap<HandshakeId, Arc<ResponseChannel>>,
 }
 
 impl State {
-    /// Removes a connection from the handshake queue; returns false if it was displaced before.
+    /// Removes a connection from the handshake queue; returns false if a newer connection has displaced it.
     fn leave_handshake(&mut self, id: HandshakeId) -> bool {
         self.channels.remove(&id);
         self.handshakes.leave(id)
     }
 }
 
-/// The connection limits per client class and address, and the handshake queue.
+/// Enforces the connection limits of client classes and addresses, and holds the handshake queue.
 pub struct AdmissionControl {
     state: Mutex<State>,
     timers: Arc<Timers>,
@@ -47,11 +47,11 @@
     Handshake(HandshakeId),
     /// Counted against the limits of its client class.
     Admitted(AdmittedConnection),
-    /// Not counted any more.
+    /// Neither in the handshake queue nor counted.
     Released,
 }
 
-/// The right of one connection to a slot in the handshake queue, or in its client class.
+/// A connection's slot in the handshake queue or in its client class, released on drop.
 pub struct ConnectionPermit {
     control: Arc<AdmissionControl>,
     client_address: IpAddr,
@@ -59,12 +59,12 @@
 }
 
 impl ConnectionPermit {
-    /// The client's class, once admitted.
+    /// The name of the client's class; `None` before admission.
     pub fn class(&self) -> Option<Arc<str>> {
         self.client().map(|client| client.class)
     }
 
-    /// The client that requests are attributed to, once admitted.
+    /// The client to which the connection's requests are attributed; `None` before admission.
     pub fn client(&self) -> Option<ClientKey> {
         match &self.state {
             PermitState::Admitted(connection) => Some(connection.client()),
@@ -77,8 +77,8 @@
         matches!(self.state, PermitState::Handshake(_))
     }
 
-    /// Registers the channel by which the handshake queue can request a close; returns false if the connection was
-    /// displaced already.
+    /// Registers the channel by which the connection is asked to close if it is displaced from the handshake queue;
+    /// returns false if it was displaced already.
     pub fn set_channel(&self, channel: &Arc<ResponseChannel>) -> bool {
         let PermitState::Handshake(id) = self.state else { return true };
         let mut state = self.control.lock();
@@ -89,8 +89,8 @@
         is_waiting
     }
 
-    /// Admits a connection from the handshake queue, now that its startup message has named the user. Has no effect
-    /// on a connection that was admitted by address alone.
+    /// Removes the connection from the handshake queue and admits it to the class of `user`, whom its startup message
+    /// has named. Has no effect if the connection was admitted by its address alone.
     ///
     /// # Errors
     /// The connection was displaced from the handshake queue, or its client class is at its limit.
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// Counts and returns the rejection of a connection that was displaced from the handshake queue.
+    /// Returns the rejection of a connection that was displaced from the handshake queue, and counts it.
     pub fn reject_displaced(&self) -> Rejection {
         self.control.reject_handshake()
     }
@@ -123,9 +123,9 @@
     }
 }
 
-/// The state of admission control, as the admin socket reports it.
+/// The state of admission control, as the pages of the admin socket show it.
 pub struct AdmissionSnapshot {
-    /// The configured client classes.
+    /// The client classes in the operators' file.
     pub classes: Vec<ClientClass>,
     /// Open connections by class.
     pub connections: Vec<ClassConnections>,
@@ -140,10 +140,11 @@
 }
 
 impl AdmissionControl {
-    /// Creates admission control whose rejections carry a Retry-After of at most `max_retry_after`.
+    /// Creates admission control whose rejections carry a Retry-After of at most `max_retry_after`; `seed` is for the
+    /// jitter of that time.
     ///
     /// # Errors
-    /// Every fault of the classes.
+    /// All problems of the classes.
     pub fn new(
         settings: ClassSettings,
         max_retry_after: TimeDelta,
@@ -162,16 +163,17 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Replaces the client classes.
+    /// Replaces the client classes. Admitted connections are not closed.
     ///
     /// # Errors
-    /// Every fault of the new classes, as for [`AdmissionControl::new`]; the present ones stay in effect.
+    /// All problems of the new classes; the current ones stay in effect.
     pub fn set_classes(&self, settings: ClassSettings) -> Result<(), Vec<ClassError>> {
         let capacity = self.resources.limit(DescriptorClass::Clients);
         self.lock().limiter.set_limits(limits(settings, capacity))
     }
 
-    /// Admits a new connection, or places it in the handshake queue if its class depends on the user that it names.
+    /// Admits a new connection. If classes depend on the user, it is placed in the handshake queue instead, until its
+    /// startup message names the user.
     ///
     /// # Errors
     /// The client's class or the handshake queue is at its limit.
@@ -199,8 +201,8 @@
         }
     }
 
-    /// Admits a connection to its client class. If the class is full, an idle connection of it is asked to close,
-    /// so that the next client can be admitted.
+    /// Admits a connection to its client class. If the class is full, the connection is rejected, and an idle one of
+    /// the class is asked to close, so that a later client can be admitted.
     fn admit(&self, client_address: IpAddr, user: Option<&str>) -> Result<AdmittedConnection, Rejection> {
         let now = self.timers.now();
         let result = self.lock().limiter.admit(now, client_address, user);
@@ -213,14 +215,14 @@
         result
     }
 
-    /// Counts and returns the rejection of a connection for which the handshake queue has no slot.
+    /// Returns the rejection of a connection that has no slot in the handshake queue, and counts it.
     fn reject_handshake(&self) -> Rejection {
         let rejection = self.lock().limiter.reject_handshake(self.timers.now());
         count_rejection(DEFAULT_CLASS.to_string(), &rejection);
         rejection
     }
 
-    /// The present state, with the `top_addresses` addresses that have the most connections.
+    /// The current state, with the `top_addresses` addresses that have the most connections.
     pub fn snapshot(&self, top_addresses: usize) -> AdmissionSnapshot {
         let state = self.lock();
         let limiter = &state.limiter;
@@ -234,7 +236,7 @@
         }
     }
 
-    /// The open and the rejected connections by class, as one line of text.
+    /// The numbers of open and rejected connections by class, as one line of text for the log.
     pub fn summary(&self) -> String {
         let snapshot = self.snapshot(0);
         let connections = snapshot.connections.iter();
@@ -257,8 +259,8 @@
     metrics::counter!("gingerwick_connections_refused_total", "class" => class, "why" => reason).increment(1);
 }
 
-/// The limits of the connection limiter. If the classes need the handshake queue, its descriptors are deducted from the
-/// capacity that the classes share.
+/// The limits of the connection limiter. If a class is defined by its users, the handshake queue is in use, and its
+/// descriptors are deducted from the capacity that the classes share.
 fn limits(settings: ClassSettings, capacity: usize) -> ConnectionLimits {
     let ClassSettings { classes, prefixes } = settings;
     let needs_users = classes.iter().any(|class| !class.users.is_empty());
--- a/server/src/clients/closing.rs
+++ b/server/src/clients/closing.rs
@@ -1,26 +1,27 @@
-//! The graceful close of a connection by the server.
+//! The graceful close of a client connection by the server.
 
 use crate::clients::connection::{ClientConnection, CLIENT_TIMEOUT};
 use crate::runtime::idle_clients::IdleRank;
 use routing::time::{TimeDelta, Timestamp};
 
-/// The time that a client has to read its last responses and close its side.
+/// How long the server waits for a client to read its last responses and close its side.
 const CLOSE_TIMEOUT: TimeDelta = TimeDelta::from_millis(500);
-/// The timeout is divided by this if the descriptor is needed for another client.
+/// [`CLOSE_TIMEOUT`] is divided by this if the descriptor is needed for another client.
 const RECLAIM_TIMEOUT_DIVISOR: i64 = 10;
-/// How often the kernel is polled for acknowledgements of the last bytes by the client.
+/// The interval at which the kernel is asked whether the client has acknowledged the last bytes.
 const ACKNOWLEDGEMENT_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(20);
 
 /// The progress of the client's TCP acknowledgements.
 struct AcknowledgementProgress {
-    /// The fewest unacknowledged bytes seen so far.
+    /// The lowest number of unacknowledged bytes so far.
     min_unacknowledged: usize,
-    /// When that number last decreased.
+    /// When `min_unacknowledged` last decreased.
     last_progress_at: Timestamp,
 }
 
 impl AcknowledgementProgress {
-    /// Whether there was no progress for [`CLIENT_TIMEOUT`].
+    /// Records the current number of unacknowledged bytes; returns true if it has not decreased for
+    /// [`CLIENT_TIMEOUT`].
     fn has_stalled(&mut self, unacknowledged: usize, now: Timestamp) -> bool {
         if unacknowledged < self.min_unacknowledged {
             self.min_unacknowledged = unacknowledged;
@@ -33,9 +34,9 @@
 impl ClientConnection {
     /// Shuts down the sending side and waits for the client to close its own, without reading.
     ///
-    /// A query that crosses the close stays unread, so it is never executed. Closing a socket with unread bytes
-    /// resets the connection, which discards response bytes that the client has not acknowledged; in that case the
-    /// wait is longer.
+    /// A query that arrives during the close stays unread, so it is never executed. But closing a socket with unread
+    /// bytes resets the connection, which discards response bytes that the client has not acknowledged. So if there
+    /// are both, the wait goes on after the timeout, for as long as the client keeps acknowledging bytes.
     pub fn close_gracefully(&mut self) {
         if self.socket.shutdown_write().is_err() {
             return;
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Whether a close loses no response bytes, or the client has stopped acknowledging them.
+    /// Whether the socket can be closed: no response bytes would be lost, or the client has stopped acknowledging
+    /// them.
     fn may_close(&self, progress: &mut AcknowledgementProgress, now: Timestamp) -> bool {
         let unacknowledged = self.socket.unacknowledged_bytes();
         let has_stalled = progress.has_stalled(unacknowledged, now);
--- a/server/src/clients/connection.rs
+++ b/server/src/clients/connection.rs
@@ -1,6 +1,6 @@
-//! A client connection: one coroutine that owns the socket, reads the client's messages and writes the responses in
-//! the order of the queries. It keeps reading while requests are open, so that a closed connection is noticed;
-//! where it must not read more, it polls the socket for the client's close instead.
+//! A client connection: one coroutine that owns the socket, reads the client's messages, and writes the responses in
+//! the order of the queries. It keeps reading while requests are open, to notice when the client closes the
+//! connection. When it must not read more, it polls the socket for a close instead.
 
 use crate::clients::admission_control::ConnectionPermit;
 use crate::clients::context::{AdmissionDecision, ClientContext, NewConnection};
@@ -23,26 +23,33 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
 
-/// Timeout of a client, for its startup and first query (from the connect), for the rest of a message (from its first
-/// bytes), and for reading its responses.
+/// The time that a client has to send its startup message and first query after it has connected, to send the rest of
+/// a message after its first bytes, and to read its responses.
 pub(super) const CLIENT_TIMEOUT: TimeDelta = TimeDelta::from_millis(2_500);
+/// The error message for a startup message, first query or partial message that is not complete within
+/// [`CLIENT_TIMEOUT`].
+const MESSAGE_TIMEOUT: &str = "what was begun did not come to its end in time";
+/// The error message for a large partial message that is discarded because buffer memory is short.
+const BUFFER_MEMORY_EXHAUSTED: &str = "the memory for buffers is used up";
+/// The error message after a panic of the connection's coroutine.
+const INTERNAL_FAULT: &str = "internal fault";
 
 /// How a connection is closed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CloseMode {
-    /// The client gets time to read its last responses.
+    /// After the client has had time to read its last responses.
     Graceful,
-    /// The client has closed or does not respond.
+    /// At once, because the client has closed the connection or does not respond.
     Immediate,
 }
 
 /// How the connection loop continues after one step.
 enum NextStep {
-    /// Repeats at once, because bytes were read or a response was queued.
+    /// Repeat at once, because bytes were read or a response was queued.
     Continue,
-    /// Waits for the socket or a wake-up.
+    /// Wait for an event of the socket, or a wake-up.
     Wait,
-    /// Closes the connection.
+    /// Close the connection.
     Close(CloseMode),
 }
 
@@ -53,15 +60,15 @@
     pub channel: Arc<ResponseChannel>,
     pub codec: FrontendCodec,
     pub responses: ResponseQueue,
-    /// No further messages are processed; pending requests are still answered.
+    /// Whether no further messages are processed; pending requests are still answered.
     pub input_closed: bool,
-    /// At least one request was answered.
+    /// Whether at least one request was answered.
     has_served: bool,
-    /// The client has sent at least one query, possibly an empty one.
+    /// Whether the client has sent at least one query, possibly an empty one.
     pub has_queried: bool,
-    /// When the wait for the client's next message, or the rest of one, began.
+    /// Since when the client's next message, or the rest of one, has been awaited.
     pub message_due_since: Option<Timestamp>,
-    /// When the socket's send buffer became full because the client does not read its responses.
+    /// Since when the socket's send buffer has been full, because the client does not read its responses.
     pub stalled_since: Option<Timestamp>,
     /// Bytes read since the coroutine last waited.
     burst_bytes: usize,
@@ -70,15 +77,15 @@
     /// The session that the client carries by a token, if it asked for one.
     pub session: Option<ClientSession>,
     pub permit: Option<ConnectionPermit>,
-    /// The client that requests are attributed to.
+    /// The client to which requests are attributed; `None` without an operators' file.
     pub client: Option<ClientKey>,
-    /// The last field, because the process may exit when it is dropped.
+    /// The last field to be dropped, because the process may exit when the guard is dropped.
     guard: ConnectionGuard,
 }
 
-/// Runs a connection from its first byte to its close.
+/// Runs a connection from accept to close.
 pub fn run(context: Arc<ClientContext>, connection: NewConnection, decision: AdmissionDecision) {
-    // The descriptor is released when this function returns, after the socket was closed.
+    // Released when this function returns, after the socket has been closed.
     let NewConnection { stream, channel, guard, client_address, descriptor: _descriptor } = connection;
     let connected_at = context.timers.now();
     let client = context.client_prefixes.map(|prefixes| ClientKey::unclassified(client_address, prefixes));
@@ -114,7 +121,7 @@
 }
 
 impl Drop for ClientConnection {
-    /// Notifies the control loop of the requests that are still pending, however the connection ended.
+    /// Tells the control loop that the client of the pending requests is gone, however the connection has ended.
     fn drop(&mut self) {
         self.unregister_idle();
         for pending in self.responses.pending() {
@@ -125,7 +132,8 @@
 }
 
 impl ClientConnection {
-    /// Stores the connection's permit and takes the client from it, unless the connection was displaced already.
+    /// Stores the connection's permit, and rejects the connection if it was displaced from the handshake queue
+    /// already.
     fn set_permit(&mut self, permit: Option<ConnectionPermit>) {
         let Some(permit) = permit else { return };
         if !permit.set_channel(&self.channel) {
@@ -135,7 +143,7 @@
         self.permit = Some(permit);
     }
 
-    /// Sets the client that requests are attributed to, if it is known.
+    /// Sets the client to which requests are attributed, if it is known.
     pub fn set_client(&mut self, client: Option<ClientKey>) {
         if client.is_some() {
             self.client = client;
@@ -147,13 +155,13 @@
         self.reject_with(&permit.reject_displaced());
     }
 
-    /// Sends the client the reason for its rejection, and the Retry-After if one may be sent.
+    /// Queues a rejection by admission control, with its Retry-After if rejections may carry one.
     pub fn reject_with(&mut self, rejection: &Rejection) {
         let retry_after = self.context.max_retry_after.map(|_| rejection.retry_after);
         self.reject(rejection.reason.message(), retry_after);
     }
 
-    /// Serves the client until the connection is to be closed.
+    /// Serves the client; returns how to close the connection.
     fn serve(&mut self) -> CloseMode {
         loop {
             self.handle_messages();
@@ -185,12 +193,12 @@
             step => return step,
         }
         if self.is_message_overdue(now) {
-            self.fail(SqlState::PROTOCOL_VIOLATION, "what was begun did not come to its end in time");
+            self.fail(SqlState::PROTOCOL_VIOLATION, MESSAGE_TIMEOUT);
             return NextStep::Continue;
         }
         if self.responses.is_empty() && self.socket.queued() == 0 {
-            // Closed without an error message, which the client would take for a second response to its last request.
-            // A query that crosses the close was not executed; its client retries it on another instance.
+            // No error message is sent: the client would take it for a second response to its last request. A query
+            // that arrives during the close is not executed; the client can retry it on another instance.
             if self.input_closed || (self.codec.is_empty() && self.should_close()) {
                 return NextStep::Close(CloseMode::Graceful);
             }
@@ -199,24 +207,24 @@
         NextStep::Wait
     }
 
-    /// Closes a connection that does not read its responses, or fails one with a large partial message, if buffer
-    /// memory is short. Returns the next step if the limit is exceeded.
+    /// If buffer memory is short and this connection's buffers are large, closes the connection if the client does
+    /// not read its responses, or fails it if it has a large partial message. Returns the next step in these cases.
     fn enforce_memory_limit(&mut self, flushed: FlushOutcome) -> Option<NextStep> {
         if !self.exceeds_memory() {
             return None;
         }
         if flushed == FlushOutcome::Blocked {
-            log!(WARN, reason = "buffer memory used up"; "connection of a client that does not read closed");
+            log!(WARN, reason = "buffer memory used up"; "closed a connection whose client does not read its responses");
             return Some(NextStep::Close(CloseMode::Immediate));
         }
         if self.codec.buffer_bytes() > SMALL_BUFFER_BYTES {
-            self.fail(SqlState::OUT_OF_MEMORY, "the memory for buffers is used up");
+            self.fail(SqlState::OUT_OF_MEMORY, BUFFER_MEMORY_EXHAUSTED);
             return Some(NextStep::Continue);
         }
         None
     }
 
-    /// Rejects the connection if it was displaced from the handshake queue.
+    /// Rejects the connection if a newer one has displaced it from the handshake queue.
     fn reject_if_displaced(&mut self) {
         let close_requested = !self.input_closed && self.channel.is_close_requested();
         if let Some(permit) = self.permit.take_if(|permit| close_requested && permit.is_handshake()) {
@@ -224,7 +232,7 @@
         }
     }
 
-    /// Reads what the client has sent, as far as it may be processed now.
+    /// Reads bytes from the client, as many as the limits allow now.
     fn read(&mut self) -> NextStep {
         let max_bytes = self.max_read_bytes();
         if max_bytes == 0 {
@@ -250,12 +258,12 @@
         }
     }
 
-    /// Whether an idle connection is to be closed, for its descriptor or for the shutdown.
+    /// Whether to close an idle connection, because its descriptor is needed or the server shuts down.
     fn should_close(&self) -> bool {
         self.channel.is_close_requested() || self.guard.should_close(self.has_queried, self.has_served)
     }
 
-    /// Schedules a wake-up of the connection's coroutine.
+    /// Schedules a wake-up of the connection's coroutine at a time.
     pub fn wake_at(&self, at: Timestamp) {
         let waker = self.socket.waker();
         self.context.timers.call_at(at, move || waker.wakeup());
@@ -280,21 +288,23 @@
         self.idle = Some(registration);
     }
 
-    /// Removes the idle registration, because the connection is in use again or closed.
+    /// Removes the idle registration, because the connection is in use again or is being closed.
     pub fn unregister_idle(&mut self) {
         if let Some(registration) = self.idle.take() {
             self.context.resources.unregister_idle(registration);
         }
     }
 
-    /// Moves received responses into the response queue, and those that are next in order to the socket's outbox.
+    /// Moves the responses that have arrived to the response queue, and from there those that are next in order to
+    /// the socket's outbox.
     fn collect_responses(&mut self) {
         let now = self.context.timers.now();
         let tokens = self.context.session_tokens.clone();
         for RequestResponse { request, response } in self.channel.take() {
             let session = self.session.as_mut();
-            // Tokens are issued in the order in which responses arrive, which may differ from the order of the
-            // queries. So a token may cover later responses too, but always covers its own.
+            // Responses may arrive in another order than that of the queries, and each token is issued on arrival. So
+            // a token may also cover responses that the client reads later, but always covers the one that carries
+            // it.
             let completed = self.responses.complete(request, |group| {
                 let session_and_tokens = tokens.as_ref().zip(session);
                 let token = session_and_tokens
@@ -308,9 +318,10 @@
         }
     }
 
-    /// Aborts all pending requests after a panic, and sends as much of that as the socket accepts without waiting.
+    /// Aborts all pending requests after a panic, and sends as many of the responses as the socket accepts without
+    /// waiting.
     fn fail_after_panic(&mut self) -> CloseMode {
-        self.fail(SqlState::INTERNAL_ERROR, "internal fault");
+        self.fail(SqlState::INTERNAL_ERROR, INTERNAL_FAULT);
         self.collect_responses();
         match self.socket.flush() {
             Ok(FlushOutcome::Complete) => CloseMode::Graceful,
@@ -319,7 +330,7 @@
     }
 
     /// Queues a fatal error and stops processing messages. Pending requests are aborted, because responses are sent
-    /// in order and a slow request would delay the error.
+    /// in order, and the error would have to wait for them.
     pub fn fail(&mut self, code: SqlState, reason: &str) {
         let aborted = encode_response(Response::Aborted, None);
         for pending in self.responses.complete_all(&aborted) {
--- a/server/src/clients/connection_limits.rs
+++ b/server/src/clients/connection_limits.rs
@@ -5,25 +5,25 @@
 use crate::endpoints::connection::SMALL_BUFFER_BYTES;
 use routing::time::Timestamp;
 
-/// Queries of one client that are in progress at the same time; bytes beyond them stay in the socket's receive buffer.
+/// The maximum number of one client's queries in progress. Further queries stay in the socket's receive buffer.
 const MAX_PIPELINED_QUERIES: usize = 64;
 
 impl ClientConnection {
-    /// Whether the pipeline has room to read more from the client.
+    /// Whether the client has fewer queries in progress, and fewer responses in the outbox, than the maximum.
     fn may_read_more(&self) -> bool {
         self.responses.len() < MAX_PIPELINED_QUERIES && self.socket.queued() < MAX_PIPELINED_QUERIES
     }
 
-    /// Whether the next message that was read may be processed.
+    /// Whether the next message may be processed, if one was read.
     pub fn may_handle_message(&self) -> bool {
         !self.input_closed && self.responses.len() < MAX_PIPELINED_QUERIES
     }
 
     /// The number of bytes that may be read now.
     ///
-    /// After the shutdown has closed the server, only the rest of a partial message is read: every query that was
-    /// read must be answered, so a client that keeps sending would keep the connection open. The client retries an
-    /// unread query on another instance.
+    /// Once the shutdown has closed the server, only the rest of a partial message is read. Each query that is read
+    /// must be answered, so otherwise a client that keeps sending would keep the connection open. The client can
+    /// retry an unread query on another instance.
     pub fn max_read_bytes(&self) -> usize {
         if self.input_closed || !self.may_read_more() {
             0
@@ -39,7 +39,8 @@
         self.responses.pending().next().is_some() && self.socket.is_closed_by_client()
     }
 
-    /// Whether the client's next message, or the rest of one, has not arrived within [`CLIENT_TIMEOUT`].
+    /// Whether the client's next message, or the rest of one, has not arrived within [`CLIENT_TIMEOUT`]. Between two
+    /// queries a client has no timeout.
     pub fn is_message_overdue(&mut self, now: Timestamp) -> bool {
         let between_queries = self.has_queried && self.codec.is_empty();
         if self.input_closed || !self.may_read_more() || between_queries {
@@ -62,8 +63,8 @@
         is_overdue
     }
 
-    /// Whether [`CLIENT_TIMEOUT`] has passed since the client became due, at `since`. If it becomes due only now,
-    /// schedules a wake-up for when the timeout will have passed.
+    /// Whether [`CLIENT_TIMEOUT`] has passed since `since`. If that is `None`, the timeout starts now, and a wake-up
+    /// is scheduled for its end.
     fn is_overdue(&self, since: Option<Timestamp>, now: Timestamp) -> bool {
         if since.is_none() {
             self.wake_at(now + CLIENT_TIMEOUT);
@@ -71,8 +72,8 @@
         since.is_some_and(|since| now >= since + CLIENT_TIMEOUT)
     }
 
-    /// Updates the charge for the connection's buffers. Returns true if all buffers together exceed the memory
-    /// limit and this connection's are larger than [`SMALL_BUFFER_BYTES`].
+    /// Updates the charge for the connection's buffers. Returns true if buffer memory is short and this connection's
+    /// buffers are larger than [`SMALL_BUFFER_BYTES`].
     pub fn exceeds_memory(&mut self) -> bool {
         let bytes = self.codec.buffer_bytes() + self.responses.ready_bytes() + self.socket.queued_bytes();
         self.charge.set(bytes);
--- a/server/src/clients/context.rs
+++ b/server/src/clients/context.rs
@@ -18,31 +18,32 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
 
-/// The context that all client connections share.
+/// The services and settings that all client connections share.
 pub struct ClientContext {
-    /// The timers of the process.
+    /// The timers for wake-ups and pauses.
     pub timers: Arc<Timers>,
-    /// The limits on descriptors and buffer memory.
+    /// The limits on descriptors and on the memory of buffers.
     pub resources: Arc<ResourceLimits>,
-    /// The channel to the control loop.
+    /// Sends requests and disconnects to the control loop.
     pub control: Sender<ControlMessage>,
-    /// The methods by name.
+    /// The methods that requests may name.
     pub methods: MethodTable,
-    /// The longest Retry-After; `None` if rejections carry none.
+    /// The maximum Retry-After; `None` if rejections carry no Retry-After.
     pub max_retry_after: Option<TimeDelta>,
-    /// The state of the graceful shutdown.
+    /// The graceful shutdown, with which each connection is registered.
     pub shutdown: Arc<GracefulShutdown>,
-    /// Session tokens, if session keys are configured.
+    /// Opens and issues session tokens; `None` if no session keys are configured.
     pub session_tokens: Option<Arc<SessionTokens>>,
-    /// Admission control, if client classes are configured.
+    /// `None` if no client classes are configured.
     pub admission: Option<Arc<AdmissionControl>>,
-    /// The address prefixes by which requests are attributed to a client without a class, if requests are limited.
+    /// The address prefixes that identify a client without a class, to which its requests are attributed; `None`
+    /// without an operators' file.
     pub client_prefixes: Option<AddressPrefixes>,
-    /// The write journal, if writes are recorded.
+    /// `None` if writes are not recorded.
     pub journal: Option<Arc<WriteJournal>>,
     /// The id of the next request, unique within the process.
     pub next_request: AtomicU64,
-    /// The id of the next connection, as its BackendKeyData message carries it.
+    /// The id of the next connection, which BackendKeyData carries as the process id.
     pub next_connection: AtomicU64,
 }
 
--- a/server/src/clients/graceful_shutdown.rs
+++ b/server/src/clients/graceful_shutdown.rs
@@ -1,6 +1,6 @@
-//! Graceful shutdown, in two phases. After SIGTERM the server keeps accepting connections for a grace period, and
-//! closes connections as they become idle. Then it is closed: no further queries are read, and the process exits as
-//! soon as every connection that arrived before has ended.
+//! The graceful shutdown, in two phases. After SIGTERM or SIGINT the server accepts connections for a grace period,
+//! and closes connections as they become idle. Then the server is closed: no further queries are read, and the
+//! process exits once all connections have ended.
 
 use crate::log;
 use crate::messages::response::ResponseChannel;
@@ -10,14 +10,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// How long connections are accepted after the signal. New ones arrive for up to 0.4 s.
+/// How long connections are accepted after the signal. Clients keep connecting to the instance for up to 0.4 s.
 const ACCEPT_GRACE_PERIOD: TimeDelta = TimeDelta::from_millis(500);
 
 /// The registered connections.
 #[derive(Default)]
 struct Connections {
     channels: BTreeMap<u64, Arc<ResponseChannel>>,
-    /// The id that was assigned last.
+    /// The id of the connection that was registered last.
     last_id: u64,
 }
 
@@ -26,7 +26,7 @@
     begun: AtomicBool,
     closed: AtomicBool,
     connections: Mutex<Connections>,
-    /// Called once the server is closed and no connection is left.
+    /// Called once the server is closed and all connections have ended.
     on_end: Box<dyn Fn() + Send + Sync>,
 }
 
@@ -34,16 +34,16 @@
 pub struct ConnectionGuard {
     shutdown: Arc<GracefulShutdown>,
     connection_id: u64,
-    /// The connection was accepted before the shutdown began.
+    /// Whether the connection was accepted before the shutdown began.
     accepted_before_shutdown: bool,
 }
 
 impl ConnectionGuard {
-    /// Whether the connection should be closed once it has no open request.
+    /// Whether the connection should be closed now that it has no open request.
     ///
-    /// Once the server is closed, always. Before that, only if a request was answered (`has_served`), or the client
-    /// has sent any query (`has_queried`) on a connection from before the shutdown. So a client that has only just
-    /// connected, before or during the shutdown, may still send one request.
+    /// Once the server is closed, always. During the grace period, only if a request was answered (`has_served`), or
+    /// if the connection is from before the shutdown and its client has sent any query (`has_queried`). So a client
+    /// that has just connected, before or during the shutdown, can still send one request.
     pub fn should_close(&self, has_queried: bool, has_served: bool) -> bool {
         let finished = has_served || (has_queried && self.accepted_before_shutdown);
         self.shutdown.is_closed() || (self.shutdown.has_begun() && finished)
@@ -59,7 +59,8 @@
 }
 
 impl GracefulShutdown {
-    /// Creates a shutdown that has not begun; `on_end` is called once the server is closed and no connection is left.
+    /// Creates a shutdown that has not begun; `on_end` is called once the server is closed and all connections have
+    /// ended.
     pub fn new(on_end: impl Fn() + Send + Sync + 'static) -> Arc<GracefulShutdown> {
         Arc::new(GracefulShutdown {
             begun: AtomicBool::new(false),
@@ -73,7 +74,7 @@
         self.connections.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Whether the shutdown has begun.
+    /// Whether the signal for the shutdown has arrived.
     pub fn has_begun(&self) -> bool {
         self.begun.load(Ordering::Acquire)
     }
@@ -88,7 +89,7 @@
         self.lock().channels.len()
     }
 
-    /// Registers a connection. Called right after it was accepted, before another coroutine can run, so that the
+    /// Registers a connection. Must be called right after accept(2), before another coroutine can run, so that the
     /// shutdown waits for every accepted connection.
     pub fn register(self: &Arc<Self>, channel: &Arc<ResponseChannel>) -> ConnectionGuard {
         let mut connections = self.lock();
@@ -99,8 +100,8 @@
         ConnectionGuard { shutdown: self.clone(), connection_id, accepted_before_shutdown }
     }
 
-    /// Begins the shutdown, and schedules `stop_accepting` for the end of the grace period. Called once, from the
-    /// thread that waits for signals.
+    /// Begins the shutdown, and schedules `stop_accepting` for the end of the grace period. Called once, by the
+    /// thread that handles signals.
     pub fn begin(&self, timers: &Timers, stop_accepting: impl FnOnce() + Send + 'static) {
         let connections = self.lock();
         log!(INFO, connections = connections.channels.len(); "shutting down");
@@ -110,8 +111,8 @@
         timers.call_at(timers.now() + ACCEPT_GRACE_PERIOD, stop_accepting);
     }
 
-    /// Closes the server. Called once, by the accept loop, when the listen queue is empty, so no connection is
-    /// registered after it.
+    /// Closes the server. Called once, by the accept loop, after the listen queue has been drained, so no connection
+    /// is registered later.
     pub fn close(&self) {
         let connections = self.lock();
         self.closed.store(true, Ordering::Release);
@@ -119,7 +120,7 @@
         self.end_if_empty(connections);
     }
 
-    /// Calls `on_end` if the server is closed and no connection is left, after the lock was released.
+    /// Releases the lock, and calls `on_end` if the server is closed and all connections have ended.
     fn end_if_empty(&self, connections: MutexGuard<'_, Connections>) {
         let has_ended = connections.channels.is_empty() && self.is_closed();
         drop(connections);
--- a/server/src/clients/mod.rs
+++ b/server/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Client connections: accepting and admission, protocol, sessions, and graceful close.
+//! Client connections: accept loop, admission, message handling, sessions, and graceful close.
 
 pub mod acceptor;
 pub mod admission_control;
--- a/server/src/clients/requests.rs
+++ b/server/src/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Handling of a client's messages: startup, queries and everything else of the frontend protocol.
+//! The handling of a client's messages: startup, queries, and the other messages of the frontend protocol.
 
 use crate::clients::connection::ClientConnection;
 use crate::clients::response_encoding::{encode_rejection, encode_response};
@@ -19,15 +19,17 @@
 use std::sync::atomic::Ordering;
 use write_journal::record_state::Origin;
 
-/// The response to SSLRequest and GSSENCRequest: encryption is not supported.
+/// The response byte to SSLRequest and GSSENCRequest: encryption is not supported.
 const NO_ENCRYPTION: u8 = b'N';
-/// The group number of a pending fate query, which concerns no group.
+/// The group number of a pending fate query, which is not addressed to a group.
 const NO_GROUP: GroupNumber = 0;
-/// The message for the extended query protocol, which is not supported.
+/// The error message for the extended query protocol and function calls, which are not supported.
 const ONLY_SIMPLE_QUERIES: &str = "only simple queries are taken";
+/// The start of the error message for a rejected session token; the reason follows.
+const TOKEN_REJECTED: &str = "the session's token is not taken";
 
 impl ClientConnection {
-    /// Handles the complete messages that were read.
+    /// Handles all complete messages that were read, as far as the limits allow.
     pub fn handle_messages(&mut self) {
         while self.may_handle_message() {
             match self.codec.next_message() {
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Answers a message of the extended protocol, or a function call, with an error.
+    /// Queues an error for a message of the extended protocol or a function call. Only the latter gets a
+    /// ReadyForQuery here; in the extended protocol it answers the client's Sync.
     fn reject_unsupported(&mut self, is_function_call: bool) {
         self.push(|out| {
             let code = SqlState::FEATURE_NOT_SUPPORTED;
@@ -78,7 +81,7 @@
         let token = match self.open_session(parameters) {
             Ok(token) => token,
             Err(error) => {
-                let reason = format!("the session's token is not taken: {error}");
+                let reason = format!("{TOKEN_REJECTED}: {error}");
                 return self.fail(rejection_code(error), &reason);
             }
         };
@@ -93,11 +96,11 @@
         });
     }
 
-    /// Starts or resumes the client's session, if it asked for one and session keys are configured; returns the
-    /// session's token.
+    /// Starts or resumes the client's session, and returns its token; `None` if the client asked for no session or no
+    /// session keys are configured.
     ///
     /// # Errors
-    /// The client's token is rejected.
+    /// The client's token is invalid, has expired, or was issued for another audience.
     fn open_session(&mut self, parameters: &StartupParameters) -> Result<Option<String>, TokenError> {
         let (Some(tokens), Some(token)) = (&self.context.session_tokens, &parameters.session) else {
             return Ok(None);
@@ -109,7 +112,7 @@
         Ok(token)
     }
 
-    /// Handles a Query: answers it at once, or sends it to the control loop.
+    /// Handles a Query: queues its response at once, or sends a request to the control loop.
     fn handle_query(&mut self, body: Vec<u8>) {
         let now = self.context.timers.now();
         let request = match statement::parse(&body) {
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Assigns the id of a request.
+    /// Assigns the process-internal id of a request.
     fn next_request_id(&self) -> RequestId {
         self.context.next_request.fetch_add(1, Ordering::Relaxed)
     }
@@ -155,7 +158,8 @@
             return self.responses.push_ready(encode_response(response, None));
         }
         if let (Some(tokens), Some(session)) = (&self.context.session_tokens, &mut self.session) {
-            header.session.seen = tokens.seen(self.context.timers.now(), session, header.identity.group);
+            header.session.seen =
+                tokens.seen_position(self.context.timers.now(), session, header.identity.group);
         }
         header.client.clone_from(&self.client);
         let request = self.next_request_id();
@@ -169,14 +173,14 @@
         let _ = self.context.control.send(ControlMessage::Request(Box::new(incoming)));
     }
 
-    /// Queues the messages that `write` appends as one response.
+    /// Queues the messages that `write` appends, as one response.
     fn push(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
         let mut out = Vec::new();
         write(&mut out);
         self.responses.push_ready(out);
     }
 
-    /// Queues messages and a ReadyForQuery as one response.
+    /// Queues the messages that `write` appends and a ReadyForQuery, as one response.
     fn push_with_ready(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
         self.push(|out| {
             write(out);
@@ -184,7 +188,7 @@
         });
     }
 
-    /// Queues an error that leaves the connection open.
+    /// Queues an error after which the connection stays open.
     fn push_error(&mut self, error: ClientError) {
         self.push_with_ready(|out| {
             encode::error_response(out, Severity::Error, error.code, error.message, None);
--- a/server/src/clients/response_queue.rs
+++ b/server/src/clients/response_queue.rs
@@ -9,19 +9,19 @@
 pub struct PendingRequest {
     /// The request's id within the process.
     pub request: RequestId,
-    /// The group that the request was sent to.
+    /// The group to which the request is addressed.
     pub group: GroupNumber,
 }
 
 /// The response to one query.
 enum Slot {
-    /// It has not arrived.
+    /// The response has not arrived.
     Pending(PendingRequest),
-    /// It is encoded and waits for the responses before it.
+    /// The response is encoded, and waits for the responses before it to be written.
     Ready(Vec<u8>),
 }
 
-/// The responses that were not moved to the socket's outbox yet.
+/// The responses that have not yet been moved to the socket's outbox.
 #[derive(Default)]
 pub struct ResponseQueue {
     slots: VecDeque<Slot>,
@@ -43,7 +43,7 @@
         self.slots.len()
     }
 
-    /// Whether the queue is empty.
+    /// Whether there is neither a pending nor a ready response.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
@@ -56,8 +56,8 @@
         })
     }
 
-    /// Sets the response of a pending request to what `encode` returns for its group; returns false if the request
-    /// is not pending here.
+    /// Completes a pending request with the response that `encode` returns for its group; returns false if the
+    /// request is not pending.
     pub fn complete(&mut self, request: RequestId, encode: impl FnOnce(GroupNumber) -> Vec<u8>) -> bool {
         for slot in &mut self.slots {
             if let Slot::Pending(pending) = slot {
@@ -70,7 +70,7 @@
         false
     }
 
-    /// Sets the same response for all pending requests, and returns those requests.
+    /// Completes all pending requests with the same response, and returns those requests.
     pub fn complete_all(&mut self, response: &[u8]) -> Vec<PendingRequest> {
         let pending: Vec<PendingRequest> = self.pending().collect();
         for slot in &mut self.slots {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Bytes of the responses that are ready but not first in order.
+    /// The bytes of the ready responses in the queue.
     pub fn ready_bytes(&self) -> usize {
         let bytes = |slot: &Slot| match slot {
             Slot::Ready(response) => response.len(),
--- a/server/src/clients/session_tokens.rs
+++ b/server/src/clients/session_tokens.rs
@@ -1,5 +1,5 @@
-//! Sessions that clients carry as authenticated tokens: opening and issuing tokens, and this instance's cache of
-//! session positions.
+//! Client sessions, whose state clients carry as authenticated tokens: opening and issuing tokens, and this
+//! instance's cache of session positions.
 
 use crate::messages::response::{Response, SessionEvidence};
 use crate::protocol::sqlstate::SqlState;
@@ -13,19 +13,19 @@
 use std::sync::{Mutex, MutexGuard};
 use thiserror::Error;
 
-/// The parameter value by which a client starts a session; an empty value does the same.
+/// The value of the session parameter by which a client starts a session; an empty value does the same.
 const NEW_SESSION: &str = "new";
-/// The number of values of a byte, as the exclusive bound of a random one.
+/// The number of values of a byte.
 const BYTE_VALUES: usize = 1 << u8::BITS;
 
-/// The session of one connection.
+/// The session of one connection, opened from the client's token or new.
 pub struct ClientSession {
     session: SessionId,
     audience: String,
     positions: SessionPositions,
 }
 
-/// The SQLSTATE for a rejected token.
+/// The SQLSTATE of the error for a token that was not accepted.
 pub fn rejection_code(error: TokenError) -> SqlState {
     match error {
         TokenError::Expired => SqlState::TOKEN_EXPIRED,
@@ -36,12 +36,12 @@
 /// An error in reading a key file.
 #[derive(Debug, Error)]
 pub enum ReadKeysError {
-    /// The file cannot be read.
+    /// The key file cannot be read.
     #[error("{}: {error}", path.display())]
     Io {
         /// The path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         error: std::io::Error,
     },
     /// A line of the file is invalid.
@@ -49,7 +49,7 @@
     Keys {
         /// The path of the file.
         path: PathBuf,
-        /// The line and its fault.
+        /// The number of the line, and why it is invalid.
         error: KeyFileError,
     },
 }
@@ -57,14 +57,14 @@
 /// Reads the keys of session tokens from a file.
 ///
 /// # Errors
-/// The file cannot be read, or holds an invalid line.
+/// The file cannot be read, or one of its lines is invalid.
 pub fn read_keys(path: &Path) -> Result<Keys, ReadKeysError> {
     let text = std::fs::read_to_string(path);
     let text = text.map_err(|error| ReadKeysError::Io { path: path.to_path_buf(), error })?;
     Keys::parse(&text).map_err(|error| ReadKeysError::Keys { path: path.to_path_buf(), error })
 }
 
-/// The keys of session tokens, and the cache of session positions.
+/// Opens and issues session tokens. Holds their keys and the cache of session positions.
 pub struct SessionTokens {
     keys: Mutex<Keys>,
     lifetime: TimeDelta,
@@ -82,7 +82,7 @@
 }
 
 impl SessionTokens {
-    /// Creates a set of session tokens that are valid for `lifetime`; `seed` is for session ids.
+    /// Creates an issuer of tokens that are valid for `lifetime`; `seed` is for the random session ids.
     pub fn new(keys: Keys, lifetime: TimeDelta, seed: u64) -> SessionTokens {
         SessionTokens {
             keys: Mutex::new(keys),
@@ -92,12 +92,12 @@
         }
     }
 
-    /// Replaces the keys.
+    /// Replaces the keys with which tokens are sealed and opened.
     pub fn set_keys(&self, keys: Keys) {
         *lock(&self.keys) = keys;
     }
 
-    /// Opens a token, or starts a new session if `token` is empty or `new`.
+    /// Opens a client's token, or starts a new session if `token` is empty or `new`.
     ///
     /// # Errors
     /// The token is invalid, has expired, or was issued for another audience.
@@ -121,8 +121,8 @@
         id
     }
 
-    /// The position in a group's log that the session has seen, on this instance or by its token.
-    pub fn seen(
+    /// The position in a group's log that the session has seen, according to its token and to this instance's cache.
+    pub fn seen_position(
         &self,
         now: Timestamp,
         session: &mut ClientSession,
@@ -132,7 +132,7 @@
         session.positions.get(group)
     }
 
-    /// Updates the session's positions from a response; returns the new token if they have changed.
+    /// Updates the session's positions from a response; returns a new token if the response carries a position.
     pub fn record_response(
         &self,
         now: Timestamp,
@@ -141,7 +141,7 @@
         response: &Response,
     ) -> Option<String> {
         match response {
-            // A lost position is kept until `Response::SessionLost` has reported the loss to the client.
+            // If the session's position is lost, it is kept until `Response::SessionLost` has told the client.
             Response::Value {
                 evidence: SessionEvidence { position: Some(position), session_lost: false },
                 ..
@@ -159,7 +159,7 @@
         self.issue(now, session)
     }
 
-    /// Issues a token for the session's present positions; `None` if it cannot be sealed.
+    /// Issues a token with the session's current positions; `None` if it cannot be sealed.
     pub fn issue(&self, now: Timestamp, session: &ClientSession) -> Option<String> {
         let issued = unix_seconds(now);
         let token = Token {
--- a/server/src/clients/socket.rs
+++ b/server/src/clients/socket.rs
@@ -1,4 +1,4 @@
-//! A client's socket, and the outbox of encoded responses.
+//! A client's socket, and its outbox of encoded responses.
 
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::TcpStream;
@@ -7,9 +7,9 @@
 use std::net::Shutdown;
 use std::os::fd::AsRawFd;
 
-/// Size of the read buffer, on the coroutine's stack.
+/// The size of the read buffer, which is on the coroutine's stack.
 const READ_BYTES: usize = 4096;
-/// Responses in one vectored write.
+/// The maximum number of responses in one vectored write.
 const MAX_WRITE_SLICES: usize = 16;
 
 /// The result of a read.
@@ -18,46 +18,46 @@
     Bytes(usize),
     /// No bytes are available.
     WouldBlock,
-    /// The client has closed the connection, or it is broken.
+    /// The client has closed the connection, or the connection is broken.
     Closed,
 }
 
-/// Whether the outbox was written completely.
+/// The result of writing the outbox.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum FlushOutcome {
-    /// The outbox is empty.
+    /// All responses were written.
     Complete,
-    /// The socket's send buffer is full: the client must read first.
+    /// The socket's send buffer is full, because the client has not read its responses.
     Blocked,
 }
 
-/// A client's socket and its outbox.
+/// A non-blocking socket, and the encoded responses that are to be written to it.
 pub struct ClientSocket {
     stream: TcpStream,
     outbox: VecDeque<Vec<u8>>,
-    /// Bytes of the first response in the outbox that were written.
+    /// The bytes of the outbox's first response that have been written.
     written: usize,
 }
 
 impl ClientSocket {
     /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> ClientSocket {
-        // Without Nagle's algorithm, which would delay small responses.
+        // Nagle's algorithm would delay small responses.
         let _ = stream.set_nodelay(true);
         ClientSocket { stream, outbox: VecDeque::new(), written: 0 }
     }
 
-    /// A handle that wakes the coroutine in [`ClientSocket::wait`].
+    /// A handle that ends the wait of a coroutine in [`ClientSocket::wait`].
     pub fn waker(&self) -> WaitIoWaker {
         self.stream.waker()
     }
 
-    /// Waits for an event of the socket, or a wake-up.
+    /// Suspends the calling coroutine until an event of the socket, or a wake-up.
     pub fn wait(&self) {
         self.stream.wait_io();
     }
 
-    /// Reads up to `max_bytes` without waiting, and passes them to `consume`.
+    /// Reads up to `max_bytes` without blocking, and passes them to `consume`.
     pub fn read(&self, max_bytes: usize, consume: impl FnOnce(&[u8])) -> ReadOutcome {
         let mut bytes = [0; READ_BYTES];
         let max_bytes = max_bytes.min(bytes.len());
@@ -85,7 +85,7 @@
         self.outbox.len()
     }
 
-    /// Bytes of the responses in the outbox.
+    /// The size of all responses in the outbox, in bytes.
     pub fn queued_bytes(&self) -> usize {
         self.outbox.iter().map(Vec::len).sum()
     }
@@ -95,7 +95,7 @@
         self.outbox = VecDeque::new();
     }
 
-    /// Writes as much of the outbox as the socket accepts without waiting.
+    /// Writes as much of the outbox as the socket accepts without blocking.
     ///
     /// # Errors
     /// The connection is broken.
@@ -103,7 +103,7 @@
         while !self.outbox.is_empty() {
             match self.stream.inner().write_vectored(&self.unwritten()) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(count) => self.account_written(count),
+                Ok(count) => self.remove_written(count),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(FlushOutcome::Blocked),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
@@ -112,7 +112,7 @@
         Ok(FlushOutcome::Complete)
     }
 
-    /// The slices of the first responses in the outbox that were not written yet.
+    /// The unwritten bytes of the first responses in the outbox.
     fn unwritten(&self) -> Vec<IoSlice<'_>> {
         let responses = self.outbox.iter().take(MAX_WRITE_SLICES).enumerate();
         let unwritten = responses.map(|(index, response)| {
@@ -122,8 +122,8 @@
         unwritten.collect()
     }
 
-    /// Removes the written bytes from the outbox.
-    fn account_written(&mut self, count: usize) {
+    /// Records that `count` bytes were written, and removes the responses that are complete.
+    fn remove_written(&mut self, count: usize) {
         self.written += count;
         while let Some(first) = self.outbox.front().filter(|first| first.len() <= self.written) {
             self.written -= first.len();
@@ -139,7 +139,7 @@
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// The present events of the socket among `events`, errors and hang-ups, by poll(2).
+    /// Polls the socket without blocking; returns those of `events` that have occurred, and errors and hang-ups.
     fn poll(&self, events: i16) -> i16 {
         let mut request = libc::pollfd { fd: self.stream.as_raw_fd(), events, revents: 0 };
         // SAFETY: the pointer is valid for the one entry that is passed; the timeout is zero.
@@ -151,17 +151,17 @@
         }
     }
 
-    /// Whether the client has closed the connection, even if bytes that it sent before are still unread.
+    /// Whether the client has closed its side of the connection, even if bytes that it sent before are unread.
     pub fn is_closed_by_client(&self) -> bool {
         self.poll(libc::POLLRDHUP) & (libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR) != 0
     }
 
-    /// Whether there are unread bytes, so that a close would reset the connection.
+    /// Whether there are unread bytes, with which closing the socket would reset the connection.
     pub fn has_unread(&self) -> bool {
         self.poll(libc::POLLIN) & libc::POLLIN != 0
     }
 
-    /// Bytes in the socket's send queue that the client's kernel has not acknowledged; 0 if unknown.
+    /// The number of bytes in the socket's send queue that the client's TCP stack has not acknowledged; 0 if unknown.
     pub fn unacknowledged_bytes(&self) -> usize {
         let mut bytes: libc::c_int = 0;
         // SAFETY: `TIOCOUTQ` writes one integer through the pointer.
