--- a/server/src/admin/client_page.rs
+++ b/server/src/admin/client_page.rs
@@ -1,4 +1,5 @@
-//! The page `clients`, or `connections`: connections and requests by class and address, and rejections by reason.
+//! The page `connections` (`clients` in earlier terms): connections and requests by client class and address, and
+//! rejections by reason.
 
 use crate::admin::reasons::{rejection_term, shed_term};
 use crate::admin::table::{cell_or_empty, Table};
@@ -31,7 +32,7 @@
 const OPEN_CONNECTIONS: Term = Term::new("sessions", "connections");
 const IN_HANDSHAKE_QUEUE: Term = Term::new("in the lobby", "in the handshake queue");
 
-/// One row of the table of client classes.
+/// A row of the table of client classes.
 struct ClassRow<'a> {
     name: &'a str,
     reserved: usize,
@@ -39,10 +40,10 @@
 }
 
 impl AdminView {
-    /// Renders the page.
+    /// Renders the page `connections`.
     ///
     /// # Errors
-    /// The control loop has sent no snapshot.
+    /// The control loop has not sent a snapshot.
     pub fn client_page(&self, vocabulary: Vocabulary) -> Result<String, PageError> {
         let queue = self.snapshot()?.queue;
         let admission = self.admission.as_ref().map(|admission| admission.snapshot(MAX_CLIENTS));
@@ -79,7 +80,7 @@
     table
 }
 
-/// The configured classes, then former ones that still have connections or requests.
+/// The configured classes, then classes of earlier configurations that still have connections or requests.
 fn class_rows<'a>(
     admission: Option<&'a AdmissionSnapshot>,
     queue: Option<&'a QueueSnapshot>,
--- a/server/src/admin/endpoint_page.rs
+++ b/server/src/admin/endpoint_page.rs
@@ -1,4 +1,4 @@
-//! The page `stores`, or `endpoints`: the endpoints as the routing policy sees them.
+//! The page `endpoints` (`stores` in earlier terms): the state of each endpoint in the routing policy.
 
 use crate::admin::table::{cell_or_empty, format_delta, Table, EMPTY_CELL};
 use crate::admin::view::{AdminView, PageError};
@@ -24,10 +24,10 @@
 const SLOW_START: Term = Term::new("cold", "slow start");
 
 impl AdminView {
-    /// Renders the page.
+    /// Renders the page `endpoints`.
     ///
     /// # Errors
-    /// The control loop has sent no snapshot.
+    /// The control loop has not sent a snapshot.
     pub fn endpoint_page(&self, vocabulary: Vocabulary) -> Result<String, PageError> {
         let snapshot = self.snapshot()?;
         let mut table = Table::new(&COLUMNS, vocabulary);
--- a/server/src/admin/limits_page.rs
+++ b/server/src/admin/limits_page.rs
@@ -1,4 +1,4 @@
-//! The page `limits`, or `resources`: the limit and the use of each resource.
+//! The page `resources` (`limits` in earlier terms): the use and the limit of each resource.
 
 use crate::admin::table::{cell_or_empty, format_delta, Table, EMPTY_CELL};
 use crate::admin::view::{AdminView, PageError, DESCRIPTOR_CLASSES};
@@ -16,10 +16,10 @@
 const FIRST_ATTEMPTS: Term = Term::new("first tries", "first attempts");
 
 impl AdminView {
-    /// Renders the page.
+    /// Renders the page `resources`.
     ///
     /// # Errors
-    /// The control loop has sent no snapshot.
+    /// The control loop has not sent a snapshot.
     pub fn limits_page(&self, vocabulary: Vocabulary) -> Result<String, PageError> {
         let snapshot = self.snapshot()?;
         let mut table = Table::new(&COLUMNS, vocabulary);
--- a/server/src/admin/metric_names.rs
+++ b/server/src/admin/metric_names.rs
@@ -1,5 +1,6 @@
-//! The standard names of metrics and labels. Metrics are recorded once, under their earlier names. When the page is
-//! rendered, the same samples are repeated under the standard names, so both always agree without cost for requests.
+//! The standard names of metrics and labels. Metrics are recorded only under their earlier names. When the page is
+//! rendered, each sample is repeated under its standard name. So both names always have the same value, and requests
+//! bear no extra cost.
 
 use crate::admin::reasons::shed_term;
 use crate::admin::view::DESCRIPTOR_CLASSES;
@@ -8,36 +9,36 @@
 use admission::concurrency_limiter::ShedReason;
 use admission::RejectionReason;
 
-/// The label for the reason of a rejection.
+/// The key of the label for the reason of a rejection.
 const REASON: Term = Term::new("why", "reason");
 /// The start of the line that declares a metric's type.
 const TYPE_PREFIX: &str = "# TYPE ";
-/// The separator of metric families: an empty line.
+/// The separator between metric families: an empty line.
 const FAMILY_SEPARATOR: &str = "\n\n";
 
-/// A label whose key or values differ between the vocabularies.
+/// A label whose key or values differ between earlier and standard terms.
 struct LabelNames {
     key: Term,
-    /// The known values; other values are the same in both vocabularies.
+    /// The values that are translated; other values are the same in both.
     values: Vec<Term>,
 }
 
-/// A metric whose name differs between the vocabularies.
+/// A metric whose name differs between earlier and standard terms.
 pub(super) struct MetricNames {
     name: Term,
     label: Option<LabelNames>,
 }
 
-/// One line of a metric: `name suffix {labels} value`.
+/// A line of a metric, such as `gingerwick_rpcs_total{method="view",answer="ok"} 7`, without the metric's name.
 struct Sample<'a> {
-    /// The suffix of the metric's name, as histograms have it, such as `_bucket`.
+    /// The suffix of the metric's name, such as `_bucket` of a histogram; otherwise empty.
     suffix: &'a str,
-    /// Keys and values; the values are escaped as in the text format.
+    /// Keys and values of the labels; the values stay escaped as in the text format.
     labels: Vec<(&'a str, &'a str)>,
     value: &'a str,
 }
 
-/// All metrics whose names differ between the vocabularies.
+/// The earlier and the standard name of each metric for which they differ.
 pub(super) fn metric_names() -> Vec<MetricNames> {
     vec![
         MetricNames::new("gingerwick_rpcs_total", "gingerwick_requests_total").label(response_names()),
@@ -82,7 +83,7 @@
     LabelNames { key: Term::new("share", "use"), values: values.collect() }
 }
 
-/// Appends each metric of `names` under its standard name to a page in the text format of Prometheus.
+/// Appends to a page in the text format of Prometheus each metric of `names`, under its standard name.
 pub(super) fn with_standard_names(page: &str, names: &[MetricNames]) -> String {
     let mut text = page.to_string();
     for family in page.split_terminator(FAMILY_SEPARATOR) {
@@ -94,7 +95,7 @@
     text
 }
 
-/// The name of a family, from its line `# TYPE name kind`.
+/// The name of a metric family, from its line `# TYPE name kind`.
 fn family_name(family: &str) -> Option<&str> {
     let mut types = family.lines().filter_map(|line| line.strip_prefix(TYPE_PREFIX));
     types.next()?.split(' ').next()
@@ -109,13 +110,13 @@
         MetricNames { label: Some(names), ..self }
     }
 
-    /// A metric family under the standard names.
+    /// Translates a metric family to the standard names.
     fn standard_family(&self, family: &str) -> String {
         let lines = family.lines().filter_map(|line| self.standard_line(line));
         lines.map(|line| line + "\n").chain(["\n".to_string()]).collect()
     }
 
-    /// A line under the standard names; `None` if it does not belong to this metric.
+    /// Translates a line to the standard names; `None` if it does not belong to this metric.
     fn standard_line(&self, line: &str) -> Option<String> {
         let Term { earlier, standard } = self.name;
         if let Some(rest) = line.strip_prefix(TYPE_PREFIX) {
@@ -129,7 +130,7 @@
         Some(format!("{standard}{}{labels} {}", sample.suffix, sample.value))
     }
 
-    /// A label under the standard names.
+    /// Translates a label to the standard names.
     fn standard_label(&self, key: &str, value: &str) -> String {
         let names = self.label.as_ref().filter(|label| label.key.earlier == key);
         let Some(names) = names else { return format!("{key}=\"{value}\"") };
@@ -140,9 +141,9 @@
 }
 
 impl<'a> Sample<'a> {
-    /// Parses a line from which the metric's name was removed.
+    /// Parses a line without the metric's name; `None` if it is malformed.
     fn parse(text: &'a str) -> Option<Sample<'a>> {
-        // The sample's value contains no space, but label values may.
+        // Label values may contain spaces, but the sample's value does not.
         let (start, value) = text.rsplit_once(' ')?;
         let Some((suffix, mut rest)) = start.split_once('{') else {
             return Some(Sample { suffix: start, labels: Vec::new(), value });
@@ -157,7 +158,7 @@
     }
 }
 
-/// The length of a label's value, which ends before the first quote that is not escaped.
+/// The length of a label's value, which ends before the first unescaped quote; `None` without one.
 fn value_length(quoted: &str) -> Option<usize> {
     let mut escaped = false;
     quoted.bytes().position(|byte| {
--- a/server/src/admin/metrics_page.rs
+++ b/server/src/admin/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The page `metrics`: all metrics, in the text format of Prometheus.
+//! The page `metrics`: all metrics in the text format of Prometheus.
 
 use crate::admin::metric_names::{metric_names, with_standard_names};
 use crate::admin::view::{AdminView, DESCRIPTOR_CLASSES};
@@ -9,7 +9,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 
 impl AdminView {
-    /// Updates the gauges and renders the page, with each metric under its earlier and its standard name.
+    /// Updates the gauges and renders the page, with each metric under both its earlier and its standard name.
     pub fn metrics_page(&self, recorder: &PrometheusHandle) -> String {
         self.set_resource_gauges();
         self.set_connection_gauges();
--- a/server/src/admin/mod.rs
+++ b/server/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The admin socket: a Unix socket on which operators request pages about the running server.
+//! The admin socket: a Unix socket from which operators request pages about the running server.
 
 pub mod client_page;
 pub mod endpoint_page;
--- a/server/src/admin/reasons.rs
+++ b/server/src/admin/reasons.rs
@@ -1,15 +1,16 @@
-//! The reasons for rejected connections and shed requests, in both vocabularies.
+//! The reasons for rejected connections and shed requests, in earlier and standard terms.
 
 use crate::runtime::terms::Term;
 use admission::concurrency_limiter::ShedReason;
 use admission::RejectionReason;
 
-/// A reason for a rejection, on the page of connections. The earlier term is the message that the client receives.
+/// The reason for rejecting a connection, for the page `connections`. The earlier term is the error message that the
+/// client receives.
 pub(super) fn rejection_term(reason: RejectionReason) -> Term {
     Term::new(reason.message(), reason.standard_label())
 }
 
-/// A reason to shed a request, on the page of connections and as a label value of metrics.
+/// The reason for shedding a request, for the page `connections` and as the value of a metric's label.
 pub(super) fn shed_term(reason: ShedReason) -> Term {
     Term::new(reason.label(), reason.standard_label())
 }
--- a/server/src/admin/request_page.rs
+++ b/server/src/admin/request_page.rs
@@ -1,4 +1,5 @@
-//! The page `rpcs`, or `requests`: requests that wait for admission, then the other open ones, oldest first.
+//! The page `requests` (`rpcs` in earlier terms): the requests in the admission queue, then the other open requests,
+//! oldest first.
 
 use crate::admin::table::{format_delta, Table, EMPTY_CELL};
 use crate::admin::view::{AdminView, PageError};
@@ -20,10 +21,10 @@
 const NO_ATTEMPT: Term = Term::new("held", "waiting for an endpoint");
 
 impl AdminView {
-    /// Renders the page.
+    /// Renders the page `requests`.
     ///
     /// # Errors
-    /// The control loop has sent no snapshot.
+    /// The control loop has not sent a snapshot.
     pub fn request_page(&self, vocabulary: Vocabulary) -> Result<String, PageError> {
         let snapshot = self.snapshot()?;
         let mut table = Table::new(&COLUMNS, vocabulary);
--- a/server/src/admin/socket.rs
+++ b/server/src/admin/socket.rs
@@ -1,5 +1,6 @@
-//! The admin socket: a client sends the name of a page on one line and receives the page. A thread of its own serves
-//! one client at a time, each with a timeout and a limit in bytes, so that the admin socket delays no request.
+//! The admin socket: a client sends the name of a page on one line and receives the page. A separate thread serves
+//! one client at a time, with a timeout and a size limit for its request, so that the admin socket does not delay
+//! requests.
 
 use crate::admin::view::{AdminView, PageError, PAGE_TIMEOUT};
 use crate::log;
@@ -14,28 +15,30 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The maximum size of a client's request, which is one line.
+/// The maximum length of the line with a page's name, in bytes.
 const MAX_REQUEST_BYTES: usize = 1 << 10;
-/// The maximum number of characters of an unknown page's name that the error repeats.
+/// The maximum number of characters of an unknown page's name that the error message repeats.
 const MAX_NAME_SHOWN: usize = 40;
-/// The interval at which the recorder drains the samples of histograms, even if the page is never requested.
+/// The interval at which the recorder aggregates the samples of histograms. Without this, they would accumulate in
+/// memory if the page is never requested.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 /// The pause after a failed accept(2).
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The permissions of the socket: only the user of the server can connect.
+/// The permissions of the socket: only the user under which the server runs can connect.
 const SOCKET_MODE: u32 = 0o600;
+/// The start of a response that is an error message instead of a page.
 const ERROR_PREFIX: &str = "error: ";
 const HTTP_NOT_FOUND: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-/// The page of metrics, which is also served over HTTP.
+/// The name of the metrics page, which is the same in earlier and standard terms. It is also served over HTTP.
 const METRICS_PAGE: &str = "metrics";
-/// The maximum number of descriptors: for the listener, the client that is served, and the next one.
+/// The maximum number of descriptors in use, for the listener, the client that is being served, and the next client.
 pub const DESCRIPTORS: usize = 4;
 
-/// A page of the admin socket.
+/// A page of the admin socket in earlier or standard terms.
 pub struct Page {
-    /// The page's names. The name by which the page is requested selects its vocabulary.
+    /// The page's two names. The one by which it is requested selects the terms in which it is rendered.
     pub name: Term,
-    /// The description of the page in the command line's help.
+    /// The description of the page in `query-router show --help`.
     pub description: &'static str,
     render: fn(&AdminView, Vocabulary) -> Result<String, PageError>,
 }
@@ -44,34 +47,34 @@
 pub static PAGES: [Page; 4] = [
     Page {
         name: Term::new("clients", "connections"),
-        description: "connections and requests by class and address, and what was rejected",
+        description: "connections and requests by client class and address, and rejections by reason",
         render: AdminView::client_page,
     },
     Page {
         name: Term::new("limits", "resources"),
-        description: "what there is of each resource, and what of it is in use",
+        description: "use and limit of each resource, such as descriptors and buffer memory",
         render: AdminView::limits_page,
     },
     Page {
         name: Term::new("stores", "endpoints"),
-        description: "the endpoints as the routing policy sees them",
+        description: "state of each endpoint: address, role, requests in flight, lag, load",
         render: AdminView::endpoint_page,
     },
     Page {
         name: Term::new("rpcs", "requests"),
-        description: "open requests, the oldest first",
+        description: "open requests, oldest first",
         render: AdminView::request_page,
     },
 ];
 
-/// Why the admin socket could not be created, or did not answer.
+/// Why the admin socket cannot be created, or a page cannot be requested.
 #[derive(Debug, Error)]
 pub enum AdminSocketError {
     /// The path exists and is not a socket.
-    #[error("{}: not a socket", .0.display())]
+    #[error("{}: the file exists and is not a socket", .0.display())]
     NotASocket(PathBuf),
-    /// Another server listens at the path.
-    #[error("{}: another server listens there", .0.display())]
+    /// Another process is listening on the socket at the path.
+    #[error("{}: another process is listening on this socket", .0.display())]
     InUse(PathBuf),
     /// An operation on the socket failed.
     #[error("{}: {error}", path.display())]
@@ -81,7 +84,7 @@
         /// The error of the operating system.
         error: io::Error,
     },
-    /// The error message of the server: it has no such page, or cannot render it now.
+    /// The server's error message: it does not know the page, or cannot render it now.
     #[error("{0}")]
     Page(String),
 }
@@ -90,10 +93,10 @@
     |error| AdminSocketError::Io { path: path.to_path_buf(), error }
 }
 
-/// Creates the socket at a path and serves pages on a thread of its own.
+/// Creates the socket at a path and serves pages on a separate thread.
 ///
 /// # Errors
-/// The path is not a socket, another server listens there, or the operating system reports an error.
+/// The path exists and is not a socket, another process is listening there, or the operating system reports an error.
 pub fn serve(path: &Path, recorder: PrometheusHandle, view: AdminView) -> Result<(), AdminSocketError> {
     remove_stale_socket(path)?;
     let listener = UnixListener::bind(path).map_err(io_error(path))?;
@@ -104,7 +107,7 @@
     spawn_thread("admin-socket", move || serve_clients(&listener, &recorder, &view)).map_err(io_error(path))
 }
 
-/// Removes a socket without a listener, which a killed process has left.
+/// Removes the socket of a process that was killed, on which nobody is listening.
 fn remove_stale_socket(path: &Path) -> Result<(), AdminSocketError> {
     match fs::symlink_metadata(path) {
         Ok(found) if !found.file_type().is_socket() => Err(AdminSocketError::NotASocket(path.to_path_buf())),
@@ -129,10 +132,10 @@
 fn serve_clients(listener: &UnixListener, recorder: &PrometheusHandle, view: &AdminView) {
     for stream in listener.incoming() {
         match stream {
-            // The error is ignored: a client that does not read its page would not read an error message either.
+            // Errors are ignored: a client whose connection has failed cannot receive an error message either.
             Ok(stream) => _ = serve_client(stream, recorder, view),
             Err(error) => {
-                log!(WARN, reason = error; "client of the admin socket not accepted");
+                log!(WARN, reason = error; "connection to the admin socket not accepted");
                 thread::sleep(ACCEPT_RETRY_DELAY);
             }
         }
@@ -174,7 +177,7 @@
     }
 }
 
-/// Finds a page by its name, and the vocabulary that the name selects.
+/// Finds a page by one of its names, and the vocabulary that this name selects.
 fn find_page(name: &str) -> Option<(&'static Page, Vocabulary)> {
     let named = |vocabulary| move |page: &&Page| page.name.text(vocabulary) == name;
     let found = |vocabulary| PAGES.iter().find(named(vocabulary)).map(|page| (page, vocabulary));
@@ -186,13 +189,13 @@
     let standard = PAGES.iter().map(|page| page.name.standard);
     let known = earlier.chain(standard).collect::<Vec<&str>>().join(", ");
     let name: String = name.chars().take(MAX_NAME_SHOWN).collect();
-    format!("{ERROR_PREFIX}{name:?} is none of {known}, {METRICS_PAGE}\n")
+    format!("{ERROR_PREFIX}unknown page {name:?}; the pages are {known}, {METRICS_PAGE}\n")
 }
 
-/// Reads the line that a client sends; it may end without a line feed if the client shuts down its side.
+/// Reads the line that a client sends. Without a line feed, it ends where the client shuts down its sending side.
 ///
 /// # Errors
-/// The line is not complete in time or is too long, or reading failed.
+/// The line is not complete within [`PAGE_TIMEOUT`], is too long, or cannot be read.
 fn read_line(stream: &mut UnixStream) -> io::Result<String> {
     let deadline = Instant::now() + PAGE_TIMEOUT;
     let mut bytes = Vec::new();
@@ -216,10 +219,10 @@
     Ok(String::from_utf8_lossy(&bytes[..end]).trim().to_string())
 }
 
-/// Requests a page from a running server.
+/// Requests a page from the server that is listening on the socket at `path`.
 ///
 /// # Errors
-/// No server listens at the path, it does not answer in time, or it answers with an error.
+/// No server is listening there, it does not answer in time, or it answers with an error.
 pub fn request_page(path: &Path, name: &str) -> Result<String, AdminSocketError> {
     let mut stream = UnixStream::connect(path).map_err(io_error(path))?;
     stream.set_read_timeout(Some(PAGE_TIMEOUT * 3)).map_err(io_error(path))?;
--- a/server/src/admin/table.rs
+++ b/server/src/admin/table.rs
@@ -1,10 +1,10 @@
-//! Tables and times as plain text.
+//! Tables and time differences as plain text.
 
 use crate::runtime::terms::{Term, Vocabulary};
 use routing::time::TimeDelta;
 use std::fmt;
 
-/// The text of an empty cell.
+/// The text of a cell without a value.
 pub const EMPTY_CELL: &str = "-";
 const NANOS_PER_MILLI: f64 = 1e6;
 
@@ -14,12 +14,12 @@
 }
 
 impl Table {
-    /// Creates a table without rows, whose titles are in `vocabulary`.
+    /// Creates a table with column titles in `vocabulary` and no rows.
     pub fn new(titles: &[Term], vocabulary: Vocabulary) -> Table {
         Table { rows: vec![titles.iter().map(|title| title.text(vocabulary).to_string()).collect()] }
     }
 
-    /// Appends a row. Control characters are replaced, because a client could forge a row by a line feed in a name.
+    /// Appends a row. Control characters are replaced by `?`: with a line feed in a name, a client could forge a row.
     pub fn push<const N: usize>(&mut self, cells: [String; N]) {
         self.rows.push(cells.map(|cell| cell.replace(char::is_control, "?")).into());
     }
@@ -47,7 +47,7 @@
     value.map_or(EMPTY_CELL.into(), |value| value.to_string())
 }
 
-/// Formats a time difference in milliseconds or seconds.
+/// Formats a time difference, as `1.5ms`, `250ms` or `12s`.
 pub fn format_delta(delta: TimeDelta) -> String {
     let ms = delta.0 as f64 / NANOS_PER_MILLI;
     match ms.abs() {
--- a/server/src/admin/view.rs
+++ b/server/src/admin/view.rs
@@ -1,4 +1,4 @@
-//! The parts of the server that the pages of the admin socket show.
+//! The components of the server whose state the pages of the admin socket show.
 
 use crate::clients::admission_control::AdmissionControl;
 use crate::clients::graceful_shutdown::GracefulShutdown;
@@ -11,7 +11,8 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The timeout of each step of a page: reading the request, the control loop's snapshot, and writing the page.
+/// The timeout of each step in serving a page: reading its name, getting the control loop's snapshot, writing the
+/// page.
 pub const PAGE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The classes of descriptors, and their names on the pages and in metrics.
@@ -22,19 +23,19 @@
     (Term::new("turned away", "rejected_clients"), DescriptorClass::RejectedClients),
 ];
 
-/// The sources of the pages.
+/// The components from which the pages are rendered.
 pub struct AdminView {
-    /// The name of the instance.
+    /// The name of the instance, which heads the page `endpoints`.
     pub name: String,
-    /// The channel to the control loop, for snapshots.
+    /// The channel by which snapshots are requested from the control loop.
     pub control: Sender<ControlMessage>,
-    /// The limits on descriptors and buffer memory.
+    /// The use and the limits of descriptors and buffer memory.
     pub resources: Arc<ResourceLimits>,
-    /// Admission control, if client classes are configured.
+    /// `None` if no client classes are configured.
     pub admission: Option<Arc<AdmissionControl>>,
     /// The graceful shutdown, which counts the open connections.
     pub shutdown: Arc<GracefulShutdown>,
-    /// The names of the methods, by index.
+    /// The name of each method, at the method's index.
     pub methods: Vec<String>,
 }
 
@@ -44,7 +45,7 @@
     /// The control loop has ended.
     #[error("the control loop has ended")]
     ControlLoopEnded,
-    /// The control loop did not answer in time.
+    /// The control loop did not answer within [`PAGE_TIMEOUT`].
     #[error("the control loop did not answer within a second")]
     TimedOut,
 }
@@ -53,7 +54,7 @@
     /// Requests a snapshot from the control loop.
     ///
     /// # Errors
-    /// The control loop has ended, or did not reply in time.
+    /// The control loop has ended, or did not reply within [`PAGE_TIMEOUT`].
     pub fn snapshot(&self) -> Result<ServerSnapshot, PageError> {
         let (reply, snapshot) = mpsc::channel();
         let sent = self.control.send(ControlMessage::Snapshot { reply });
--- a/server/tests/operator_pages/main.rs
+++ b/server/tests/operator_pages/main.rs
@@ -68,7 +68,8 @@
     assert_eq!(fixture.page("resources"), include_str!("standard/resources.txt"));
     assert_eq!(fixture.page("endpoints"), include_str!("standard/endpoints.txt"));
     assert_eq!(fixture.page("requests"), include_str!("standard/requests.txt"));
-    let unknown = "\"x\" is none of clients, limits, stores, rpcs, connections, resources, endpoints, requests, metrics";
+    let unknown = "unknown page \"x\"; the pages are clients, limits, stores, rpcs, \
+                   connections, resources, endpoints, requests, metrics";
     assert_eq!(fixture.page_error("x"), unknown);
 }
 
