--- a/server/src/protocol/decode.rs
+++ b/server/src/protocol/decode.rs
@@ -1,33 +1,34 @@
-//! Decoding and validation of message bodies.
+//! Decoding and validation of the bodies of messages.
 
 use crate::protocol::encode::SESSION_PARAMETER;
 use crate::protocol::framing::{parse_frame, MAX_VALUE_BYTES};
 
-/// Bytes of the numbers that follow a column's name in a RowDescription: table, column, type, size, modifier and
+/// The bytes after a column's name in a RowDescription: the numbers of its table, column, type, size, modifier and
 /// format.
 const COLUMN_NUMBER_BYTES: usize = 18;
-/// Bytes of a SQLSTATE.
+/// The length of a SQLSTATE.
 const SQLSTATE_BYTES: usize = 5;
-/// The column count 1, as the first bytes of a RowDescription or DataRow.
+/// The column count 1, as it is encoded at the start of a RowDescription or DataRow.
 const ONE_COLUMN: [u8; 2] = [0, 1];
-/// The bytes of a DataRow's column count.
+/// The length of the column count in a RowDescription or DataRow.
 const COLUMN_COUNT_BYTES: usize = ONE_COLUMN.len();
 /// The offset of the first column's value in a DataRow, after the column count and the value's length.
 const FIRST_VALUE_AT: usize = COLUMN_COUNT_BYTES + 4;
 
-/// The parameters of a startup message that the server uses.
+/// The parameters of a startup message that the router uses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StartupParameters {
-    /// User and database in an unambiguous form, to which a session's token is bound.
+    /// User and database as `LENGTH:USER/DATABASE`, with the length of the user's name in bytes. A session token is
+    /// valid only for the audience for which it was issued.
     pub audience: String,
-    /// The user.
+    /// `user`; empty if the message has none.
     pub user: String,
     /// `gingerwick.session`: empty or `new` to start a session, or a token to resume one.
     pub session: Option<String>,
 }
 
-/// Decodes the names and values of a startup message; unknown names are ignored.
-pub fn startup_parameters(body: &[u8]) -> StartupParameters {
+/// Decodes the parameters in the body of a startup message; unknown ones are ignored.
+pub fn parse_startup_parameters(body: &[u8]) -> StartupParameters {
     let mut parameters = StartupParameters::default();
     let mut database = String::new();
     let mut texts = body.split(|&byte| byte == 0).map(|text| std::str::from_utf8(text).unwrap_or_default());
@@ -43,14 +44,14 @@
     parameters
 }
 
-/// The value of a field of an ErrorResponse.
-pub fn error_field(body: &[u8], wanted: u8) -> Option<&str> {
-    let field = body.split(|&byte| byte == 0).find(|field| field.first() == Some(&wanted))?;
+/// The value of the field `code` of an ErrorResponse, such as `C` for the SQLSTATE.
+pub fn error_field(body: &[u8], code: u8) -> Option<&str> {
+    let field = body.split(|&byte| byte == 0).find(|field| field.first() == Some(&code))?;
     std::str::from_utf8(&field[1..]).ok()
 }
 
-/// Whether a body is a valid ErrorResponse or NoticeResponse: UTF-8 fields, a SQLSTATE among them, and a closing
-/// zero byte.
+/// Whether a body is a valid ErrorResponse or NoticeResponse: fields of UTF-8, one of them a SQLSTATE, and a zero
+/// byte at the end.
 pub fn is_valid_error(body: &[u8]) -> bool {
     let Some(fields) = body.strip_suffix(&[0, 0]) else { return false };
     let is_text = |field: &[u8]| !field.is_empty() && std::str::from_utf8(field).is_ok();
@@ -60,33 +61,34 @@
     has_code && fields.split(|&byte| byte == 0).all(is_text)
 }
 
-/// Whether a body is one non-empty string of printable ASCII with its closing zero byte.
+/// Whether a body is a non-empty string of printable ASCII characters that ends with a zero byte.
 pub fn is_printable_string(body: &[u8]) -> bool {
     let is_printable = |text: &[u8]| text.iter().all(|byte| byte.is_ascii_graphic() || *byte == b' ');
     body.strip_suffix(&[0]).is_some_and(|text| !text.is_empty() && is_printable(text))
 }
 
-/// The name and the value of a ParameterStatus; `None` if the body is malformed.
+/// Parses the name and the value of a ParameterStatus; `None` if the body is malformed.
 pub fn parse_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     let (name, value) = std::str::from_utf8(body.strip_suffix(&[0])?).ok()?.split_once('\0')?;
     (!name.is_empty() && !value.contains('\0')).then_some((name, value))
 }
 
-/// Whether a body is a RowDescription of exactly one column.
+/// Whether a body is a valid RowDescription of exactly one column.
 pub fn describes_one_column(body: &[u8]) -> bool {
     let Some(column) = body.strip_prefix(&ONE_COLUMN) else { return false };
     let Some(end) = column.iter().position(|&byte| byte == 0) else { return false };
     column.len() == end + 1 + COLUMN_NUMBER_BYTES && std::str::from_utf8(&column[..end]).is_ok()
 }
 
-/// The value of a DataRow's only column; `None` if there is not exactly one column, or it is null.
+/// The value of a DataRow with one column; `None` if the body has another number of columns, or the value is null.
 pub fn single_column_value(body: &[u8]) -> Option<&[u8]> {
     let length = u32::from_be_bytes(body.get(COLUMN_COUNT_BYTES..FIRST_VALUE_AT)?.try_into().ok()?);
     let value = &body[FIRST_VALUE_AT..];
     (body[..COLUMN_COUNT_BYTES] == ONE_COLUMN && value.len() == length as usize).then_some(value)
 }
 
-/// The value of the only column of the first DataRow in a sequence of complete messages.
+/// The value of the first DataRow in a sequence of complete messages; `None` if there is no DataRow, or the first one
+/// does not have exactly one column.
 pub fn first_row_value(messages: &[u8]) -> Option<&[u8]> {
     let mut at = 0;
     loop {
--- a/server/src/protocol/encode.rs
+++ b/server/src/protocol/encode.rs
@@ -1,13 +1,13 @@
-//! Encoding of messages.
+//! Encoding of messages: to clients, to endpoints, and those that both protocols share.
 
 use crate::protocol::framing::{LENGTH_BYTES, VERSION_3};
 use crate::protocol::sqlstate::SqlState;
 
-/// The parameter that carries a session's token to the client.
+/// The parameter that carries a session token: from the client in its startup message, and to it in ParameterStatus.
 pub const SESSION_PARAMETER: &str = "gingerwick.session";
-/// The parameter that carries the origin of a client's writes: the journal in which they are recorded.
+/// The parameter that tells a client the origin of its writes, which identifies the journal that records them.
 const ORIGIN_PARAMETER: &str = "gingerwick.origin";
-/// The parameters of a greeting that do not depend on the client.
+/// The parameters that every client receives after its startup message.
 const GREETING_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
@@ -16,22 +16,22 @@
     ("integer_datetimes", "on"),
     ("standard_conforming_strings", "on"),
 ];
-/// The names and values of the parameters in a startup message to an endpoint, and the empty name that ends them.
+/// The parameters of the startup message to an endpoint, as alternating names and values; the empty name ends them.
 const ENDPOINT_PARAMETERS: [&str; 5] = ["user", "backend", "database", "store", ""];
-/// The secret key in BackendKeyData, which is not checked: cancel requests are not supported.
+/// The secret key in BackendKeyData. It is never checked, because cancel requests are not supported.
 const CANCEL_KEY: [u8; 4] = [0; 4];
-/// The placeholder of a length that is not known yet.
-const NO_LENGTH: [u8; LENGTH_BYTES] = [0; LENGTH_BYTES];
-/// The numbers of a RowDescription for a text column: no table (4 bytes) or column (2), type 25 (4), any size (2),
-/// no modifier (4), text format (2).
-const TEXT_COLUMN: [u8; 18] = [0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0];
+/// Stands in for a message's length until the length is known.
+const LENGTH_PLACEHOLDER: [u8; LENGTH_BYTES] = [0; LENGTH_BYTES];
+/// The numbers after the name of a text column in a RowDescription: table 0 (4 bytes), column 0 (2), type 25 (4),
+/// size -1 (2), modifier -1 (4), format 0 (2). Type 25 is `text`; the others mean none, variable, or text format.
+const TEXT_COLUMN_NUMBERS: [u8; 18] = [0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0];
 
-/// The severity of an error.
+/// The severity of an ErrorResponse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
     /// The statement has failed; the connection stays open.
     Error,
-    /// The server closes the connection.
+    /// The router closes the connection after the message.
     Fatal,
 }
 
@@ -44,44 +44,44 @@
     }
 }
 
-/// Appends a message: its tag, its length, and the bytes that `body` appends.
-fn message(out: &mut Vec<u8>, tag: u8, body: impl FnOnce(&mut Vec<u8>)) {
+/// Appends a message: its tag, its length, and the body that `body` appends.
+fn append_message(out: &mut Vec<u8>, tag: u8, body: impl FnOnce(&mut Vec<u8>)) {
     out.push(tag);
     let length_at = out.len();
-    out.extend_from_slice(&NO_LENGTH);
+    out.extend_from_slice(&LENGTH_PLACEHOLDER);
     body(out);
     let length = (out.len() - length_at) as u32;
     out[length_at..length_at + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Appends a string with its closing zero byte.
-fn text(out: &mut Vec<u8>, text: &str) {
+/// Appends a string and the zero byte that ends it.
+fn append_string(out: &mut Vec<u8>, text: &str) {
     out.extend_from_slice(text.as_bytes());
     out.push(0);
 }
 
-/// Appends a ParameterStatus.
+/// Appends a ParameterStatus, which tells the client the value of a parameter.
 pub fn parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
-    message(out, b'S', |out| {
-        text(out, name);
-        text(out, value);
+    append_message(out, b'S', |out| {
+        append_string(out, name);
+        append_string(out, value);
     });
 }
 
-/// Appends a ReadyForQuery outside a transaction.
+/// Appends a ReadyForQuery with the status "not in a transaction".
 pub fn ready_for_query(out: &mut Vec<u8>) {
-    message(out, b'Z', |out| out.push(b'I'));
+    append_message(out, b'Z', |out| out.push(b'I'));
 }
 
 /// The contents of the response to a startup message.
 pub struct Greeting<'a> {
     /// The minor version of the protocol that the client has requested.
     pub minor_version: u16,
-    /// The id of the connection, sent as its process id.
+    /// The id of the connection, which BackendKeyData carries as the process id.
     pub connection: u32,
-    /// The session's token, if the client has a session.
+    /// The token of the client's session; `None` if it has no session.
     pub session_token: Option<&'a str>,
-    /// The origin of the client's writes, if they are recorded.
+    /// The origin of the client's writes; `None` if they are not recorded.
     pub origin: Option<&'a str>,
 }
 
@@ -89,9 +89,9 @@
 /// AuthenticationOk, ParameterStatus, BackendKeyData and ReadyForQuery.
 pub fn greeting(out: &mut Vec<u8>, greeting: &Greeting) {
     if greeting.minor_version > 0 {
-        message(out, b'v', |out| out.extend_from_slice(&[0; 8]));
+        append_message(out, b'v', |out| out.extend_from_slice(&[0; 8]));
     }
-    message(out, b'R', |out| out.extend_from_slice(&[0; 4]));
+    append_message(out, b'R', |out| out.extend_from_slice(&[0; 4]));
     for (name, value) in GREETING_PARAMETERS {
         parameter_status(out, name, value);
     }
@@ -101,19 +101,19 @@
     if let Some(origin) = greeting.origin {
         parameter_status(out, ORIGIN_PARAMETER, origin);
     }
-    message(out, b'K', |out| {
+    append_message(out, b'K', |out| {
         out.extend_from_slice(&greeting.connection.to_be_bytes());
         out.extend_from_slice(&CANCEL_KEY);
     });
     ready_for_query(out);
 }
 
-/// The startup message to an endpoint.
+/// Encodes the startup message to an endpoint.
 pub fn startup_message() -> Vec<u8> {
-    let mut out = NO_LENGTH.to_vec();
+    let mut out = LENGTH_PLACEHOLDER.to_vec();
     out.extend_from_slice(&VERSION_3.to_be_bytes());
     for parameter in ENDPOINT_PARAMETERS {
-        text(&mut out, parameter);
+        append_string(&mut out, parameter);
     }
     let length = out.len() as u32;
     out[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
@@ -122,12 +122,12 @@
 
 /// Appends a result of one row with one column of text: RowDescription, DataRow and CommandComplete.
 pub fn text_row(out: &mut Vec<u8>, column: &str, value: &str) {
-    message(out, b'T', |out| {
+    append_message(out, b'T', |out| {
         out.extend_from_slice(&[0, 1]);
-        text(out, column);
-        out.extend_from_slice(&TEXT_COLUMN);
+        append_string(out, column);
+        out.extend_from_slice(&TEXT_COLUMN_NUMBERS);
     });
-    message(out, b'D', |out| {
+    append_message(out, b'D', |out| {
         out.extend_from_slice(&[0, 1]);
         out.extend_from_slice(&(value.len() as u32).to_be_bytes());
         out.extend_from_slice(value.as_bytes());
@@ -135,22 +135,23 @@
     command_complete(out, "SHOW");
 }
 
-/// Appends a Query.
+/// Appends a Query with a statement.
 pub fn query(out: &mut Vec<u8>, statement: &str) {
-    message(out, b'Q', |out| text(out, statement));
+    append_message(out, b'Q', |out| append_string(out, statement));
 }
 
-/// Appends an EmptyQueryResponse.
+/// Appends an EmptyQueryResponse, the response to an empty statement.
 pub fn empty_query_response(out: &mut Vec<u8>) {
-    message(out, b'I', |_| ());
+    append_message(out, b'I', |_| ());
 }
 
-/// Appends a CommandComplete.
+/// Appends a CommandComplete with a command tag such as `SHOW`.
 pub fn command_complete(out: &mut Vec<u8>, tag: &str) {
-    message(out, b'C', |out| text(out, tag));
+    append_message(out, b'C', |out| append_string(out, tag));
 }
 
-/// Appends an ErrorResponse; `detail` becomes its field D.
+/// Appends an ErrorResponse with one of the router's own SQLSTATEs. `detail` becomes the field `D`, which carries the
+/// Retry-After of rejections.
 pub fn error_response(
     out: &mut Vec<u8>,
     severity: Severity,
@@ -161,7 +162,7 @@
     error_response_with_code(out, severity, code.as_str(), reason, detail);
 }
 
-/// Appends an ErrorResponse with any code, as an endpoint may send it.
+/// Appends an ErrorResponse with any SQLSTATE, such as those of endpoints.
 pub fn error_response_with_code(
     out: &mut Vec<u8>,
     severity: Severity,
@@ -170,14 +171,14 @@
     detail: Option<&str>,
 ) {
     let severity = severity.as_str();
-    message(out, b'E', |out| {
+    append_message(out, b'E', |out| {
         for (field, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', reason)] {
             out.push(field);
-            text(out, value);
+            append_string(out, value);
         }
         if let Some(detail) = detail {
             out.push(b'D');
-            text(out, detail);
+            append_string(out, detail);
         }
         out.push(0);
     });
--- a/server/src/protocol/frontend_codec.rs
+++ b/server/src/protocol/frontend_codec.rs
@@ -1,59 +1,62 @@
-//! An incremental decoder of a client's messages. It does no I/O, and accepts the bytes in pieces of any size.
+//! An incremental decoder of a client's messages, without I/O. It accepts the bytes in pieces of any size.
 
-use crate::protocol::decode::{startup_parameters, StartupParameters};
+use crate::protocol::decode::{parse_startup_parameters, StartupParameters};
 use crate::protocol::framing::{
-    parse_frame, parse_startup_packet, FrameError, StartupKind, HEADER_BYTES, LENGTH_BYTES, MAX_QUERY_BYTES,
-    STARTUP_HEADER_BYTES,
+    parse_frame, parse_startup_packet, FrameError, StartupKind, HEADER_BYTES, LENGTH_BYTES,
+    MALFORMED_MESSAGE, MAX_QUERY_BYTES, MESSAGE_TOO_LONG, STARTUP_HEADER_BYTES,
 };
 use crate::protocol::sqlstate::{ClientError, SqlState};
 
-/// A buffer of up to this size is kept between the queries of a busy client; a larger one is shrunk to it.
+/// The buffer is shrunk to this size after it was larger, so that a busy client keeps a small buffer between its
+/// queries.
 const RETAINED_BUFFER_BYTES: usize = 1 << 12;
+/// The error message for a StartupMessage of a major version other than 3.
+const UNSUPPORTED_VERSION: &str = "only version 3 of the protocol is spoken";
 
-/// A message of a client.
+/// A message from a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FrontendMessage {
     /// SSLRequest or GSSENCRequest.
     EncryptionRequest,
     /// StartupMessage.
     Startup {
-        /// The minor version of the protocol.
+        /// The minor version of the protocol that the client requests.
         minor_version: u16,
-        /// The parameters of the session.
+        /// The parameters that the router uses.
         parameters: StartupParameters,
     },
     /// CancelRequest.
     CancelRequest,
-    /// The body of a simple Query.
+    /// Query of the simple query protocol, with its body.
     Query(Vec<u8>),
-    /// Sync.
+    /// Sync, which ends a sequence of messages of the extended query protocol.
     Sync,
-    /// A message of the extended protocol, or a function call.
+    /// A message of the extended query protocol, or a function call.
     Unsupported {
-        /// The message is a function call, which is not followed by a Sync.
+        /// Whether the message is a function call. It gets its own ReadyForQuery, because no Sync follows it.
         is_function_call: bool,
     },
     /// Terminate.
     Terminate,
-    /// An invalid message, after which no others are decoded.
+    /// An invalid message, with the error for the client. No further messages are decoded.
     Invalid(ClientError),
 }
 
-/// The phase of the connection.
+/// How the next bytes are decoded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Phase {
-    /// Before the StartupMessage.
+    /// As a startup packet: the StartupMessage has not arrived.
     #[default]
     Startup,
-    /// In a session.
+    /// As a message of the session.
     Ready,
-    /// After a message of the extended protocol: all messages before the next Sync are skipped.
+    /// As a message to skip, until the next Sync, because a message of the extended query protocol was rejected.
     SkippingToSync,
-    /// After Terminate, CancelRequest or an invalid message: further bytes are discarded.
+    /// Not at all: after Terminate, CancelRequest or an invalid message, further bytes are discarded.
     Closed,
 }
 
-/// The decoder of one client's messages, with the bytes that were not decoded yet.
+/// The decoder of one client's messages, with the bytes that have not yet been decoded.
 #[derive(Default)]
 pub struct FrontendCodec {
     bytes: Vec<u8>,
@@ -63,21 +66,21 @@
 }
 
 impl FrontendCodec {
-    /// Adds bytes that were read.
+    /// Appends bytes that were read from the client.
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.phase != Phase::Closed {
             self.bytes.extend_from_slice(bytes);
         }
     }
 
-    /// Decodes the next message; `None` if it is incomplete.
+    /// Decodes the next message; `None` if it has not arrived completely.
     pub fn next_message(&mut self) -> Option<FrontendMessage> {
         let message = match self.phase {
             Phase::Closed => Ok(None),
             Phase::Startup => self.next_startup_message(),
             Phase::Ready | Phase::SkippingToSync => self.next_tagged_message(),
         };
-        let message = message.unwrap_or_else(|error| Some(FrontendMessage::Invalid(invalid(error))));
+        let message = message.unwrap_or_else(|error| Some(FrontendMessage::Invalid(client_error(error))));
         match &message {
             Some(
                 FrontendMessage::CancelRequest | FrontendMessage::Terminate | FrontendMessage::Invalid(_),
@@ -91,7 +94,7 @@
         message
     }
 
-    /// Removes the decoded bytes, and shrinks a large buffer.
+    /// Removes the decoded bytes, and shrinks a large buffer to [`RETAINED_BUFFER_BYTES`].
     fn compact(&mut self) {
         self.bytes.drain(..self.at);
         self.at = 0;
@@ -110,18 +113,18 @@
             StartupKind::Encryption => FrontendMessage::EncryptionRequest,
             StartupKind::Cancel => FrontendMessage::CancelRequest,
             StartupKind::UnsupportedVersion => {
-                let message = "only version 3 of the protocol is spoken";
-                FrontendMessage::Invalid(ClientError::new(SqlState::FEATURE_NOT_SUPPORTED, message))
+                let code = SqlState::FEATURE_NOT_SUPPORTED;
+                FrontendMessage::Invalid(ClientError::new(code, UNSUPPORTED_VERSION))
             }
             StartupKind::Session { minor_version } => {
                 self.phase = Phase::Ready;
-                let parameters = startup_parameters(&self.bytes[body]);
+                let parameters = parse_startup_parameters(&self.bytes[body]);
                 FrontendMessage::Startup { minor_version, parameters }
             }
         }))
     }
 
-    /// Decodes the next message of a session that is not skipped.
+    /// Decodes the next message of a session, without those that are to be skipped.
     ///
     /// # Errors
     /// The message's length or tag is invalid, or it is too long.
@@ -150,10 +153,10 @@
         Ok(None)
     }
 
-    /// The least number of bytes that are missing of a partial message; 0 if there is none.
+    /// The minimum number of bytes by which a partial message is incomplete; 0 if there is no partial message.
     pub fn missing_bytes(&self) -> usize {
         let rest = &self.bytes[self.at..];
-        // Up to the end of the length field; startup packets have no tag.
+        // The tag and the length; startup packets have no tag.
         let header_bytes = if self.phase == Phase::Startup { LENGTH_BYTES } else { HEADER_BYTES };
         if rest.is_empty() || self.phase == Phase::Closed {
             return 0;
@@ -172,12 +175,12 @@
         self.bytes.len() == self.at
     }
 
-    /// The memory of the buffer in bytes.
+    /// The allocated size of the buffer in bytes.
     pub fn buffer_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 
-    /// Frees the buffer if it has no undecoded bytes.
+    /// Frees the memory of the buffer if it has no undecoded bytes.
     pub fn free_buffer(&mut self) {
         if self.is_empty() {
             self.bytes = Vec::new();
@@ -186,10 +189,10 @@
     }
 }
 
-/// The error that a client is sent for an invalid message.
-fn invalid(error: FrameError) -> ClientError {
+/// The error for the client whose message cannot be parsed.
+fn client_error(error: FrameError) -> ClientError {
     match error {
-        FrameError::TooLong => ClientError::new(SqlState::PROGRAM_LIMIT_EXCEEDED, "message too long"),
-        FrameError::Malformed => ClientError::new(SqlState::PROTOCOL_VIOLATION, "malformed message"),
+        FrameError::TooLong => ClientError::new(SqlState::PROGRAM_LIMIT_EXCEEDED, MESSAGE_TOO_LONG),
+        FrameError::Malformed => ClientError::new(SqlState::PROTOCOL_VIOLATION, MALFORMED_MESSAGE),
     }
 }
--- a/server/src/protocol/mod.rs
+++ b/server/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL frontend/backend protocol, version 3: encoding and decoding of messages in memory, without I/O.
+//! The PostgreSQL frontend/backend protocol, version 3: encodes and decodes messages in memory, without I/O.
 
 pub mod decode;
 pub mod encode;
--- a/server/src/protocol/statement.rs
+++ b/server/src/protocol/statement.rs
@@ -1,21 +1,50 @@
-//! Parsing of clients' statements. Only this module knows the names of the operators' page: `id`, `c`, `d`,
-//! `cluster`, `after` and `r`.
+//! The parser of clients' statements. Only this module uses the names of the keys in their comments: `id`, `c`, `d`,
+//! `cluster`, `after` and `r` of a request, `fate` and `at` of a fate query.
 
 use crate::protocol::sqlstate::{ClientError, SqlState};
 use std::ops::Range;
 
-/// The longest id in bytes; ids are kept in memory while their requests are open.
+/// The maximum length of an id; ids are kept in memory while their requests are open.
 const MAX_ID_BYTES: usize = 64;
-/// The group of a comment without `cluster`, which is rejected as unknown.
+/// The group of a comment without `cluster`; it does not exist, so the request is rejected.
 const NO_GROUP: i64 = -1;
-/// The commands that are acknowledged without effect.
+/// The commands that are acknowledged but not executed.
 const COMMANDS_WITHOUT_EFFECT: [&str; 3] = ["SET", "RESET", "DISCARD"];
-/// The statement that queries the fate of a write.
+/// The statement of a fate query, after its comment.
 const FATE_STATEMENT: &str = "SHOW gingerwick.fate";
-/// The error message for an invalid fate query.
+
+/// The error message for a fate query whose comment is missing or invalid.
 const FATE_SYNTAX: &str = "a fate is asked for by /* fate=ID,at=ORIGIN */ SHOW gingerwick.fate";
+/// The error message for a Query whose string lacks its terminating zero byte.
+const MISSING_TERMINATOR: &str = "query without its closing zero";
+/// The error message for a Query that contains a zero byte before its last one.
+const EMBEDDED_ZERO: &str = "zero byte inside a query";
+/// The error message for a Query that is not valid UTF-8.
+const NOT_UTF8: &str = "query is not UTF-8";
+/// The error message for a statement that does not begin with a comment.
+const NO_COMMENT: &str = "no comment at the head of the statement";
+/// The error message for a comment that is not terminated.
+const UNTERMINATED_COMMENT: &str = "comment without an end";
+/// The error message for a comment whose parts are not all pairs of a key and a value.
+const NOT_A_PAIR: &str = "comment holds more than names and values";
+/// The error message for a comment with a repeated key.
+const REPEATED_KEY: &str = "comment holds a name twice";
+/// The error message for a `cluster` that is not a decimal number.
+const INVALID_CLUSTER: &str = "cluster is no number";
+/// The error message for a `d` (timeout) that is not a decimal number.
+const INVALID_TIMEOUT: &str = "d is no number";
+/// The error message for an `after` (position of the last write) that is not a decimal number.
+const INVALID_AFTER: &str = "after is no number";
+/// The error message for an `r` (retry flag) other than 0 and 1.
+const INVALID_RETRY_FLAG: &str = "r is neither 0 nor 1";
+/// The error message for an `id` that is missing, too long, or not printable ASCII.
+const INVALID_ID: &str = "comment without a fit id";
+/// The error message for a missing `c` (method).
+const MISSING_METHOD: &str = "comment without c";
+/// The error message for a `d` (timeout) that is missing or zero.
+const MISSING_TIMEOUT: &str = "comment without a d above 0";
 
-/// The contents of the comment at the head of a statement.
+/// The contents of the comment at the head of a request's statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHeader<'a> {
     /// `id`: the request's id, unique among the open requests of all clients.
@@ -28,37 +57,38 @@
     pub timeout_ms: i64,
     /// The range of the digits of `d` in the statement.
     pub timeout_digits: Range<usize>,
-    /// `after`: the position of the session's last write, in Unix milliseconds.
+    /// `after`: the position of the session's last write, in Unix milliseconds; `None` without one.
     pub after_ms: Option<i64>,
     /// `r`: the request is a retry by the client.
     pub is_retry: bool,
-    /// The first quoted string after the comment.
+    /// The first string in single quotes after the comment.
     pub key: Option<&'a str>,
 }
 
-/// A client's statement.
+/// A client's statement, parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement<'a> {
-    /// An empty statement.
+    /// A statement without any text but spaces and semicolons.
     Empty,
-    /// A command without effect, answered by this command tag.
+    /// A command without effect. The response has this command tag.
     NoEffect(&'static str),
     /// A request to be routed.
     Request(RequestHeader<'a>),
-    /// A query for the fate of a write.
+    /// A fate query: asks what became of a write.
     QueryFate {
         /// The write's id.
         id: &'a str,
-        /// The origin of the write: the journal in which it was recorded.
+        /// The origin of the write, which identifies the journal that recorded it; `None` if the query names no
+        /// origin.
         origin: Option<&'a str>,
     },
-    /// An invalid statement.
+    /// A statement that is rejected with this error.
     Invalid(ClientError),
 }
 
 /// Parses the body of a Query message without copying it.
 pub fn parse(body: &[u8]) -> Statement<'_> {
-    let text = match text(body) {
+    let text = match query_text(body) {
         Ok(text) => text,
         Err(error) => return Statement::Invalid(error),
     };
@@ -83,24 +113,24 @@
     }
 }
 
-/// The text of a Query message's body.
+/// The statement in the body of a Query message.
 ///
 /// # Errors
-/// The text is not UTF-8, or does not have exactly one zero byte, at its end.
-fn text(body: &[u8]) -> Result<&str, ClientError> {
+/// The body is not UTF-8, does not end with a zero byte, or contains another one.
+fn query_text(body: &[u8]) -> Result<&str, ClientError> {
     let violation = |message| ClientError::new(SqlState::PROTOCOL_VIOLATION, message);
     let Some((&0, bytes)) = body.split_last() else {
-        return Err(violation("query without its closing zero"));
+        return Err(violation(MISSING_TERMINATOR));
     };
-    let not_utf8 = ClientError::new(SqlState::CHARACTER_NOT_IN_REPERTOIRE, "query is not UTF-8");
+    let not_utf8 = ClientError::new(SqlState::CHARACTER_NOT_IN_REPERTOIRE, NOT_UTF8);
     let text = std::str::from_utf8(bytes).map_err(|_| not_utf8)?;
     if text.contains('\0') {
-        return Err(violation("zero byte inside a query"));
+        return Err(violation(EMBEDDED_ZERO));
     }
     Ok(text)
 }
 
-/// Parses the id and the origin in the comment of a fate query.
+/// Parses the id and the origin in the comment of a fate query; `None` if the comment is missing or invalid.
 fn fate_comment(comment: &str) -> Option<(&str, Option<&str>)> {
     let inner = comment.trim().strip_prefix("/*")?.strip_suffix("*/")?;
     let (mut id, mut origin) = (None, None);
@@ -115,44 +145,43 @@
             return None;
         }
     }
-    Some((id.filter(|id| is_id(id))?, origin))
+    Some((id.filter(|id| is_valid_id(id))?, origin))
 }
 
-/// Whether an id has a valid length and only printable ASCII characters.
-fn is_id(id: &str) -> bool {
+/// Whether an id has a valid length and only printable ASCII characters, without spaces.
+fn is_valid_id(id: &str) -> bool {
     (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
 /// The range of the comment at the head of a statement, without its delimiters.
 ///
 /// # Errors
-/// The message for the client, if there is no such comment.
+/// The message for the client: there is no comment, or it is not terminated.
 fn header_comment(text: &str) -> Result<Range<usize>, &'static str> {
-    const NO_COMMENT: &str = "no comment at the head of the statement";
     const COMMENT_START: &str = "/*";
     let open = text.find(COMMENT_START).ok_or(NO_COMMENT)?;
     if !text[..open].trim().is_empty() {
         return Err(NO_COMMENT);
     }
     let start = open + COMMENT_START.len();
-    let length = text[start..].find("*/").ok_or("comment without an end")?;
+    let length = text[start..].find("*/").ok_or(UNTERMINATED_COMMENT)?;
     Ok(start..start + length)
 }
 
 /// Parses the comment at the head of a request.
 ///
 /// # Errors
-/// The message for the client, if the comment is missing or invalid.
+/// The message for the client: the comment is missing or invalid.
 fn request_header(text: &str) -> Result<RequestHeader<'_>, &'static str> {
     let comment = header_comment(text)?;
     let mut header = RequestHeader { group: NO_GROUP, ..RequestHeader::default() };
     let mut seen = Vec::new();
     let mut at = comment.start;
     for pair in text[comment.clone()].split(',') {
-        let (name, value) = pair.split_once('=').ok_or("comment holds more than names and values")?;
+        let (name, value) = pair.split_once('=').ok_or(NOT_A_PAIR)?;
         let name = name.trim();
         if seen.contains(&name) {
-            return Err("comment holds a name twice");
+            return Err(REPEATED_KEY);
         }
         seen.push(name);
         let value_at = at + pair.len() - value.len();
@@ -165,40 +194,46 @@
 }
 
 impl<'a> RequestHeader<'a> {
-    /// Sets the field of a name; unknown names are ignored. `value_at` is the offset of the value in the statement.
+    /// Sets the field of the key `name`; unknown keys are ignored. `value_at` is the value's offset in the statement.
+    ///
+    /// # Errors
+    /// The message for the client: the value is invalid.
     fn set(&mut self, name: &str, value: &'a str, value_at: usize) -> Result<(), &'static str> {
         match name {
             "id" => self.id = value,
             "c" => self.method = value,
-            "cluster" => self.group = number(value).ok_or("cluster is no number")?,
+            "cluster" => self.group = parse_number(value).ok_or(INVALID_CLUSTER)?,
             "d" => {
-                self.timeout_ms = number(value).ok_or("d is no number")?;
+                self.timeout_ms = parse_number(value).ok_or(INVALID_TIMEOUT)?;
                 self.timeout_digits = value_at..value_at + value.len();
             }
-            "after" => self.after_ms = Some(number(value).ok_or("after is no number")?),
-            "r" if value != "0" && value != "1" => return Err("r is neither 0 nor 1"),
+            "after" => self.after_ms = Some(parse_number(value).ok_or(INVALID_AFTER)?),
+            "r" if value != "0" && value != "1" => return Err(INVALID_RETRY_FLAG),
             "r" => self.is_retry = value == "1",
             _ => {}
         }
         Ok(())
     }
 
-    /// Checks that the required fields are present and valid.
+    /// Checks that the required keys are present and valid.
+    ///
+    /// # Errors
+    /// The message for the client: the first key that is not.
     fn check(&self) -> Result<(), &'static str> {
-        if !is_id(self.id) {
-            return Err("comment without a fit id");
+        if !is_valid_id(self.id) {
+            return Err(INVALID_ID);
         }
         if self.method.is_empty() {
-            return Err("comment without c");
+            return Err(MISSING_METHOD);
         }
         if self.timeout_digits.is_empty() || self.timeout_ms <= 0 {
-            return Err("comment without a d above 0");
+            return Err(MISSING_TIMEOUT);
         }
         Ok(())
     }
 }
 
-/// Parses a number in decimal digits without a sign; `None` if it is out of range.
-fn number(text: &str) -> Option<i64> {
+/// Parses a number of decimal digits without a sign; `None` if it is not one, or out of range.
+fn parse_number(text: &str) -> Option<i64> {
     text.parse().ok().filter(|_| text.bytes().all(|byte| byte.is_ascii_digit()))
 }
