--- a/server/src/cli/arguments.rs
+++ b/server/src/cli/arguments.rs
@@ -12,10 +12,12 @@
 /// (endpoints) that store the queried data. Without a command, it runs the server. The server reads the path of its
 /// bootstrap file (JSON) from the environment variable ROUTER_CONFIG.
 #[derive(Parser)]
-#[command(name = "query-router", version, about)]
+#[command(name = "query-router", version)]
 pub struct Arguments {
-    /// The operators' file, which configures the log and optional features: endpoint cache, write journal, session
-    /// tokens, admission control and admin socket. Without this file, these features are off
+    /// The operators' file, with the settings of the log and of optional features
+    ///
+    /// The optional features are the endpoint cache, the write journal, session tokens, admission control and the
+    /// admin socket. Without this file, they are off.
     #[arg(long, value_name = "FILE", env = "GINGERWICK_CONF", global = true)]
     pub conf: Option<PathBuf>,
     /// `None` runs the server, as [`Command::Serve`] does.
@@ -26,9 +28,14 @@
 /// The commands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Run the server until SIGTERM or SIGINT; this is the default. SIGHUP reloads the configuration
+    /// Run the server; this is the default command
+    ///
+    /// SIGTERM and SIGINT shut the server down gracefully. SIGHUP reloads the configuration files.
     Serve,
-    /// Report all errors in the bootstrap file and the operators' file, without starting the server
+    /// Report all errors in the configuration files, without starting the server
+    ///
+    /// The files are the bootstrap file, the operators' file, and the file of session keys if the latter names one. The
+    /// exit status is 78 if there are errors.
     Check,
     /// Same as `cache`, with the output in the terms of earlier releases
     List {
@@ -61,8 +68,9 @@
 /// An operation on a cached endpoint list.
 #[derive(Subcommand)]
 pub enum CachedListCommand {
-    /// Print the list's version and age, its endpoints, and how a server that starts from the list now would verify
-    /// them
+    /// Print the list: its version, its age and its endpoints
+    ///
+    /// Also prints how a server that starts from the list now would verify the endpoints before it uses them.
     Show {
         /// The state directory of the server (state-dir in the operators' file), or one list file in it
         path: PathBuf,
@@ -70,7 +78,9 @@
         #[arg(long)]
         json: bool,
     },
-    /// Check that each list file is complete. The exit status is 65 if a file is damaged or there is no list
+    /// Check that each list file is complete
+    ///
+    /// The exit status is 65 if a file is damaged or there is no list.
     Verify {
         /// The state directory of the server (state-dir in the operators' file), or one list file in it
         path: PathBuf,
--- a/server/src/startup/reload.rs
+++ b/server/src/startup/reload.rs
@@ -78,7 +78,7 @@
         match read_keys(path) {
             Ok(keys) => tokens.set_keys(keys),
             Err(error) => {
-                log!(WARN, reason = error; "reload: session-keys file cannot be used, keys unchanged")
+                log!(WARN, reason = error; "reload: session-keys file cannot be used, keys unchanged");
             }
         }
     }
