--- a/server/src/admin/metric_names.rs
+++ b/server/src/admin/metric_names.rs
@@ -74,7 +74,7 @@
 }
 
 fn rejection_names() -> LabelNames {
-    let values = RejectionReason::ALL.iter().map(|it| Term::new(it.label(), it.standard_label()));
+    let values = RejectionReason::ALL.iter().map(|reason| Term::new(reason.label(), reason.standard_label()));
     LabelNames { key: REASON, values: values.collect() }
 }
 
@@ -87,7 +87,8 @@
 pub(super) fn with_standard_names(page: &str, names: &[MetricNames]) -> String {
     let mut text = page.to_string();
     for family in page.split_terminator(FAMILY_SEPARATOR) {
-        let metric = family_name(family).and_then(|name| names.iter().find(|it| it.name.earlier == name));
+        let metric =
+            family_name(family).and_then(|name| names.iter().find(|metric| metric.name.earlier == name));
         if let Some(metric) = metric {
             text += &metric.standard_family(family);
         }
--- a/server/src/admin/socket.rs
+++ b/server/src/admin/socket.rs
@@ -154,8 +154,8 @@
         [METRICS_PAGE] => view.metrics_page(recorder),
         ["GET", "/metrics", ..] => http_response(&view.metrics_page(recorder)),
         ["GET", ..] => HTTP_NOT_FOUND.into(),
-        [name] => page(name, view),
-        _ => unknown_page(&parts.join(" ")),
+        [name] => render_page(name, view),
+        _ => unknown_page_error(&parts.join(" ")),
     }
 }
 
@@ -167,13 +167,13 @@
     )
 }
 
-fn page(name: &str, view: &AdminView) -> String {
+fn render_page(name: &str, view: &AdminView) -> String {
     match find_page(name) {
         Some((page, vocabulary)) => {
             let text = (page.render)(view, vocabulary);
             text.unwrap_or_else(|error| format!("{ERROR_PREFIX}{error}\n"))
         }
-        None => unknown_page(name),
+        None => unknown_page_error(name),
     }
 }
 
@@ -184,7 +184,7 @@
     found(Vocabulary::Earlier).or_else(|| found(Vocabulary::Standard))
 }
 
-fn unknown_page(name: &str) -> String {
+fn unknown_page_error(name: &str) -> String {
     let earlier = PAGES.iter().map(|page| page.name.earlier);
     let standard = PAGES.iter().map(|page| page.name.standard);
     let known = earlier.chain(standard).collect::<Vec<&str>>().join(", ");
--- a/server/src/clients/acceptor.rs
+++ b/server/src/clients/acceptor.rs
@@ -71,7 +71,7 @@
             let stopping = self.stopping.load(Ordering::Acquire);
             match self.listener.inner().accept() {
                 Ok((stream, address)) => {
-                    let stream = register(stream)?;
+                    let stream = register_with_runtime(stream)?;
                     return Ok(Some(AcceptedConnection { stream, client_address: address.ip() }));
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock && stopping => return Ok(None),
@@ -95,7 +95,7 @@
 }
 
 /// Registers an accepted connection with the coroutine runtime.
-fn register(stream: std::net::TcpStream) -> Result<TcpStream> {
+fn register_with_runtime(stream: std::net::TcpStream) -> Result<TcpStream> {
     let descriptor = stream.into_raw_fd();
     // SAFETY: `into_raw_fd` has transferred ownership of the descriptor, so nothing else closes it.
     let registered = catch_unwind(AssertUnwindSafe(|| unsafe { TcpStream::from_raw_fd(descriptor) }));
@@ -120,14 +120,14 @@
             }
             Err(error) => {
                 log!(WARN, reason = error; "connection not accepted");
-                recover(queue, backoff.failed(classify_accept_error(&error)));
+                back_off(queue, backoff.failed(classify_accept_error(&error)));
             }
         }
     }
 }
 
 /// Performs the step that the backoff has chosen after a failed accept(2).
-fn recover(queue: &mut impl AcceptQueue, step: AcceptStep) {
+fn back_off(queue: &mut impl AcceptQueue, step: AcceptStep) {
     match step {
         AcceptStep::RetryNow => {}
         AcceptStep::Wait(wait) => queue.pause(wait),
--- a/server/src/clients/requests.rs
+++ b/server/src/clients/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::connection::ClientConnection;
 use crate::clients::response_encoding::{encode_rejection, encode_response};
-use crate::clients::session_tokens::rejection_code;
+use crate::clients::session_tokens::rejection_sqlstate;
 use crate::messages::control::{ControlMessage, FateQuery, IncomingRequest};
 use crate::messages::request::{ClientRequest, RequestText};
 use crate::messages::response::{Response, ResponseTicket};
@@ -82,7 +82,7 @@
             Ok(token) => token,
             Err(error) => {
                 let reason = format!("{TOKEN_REJECTED}: {error}");
-                return self.fail(rejection_code(error), &reason);
+                return self.fail(rejection_sqlstate(error), &reason);
             }
         };
         let wants_session = parameters.session.is_some();
--- a/server/src/clients/session_tokens.rs
+++ b/server/src/clients/session_tokens.rs
@@ -26,7 +26,7 @@
 }
 
 /// The SQLSTATE of the error for a token that was not accepted.
-pub fn rejection_code(error: TokenError) -> SqlState {
+pub fn rejection_sqlstate(error: TokenError) -> SqlState {
     match error {
         TokenError::Expired => SqlState::TOKEN_EXPIRED,
         _ => SqlState::TOKEN_REJECTED,
--- a/server/src/protocol/statement.rs
+++ b/server/src/protocol/statement.rs
@@ -102,12 +102,12 @@
         return Statement::NoEffect(command);
     }
     if let Some(comment) = trimmed.strip_suffix(FATE_STATEMENT) {
-        return match fate_comment(comment) {
+        return match parse_fate_comment(comment) {
             Some((id, origin)) => Statement::QueryFate { id, origin },
             None => Statement::Invalid(ClientError::new(SqlState::SYNTAX_ERROR, FATE_SYNTAX)),
         };
     }
-    match request_header(text) {
+    match parse_request_header(text) {
         Ok(header) => Statement::Request(header),
         Err(message) => Statement::Invalid(ClientError::new(SqlState::SYNTAX_ERROR, message)),
     }
@@ -131,7 +131,7 @@
 }
 
 /// Parses the id and the origin in the comment of a fate query; `None` if the comment is missing or invalid.
-fn fate_comment(comment: &str) -> Option<(&str, Option<&str>)> {
+fn parse_fate_comment(comment: &str) -> Option<(&str, Option<&str>)> {
     let inner = comment.trim().strip_prefix("/*")?.strip_suffix("*/")?;
     let (mut id, mut origin) = (None, None);
     for pair in inner.split(',') {
@@ -172,7 +172,7 @@
 ///
 /// # Errors
 /// The message for the client: the comment is missing or invalid.
-fn request_header(text: &str) -> Result<RequestHeader<'_>, &'static str> {
+fn parse_request_header(text: &str) -> Result<RequestHeader<'_>, &'static str> {
     let comment = header_comment(text)?;
     let mut header = RequestHeader { group: NO_GROUP, ..RequestHeader::default() };
     let mut seen = Vec::new();
@@ -185,11 +185,11 @@
         }
         seen.push(name);
         let value_at = at + pair.len() - value.len();
-        header.set(name, value.trim_end(), value_at)?;
+        header.set_field(name, value.trim_end(), value_at)?;
         at += pair.len() + 1;
     }
     header.key = text[comment.end..].split('\'').nth(1);
-    header.check()?;
+    header.check_required_keys()?;
     Ok(header)
 }
 
@@ -198,7 +198,7 @@
     ///
     /// # Errors
     /// The message for the client: the value is invalid.
-    fn set(&mut self, name: &str, value: &'a str, value_at: usize) -> Result<(), &'static str> {
+    fn set_field(&mut self, name: &str, value: &'a str, value_at: usize) -> Result<(), &'static str> {
         match name {
             "id" => self.id = value,
             "c" => self.method = value,
@@ -219,7 +219,7 @@
     ///
     /// # Errors
     /// The message for the client: the first key that is not.
-    fn check(&self) -> Result<(), &'static str> {
+    fn check_required_keys(&self) -> Result<(), &'static str> {
         if !is_valid_id(self.id) {
             return Err(INVALID_ID);
         }
--- a/server/src/startup/initial_list.rs
+++ b/server/src/startup/initial_list.rs
@@ -87,9 +87,9 @@
     pub fn initial_list(&mut self, bootstrap: Option<EndpointListUpdate>, clock: Clock) -> InitialList {
         let cached = self.list.take();
         let cached_version = cached.as_ref().map(|list| list.version);
-        let is_later = |list: &EndpointListUpdate| cached_version.is_none_or(|cached| cached < list.version);
-        let later = bootstrap.filter(|list| !list.endpoints.is_empty()).filter(is_later);
-        if let Some(list) = later {
+        let is_newer = |list: &EndpointListUpdate| cached_version.is_none_or(|cached| cached < list.version);
+        let newer = bootstrap.filter(|list| !list.endpoints.is_empty()).filter(is_newer);
+        if let Some(list) = newer {
             return InitialList::ToVerify { list: without_times(&list), times: None };
         }
         let Some(list) = cached else { return InitialList::Unknown };
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -54,12 +54,12 @@
 const FIRST_CONNECTION: u64 = 1;
 
 /// A handle that stops the accept loop.
-struct AcceptStop {
+struct AcceptLoopHandle {
     stopping: Arc<AtomicBool>,
     listener: WaitIoWaker,
 }
 
-impl AcceptStop {
+impl AcceptLoopHandle {
     fn stop(self) {
         self.stopping.store(true, Ordering::Release);
         self.listener.wakeup();
@@ -77,7 +77,7 @@
     timers: Arc<Timers>,
     shutdown: Arc<GracefulShutdown>,
     /// `None` once the shutdown has begun.
-    accept_stop: Option<AcceptStop>,
+    accept_loop: Option<AcceptLoopHandle>,
 }
 
 /// Creates and starts the components of a server.
@@ -110,11 +110,11 @@
 
     /// Begins the graceful shutdown; later calls have no effect.
     pub fn shut_down(&mut self) {
-        let Some(accept_stop) = self.accept_stop.take() else { return };
+        let Some(accept_loop) = self.accept_loop.take() else { return };
         if let Some(cache) = &self.endpoint_cache {
             cache.stop(LAST_SAVE_TIMEOUT);
         }
-        self.shutdown.begin(&self.timers, move || accept_stop.stop());
+        self.shutdown.begin(&self.timers, move || accept_loop.stop());
     }
 }
 
@@ -128,7 +128,7 @@
         let shutdown = GracefulShutdown::new(exit_process);
         let session_tokens = self.session_tokens();
         self.serve_admin_socket(&shutdown)?;
-        let accept_stop = self.accept_connections(listener, &shutdown, session_tokens.clone());
+        let accept_loop = self.accept_connections(listener, &shutdown, session_tokens.clone());
         let bootstrap = &self.configuration.bootstrap;
         log!(INFO, name = bootstrap.name, listen = bootstrap.listen; "serving");
         Ok(Server {
@@ -139,7 +139,7 @@
             control: self.control,
             timers: self.services.timers,
             shutdown,
-            accept_stop: Some(accept_stop),
+            accept_loop: Some(accept_loop),
             configuration: self.configuration,
         })
     }
@@ -261,21 +261,21 @@
         listener: TcpListener,
         shutdown: &Arc<GracefulShutdown>,
         session_tokens: Option<Arc<SessionTokens>>,
-    ) -> AcceptStop {
+    ) -> AcceptLoopHandle {
         let context = Arc::new(self.client_context(shutdown, session_tokens));
-        let accept_stop =
-            AcceptStop { stopping: Arc::new(AtomicBool::new(false)), listener: listener.waker() };
+        let accept_loop =
+            AcceptLoopHandle { stopping: Arc::new(AtomicBool::new(false)), listener: listener.waker() };
         let has_operator_file = self.configuration.has_operator_file();
         let reserve =
             if has_operator_file { ReserveDescriptor::open() } else { ReserveDescriptor::default() };
         let timers = self.services.timers.clone();
-        let mut queue = ListenerQueue { listener, reserve, timers, stopping: accept_stop.stopping.clone() };
+        let mut queue = ListenerQueue { listener, reserve, timers, stopping: accept_loop.stopping.clone() };
         spawn(move || {
             acceptor::run(&mut queue, |accepted| acceptor::spawn_connection(&context, accepted));
             drop(queue);
             context.shutdown.close();
         });
-        accept_stop
+        accept_loop
     }
 
     /// Creates the context that all client connections share.
