--- a/server/src/clients/requests.rs
+++ b/server/src/clients/requests.rs
@@ -26,7 +26,7 @@
 /// The error message for the extended query protocol and function calls, which are not supported.
 const ONLY_SIMPLE_QUERIES: &str = "only simple queries are taken";
 /// The start of the error message for a rejected session token; the reason follows.
-const TOKEN_REJECTED: &str = "the session's token is not taken";
+const TOKEN_REJECTED_PREFIX: &str = "the session's token is not taken: ";
 
 impl ClientConnection {
     /// Handles all complete messages that were read, as far as the limits allow.
@@ -81,7 +81,7 @@
         let token = match self.open_session(parameters) {
             Ok(token) => token,
             Err(error) => {
-                let reason = format!("{TOKEN_REJECTED}: {error}");
+                let reason = format!("{TOKEN_REJECTED_PREFIX}{error}");
                 return self.fail(rejection_sqlstate(error), &reason);
             }
         };
--- a/server/src/protocol/framing.rs
+++ b/server/src/protocol/framing.rs
@@ -108,7 +108,7 @@
 /// Parses the header of the startup packet at the beginning of `bytes`; `None` if the packet is incomplete.
 ///
 /// # Errors
-/// The length is below its minimum, or greater than [`MAX_STARTUP_BYTES`].
+/// The length is below its minimum, or greater than `MAX_STARTUP_BYTES`.
 pub fn parse_startup_packet(bytes: &[u8]) -> Result<Option<StartupPacket>, FrameError> {
     let (Some(length), Some(kind)) = (read_u32(bytes), bytes.get(LENGTH_BYTES..).and_then(read_u32)) else {
         return Ok(None);
--- a/server/src/runtime/log.rs
+++ b/server/src/runtime/log.rs
@@ -219,7 +219,7 @@
     };
 }
 
-/// Waits until all queued lines have been written, but at most [`FLUSH_TIMEOUT`]. Called before the process exits.
+/// Waits until all queued lines have been written, but at most `FLUSH_TIMEOUT`. Called before the process exits.
 pub fn flush() {
     let Some(queue) = QUEUE.get() else { return };
     let (done, written) = sync_channel(0);
