--- a/server/src/clients/connection.rs
+++ b/server/src/clients/connection.rs
@@ -300,7 +300,7 @@
     fn collect_responses(&mut self) {
         let now = self.context.timers.now();
         let tokens = self.context.session_tokens.clone();
-        for RequestResponse { request, response } in self.channel.take() {
+        for RequestResponse { request, response } in self.channel.take_responses() {
             let session = self.session.as_mut();
             // Responses may arrive in another order than that of the queries, and each token is issued on arrival. So
             // a token may also cover responses that the client reads later, but always covers the one that carries
--- a/server/src/clients/session_tokens.rs
+++ b/server/src/clients/session_tokens.rs
@@ -1,7 +1,7 @@
 //! Client sessions, whose state clients carry as authenticated tokens: opening and issuing tokens, and this
 //! instance's cache of session positions.
 
-use crate::messages::response::{Response, SessionEvidence};
+use crate::messages::response::{Response, SessionUpdate};
 use crate::protocol::sqlstate::SqlState;
 use crate::runtime::clock::NANOS_PER_SECOND;
 use routing::rng::Mwc;
@@ -143,7 +143,7 @@
         match response {
             // If the session's position is lost, it is kept until `Response::SessionLost` has told the client.
             Response::Value {
-                evidence: SessionEvidence { position: Some(position), session_lost: false },
+                session_update: SessionUpdate { position: Some(position), session_lost: false },
                 ..
             } => {
                 session.positions.advance(group, *position);
--- a/server/src/control/response_check.rs
+++ b/server/src/control/response_check.rs
@@ -2,8 +2,8 @@
 //! in the answer take precedence over earlier reports of the endpoint.
 
 use crate::control::active_request::ActiveRequest;
-use crate::messages::control::AttemptReport;
-use crate::messages::response::{Response, SessionEvidence};
+use crate::messages::control::AttemptResult;
+use crate::messages::response::{Response, SessionUpdate};
 use routing::time::{TimeDelta, Timestamp};
 use sessions::epochs::{EpochHistory, PositionStatus};
 use sessions::positions::LogPosition;
@@ -11,32 +11,32 @@
 /// Whether the position that a request's session has seen is lost, by the epochs reported until now.
 pub fn is_session_lost(epochs: &EpochHistory, request: &ActiveRequest) -> bool {
     let status = |seen| epochs.status(request.identity.group, seen);
-    request.session.seen.is_some_and(|seen| status(seen) == PositionStatus::Lost)
+    request.session.seen_position.is_some_and(|seen| status(seen) == PositionStatus::Lost)
 }
 
 /// The response for a value that an endpoint has answered. A read is rejected if its session has seen a position that
 /// this endpoint's log does not contain.
-pub fn checked_response(
+pub fn response_for_value(
     epochs: &EpochHistory,
     request: &ActiveRequest,
-    report: AttemptReport,
+    result: AttemptResult,
     now: Timestamp,
     retry_after: Option<TimeDelta>,
 ) -> Response {
     let session_lost = is_session_lost(epochs, request);
-    let position = report.reports.answer.position;
-    let shows = |seen| epochs.shows(request.identity.group, seen, report.reports.epoch, position);
+    let position = result.metadata.answer_report.position;
+    let shows = |seen| epochs.shows(request.identity.group, seen, result.metadata.epoch, position);
     if request.is_read && session_lost {
         return Response::SessionLost { restart_position: epochs.restart_position(request.identity.group) };
     }
-    if request.is_read && !request.session.seen.is_none_or(shows) {
+    if request.is_read && !request.session.seen_position.is_none_or(shows) {
         return Response::Rejected { retry_after };
     }
     // Without a reported position, the value may reflect everything up to now.
     let position = LogPosition {
-        epoch: report.reports.epoch.map_or(0, |epoch| epoch.number),
+        epoch: result.metadata.epoch.map_or(0, |epoch| epoch.number),
         position: position.unwrap_or(now),
     };
-    let evidence = SessionEvidence { position: Some(position), session_lost };
-    Response::Value { messages: report.value, evidence }
+    let session_update = SessionUpdate { position: Some(position), session_lost };
+    Response::Value { messages: result.value, session_update }
 }
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -4,13 +4,13 @@
 use crate::control::deadlines::Deadlines;
 use crate::control::recovery_options::RecoveryOptions;
 use crate::control::request_queue::RequestQueue;
-use crate::endpoints::dispatcher::AttemptDispatcher;
+use crate::endpoints::dispatcher::EndpointDispatcher;
 use crate::log;
 use crate::messages::control::QueueLimits;
 use crate::messages::endpoint_list::ListedEndpoint;
 use crate::messages::response::Response;
 use crate::messages::snapshot::{
-    EndpointRow, InFlightAt, RequestSnapshot, ServerSnapshot, MAX_CLIENTS, MAX_REQUESTS,
+    AttemptSnapshot, ListedEndpointSnapshot, RequestSnapshot, ServerSnapshot, MAX_CLIENTS, MAX_REQUESTS,
 };
 use crate::runtime::clock::NANOS_PER_MICRO;
 use crate::runtime::metrics::Metrics;
@@ -64,9 +64,9 @@
     /// The counters of the process.
     pub metrics: Arc<Metrics>,
     /// Primary discovery, if the endpoint list is cached.
-    pub discovery: Option<PrimaryDiscovery>,
+    pub primary_discovery: Option<PrimaryDiscovery>,
     /// Actions of primary discovery that were not performed yet.
-    pub discovery_actions: Vec<primary_discovery::Action>,
+    pub primary_discovery_actions: Vec<primary_discovery::Action>,
     /// List entries of endpoints that primary discovery has not admitted, or has withdrawn.
     pub not_admitted: BTreeMap<EndpointIndex, ListedEndpoint>,
 }
@@ -78,7 +78,7 @@
     /// The settings of the routing policy.
     pub settings: &'a RoutingSettings,
     /// Provides the clock, the write journal and the counters.
-    pub dispatcher: &'a AttemptDispatcher,
+    pub dispatcher: &'a EndpointDispatcher,
     /// The options of primary discovery, if the endpoint list is cached.
     pub recovery: Option<&'a RecoveryOptions>,
     /// The limits on requests, if there are any.
@@ -91,7 +91,7 @@
         let RouterSetup { seed, settings, dispatcher, recovery, queue_limits } = setup;
         let mut actions = Vec::new();
         let policy = RoutingPolicy::new(seed, settings, dispatcher.timers().now(), &mut actions);
-        let discovery = recovery.map(|options| {
+        let primary_discovery = recovery.map(|options| {
             PrimaryDiscovery::new(DiscoverySettings {
                 cache_times: options.cache_times,
                 may_query: settings.may_check_health,
@@ -112,8 +112,8 @@
             epochs: EpochHistory::default(),
             journal: dispatcher.journal.clone(),
             metrics: dispatcher.metrics.clone(),
-            discovery,
-            discovery_actions: Vec::new(),
+            primary_discovery,
+            primary_discovery_actions: Vec::new(),
             not_admitted: BTreeMap::new(),
         }
     }
@@ -124,9 +124,9 @@
     }
 
     /// Reports an event to primary discovery.
-    pub fn report_to_discovery(&mut self, now: Timestamp, event: primary_discovery::Event) {
-        if let Some(discovery) = &mut self.discovery {
-            discovery.on_event(now, event, &mut self.discovery_actions);
+    pub fn report_to_primary_discovery(&mut self, now: Timestamp, event: primary_discovery::Event) {
+        if let Some(discovery) = &mut self.primary_discovery {
+            discovery.on_event(now, event, &mut self.primary_discovery_actions);
         }
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Stores an endpoint's address, and returns the endpoint's index and group for primary discovery.
-    pub fn member(&mut self, listed: &ListedEndpoint) -> Member {
+    pub fn register_endpoint(&mut self, listed: &ListedEndpoint) -> Member {
         let endpoint = self.endpoints.intern(listed.name.clone());
         if self.listed.len() <= endpoint {
             self.listed.resize(endpoint + 1, ListedState::default());
@@ -165,7 +165,7 @@
     }
 
     /// The routing policy's view of a list entry.
-    pub fn record(&mut self, listed: &ListedEndpoint, zones: &[String]) -> EndpointRecord {
+    pub fn endpoint_record(&mut self, listed: &ListedEndpoint, zones: &[String]) -> EndpointRecord {
         EndpointRecord {
             endpoint: self.endpoints.intern(listed.name.clone()),
             group: self.groups.intern(listed.group),
@@ -193,18 +193,18 @@
     /// Closes a request that was answered, or whose client has disconnected.
     pub fn close(&mut self, request: RequestId) {
         let removed = self.requests.close(request);
-        self.finish(request, removed);
+        self.release(request, removed);
     }
 
     /// Releases what a request held, once it was removed: its id, its abort time and its slot of the queue's limits.
     /// A recorded request that was certainly not executed is marked so in the journal.
-    pub fn finish(&mut self, request: RequestId, removed: Option<ActiveRequest>) {
+    pub fn release(&mut self, request: RequestId, removed: Option<ActiveRequest>) {
         let Some(active) = removed else { return };
         self.ids.remove(&active.identity.id);
         if let Some(journal) =
             self.journal.as_ref().filter(|_| active.execution.recorded && !active.execution.may_have_run)
         {
-            journal.record_end(&active.identity.id, RecordEvent::NotExecuted);
+            journal.record_outcome(&active.identity.id, RecordEvent::NotExecuted);
         }
         self.deadlines.remove_abort_time(active.response.abort_at, request);
         if self.queue.is_some() {
@@ -213,7 +213,7 @@
     }
 
     /// Writes a debug line for a decision on a request.
-    pub fn trace(&self, request: RequestId, decision: &str, now: Timestamp) {
+    pub fn log_decision(&self, request: RequestId, decision: &str, now: Timestamp) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
@@ -229,7 +229,7 @@
         let mut requests: Vec<RequestSnapshot> = requests.collect();
         requests.sort_by(|a, b| (a.received_at, &a.identity.id).cmp(&(b.received_at, &b.identity.id)));
         requests.truncate(MAX_REQUESTS);
-        let endpoints = (0..self.listed.len()).map(|endpoint| EndpointRow {
+        let endpoints = (0..self.listed.len()).map(|endpoint| ListedEndpointSnapshot {
             name: self.endpoints.id(endpoint).clone(),
             addr: self.addr(endpoint),
             state: self.policy.endpoint_snapshot(now, endpoint),
@@ -246,16 +246,16 @@
 
     /// A snapshot of one request.
     fn request_snapshot(&self, request: RequestId, active: &ActiveRequest) -> RequestSnapshot {
-        let in_flight = active.in_flight().map(|location| InFlightAt {
+        let in_flight = active.in_flight().map(|location| AttemptSnapshot {
             endpoint: self.endpoints.id(location.endpoint).clone(),
-            since: location.since,
+            started_at: location.started_at,
         });
         RequestSnapshot {
             identity: active.identity.clone(),
             received_at: active.response.received_at,
             attempts: active.attempt.as_ref().map_or(0, |attempt| attempt.number + 1),
             in_flight,
-            closed: !self.requests.is_open(request),
+            is_closed: !self.requests.is_open(request),
         }
     }
 }
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! The watch on discovery, which is reopened whenever it ends, at the address that is configured then.
 
 use crate::discovery::stream::{StreamError, WatchEvent, WatchStream};
-use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
+use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::log;
 use crate::messages::control::ControlMessage;
 use crate::messages::endpoint_list::EndpointListUpdate;
@@ -20,7 +20,7 @@
 use thiserror::Error;
 
 /// The address of discovery. It can be changed at any time, which interrupts the present watch.
-pub struct DiscoveryTarget(Mutex<Target>);
+pub struct DiscoveryAddress(Mutex<Target>);
 
 /// One address of discovery.
 #[derive(Clone)]
@@ -30,10 +30,10 @@
     changed: Arc<CancellationToken>,
 }
 
-impl DiscoveryTarget {
+impl DiscoveryAddress {
     /// Creates a target with an address.
-    pub fn new(addr: SocketAddr) -> DiscoveryTarget {
-        DiscoveryTarget(Mutex::new(Target { addr, changed: Arc::default() }))
+    pub fn new(addr: SocketAddr) -> DiscoveryAddress {
+        DiscoveryAddress(Mutex::new(Target { addr, changed: Arc::default() }))
     }
 
     fn lock(&self) -> MutexGuard<'_, Target> {
@@ -61,9 +61,9 @@
     #[error("no connection")]
     NoConnection,
     #[error("request not sent: {0}")]
-    RequestNotSent(IoStop),
+    RequestNotSent(IoError),
     #[error("{0}")]
-    Io(#[from] IoStop),
+    Io(#[from] IoError),
     #[error("{0}")]
     Stream(#[from] StreamError),
     #[error("unreadable list")]
@@ -89,7 +89,7 @@
 /// The watch on discovery, with everything that it needs.
 pub struct DiscoveryWatch {
     /// The address of discovery.
-    pub target: Arc<DiscoveryTarget>,
+    pub target: Arc<DiscoveryAddress>,
     /// The timers of the process.
     pub timers: Arc<Timers>,
     /// The limits on descriptors.
@@ -117,7 +117,7 @@
             }
             if !target_changed {
                 log!(WARN, discovery = target.addr, reason = end; "discovery watch ended");
-                let _ = self.control.send(ControlMessage::EndpointListFailed);
+                let _ = self.control.send(ControlMessage::DiscoveryWatchEnded);
                 self.pause(&target);
             }
         }
@@ -186,14 +186,14 @@
             connection.read(limits)?;
             stream.feed(&connection.buffer)?;
             connection.buffer.clear();
-            if stream.has_begun() {
+            if stream.is_head_complete() {
                 deadline = self.progress.schedule.next_event_due();
             }
             while let Some(event) = stream.next_event()? {
                 deadline = self.progress.schedule.event_received(self.timers.now());
                 self.handle_event(&event)?;
             }
-            if stream.has_ended() {
+            if stream.is_complete() {
                 return Ok(());
             }
         }
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -2,10 +2,10 @@
 
 use crate::endpoints::answer::{read_answer, Answer};
 use crate::endpoints::completion_guard::CompletionGuard;
-use crate::endpoints::connection::{IoLimits, IoStop, PeerConnection};
+use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
 use crate::endpoints::query::{send, HEALTH_STATEMENT};
-use crate::messages::control::{AttemptJob, AttemptReport, ConfirmAttempt, ControlMessage};
+use crate::messages::control::{AttemptConfirmation, AttemptJob, AttemptResult, ControlMessage};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::protocol::framing::LENGTH_BYTES;
 use crate::runtime::clock::NANOS_PER_MILLI;
@@ -25,17 +25,17 @@
 ) {
     let started_at = job.times.started_at;
     // An attempt that ends in a panic may have run.
-    let not_sent = AttemptReport::not_sent(job.attempt, started_at);
-    let if_lost = AttemptReport { outcome: AttemptOutcome::ConnectionLost, ..not_sent };
+    let not_sent = AttemptResult::not_sent(job.attempt, started_at);
+    let if_lost = AttemptResult { outcome: AttemptOutcome::ConnectionLost, ..not_sent };
     let guard =
-        CompletionGuard::new(control, if_lost, |report| ControlMessage::AttemptEnded(Box::new(report)));
+        CompletionGuard::new(control, if_lost, |result| ControlMessage::AttemptEnded(Box::new(result)));
     let mut attempt = Attempt { pool, journal, control: guard.control(), job, journal_verdict: None };
-    let Answer { outcome, value, reports, connection } = attempt.run();
+    let Answer { outcome, value, metadata, connection } = attempt.run();
     let journal_verdict = attempt.journal_verdict;
     let attempt = job.attempt;
-    guard.complete(AttemptReport { attempt, started_at, outcome, value, reports, journal_verdict });
+    guard.complete(AttemptResult { attempt, started_at, outcome, value, metadata, journal_verdict });
     if let Some(connection) = connection {
-        pool.return_used(job.addr, connection);
+        pool.return_after_answer(job.addr, connection);
     }
 }
 
@@ -105,7 +105,7 @@
         }
         // Bytes that arrive before the request was sent cannot belong to its answer, but would be parsed as part of it.
         if !connection.is_open_without_data() {
-            return unsent(IoStop::ConnectionLost, is_reused);
+            return unsent(IoError::ConnectionLost, is_reused);
         }
         match self.send(&mut connection) {
             Ok(()) => Step::Ended(Box::new(read_answer(connection, self.limits()))),
@@ -114,7 +114,7 @@
     }
 
     /// Sends the request, with its timeout replaced by the time that remains until the deadline.
-    fn send(&self, connection: &mut PeerConnection) -> Result<(), IoStop> {
+    fn send(&self, connection: &mut PeerConnection) -> Result<(), IoError> {
         let text = &self.job.outgoing.text;
         let remaining = self.job.times.deadline - self.pool.timers.now();
         let timeout_ms = (remaining.0 / NANOS_PER_MILLI).max(MIN_TIMEOUT_MS).to_string();
@@ -140,8 +140,8 @@
     /// Asks the control loop whether the attempt may still be sent.
     fn confirm(&self) -> bool {
         let (reply, confirmed) = channel();
-        let question = ConfirmAttempt { attempt: self.job.attempt, reply };
-        let asked = self.control.send(ControlMessage::Confirm(question));
+        let question = AttemptConfirmation { attempt: self.job.attempt, reply };
+        let asked = self.control.send(ControlMessage::ConfirmAttempt(question));
         asked.is_ok() && confirmed.recv().unwrap_or(false)
     }
 
@@ -151,27 +151,27 @@
     ///
     /// # Errors
     /// The connection cannot be used any more.
-    fn query_epoch(&self, mut connection: PeerConnection) -> Result<PeerConnection, IoStop> {
+    fn query_epoch(&self, mut connection: PeerConnection) -> Result<PeerConnection, IoError> {
         send(&mut connection, HEALTH_STATEMENT, self.limits())?;
         let answer = read_answer(connection, self.limits());
-        if let Some(epoch) = answer.reports.epoch {
+        if let Some(epoch) = answer.metadata.epoch {
             let message = ControlMessage::EpochReported { request: self.job.attempt.request, epoch };
             let _ = self.control.send(message);
         }
         answer.connection.ok_or(match answer.outcome {
-            AttemptOutcome::TimedOut => IoStop::TimedOut,
-            AttemptOutcome::Cancelled => IoStop::Cancelled,
-            _ => IoStop::ConnectionLost,
+            AttemptOutcome::TimedOut => IoError::TimedOut,
+            AttemptOutcome::Cancelled => IoError::Cancelled,
+            _ => IoError::ConnectionLost,
         })
     }
 }
 
 /// The result of an attempt whose last byte was not sent, so that it was not executed.
-fn unsent(stop: IoStop, is_reused: bool) -> Step {
+fn unsent(stop: IoError, is_reused: bool) -> Step {
     match stop {
         // The endpoint closed the connection while it was idle in the pool.
-        IoStop::ConnectionLost if is_reused => Step::TryAnotherConnection,
-        IoStop::ConnectionLost => Step::ended(AttemptOutcome::Unreachable),
-        IoStop::TimedOut | IoStop::Cancelled => Step::ended(AttemptOutcome::NotSent),
+        IoError::ConnectionLost if is_reused => Step::TryAnotherConnection,
+        IoError::ConnectionLost => Step::ended(AttemptOutcome::Unreachable),
+        IoError::TimedOut | IoError::Cancelled => Step::ended(AttemptOutcome::NotSent),
     }
 }
--- a/server/src/messages/control.rs
+++ b/server/src/messages/control.rs
@@ -28,7 +28,7 @@
 }
 
 /// A question whether an attempt may still be sent, asked right before the send.
-pub struct ConfirmAttempt {
+pub struct AttemptConfirmation {
     /// The attempt.
     pub attempt: AttemptId,
     /// Receives true if the attempt may be sent.
@@ -58,13 +58,13 @@
 }
 
 /// The end of a query of primary discovery.
-pub struct QueryEnd {
+pub struct RoleQueryEnd {
     /// The endpoint.
     pub endpoint: EndpointIndex,
     /// When the query was sent.
     pub queried_at: Timestamp,
     /// The endpoint's answer, or why there is none.
-    pub answer: Result<QueryAnswer, ConnectError>,
+    pub answer: Result<EndpointQueryAnswer, ConnectError>,
 }
 
 /// The limits on requests, and the client classes that share them.
@@ -86,7 +86,7 @@
         request: RequestId,
     },
     /// An attempt is about to be sent.
-    Confirm(ConfirmAttempt),
+    ConfirmAttempt(AttemptConfirmation),
     /// An endpoint has reported its epoch before an attempt is sent.
     EpochReported {
         /// The request of the attempt.
@@ -95,7 +95,7 @@
         epoch: Epoch,
     },
     /// An attempt has ended.
-    AttemptEnded(Box<AttemptReport>),
+    AttemptEnded(Box<AttemptResult>),
     /// A health check has ended.
     HealthCheckEnded(HealthCheckEnd),
     /// Discovery has sent an endpoint list, or changes to it.
@@ -106,13 +106,13 @@
         endpoints: Vec<ListedEndpoint>,
     },
     /// The watch on discovery has ended.
-    EndpointListFailed,
+    DiscoveryWatchEnded,
     /// A client queries the fate of a write.
     QueryFate(FateQuery),
     /// The list that was cached before the start.
     CachedList(CachedEndpointList),
     /// A query of primary discovery has ended.
-    QueryEnded(QueryEnd),
+    RoleQueryEnded(RoleQueryEnd),
     /// The limits on requests have changed; `None` removes them.
     SetQueueLimits(Option<QueueLimits>),
     /// The admin socket requests a snapshot.
@@ -129,7 +129,7 @@
 
 /// An endpoint's answer to a health check or a query of primary discovery.
 #[derive(Clone, Debug)]
-pub struct QueryAnswer {
+pub struct EndpointQueryAnswer {
     /// The outcome.
     pub outcome: AttemptOutcome,
     /// The endpoint's load report.
@@ -188,17 +188,17 @@
 
 /// What an answer reports about its endpoint, apart from the value.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct AnswerReports {
+pub struct AnswerMetadata {
     /// The role and position of the endpoint when it answered.
-    pub answer: EndpointReport,
+    pub answer_report: EndpointReport,
     /// The load report that the answer carried, which may be older.
-    pub load: EndpointReport,
+    pub load_report: EndpointReport,
     /// The epoch of the log that the endpoint answered from.
     pub epoch: Option<Epoch>,
 }
 
 /// The end of an attempt.
-pub struct AttemptReport {
+pub struct AttemptResult {
     /// The attempt.
     pub attempt: AttemptId,
     /// When the attempt was started.
@@ -208,20 +208,20 @@
     /// The messages of the value; empty unless the attempt succeeded.
     pub value: Vec<u8>,
     /// What the answer reports about its endpoint.
-    pub reports: AnswerReports,
+    pub metadata: AnswerMetadata,
     /// The verdict of the write journal, if it was asked. An attempt that it allows is not necessarily sent.
     pub journal_verdict: Option<JournalVerdict>,
 }
 
-impl AttemptReport {
+impl AttemptResult {
     /// The report of an attempt that was not sent.
-    pub fn not_sent(attempt: AttemptId, started_at: Timestamp) -> AttemptReport {
-        AttemptReport {
+    pub fn not_sent(attempt: AttemptId, started_at: Timestamp) -> AttemptResult {
+        AttemptResult {
             attempt,
             started_at,
             outcome: AttemptOutcome::NotSent,
             value: Vec::new(),
-            reports: AnswerReports::default(),
+            metadata: AnswerMetadata::default(),
             journal_verdict: None,
         }
     }
--- a/server/src/startup/reload.rs
+++ b/server/src/startup/reload.rs
@@ -34,7 +34,7 @@
         for key in self.configuration.bootstrap.changed_keys(newer) {
             log_needs_restart(&key);
         }
-        let changed = self.discovery_target.set(newer.discovery);
+        let changed = self.discovery_address.set(newer.discovery);
         log!(INFO, discovery = newer.discovery, changed = changed; "bootstrap file reloaded");
     }
 
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -9,8 +9,8 @@
 use crate::clients::session_tokens::SessionTokens;
 use crate::control::control_loop::{ControlLoop, ControlSetup, RouterConfig};
 use crate::control::recovery_options::RecoveryOptions;
-use crate::discovery::watch::{DiscoveryTarget, DiscoveryWatch, WatchProgress};
-use crate::endpoints::dispatcher::AttemptDispatcher;
+use crate::discovery::watch::{DiscoveryAddress, DiscoveryWatch, WatchProgress};
+use crate::endpoints::dispatcher::EndpointDispatcher;
 use crate::endpoints::pool::ConnectionPool;
 use crate::exit_status::{ExitStatus, Failure};
 use crate::log;
@@ -69,7 +69,7 @@
 /// A running server, as the thread that handles signals holds it.
 pub struct Server {
     pub(super) configuration: Configuration,
-    pub(super) discovery_target: Arc<DiscoveryTarget>,
+    pub(super) discovery_address: Arc<DiscoveryAddress>,
     pub(super) endpoint_cache: Option<Arc<EndpointCacheWriter>>,
     pub(super) session_tokens: Option<Arc<SessionTokens>>,
     pub(super) admission: Option<Arc<AdmissionControl>>,
@@ -124,7 +124,7 @@
         let initial_list = self.choose_initial_list();
         let incarnation = initial_list.incarnation();
         self.start_control_loop(messages, initial_list)?;
-        let discovery_target = self.start_discovery(incarnation)?;
+        let discovery_address = self.start_discovery(incarnation)?;
         let shutdown = GracefulShutdown::new(exit_process);
         let session_tokens = self.session_tokens();
         self.serve_admin_socket(&shutdown)?;
@@ -132,7 +132,7 @@
         let bootstrap = &self.configuration.bootstrap;
         log!(INFO, name = bootstrap.name, listen = bootstrap.listen; "serving");
         Ok(Server {
-            discovery_target,
+            discovery_address,
             endpoint_cache: self.cache_writer(),
             session_tokens,
             admission: self.services.admission,
@@ -170,7 +170,7 @@
         let closed_after = TimeDelta(allowed.conn_idle_ns);
         let pool =
             Arc::new(ConnectionPool::new(timers.clone(), resources.clone(), connect_timeout, closed_after));
-        let dispatcher = AttemptDispatcher {
+        let dispatcher = EndpointDispatcher {
             pool: pool.clone(),
             control: self.control.clone(),
             health_check_timeout: connect_timeout,
@@ -211,13 +211,13 @@
     }
 
     /// Starts the watch on the discovery service.
-    fn start_discovery(&self, incarnation: IncarnationTracker) -> Result<Arc<DiscoveryTarget>, Failure> {
+    fn start_discovery(&self, incarnation: IncarnationTracker) -> Result<Arc<DiscoveryAddress>, Failure> {
         let bootstrap = &self.configuration.bootstrap;
         let config = &bootstrap.config;
         let from_local_agent = config.membership_mode == LOCAL_AGENT_MODE;
-        let target = Arc::new(DiscoveryTarget::new(bootstrap.discovery));
+        let address = Arc::new(DiscoveryAddress::new(bootstrap.discovery));
         let watch = DiscoveryWatch {
-            target: target.clone(),
+            target: address.clone(),
             timers: self.services.timers.clone(),
             resources: self.services.resources.clone(),
             control: self.control.clone(),
@@ -230,7 +230,7 @@
             rng: Mwc::new(bootstrap.seed),
         };
         spawn_component(move || watch.run())?;
-        Ok(target)
+        Ok(address)
     }
 
     /// Creates the issuer of session tokens, if session keys are configured.
