--- a/server/src/config/bootstrap.rs
+++ b/server/src/config/bootstrap.rs
@@ -20,9 +20,9 @@
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 /// The radix of the seed, which is a hexadecimal number.
 const SEED_RADIX: u32 = 16;
-/// Top-level keys whose changes need no restart: a reload applies `discovery`, and `known` and `seed` are used at the
-/// start only. A reload logs every other key that has changed.
-const KEYS_WITHOUT_RESTART: [&str; 3] = ["discovery", "known", "seed"];
+/// The top-level keys whose changes a reload does not report as needing a restart: it applies `discovery`, and `known`
+/// and `seed` are of use only at a start.
+const KEYS_WITHOUT_RESTART_NOTICE: [&str; 3] = ["discovery", "known", "seed"];
 
 /// The file as it is written.
 #[derive(Deserialize)]
@@ -79,7 +79,7 @@
     pub config: BootstrapConfig,
     /// The settings of the routing policy, derived from `config`.
     pub settings: RoutingSettings,
-    /// The top-level keys that take effect only at a start, with their values.
+    /// The values of all top-level keys except [`KEYS_WITHOUT_RESTART_NOTICE`].
     restart_keys: Map<String, Value>,
 }
 
@@ -219,7 +219,7 @@
         let settings = settings.map_err(|error| LocatedProblem::new(Source::Key("settings"), error));
         match (listen, discovery, seed, settings) {
             (Ok(listen), Ok(discovery), Ok(seed), Ok(settings)) => {
-                restart_keys.retain(|key, _| !KEYS_WITHOUT_RESTART.contains(&key.as_str()));
+                restart_keys.retain(|key, _| !KEYS_WITHOUT_RESTART_NOTICE.contains(&key.as_str()));
                 Ok(Bootstrap {
                     name: variable(NAME_VARIABLE).unwrap_or(file.name),
                     listen,
@@ -239,7 +239,7 @@
         }
     }
 
-    /// The top-level keys that differ in `newer` and take effect only at a start.
+    /// The top-level keys that differ in `newer` and need a restart to take effect.
     pub fn changed_keys(&self, newer: &Bootstrap) -> BTreeSet<String> {
         let keys = self.restart_keys.keys().chain(newer.restart_keys.keys());
         keys.filter(|key| self.restart_keys.get(*key) != newer.restart_keys.get(*key)).cloned().collect()
