--- a/server/src/runtime/log.rs
+++ b/server/src/runtime/log.rs
@@ -208,11 +208,12 @@
 }
 
 /// Starts the log. Events before this call are discarded; further calls have no effect.
-pub fn start(style: &LogOptions) {
-    QUEUE.get_or_init(|| Queue::start(style.max_queued_bytes));
-    let fmt = tracing_subscriber::fmt().with_max_level(style.level).with_writer(QueueWriter).with_ansi(false);
+pub fn start(options: &LogOptions) {
+    QUEUE.get_or_init(|| Queue::start(options.max_queued_bytes));
+    let fmt =
+        tracing_subscriber::fmt().with_max_level(options.level).with_writer(QueueWriter).with_ansi(false);
     // This fails on a second call, and the first subscriber stays in place.
-    let _ = if style.json {
+    let _ = if options.json {
         tracing::subscriber::set_global_default(fmt.json().flatten_event(true).finish())
     } else {
         tracing::subscriber::set_global_default(fmt.event_format(TextFormat).finish())
