--- a/endpoint-cache/src/directory.rs
+++ b/endpoint-cache/src/directory.rs
@@ -13,13 +13,13 @@
 pub const MAX_DESCRIPTORS: usize = 3;
 
 /// Name of the file with the current generation.
-const CURRENT: &str = "list";
+const CURRENT_FILE: &str = "list";
 /// Name of the file with the generation before the current one.
-const PREVIOUS: &str = "list.before";
+const PREVIOUS_FILE: &str = "list.before";
 /// Name of the file of a generation that is being written.
-const NEXT: &str = "list.new";
+const NEXT_FILE: &str = "list.new";
 /// Name of the file whose lock a process holds while it uses the directory.
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
 /// Why a cache directory or a file in it cannot be used.
 #[derive(Debug, Error)]
@@ -89,7 +89,7 @@
         let lock = lock(path)?;
         let loaded = CacheDirectory::read(path);
         let (generation, current_is_valid) = match &loaded.list {
-            Some(newest) => (newest.list.generation, newest.file == path.join(CURRENT)),
+            Some(newest) => (newest.list.generation, newest.file == path.join(CURRENT_FILE)),
             None => (0, false),
         };
         let path = path.to_path_buf();
@@ -100,7 +100,7 @@
     pub fn read(path: &Path) -> LoadedCache {
         let mut loaded = LoadedCache::default();
         // A complete file that was not renamed yet is as valid as a file in place.
-        for name in [CURRENT, NEXT, PREVIOUS] {
+        for name in [CURRENT_FILE, NEXT_FILE, PREVIOUS_FILE] {
             let file = path.join(name);
             match CacheDirectory::read_file(&file) {
                 Ok(None) => {}
@@ -111,7 +111,7 @@
                     }
                 }
                 // An incomplete new file is expected if the process ended during a save.
-                Err(CacheError::InvalidFile { error: FileError::Torn, .. }) if name == NEXT => {}
+                Err(CacheError::InvalidFile { error: FileError::Torn, .. }) if name == NEXT_FILE => {}
                 Err(error) => loaded.errors.push(error),
             }
         }
@@ -142,7 +142,8 @@
     /// The list was not saved, because it is too large or an I/O operation failed.
     pub fn save(&mut self, list: &mut CachedEndpointList) -> Result<usize, CacheError> {
         list.generation = self.generation + 1;
-        let [current, previous, next] = [CURRENT, PREVIOUS, NEXT].map(|name| self.path.join(name));
+        let [current, previous, next] =
+            [CURRENT_FILE, PREVIOUS_FILE, NEXT_FILE].map(|name| self.path.join(name));
         let bytes = encode(list).map_err(|error| CacheError::InvalidFile { path: next.clone(), error })?;
         let mut file = File::create(&next).map_err(io_error("can't be created", &next))?;
         file.write_all(&bytes).map_err(io_error("can't be written", &next))?;
@@ -162,7 +163,7 @@
 }
 
 fn lock(directory: &Path) -> Result<File, CacheError> {
-    let path = directory.join(LOCK);
+    let path = directory.join(LOCK_FILE);
     let lock = OpenOptions::new().create(true).truncate(false).write(true).open(&path);
     let lock = lock.map_err(io_error("can't be opened", &path))?;
     match lock.try_lock() {
--- a/endpoint-cache/tests/crashes.rs
+++ b/endpoint-cache/tests/crashes.rs
@@ -29,7 +29,7 @@
 }
 
 /// A directory with two saved generations.
-struct SavedTwice {
+struct TwoGenerations {
     folder: tempfile::TempDir,
     /// Content of the file of generation 2.
     second: Vec<u8>,
@@ -37,8 +37,8 @@
     third: Vec<u8>,
 }
 
-impl SavedTwice {
-    fn new() -> SavedTwice {
+impl TwoGenerations {
+    fn new() -> TwoGenerations {
         let folder = tempfile::tempdir().expect("a temporary directory");
         let (mut dir, loaded) = CacheDirectory::open(folder.path()).expect("the directory is free");
         assert!(loaded.list.is_none() && loaded.errors.is_empty());
@@ -48,7 +48,7 @@
         let second = read(folder.path(), "list");
         assert_eq!(read(folder.path(), "list.before"), first);
         let third = encode(&CachedEndpointList { generation: 3, ..list(3, 3) }).expect("a list that fits");
-        SavedTwice { folder, second, third }
+        TwoGenerations { folder, second, third }
     }
 
     fn path(&self) -> &Path {
@@ -70,7 +70,7 @@
 
 #[test]
 fn interrupted_save_leaves_the_previous_or_the_new_generation() {
-    let saved = SavedTwice::new();
+    let saved = TwoGenerations::new();
     // The save was interrupted after each byte of the new file. The earlier files are in place.
     for length in 0..saved.third.len() {
         saved.write("list.new", &saved.third[..length]);
@@ -89,7 +89,7 @@
 
 #[test]
 fn incomplete_file_does_not_replace_the_previous_generation() {
-    let saved = SavedTwice::new();
+    let saved = TwoGenerations::new();
     saved.rename("list", "list.before");
     for length in 0..saved.third.len() {
         saved.write("list", &saved.third[..length]);
--- a/sessions/tests/guarantees.rs
+++ b/sessions/tests/guarantees.rs
@@ -91,12 +91,12 @@
 #[test]
 fn reported_loss_is_not_undone_by_a_cached_lost_position() {
     let (mut epochs, session, now) = (EpochHistory::default(), [7; 16], at(0));
-    let [mut here, mut elsewhere] = [(); 2].map(|()| SessionCache::new(9, TimeDelta::from_millis(60_000)));
+    let [mut first, mut second] = [(); 2].map(|()| SessionCache::new(9, TimeDelta::from_millis(60_000)));
     let mut presented = SessionPositions::default();
     presented.advance(1, position(1, 900));
     presented.advance(2, position(1, 700));
-    here.merge(now, session, &mut presented);
-    elsewhere.merge(now, session, &mut presented);
+    first.merge(now, session, &mut presented);
+    second.merge(now, session, &mut presented);
     for (number, start_ms) in [(2, 500), (3, 600)] {
         epochs.record(1, Epoch { number, start_position: Some(at(start_ms)) });
     }
@@ -104,11 +104,11 @@
     let mut before = presented.clone();
     presented.remove(1);
     presented.advance(1, epochs.restart_position(1));
-    here.remove_position(&session, 1);
+    first.remove_position(&session, 1);
     // A client that did not receive the notification presents its old position, and the loss is detected again.
-    here.merge(now, session, &mut before);
+    first.merge(now, session, &mut before);
     assert_eq!(epochs.position_status(1, before.get(1).expect("seen")), Lost);
-    for instance in [&mut here, &mut elsewhere] {
+    for instance in [&mut first, &mut second] {
         instance.merge(now, session, &mut presented);
         assert_eq!(
             presented.get(1),
