--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -4,7 +4,7 @@
 use crate::control::recovery_options::RecoveryOptions;
 use crate::control::request_queue::{QueuedRequest, RequestQueue};
 use crate::control::router_state::{RouterSetup, RouterState};
-use crate::endpoints::dispatcher::AttemptDispatcher;
+use crate::endpoints::dispatcher::EndpointDispatcher;
 use crate::log;
 use crate::messages::control::{ControlMessage, QueueLimits};
 use crate::messages::endpoint_list::ListedEndpoint;
@@ -33,7 +33,7 @@
     /// The configuration of the router.
     pub config: RouterConfig,
     /// Starts attempts, health checks and discovery queries.
-    pub dispatcher: AttemptDispatcher,
+    pub dispatcher: EndpointDispatcher,
     /// The messages to handle.
     pub messages: Receiver<ControlMessage>,
     /// The options of primary discovery, if the endpoint list is cached.
@@ -43,14 +43,14 @@
 /// The state of the control loop.
 pub struct ControlLoop {
     pub(super) config: RouterConfig,
-    pub(super) dispatcher: AttemptDispatcher,
+    pub(super) dispatcher: EndpointDispatcher,
     messages: Receiver<ControlMessage>,
     /// The latest endpoint list by name, from which a new router state is restored.
     pub(super) listed: BTreeMap<String, ListedEndpoint>,
     /// The earliest scheduled wake-up whose message was not received yet.
-    pub(super) wake_up: Option<Timestamp>,
+    pub(super) pending_wake_up: Option<Timestamp>,
     /// The router state was replaced and must be restored from the list.
-    needs_list: bool,
+    must_restore_list: bool,
     /// Discovery had confirmed the list when the router state was replaced.
     list_was_confirmed: bool,
     pub(super) recovery: Option<RecoveryOptions>,
@@ -74,8 +74,8 @@
             dispatcher,
             messages,
             listed: BTreeMap::new(),
-            wake_up: None,
-            needs_list: false,
+            pending_wake_up: None,
+            must_restore_list: false,
             list_was_confirmed: false,
             recovery,
             queue_limits: None,
@@ -91,16 +91,16 @@
         loop {
             if catch_unwind(AssertUnwindSafe(|| self.handle_batch())).is_err() {
                 log!(WARN; "routing policy panicked, restarting it from the endpoint list");
-                self.reset();
+                self.replace_state();
             }
         }
     }
 
     /// Replaces the router state after a panic.
-    fn reset(&mut self) {
+    fn replace_state(&mut self) {
         self.config.seed = self.config.seed.wrapping_add(1);
         self.list_was_confirmed =
-            self.state.discovery.as_ref().is_some_and(PrimaryDiscovery::is_list_confirmed);
+            self.state.primary_discovery.as_ref().is_some_and(PrimaryDiscovery::is_list_confirmed);
         self.state = RouterState::new(RouterSetup {
             seed: self.config.seed,
             settings: &self.config.settings,
@@ -108,9 +108,9 @@
             recovery: self.recovery.as_ref(),
             queue_limits: self.queue_limits.clone(),
         });
-        self.needs_list = true;
+        self.must_restore_list = true;
         // The pending wake-up's message may have been lost with the batch.
-        self.wake_up = None;
+        self.pending_wake_up = None;
         let at = self.dispatcher.timers().now();
         let _ = self.dispatcher.control.send(ControlMessage::WakeUp { at });
     }
@@ -119,7 +119,7 @@
     fn handle_batch(&mut self) {
         let Ok(first) = self.messages.recv() else { return };
         let now = self.dispatcher.timers().now();
-        if std::mem::take(&mut self.needs_list) {
+        if std::mem::take(&mut self.must_restore_list) {
             self.restore_list(now);
         }
         self.state.fire_deadlines(now);
@@ -131,7 +131,7 @@
         let mut next = Some(first);
         while let Some(message) = next {
             self.handle_message(now, message);
-            self.perform_discovery_actions(now);
+            self.perform_primary_discovery_actions(now);
             next = self.messages.try_recv().ok();
         }
         self.perform_actions(now);
@@ -159,23 +159,23 @@
                 self.on_request(now, QueuedRequest { incoming, received_at: now });
             }
             ControlMessage::ClientGone { request } => self.on_client_gone(now, request),
-            ControlMessage::Confirm(confirm) => self.on_confirm(now, &confirm),
+            ControlMessage::ConfirmAttempt(confirm) => self.on_confirm_attempt(now, &confirm),
             ControlMessage::EpochReported { request, epoch } => self.on_epoch_reported(request, epoch),
             ControlMessage::AttemptEnded(report) => self.on_attempt_ended(now, *report),
             ControlMessage::HealthCheckEnded(end) => self.on_health_check_ended(now, end),
             ControlMessage::EndpointList { complete, endpoints } => {
                 self.on_endpoint_list(now, complete, endpoints);
             }
-            ControlMessage::EndpointListFailed => self.state.report(now, Event::EndpointListFailed),
+            ControlMessage::DiscoveryWatchEnded => self.state.report(now, Event::EndpointListFailed),
             ControlMessage::QueryFate(query) => self.on_fate_query(query),
             ControlMessage::CachedList(list) => self.on_cached_list(now, &list),
-            ControlMessage::QueryEnded(end) => self.on_query_ended(now, end),
+            ControlMessage::RoleQueryEnded(end) => self.on_role_query_ended(now, end),
             ControlMessage::SetQueueLimits(limits) => self.on_queue_limits(now, limits),
             // Sending fails if the requester has given up.
             ControlMessage::Snapshot { reply } => _ = reply.send(self.state.snapshot(now)),
             ControlMessage::WakeUp { at } => {
-                self.wake_up = self.wake_up.filter(|set| *set != at);
-                self.state.report_to_discovery(now, primary_discovery::Event::Tick);
+                self.pending_wake_up = self.pending_wake_up.filter(|set| *set != at);
+                self.state.report_to_primary_discovery(now, primary_discovery::Event::Tick);
             }
         }
     }
@@ -206,11 +206,11 @@
     /// trigger the deadline.
     fn schedule_wake_up(&mut self, now: Timestamp) {
         let state = &self.state;
-        let discovery = state.discovery.as_ref().and_then(|discovery| discovery.next_tick_due(now));
+        let discovery = state.primary_discovery.as_ref().and_then(|discovery| discovery.next_tick_due(now));
         let queue = state.queue.as_ref().and_then(RequestQueue::due);
         let due = state.deadlines.due().into_iter().chain(queue).chain(discovery).min();
-        let Some(due) = due.filter(|due| self.wake_up.is_none_or(|set| *due < set)) else { return };
-        self.wake_up = Some(due);
+        let Some(due) = due.filter(|due| self.pending_wake_up.is_none_or(|set| *due < set)) else { return };
+        self.pending_wake_up = Some(due);
         let control = self.dispatcher.control.clone();
         self.dispatcher.timers().call_at(due, move || {
             let _ = control.send(ControlMessage::WakeUp { at: due });
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -8,9 +8,9 @@
 use routing::time::TimeDelta;
 use routing::{AttemptId, MethodIndex, RequestId};
 use server::control::control_loop::{ControlLoop, ControlSetup, RouterConfig};
-use server::endpoints::dispatcher::AttemptDispatcher;
+use server::endpoints::dispatcher::EndpointDispatcher;
 use server::endpoints::pool::ConnectionPool;
-use server::messages::control::{ConfirmAttempt, ControlMessage, IncomingRequest};
+use server::messages::control::{AttemptConfirmation, ControlMessage, IncomingRequest};
 use server::messages::endpoint_list::{ListedEndpoint, ListedHealth};
 use server::messages::request::{ClientRequest, RequestIdentity, RequestSession, RequestText};
 use server::messages::response::{RequestResponse, Response, ResponseChannel, ResponseTicket};
@@ -60,7 +60,7 @@
     let resources = ResourceLimits::new(64, 1 << 20, false);
     let pool = Arc::new(ConnectionPool::new(timers.clone(), resources.clone(), SECOND, SECOND * 30));
     let (control, messages) = channel();
-    let dispatcher = AttemptDispatcher {
+    let dispatcher = EndpointDispatcher {
         pool,
         control: control.clone(),
         health_check_timeout: SECOND,
@@ -149,7 +149,7 @@
         let give_up_at = Instant::now() + WAIT_TIMEOUT;
         let mut responses = Vec::new();
         while responses.len() < count {
-            responses.extend(self.channel.take());
+            responses.extend(self.channel.take_responses());
             assert!(Instant::now() < give_up_at, "a request is lost: {responses:?}");
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -180,7 +180,7 @@
     // The policy panics on an endpoint that it does not know: its table has no such row.
     let attempt = AttemptId { request: 1, number: 0, endpoint: 99 };
     let (reply, _confirmed) = channel();
-    fixture.send(ControlMessage::Confirm(ConfirmAttempt { attempt, reply }));
+    fixture.send(ControlMessage::ConfirmAttempt(AttemptConfirmation { attempt, reply }));
     let aborted = [1, 2].map(|request| RequestResponse { request, response: Response::Aborted });
     assert_eq!(fixture.responses(2), aborted);
     fixture.write(3, 200);
--- a/server/tests/endpoint_responses.rs
+++ b/server/tests/endpoint_responses.rs
@@ -13,10 +13,10 @@
 use routing::{AttemptOutcome, Role};
 use server::endpoints::load_report;
 use server::endpoints::response_parser::ResponseParser;
-use server::protocol::decode::only_row;
-use server::protocol::encode::{error_fields, Severity};
-use server::protocol::framing::{frame, MAX_VALUE_BYTES};
-use server::runtime::clock::{from_unix_ms, from_unix_s};
+use server::protocol::decode::first_row_value;
+use server::protocol::encode::{error_response_with_code, Severity};
+use server::protocol::framing::{parse_frame, MAX_VALUE_BYTES};
+use server::runtime::clock::{timestamp_from_unix_ms, timestamp_from_unix_s};
 
 const POSITION: Timestamp = Timestamp(1_767_225_600_123_000_000);
 
@@ -29,7 +29,7 @@
 /// The tags of all complete messages, followed by a question mark if more bytes follow.
 fn tags(bytes: &[u8]) -> String {
     let (mut tags, mut at) = (String::new(), 0);
-    while let Ok(Some(frame)) = frame(bytes, at, MAX_VALUE_BYTES) {
+    while let Ok(Some(frame)) = parse_frame(bytes, at, MAX_VALUE_BYTES) {
         tags.push(frame.tag as char);
         at = frame.body.end;
     }
@@ -83,12 +83,12 @@
         let (outcome, end) = parse_in_parts(&mut parser, &bytes, cuts);
         prop_assert_eq!(outcome, Some(AttemptOutcome::Succeeded));
         prop_assert_eq!(end, bytes.len(), "the outcome is known at the last byte and not before");
-        prop_assert!(parser.frees_connection(&bytes));
+        prop_assert!(parser.leaves_connection_reusable(&bytes));
         let with_surplus = [&bytes[..], &surplus].concat();
-        prop_assert_eq!(parser.frees_connection(&with_surplus), surplus.is_empty());
+        prop_assert_eq!(parser.leaves_connection_reusable(&with_surplus), surplus.is_empty());
         prop_assert_eq!(&parser.value(bytes.clone()), &forwarded, "forwarded unchanged");
-        prop_assert_eq!(only_row(&forwarded), Some(&value[..]));
-        let report = parser.reports().answer;
+        prop_assert_eq!(first_row_value(&forwarded), Some(&value[..]));
+        let report = parser.metadata().answer_report;
         prop_assert_eq!(report.role, Some(Role::Replica));
         prop_assert_eq!(report.position, Some(POSITION));
     }
@@ -109,10 +109,10 @@
         prop_assert_eq!(at_once, outcome, "the outcome depends on how the answer is split");
         if parser.outcome(AttemptOutcome::ConnectionLost) == AttemptOutcome::Succeeded {
             let value = parser.value(bytes.clone());
-            prop_assert!(only_row(&value).is_some() && tags(&value) == "TDC", "the value is not one complete row of one column");
+            prop_assert!(first_row_value(&value).is_some() && tags(&value) == "TDC", "the value is not one complete row of one column");
         }
-        if outcome == Some(AttemptOutcome::Failed) && !parser.frees_connection(&bytes) {
-            prop_assert!(parser.reports().answer.position.is_none(), "a corrupted answer reported a position");
+        if outcome == Some(AttemptOutcome::Failed) && !parser.leaves_connection_reusable(&bytes) {
+            prop_assert!(parser.metadata().answer_report.position.is_none(), "a corrupted answer reported a position");
         }
     }
 }
@@ -121,12 +121,12 @@
 fn outcome_of(messages: &[&[u8]]) -> (AttemptOutcome, bool) {
     let (mut parser, bytes) = (ResponseParser::default(), messages.concat());
     let outcome = parser.parse(&bytes).unwrap_or_else(|| parser.outcome(AttemptOutcome::ConnectionLost));
-    (outcome, parser.frees_connection(&bytes))
+    (outcome, parser.leaves_connection_reusable(&bytes))
 }
 
 fn error(code: &str) -> Vec<u8> {
     let mut out = Vec::new();
-    error_fields(&mut out, Severity::Error, code, "message", None);
+    error_response_with_code(&mut out, Severity::Error, code, "message", None);
     out
 }
 
@@ -177,19 +177,19 @@
         (&[&message(b'S', &vec![b'x'; 9000])], Failed, false, "parameters without end"),
         (&[ready], Failed, false, "an end with nothing before it"),
     ];
-    for (messages, outcome, frees_connection, row) in rows {
-        assert_eq!(outcome_of(messages), (outcome, frees_connection), "{row}");
+    for (messages, outcome, leaves_connection_reusable, row) in rows {
+        assert_eq!(outcome_of(messages), (outcome, leaves_connection_reusable), "{row}");
     }
     assert_error_code_outcomes(ready);
 }
 
 #[test]
 fn positions_are_converted_from_seconds_and_milliseconds() {
-    assert_eq!(from_unix_ms(1_767_225_600_123.0), Some(POSITION));
-    assert_eq!(from_unix_s(1_767_225_600.123), Some(POSITION));
+    assert_eq!(timestamp_from_unix_ms(1_767_225_600_123.0), Some(POSITION));
+    assert_eq!(timestamp_from_unix_s(1_767_225_600.123), Some(POSITION));
     assert_eq!(load_report::parse("x0=1767225600.123,x1=1,load_share=0.25").position, Some(POSITION));
     for none in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
-        assert_eq!((from_unix_ms(none), from_unix_s(none)), (None, None));
+        assert_eq!((timestamp_from_unix_ms(none), timestamp_from_unix_s(none)), (None, None));
     }
     let report = load_report::parse("x1=0,util=0.61,new=7");
     assert_eq!((report.role, report.load, report.position), (Some(Role::Replica), Some(0.61), None));
--- a/server/tests/operator_pages/fixture.rs
+++ b/server/tests/operator_pages/fixture.rs
@@ -15,7 +15,7 @@
 use server::messages::control::ControlMessage;
 use server::messages::request::RequestIdentity;
 use server::messages::snapshot::{
-    EndpointRow, InFlightAt, QueueSnapshot, RequestSnapshot, ServerSnapshot, WaitingRequest,
+    AttemptSnapshot, ListedEndpointSnapshot, QueueSnapshot, RequestSnapshot, ServerSnapshot, WaitingRequest,
 };
 use server::runtime::clock::{Clock, Timers};
 use server::runtime::metrics::install_recorder;
@@ -53,8 +53,8 @@
         let recorder = install_recorder().expect("the only one");
         let resources = ResourceLimits::new(DESCRIPTORS, MEMORY, true);
         let admission = admission_control(&resources);
-        let permit = admission.arrive(IpAddr::from(CLIENT)).expect("admitted");
-        assert!(admission.arrive(IpAddr::from(CLIENT)).is_err(), "its class is full");
+        let permit = admission.admit_or_enqueue(IpAddr::from(CLIENT)).expect("admitted");
+        assert!(admission.admit_or_enqueue(IpAddr::from(CLIENT)).is_err(), "its class is full");
         count_events(&permit.client().expect("it is known by its address"), &resources);
         let view = AdminView {
             name: "front-7".into(),
@@ -121,13 +121,13 @@
 }
 
 fn request_snapshots() -> Vec<RequestSnapshot> {
-    let attempt = || InFlightAt { endpoint: "s-0".into(), since: Timestamp(NOW.0 - 3_000_000) };
-    let request = |id: &str, in_flight, closed| RequestSnapshot {
+    let attempt = || AttemptSnapshot { endpoint: "s-0".into(), started_at: Timestamp(NOW.0 - 3_000_000) };
+    let request = |id: &str, in_flight, is_closed| RequestSnapshot {
         identity: RequestIdentity { id: id.into(), method: 0, group: 4 },
         received_at: Timestamp(NOW.0 - 5_000_000),
         attempts: 2,
         in_flight,
-        closed,
+        is_closed,
     };
     vec![
         request("a1", Some(attempt()), false),
@@ -136,7 +136,7 @@
     ]
 }
 
-fn endpoint_rows() -> Vec<EndpointRow> {
+fn endpoint_rows() -> Vec<ListedEndpointSnapshot> {
     let endpoint = EndpointSnapshot {
         serving: true,
         primary: true,
@@ -153,7 +153,7 @@
     };
     let closed = EndpointSnapshot { serving: false, ..cold };
     let rows = [("s-0", Some(endpoint)), ("s-1", Some(cold)), ("s-2", Some(closed)), ("s-3", None)];
-    let row = |(name, state): (&str, _)| EndpointRow {
+    let row = |(name, state): (&str, _)| ListedEndpointSnapshot {
         name: name.into(),
         addr: Some(([127, 0, 0, 1], 5432).into()),
         state,
