--- a/server/src/control/actions.rs
+++ b/server/src/control/actions.rs
@@ -1,4 +1,4 @@
-//! Performs the actions of the routing policy, in order.
+//! Performs the actions of the routing policy, in the order in which the policy requested them.
 
 use crate::control::active_request::{AttemptLocation, StartedAttempt};
 use crate::control::control_loop::ControlLoop;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 impl ControlLoop {
-    /// Performs all pending actions, and those that follow from attempts that could not be started.
+    /// Performs all pending actions, and those that the policy requests because an attempt could not be started.
     pub(super) fn perform_actions(&mut self, now: Timestamp) {
         while !self.state.actions.is_empty() {
             let mut not_sent = Vec::new();
@@ -38,7 +38,7 @@
             Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
             Action::SetTimer { tag, at } => self.state.deadlines.set_timer(at, tag),
             Action::CheckHealth { endpoint } => self.check_health(now, endpoint),
-            // The discovery watch reopens by itself.
+            // Nothing to do: the discovery watch runs all the time and is reopened whenever it ends.
             Action::WatchEndpointList | Action::FetchEndpointList => {}
             Action::Log(message) => log!(INFO; "routing policy: {message}"),
         }
@@ -77,13 +77,13 @@
         None
     }
 
-    /// Ends an attempt that could not be started.
+    /// Ends an attempt that was not sent because its endpoint has no address.
     fn on_attempt_not_sent(&mut self, now: Timestamp, result: AttemptResult) {
         self.state.end_attempt(now, result, self.config.settings.max_retry_after);
     }
 
     /// Rejects a request. A duplicate of a request that may have been executed is aborted instead, because a
-    /// rejection would claim that it was not executed.
+    /// rejection would tell the client that the request was not executed.
     fn reject(&mut self, now: Timestamp, request: RequestId, retry_after: Option<TimeDelta>) {
         let is_duplicate =
             self.state.requests.get(request).is_some_and(|active| active.execution.is_duplicate);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Cancels an attempt, if it is the latest one of its request.
+    /// Cancels an attempt if it is the latest one of its request.
     fn cancel_attempt(&mut self, request: RequestId, number: u32) {
         let started = self.state.requests.get(request).and_then(|active| active.attempt.as_ref());
         if let Some(attempt) = started.filter(|attempt| attempt.number == number) {
@@ -115,7 +115,7 @@
                     elapsed: TimeDelta::ZERO,
                     report: EndpointReport::default(),
                 };
-                self.state.report(now, event);
+                self.state.report_to_policy(now, event);
             }
         }
     }
--- a/server/src/control/active_request.rs
+++ b/server/src/control/active_request.rs
@@ -1,4 +1,4 @@
-//! The control loop's state of one open request.
+//! The state that the control loop keeps for one request until it is answered and its attempt has ended.
 
 use crate::messages::control::OutgoingRequest;
 use crate::messages::journal_entry::JournalEntry;
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 use write_journal::record_state::{Deduplication, RecordEvent};
 
-/// The endpoint at which an attempt is in flight.
+/// Where and since when an attempt is in flight.
 pub struct AttemptLocation {
-    /// The endpoint.
+    /// The endpoint that executes the attempt.
     pub endpoint: EndpointIndex,
     /// When the attempt was started.
     pub started_at: Timestamp,
@@ -23,25 +23,26 @@
 pub struct StartedAttempt {
     /// The number of the attempt within its request, from 0.
     pub number: u32,
-    /// Cancels the attempt.
+    /// Cancels the attempt when the routing policy asks for it.
     pub cancellation: Arc<CancellationToken>,
-    /// Where the attempt is in flight; `None` once it has ended.
+    /// Where the attempt is in flight; `None` once the attempt has ended.
     pub in_flight: Option<AttemptLocation>,
 }
 
-/// Whether a request may have been executed, and whether the write journal has recorded it.
+/// What is known of a request's execution, and whether the write journal has recorded the request.
 #[derive(Default)]
 pub struct ExecutionState {
-    /// The request is not idempotent, so its attempts are recorded in the write journal.
+    /// The attempts of the request are recorded in the write journal: a journal is configured, and the request is
+    /// not idempotent.
     pub is_journaled: bool,
-    /// The scope and window of its deduplication, if the request has an idempotency key.
+    /// The scope and window in which endpoints drop duplicates of the request, if it has an idempotency key.
     pub deduplication: Option<Deduplication>,
-    /// The journal has recorded the request.
-    pub recorded: bool,
-    /// The request is a duplicate of a recorded one that may have been executed. It is sent only within the
+    /// The journal has recorded an attempt of the request.
+    pub is_recorded: bool,
+    /// The request is a duplicate of a recorded request that may have been executed. It is sent only within the
     /// deduplication window, in which endpoints drop duplicates.
     pub is_duplicate: bool,
-    /// An attempt has been executed, or may have been.
+    /// An attempt of the request was executed, or may have been executed.
     pub may_have_run: bool,
 }
 
@@ -51,43 +52,48 @@
         if !self.is_journaled {
             return None;
         }
-        // The journal checks before each attempt of a duplicate whether it may still be sent.
-        let event =
-            if self.recorded && !self.is_duplicate { RecordEvent::Retrying } else { RecordEvent::Starting };
+        // Each attempt of a duplicate is recorded as `Starting`, so that the journal checks whether the
+        // deduplication window is still open.
+        let event = if self.is_recorded && !self.is_duplicate {
+            RecordEvent::Retrying
+        } else {
+            RecordEvent::Starting
+        };
         Some(JournalEntry { id: id.clone(), event, deduplication: self.deduplication })
     }
 }
 
-/// The response to a request, until it is sent.
+/// The response that a client waits for.
 pub struct PendingResponse {
-    /// `None` once the request was answered or its client has disconnected.
+    /// Sends the response; `None` once the request was answered or the client has disconnected.
     pub ticket: Option<ResponseTicket>,
     /// When the control loop received the request.
     pub received_at: Timestamp,
-    /// When the control loop aborts the request, if it was not answered before.
+    /// When the control loop aborts the request if it has not been answered by then.
     pub abort_at: Timestamp,
 }
 
-/// A request that was not answered yet, or that has an attempt in flight.
+/// A request that has not been answered yet, or that has an attempt in flight.
 pub struct ActiveRequest {
-    /// The id, method and group.
+    /// The id, method and group of the request.
     pub identity: RequestIdentity,
-    /// The request's method does not write.
+    /// The request's method only reads.
     pub is_read: bool,
-    /// The client's session.
+    /// What the client has specified about its session.
     pub session: RequestSession,
-    /// Whether the request may have been executed.
+    /// What is known of the request's execution.
     pub execution: ExecutionState,
     /// The response that the client waits for.
     pub response: PendingResponse,
     /// The statement that is sent to endpoints.
     pub text: Arc<RequestText>,
-    /// The latest attempt, if one was started.
+    /// The latest attempt; `None` before the first one.
     pub attempt: Option<StartedAttempt>,
 }
 
 impl ActiveRequest {
-    /// Discards the response, because the client has disconnected; returns false if the request was answered before.
+    /// Discards the response because the client has disconnected. Returns false if there is nothing to discard: the
+    /// request was answered or discarded before.
     pub fn discard(&mut self, metrics: &Metrics, now: Timestamp) -> bool {
         let Some(ticket) = self.response.ticket.take() else { return false };
         self.count_response(metrics, now, ResponseKind::ClientGone);
@@ -95,7 +101,7 @@
         true
     }
 
-    /// Answers the request. Has no effect if it was answered or discarded before.
+    /// Answers the request. Has no effect if the request was answered or discarded before.
     pub fn answer(&mut self, metrics: &Metrics, now: Timestamp, response: Response) {
         if let Some(ticket) = self.response.ticket.take() {
             self.count_response(metrics, now, response_kind(&response));
@@ -103,12 +109,12 @@
         }
     }
 
-    /// Counts the response, with the time since the request was received.
+    /// Counts the response in the metrics, with the time since the request was received.
     fn count_response(&self, metrics: &Metrics, now: Timestamp, kind: ResponseKind) {
         metrics.request_answered(self.identity.method, kind, now - self.response.received_at);
     }
 
-    /// The number of the session, if the request is a write and has one.
+    /// The number of the session, if the request is a write and belongs to a session.
     pub fn write_session(&self) -> Option<u64> {
         self.session.number.filter(|_| !self.is_read)
     }
@@ -120,12 +126,12 @@
         }
     }
 
-    /// Where the latest attempt is, if it is in flight.
+    /// Where the latest attempt is in flight; `None` if no attempt is.
     pub fn in_flight(&self) -> Option<&AttemptLocation> {
         self.attempt.as_ref()?.in_flight.as_ref()
     }
 
-    /// The text that an attempt sends, and the steps before it is sent.
+    /// The text that an attempt sends, and what the attempt must do before sending it.
     pub fn outgoing_request(&self) -> OutgoingRequest {
         OutgoingRequest {
             text: self.text.clone(),
@@ -134,14 +140,15 @@
         }
     }
 
-    /// Whether the endpoint's epoch must be known before an attempt is sent: for a write of a session that has seen
-    /// an epoch, because the write must be appended to a log that contains the session's position.
+    /// Whether the endpoint's epoch must be known before an attempt is sent. It must be for a write of a session that
+    /// has seen an epoch, because the write must be appended to a log that contains the position that the session has
+    /// seen.
     fn needs_epoch(&self) -> bool {
         !self.is_read && self.session.seen_position.is_some_and(|seen| seen.epoch > 0)
     }
 }
 
-/// The kind under which a response is counted.
+/// The kind under which the metrics count a response.
 fn response_kind(response: &Response) -> ResponseKind {
     match response {
         Response::Value { .. } | Response::Fate(_) => ResponseKind::Value,
--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -1,10 +1,10 @@
-//! Handling of attempts and health checks: the confirmation right before a send, and the report at the end.
+//! Handling of the messages of attempts and health checks: the confirmation before an attempt is sent, and the result.
 
 use crate::control::active_request::ActiveRequest;
 use crate::control::control_loop::ControlLoop;
 use crate::control::response_check::{is_session_lost, response_for_value};
 use crate::control::router_state::RouterState;
-use crate::messages::control::{AttemptConfirmation, AttemptResult, HealthCheckEnd};
+use crate::messages::control::{AttemptConfirmation, AttemptResult, HealthCheckResult};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::messages::response::Response;
 use crate::protocol::sqlstate::{ClientError, SqlState};
@@ -15,12 +15,14 @@
 use sessions::epochs::Epoch;
 use write_journal::record_state::RecordEvent;
 
-/// The error for an id that the journal holds for another write.
+/// The error for a request whose id the write journal has recorded for an earlier write. The client can query the fate
+/// of that write.
 const ID_RECORDED: ClientError =
     ClientError::new(SqlState::DUPLICATE_OBJECT, "id is that of a write on record: ask for its fate");
 
 impl ControlLoop {
-    /// Replies whether an attempt may still be sent.
+    /// Replies whether an attempt may still be sent: its request is open, the routing policy agrees, and the position
+    /// that the request's session has seen is not lost.
     pub(super) fn on_confirm_attempt(&mut self, now: Timestamp, confirm: &AttemptConfirmation) {
         let AttemptId { request, number, endpoint } = confirm.attempt;
         let is_confirmed = self.state.requests.is_open(request)
@@ -28,14 +30,14 @@
         let _ = confirm.reply.send(is_confirmed && self.state.check_session(now, request));
     }
 
-    /// Records the epoch that an endpoint has reported before an attempt.
+    /// Records the epoch that an endpoint has reported before an attempt is sent to it.
     pub(super) fn on_epoch_reported(&mut self, request: RequestId, epoch: Epoch) {
         if let Some(active) = self.state.requests.get(request) {
             self.state.epochs.record(active.identity.group, epoch);
         }
     }
 
-    /// Handles the end of an attempt, and reports the endpoint's role to primary discovery.
+    /// Handles the result of an attempt, and passes the endpoint's report to primary discovery.
     pub(super) fn on_attempt_ended(&mut self, now: Timestamp, result: AttemptResult) {
         let (endpoint, queried_at) = (result.attempt.endpoint, result.started_at);
         let answer_report = result.metadata.answer_report;
@@ -43,9 +45,9 @@
         self.record_endpoint_report(now, endpoint, queried_at, answer_report);
     }
 
-    /// Handles the end of a health check, and reports the endpoint's role to primary discovery.
-    pub(super) fn on_health_check_ended(&mut self, now: Timestamp, end: HealthCheckEnd) {
-        let HealthCheckEnd { endpoint, outcome, elapsed, report } = end;
+    /// Handles the result of a health check, and passes the endpoint's report to primary discovery.
+    pub(super) fn on_health_check_ended(&mut self, now: Timestamp, end: HealthCheckResult) {
+        let HealthCheckResult { endpoint, outcome, elapsed, report } = end;
         if tracing::enabled!(tracing::Level::DEBUG) {
             let (name, took_us) = (self.state.endpoints.id(endpoint), elapsed.0 / NANOS_PER_MICRO);
             // A value that was not reported is logged as -1.
@@ -54,14 +56,14 @@
             tracing::debug!(endpoint = %name, ?outcome, took_us, lag_us, load, "health check ended");
         }
         self.state.metrics.health_check_ended(outcome);
-        self.state.report(now, Event::HealthCheckEnded { endpoint, outcome, elapsed, report });
+        self.state.report_to_policy(now, Event::HealthCheckEnded { endpoint, outcome, elapsed, report });
         self.record_endpoint_report(now, endpoint, now - elapsed, report);
     }
 }
 
 impl RouterState {
-    /// Ends an attempt: answers its request if it succeeded, and reports the end to the routing policy.
-    /// `retry_after` is for a read whose answer is staler than its session allows.
+    /// Ends an attempt: answers its request if the attempt succeeded, and reports the end to the routing policy.
+    /// `retry_after` is sent with the rejection of a read whose answer is staler than its session allows.
     pub(super) fn end_attempt(
         &mut self,
         now: Timestamp,
@@ -84,13 +86,13 @@
         end.request_closed = self.requests.get(request).is_none_or(is_closed);
         let request_closed = end.request_closed;
         self.log_attempt_end(&end);
-        self.report(now, Event::AttemptEnded(end));
+        self.report_to_policy(now, Event::AttemptEnded(end));
         let removed = self.requests.end_attempt(request, request_closed);
         self.release(request, removed);
     }
 
-    /// Handles the answer of an attempt that succeeded: records its epoch, and answers the request if that is still
-    /// open.
+    /// Handles the answer to an attempt that succeeded: records the endpoint's epoch, and answers the request if it is
+    /// still open.
     fn handle_answer(&mut self, now: Timestamp, result: AttemptResult, retry_after: Option<TimeDelta>) {
         let Some(active) = self.requests.get_mut(result.attempt.request) else { return };
         if let Some(epoch) = result.metadata.epoch {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Writes a debug line for the end of an attempt.
+    /// Logs the end of an attempt at debug level.
     fn log_attempt_end(&self, end: &AttemptEnd) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
@@ -117,8 +119,8 @@
         );
     }
 
-    /// Checks that the position that a request's session has seen is still on the group's log, by the epochs
-    /// reported until now. If not, answers the request with [`Response::SessionLost`] and returns false.
+    /// Checks by the epochs reported so far that the group's log still contains the position that a request's session
+    /// has seen. If it does not, answers the request with [`Response::SessionLost`] and returns false.
     fn check_session(&mut self, now: Timestamp, request: RequestId) -> bool {
         let Some(active) = self.requests.get_mut(request) else { return false };
         let is_lost = is_session_lost(&self.epochs, active);
@@ -130,7 +132,7 @@
     }
 }
 
-/// The routing policy's view of the end of an attempt, for a request that is still open.
+/// Converts the result of an attempt to the routing policy's type, for a request that is still open.
 fn attempt_end(active: &ActiveRequest, result: &AttemptResult, now: Timestamp) -> AttemptEnd {
     AttemptEnd {
         attempt: result.attempt,
@@ -143,17 +145,17 @@
     }
 }
 
-/// Updates the request's state from an attempt's outcome, and records a success in the journal.
+/// Updates the request's execution state from the result of an attempt, and records a success in the journal.
 ///
-/// The commit position is recorded only if no earlier attempt may have been executed: otherwise the answer may be to a
-/// duplicate, and its position is not that of the commit.
+/// The commit position is recorded only if no earlier attempt may have been executed. Otherwise the endpoint may have
+/// treated this attempt as a duplicate, and the position in its answer is not that of the commit.
 fn record_outcome(active: &mut ActiveRequest, result: &AttemptResult, journal: Option<&WriteJournal>) {
     let execution = &mut active.execution;
     execution.is_duplicate |= result.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
     let is_first = !execution.is_duplicate && !execution.may_have_run;
-    execution.recorded |= result.journal_verdict.is_some_and(JournalVerdict::allows_sending);
+    execution.is_recorded |= result.journal_verdict.is_some_and(JournalVerdict::allows_sending);
     execution.may_have_run |= execution.is_duplicate || !result.outcome.proves_not_executed();
-    let Some(journal) = journal.filter(|_| execution.recorded) else { return };
+    let Some(journal) = journal.filter(|_| execution.is_recorded) else { return };
     if result.outcome == AttemptOutcome::Succeeded {
         let commit = result.metadata.answer_report.position.filter(|_| is_first);
         let commit_ms = commit.map(|position| position.0 / NANOS_PER_MILLI);
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -1,5 +1,4 @@
-//! The control loop. It handles messages in batches, each with one reading of the clock, and sends the results as
-//! messages.
+//! The control loop: handles messages in batches, and reads the clock once for each batch.
 
 use crate::control::recovery_options::RecoveryOptions;
 use crate::control::request_queue::{QueuedRequest, RequestQueue};
@@ -15,16 +14,16 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The configuration of a router, from which its state is created at the start and again after a panic.
+/// The configuration from which a router state is created, at the start and after each panic.
 pub struct RouterConfig {
     /// The settings of the routing policy.
     pub settings: RoutingSettings,
-    /// The seed of the routing policy's random numbers. It is incremented for each router state that is created
+    /// The seed of the routing policy's random numbers. It is incremented for each router state that replaces one
     /// after a panic.
     pub seed: u64,
     /// The names of the zones; a zone's index is its position here.
     pub zones: Vec<String>,
-    /// The limit on open requests.
+    /// The maximum number of open requests; further ones are rejected.
     pub max_open_requests: usize,
 }
 
@@ -32,24 +31,24 @@
 pub struct ControlSetup {
     /// The configuration of the router.
     pub config: RouterConfig,
-    /// Starts attempts, health checks and discovery queries.
+    /// Starts attempts, health checks and role queries.
     pub dispatcher: EndpointDispatcher,
-    /// The messages to handle.
+    /// The channel from which the control loop receives its messages.
     pub messages: Receiver<ControlMessage>,
     /// The options of primary discovery, if the endpoint list is cached.
     pub recovery: Option<RecoveryOptions>,
 }
 
-/// The state of the control loop.
+/// The control loop, with the router state that it owns.
 pub struct ControlLoop {
     pub(super) config: RouterConfig,
     pub(super) dispatcher: EndpointDispatcher,
     messages: Receiver<ControlMessage>,
-    /// The latest endpoint list by name, from which a new router state is restored.
-    pub(super) listed: BTreeMap<String, ListedEndpoint>,
-    /// The earliest scheduled wake-up whose message was not received yet.
+    /// The latest endpoint list, by endpoint name. It is applied to a new router state after a panic.
+    pub(super) endpoint_list: BTreeMap<String, ListedEndpoint>,
+    /// The earliest scheduled wake-up whose message has not been handled yet.
     pub(super) pending_wake_up: Option<Timestamp>,
-    /// The router state was replaced and must be restored from the list.
+    /// The router state was replaced, and the endpoint list must be applied to the new one.
     must_restore_list: bool,
     /// Discovery had confirmed the list when the router state was replaced.
     list_was_confirmed: bool,
@@ -73,7 +72,7 @@
             config,
             dispatcher,
             messages,
-            listed: BTreeMap::new(),
+            endpoint_list: BTreeMap::new(),
             pending_wake_up: None,
             must_restore_list: false,
             list_was_confirmed: false,
@@ -85,18 +84,18 @@
 
     /// Runs for the life of the process.
     ///
-    /// If the routing policy panics, its state is dropped, which aborts the open requests by their tickets. A new
-    /// policy is started from the endpoint list, as after a restart.
+    /// If a batch panics, the router state is dropped. That drops the tickets of the open requests, which aborts
+    /// them. A new router state is then created from the endpoint list, as after a restart of the process.
     pub fn run(mut self) {
         loop {
             if catch_unwind(AssertUnwindSafe(|| self.handle_batch())).is_err() {
-                log!(WARN; "routing policy panicked, restarting it from the endpoint list");
+                log!(WARN; "routing policy panicked; starting a new one from the endpoint list");
                 self.replace_state();
             }
         }
     }
 
-    /// Replaces the router state after a panic.
+    /// Replaces the router state after a panic, and schedules the next batch at once.
     fn replace_state(&mut self) {
         self.config.seed = self.config.seed.wrapping_add(1);
         self.list_was_confirmed =
@@ -109,13 +108,13 @@
             queue_limits: self.queue_limits.clone(),
         });
         self.must_restore_list = true;
-        // The pending wake-up's message may have been lost with the batch.
+        // The message of the pending wake-up may have been lost with the batch that panicked.
         self.pending_wake_up = None;
         let at = self.dispatcher.timers().now();
         let _ = self.dispatcher.control.send(ControlMessage::WakeUp { at });
     }
 
-    /// Waits for a message, then handles all messages in the channel.
+    /// Waits for a message, then handles it and all others in the channel as one batch.
     fn handle_batch(&mut self) {
         let Ok(first) = self.messages.recv() else { return };
         let now = self.dispatcher.timers().now();
@@ -142,9 +141,9 @@
         self.schedule_wake_up(now);
     }
 
-    /// Restores the endpoint list in a new router state. A list that discovery has not confirmed is verified first.
+    /// Applies the endpoint list to a new router state. A list that discovery had not confirmed is verified first.
     fn restore_list(&mut self, now: Timestamp) {
-        let endpoints: Vec<ListedEndpoint> = self.listed.values().cloned().collect();
+        let endpoints: Vec<ListedEndpoint> = self.endpoint_list.values().cloned().collect();
         if self.recovery.is_some() && !self.list_was_confirmed {
             self.state.apply_cached_list(endpoints, BTreeMap::new(), now);
         } else {
@@ -166,21 +165,23 @@
             ControlMessage::EndpointList { complete, endpoints } => {
                 self.on_endpoint_list(now, complete, endpoints);
             }
-            ControlMessage::DiscoveryWatchEnded => self.state.report(now, Event::EndpointListFailed),
+            ControlMessage::DiscoveryWatchEnded => {
+                self.state.report_to_policy(now, Event::EndpointListFailed);
+            }
             ControlMessage::QueryFate(query) => self.on_fate_query(query),
             ControlMessage::CachedList(list) => self.on_cached_list(now, &list),
             ControlMessage::RoleQueryEnded(end) => self.on_role_query_ended(now, end),
             ControlMessage::SetQueueLimits(limits) => self.on_queue_limits(now, limits),
-            // Sending fails if the requester has given up.
+            // Sending fails if the admin socket no longer waits for the snapshot.
             ControlMessage::Snapshot { reply } => _ = reply.send(self.state.snapshot(now)),
             ControlMessage::WakeUp { at } => {
-                self.pending_wake_up = self.pending_wake_up.filter(|set| *set != at);
+                self.pending_wake_up = self.pending_wake_up.filter(|pending| *pending != at);
                 self.state.report_to_primary_discovery(now, primary_discovery::Event::Tick);
             }
         }
     }
 
-    /// Applies new limits on requests. If limits were removed, all waiting requests are admitted.
+    /// Applies new limits on requests. If the limits are removed, all waiting requests are admitted.
     fn on_queue_limits(&mut self, now: Timestamp, limits: Option<QueueLimits>) {
         self.queue_limits.clone_from(&limits);
         let mut admitted = Vec::new();
@@ -201,15 +202,16 @@
 
     /// Schedules a wake-up for the next deadline, unless an earlier one is pending.
     ///
-    /// A wake-up remains pending until its message is handled. Its timer may fire during a batch whose clock
-    /// reading is from before it; comparing times instead would drop the wake-up then, and nothing else might ever
-    /// trigger the deadline.
+    /// A wake-up is pending until its message is handled. The message may be handled in a batch that read the clock
+    /// before the wake-up's time, so that the batch does not handle the deadline. If a wake-up were pending until its
+    /// time instead, no other would be scheduled then, and the deadline might never be handled.
     fn schedule_wake_up(&mut self, now: Timestamp) {
         let state = &self.state;
-        let discovery = state.primary_discovery.as_ref().and_then(|discovery| discovery.due(now));
-        let queue = state.queue.as_ref().and_then(RequestQueue::due);
-        let due = state.deadlines.due().into_iter().chain(queue).chain(discovery).min();
-        let Some(due) = due.filter(|due| self.pending_wake_up.is_none_or(|set| *due < set)) else { return };
+        let discovery_due = state.primary_discovery.as_ref().and_then(|discovery| discovery.due(now));
+        let queue_due = state.queue.as_ref().and_then(RequestQueue::due);
+        let due = state.deadlines.due().into_iter().chain(queue_due).chain(discovery_due).min();
+        let is_earlier = |due: &Timestamp| self.pending_wake_up.is_none_or(|pending| *due < pending);
+        let Some(due) = due.filter(is_earlier) else { return };
         self.pending_wake_up = Some(due);
         let control = self.dispatcher.control.clone();
         self.dispatcher.timers().call_at(due, move || {
--- a/server/src/control/mod.rs
+++ b/server/src/control/mod.rs
@@ -1,5 +1,6 @@
-//! The control loop: one coroutine that owns the routing policy, primary discovery, the open requests and their timers.
-//! It receives every event as a [`ControlMessage`](crate::messages::control::ControlMessage).
+//! The control loop: one coroutine that owns the routing policy, primary discovery, the open requests and their
+//! deadlines. Other coroutines report every event to it as a
+//! [`ControlMessage`](crate::messages::control::ControlMessage).
 
 mod actions;
 mod active_request;
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -1,9 +1,10 @@
-//! Handling of endpoint lists, cached or from discovery, and the events and actions of primary discovery.
+//! Handling of endpoint lists, from the cache or from discovery, and the interface to primary discovery: its events
+//! and actions.
 
 use crate::control::control_loop::ControlLoop;
 use crate::control::router_state::RouterState;
 use crate::endpoints::health_check::RoleQuery;
-use crate::messages::control::{ConnectError, EndpointQueryAnswer, RoleQueryEnd};
+use crate::messages::control::{ConnectError, EndpointQueryAnswer, RoleQueryResult};
 use crate::messages::endpoint_list::ListedEndpoint;
 use crate::runtime::clock::NANOS_PER_MILLI;
 use endpoint_cache::CachedEndpointList;
@@ -16,15 +17,15 @@
 use std::net::SocketAddr;
 
 impl ControlLoop {
-    /// Handles the list that was cached before the start.
+    /// Handles the endpoint list that was cached before the process was started.
     pub(super) fn on_cached_list(&mut self, now: Timestamp, list: &CachedEndpointList) {
         let endpoints: Vec<ListedEndpoint> = list.endpoints.iter().map(ListedEndpoint::from).collect();
-        self.listed = endpoints.iter().map(|listed| (listed.name.clone(), listed.clone())).collect();
+        self.endpoint_list = endpoints.iter().map(|listed| (listed.name.clone(), listed.clone())).collect();
         self.state.apply_cached_list(endpoints, minimum_positions(list), now);
     }
 
-    /// Handles a list from discovery, and closes idle connections to endpoints that were restarted, are draining or
-    /// were removed.
+    /// Handles a list from discovery, and closes the idle connections to endpoints that were restarted, are draining
+    /// or were removed.
     pub(super) fn on_endpoint_list(
         &mut self,
         now: Timestamp,
@@ -34,21 +35,22 @@
         self.state.report_list_to_primary_discovery(complete, &endpoints, now);
         self.perform_primary_discovery_actions(now);
         if complete {
-            self.listed.clear();
+            self.endpoint_list.clear();
         }
         for listed in &endpoints {
-            self.listed.insert(listed.name.clone(), listed.clone());
+            self.endpoint_list.insert(listed.name.clone(), listed.clone());
         }
         for addr in self.state.apply_list(complete, &endpoints, &self.config.zones, now) {
             self.dispatcher.pool.close_idle(&addr);
         }
-        let addrs: BTreeSet<SocketAddr> = self.state.listed.iter().filter_map(|listed| listed.addr).collect();
+        let listed_states = self.state.listed_states.iter();
+        let addrs: BTreeSet<SocketAddr> = listed_states.filter_map(|listed| listed.addr).collect();
         self.dispatcher.pool.retain_addresses(&addrs);
     }
 
-    /// Handles the end of a discovery query. Its load report counts as a health check too.
-    pub(super) fn on_role_query_ended(&mut self, now: Timestamp, end: RoleQueryEnd) {
-        let RoleQueryEnd { endpoint, queried_at, answer } = end;
+    /// Handles the end of a role query. If the endpoint answered, its load report also counts as a health check.
+    pub(super) fn on_role_query_ended(&mut self, now: Timestamp, end: RoleQueryResult) {
+        let RoleQueryResult { endpoint, queried_at, answer } = end;
         let answered_report = match answer {
             Ok(EndpointQueryAnswer { outcome: AttemptOutcome::Succeeded, report, identity }) => {
                 self.on_role_query_answered(now, endpoint, queried_at, report, identity.as_deref());
@@ -61,17 +63,17 @@
             }
         };
         self.perform_primary_discovery_actions(now);
-        // If the identity does not match, another endpoint has answered at this address.
+        // If the identity does not match, another endpoint has answered at this address, so the report is not used.
         let is_identified = self.recovering_endpoint(endpoint).is_some_and(RecoveringEndpoint::is_identified);
         if let Some(report) = answered_report.filter(|_| is_identified) {
             let outcome = AttemptOutcome::Succeeded;
             let elapsed = now - queried_at;
-            self.state.report(now, Event::HealthCheckEnded { endpoint, outcome, elapsed, report });
+            self.state.report_to_policy(now, Event::HealthCheckEnded { endpoint, outcome, elapsed, report });
             self.cache_report(endpoint);
         }
     }
 
-    /// Reports the answer to a discovery query to primary discovery.
+    /// Passes the answer to a role query to primary discovery.
     fn on_role_query_answered(
         &mut self,
         now: Timestamp,
@@ -88,7 +90,7 @@
         self.state.report_to_primary_discovery(now, event);
     }
 
-    /// Whether endpoints are queried for their identity.
+    /// Whether role queries also ask for the endpoint's identity.
     fn queries_identity(&self) -> bool {
         self.recovery.as_ref().is_some_and(|options| options.queries_identity)
     }
@@ -98,7 +100,8 @@
         self.state.primary_discovery.as_ref()?.endpoint(endpoint)
     }
 
-    /// Passes a report that an endpoint sent with an answer or health check to primary discovery and the cache.
+    /// Passes a report that an endpoint sent with an answer or in a health check to primary discovery and to the
+    /// cache, if the report states the endpoint's role.
     pub(super) fn record_endpoint_report(
         &mut self,
         now: Timestamp,
@@ -113,15 +116,15 @@
         }
     }
 
-    /// Saves an endpoint's latest report with the cached endpoint list.
+    /// Passes an endpoint's latest report to the writer of the cached endpoint list.
     fn cache_report(&self, endpoint: EndpointIndex) {
         let cache = self.recovery.as_ref().and_then(|options| options.cache.as_ref());
         if let (Some(cache), Some(recovering)) = (cache, self.recovering_endpoint(endpoint)) {
-            cache.reported(self.state.endpoints.id(endpoint), recovering.report);
+            cache.record_report(self.state.endpoints.id(endpoint), recovering.report);
         }
     }
 
-    /// Performs the pending actions of primary discovery, in order.
+    /// Performs the pending actions of primary discovery, in the order in which it requested them.
     pub(super) fn perform_primary_discovery_actions(&mut self, now: Timestamp) {
         for action in std::mem::take(&mut self.state.primary_discovery_actions) {
             match action {
@@ -129,13 +132,13 @@
                 Action::Admit { endpoint } => self.admit_endpoint(now, endpoint),
                 Action::Withdraw { endpoint } => self.withdraw_endpoint(now, endpoint),
                 Action::SetEligibility { group, eligibility } => {
-                    self.state.report(now, Event::PrimaryEligibility { group, eligibility });
+                    self.state.report_to_policy(now, Event::PrimaryEligibility { group, eligibility });
                 }
             }
         }
     }
 
-    /// Starts a discovery query; it fails at once if the endpoint has no address.
+    /// Starts a role query. The query fails at once if the endpoint has no address.
     fn start_role_query(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         match self.state.addr(endpoint) {
             Some(addr) => {
@@ -149,22 +152,22 @@
         }
     }
 
-    /// Makes an endpoint of a cached list known to the routing policy. Its start time is presumed to be now,
-    /// because it is unknown when the endpoint was started.
+    /// Makes an endpoint of a cached list known to the routing policy. It is unknown when the endpoint was started, so
+    /// its start time is presumed to be now.
     fn admit_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.state.not_admitted.remove(&endpoint) else { return };
         let record = self.state.endpoint_record(&listed, &self.config.zones);
         let record = EndpointRecord { started_at: Some(now), start_presumed: true, primary: false, ..record };
-        self.state.report(now, Event::EndpointList { complete: false, records: vec![record] });
+        self.state.report_to_policy(now, Event::EndpointList { complete: false, records: vec![record] });
     }
 
-    /// Withdraws an endpoint from the routing policy, as if it were draining.
+    /// Withdraws an endpoint from the routing policy by reporting it as draining.
     fn withdraw_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
-        let Some(listed) = self.listed.get(self.state.endpoints.id(endpoint)) else { return };
+        let Some(listed) = self.endpoint_list.get(self.state.endpoints.id(endpoint)) else { return };
         let record = self.state.endpoint_record(listed, &self.config.zones);
         let record = EndpointRecord { status: EndpointStatus::Draining, ..record };
         self.state.not_admitted.insert(endpoint, listed.clone());
-        self.state.report(now, Event::EndpointList { complete: false, records: vec![record] });
+        self.state.report_to_policy(now, Event::EndpointList { complete: false, records: vec![record] });
         if let Some(addr) = self.state.addr(endpoint) {
             self.dispatcher.pool.close_idle(&addr);
         }
@@ -172,8 +175,8 @@
 }
 
 impl RouterState {
-    /// Applies a list from before the start. Its endpoints are assigned indices, and reported to the routing policy
-    /// only when primary discovery admits them.
+    /// Applies a cached list. Its endpoints get indices at once, but are reported to the routing policy only when
+    /// primary discovery admits them.
     pub(super) fn apply_cached_list(
         &mut self,
         endpoints: Vec<ListedEndpoint>,
@@ -193,7 +196,8 @@
         self.report_to_primary_discovery(now, DiscoveryEvent::CachedList { members, minimum_positions });
     }
 
-    /// Reports a list from discovery to primary discovery, which happens before the routing policy is notified.
+    /// Reports a list from discovery to primary discovery. This is done before the list is reported to the routing
+    /// policy.
     fn report_list_to_primary_discovery(
         &mut self,
         complete: bool,
@@ -216,8 +220,8 @@
         self.report_to_primary_discovery(now, DiscoveryEvent::Listed { complete, members, removed });
     }
 
-    /// Reports a list from discovery to the routing policy. Returns the addresses whose idle connections are outdated,
-    /// because the endpoint was restarted, is draining or was removed.
+    /// Reports a list from discovery to the routing policy. Returns the addresses whose idle connections must be
+    /// closed because the endpoint was restarted, is draining or was removed.
     pub(super) fn apply_list(
         &mut self,
         complete: bool,
@@ -228,20 +232,20 @@
         let (mut records, mut outdated) = (Vec::with_capacity(endpoints.len()), Vec::new());
         for listed in endpoints {
             let endpoint = self.register_endpoint(listed).endpoint;
-            let started_at = &mut self.listed[endpoint].started_at;
+            let started_at = &mut self.listed_states[endpoint].started_at;
             if listed.status() != EndpointStatus::Serving || *started_at != listed.started_at() {
                 outdated.extend(listed.socket_addr());
             }
             *started_at = listed.started_at();
             records.push(self.endpoint_record(listed, zones));
         }
-        self.report(now, Event::EndpointList { complete, records });
+        self.report_to_policy(now, Event::EndpointList { complete, records });
         outdated
     }
 }
 
-/// The failure of a discovery query that has no usable answer. A query that was not sent, or was rejected for lack of
-/// capacity, tells nothing about the endpoint.
+/// The failure of a role query without a usable answer, as primary discovery distinguishes failures. A query that was
+/// not sent, or was rejected for lack of capacity, tells nothing about the endpoint's role.
 fn query_failure(answer: &Result<EndpointQueryAnswer, ConnectError>) -> QueryFailure {
     match answer {
         Err(ConnectError { refused: true, .. }) => QueryFailure::Refused,
@@ -252,14 +256,15 @@
     }
 }
 
-/// The identity that an endpoint has reported.
+/// What an endpoint has reported about its identity.
 struct IdentityReport {
+    /// Whether the endpoint's own name matches its name in the list.
     identity: Identity,
-    /// The timeline of the endpoint's log, if it is known.
+    /// The timeline of the endpoint's log; `None` if it is unknown.
     timeline: Option<u32>,
 }
 
-/// Compares an endpoint's answer, `name,timeline`, with the name that it has in the list.
+/// Parses an endpoint's answer, `name,timeline`, and compares the name with the endpoint's name in the list.
 fn parse_identity(answer: Option<&str>, listed_name: &str) -> IdentityReport {
     let Some(answer) = answer else {
         return IdentityReport { identity: Identity::Unknown, timeline: None };
@@ -272,8 +277,8 @@
     }
 }
 
-/// The least position that the primary of each group must have, by the reports of the group's members before the
-/// start. The keys are the numbers of the groups.
+/// The minimum position that the primary of each group must have, by the reports of the group's endpoints that were
+/// saved with the cached list. The keys are group numbers.
 fn minimum_positions(list: &CachedEndpointList) -> BTreeMap<i64, MinimumPosition> {
     let mut minimums: BTreeMap<i64, MinimumPosition> = BTreeMap::new();
     for endpoint in &list.endpoints {
--- a/server/src/control/recovery_options.rs
+++ b/server/src/control/recovery_options.rs
@@ -1,17 +1,17 @@
-//! Options of the control loop for recovery from an endpoint list that was cached before a restart.
+//! The control loop's options for recovery from an endpoint list that was cached before a restart.
 
 use crate::storage::endpoint_cache_writer::EndpointCacheWriter;
 use recovery::staleness::CacheTimes;
 use std::sync::Arc;
 
-/// The options of primary discovery after a restart.
+/// The options of primary discovery, which verifies a cached endpoint list after a restart.
 pub struct RecoveryOptions {
-    /// When the cached list was confirmed and saved; `None` if that is unknown.
+    /// When the cached list was confirmed by discovery and when it was saved; `None` if the times are unknown.
     pub cache_times: Option<CacheTimes>,
-    /// Endpoints are queried for their identity.
+    /// Role queries also ask for the endpoint's identity.
     pub queries_identity: bool,
-    /// The limit on descriptors for endpoints.
+    /// The maximum number of descriptors for connections to endpoints.
     pub descriptors: usize,
-    /// The cached endpoint list, if it can be written.
+    /// The writer of the cached endpoint list; `None` if the list cannot be written.
     pub cache: Option<Arc<EndpointCacheWriter>>,
 }
--- a/server/src/control/request_handling.rs
+++ b/server/src/control/request_handling.rs
@@ -1,4 +1,5 @@
-//! Handling of requests: admission, disconnected clients, and queries for the fate of a write.
+//! Handling of the messages of clients: new requests and their admission, disconnections, and queries for the fate of
+//! a write.
 
 use crate::control::active_request::{ActiveRequest, ExecutionState, PendingResponse};
 use crate::control::control_loop::ControlLoop;
@@ -17,14 +18,14 @@
 use std::sync::Arc;
 use write_journal::record_state::{Deduplication, Fate};
 
-/// The error for a group that is not in the endpoint list.
+/// The error for a request whose group number is not in the endpoint list.
 const UNKNOWN_GROUP: ClientError =
     ClientError::new(SqlState::UNDEFINED_OBJECT, "cluster names no listed group");
-/// The error for an id that another open request has.
+/// The error for a request whose id another open request has.
 const ID_IN_USE: ClientError = ClientError::new(SqlState::DUPLICATE_OBJECT, "id is that of an open query");
 
 impl ControlLoop {
-    /// Queues a new request for admission, or admits it at once if requests are not limited.
+    /// Adds a new request to the request queue, or admits it at once if requests are not limited.
     pub(super) fn on_request(&mut self, now: Timestamp, queued: QueuedRequest) {
         let mut admitted = Vec::new();
         match &mut self.state.queue {
@@ -34,7 +35,8 @@
         self.admit(now, admitted);
     }
 
-    /// Passes admitted requests to the routing policy, and further ones that are admitted as earlier ones finish.
+    /// Passes admitted requests to the routing policy, as well as those that are admitted because others have
+    /// finished.
     pub(super) fn admit(&mut self, now: Timestamp, mut admitted: Vec<QueuedRequest>) {
         loop {
             for queued in admitted.drain(..) {
@@ -44,7 +46,7 @@
                     queued.incoming.ticket.answer(Response::Rejected { retry_after });
                     self.state.finished.push(request);
                 } else if !self.state.open_request(now, queued, &self.config.settings) {
-                    // An open request is added to `finished` when it is closed; this one was never opened.
+                    // A request that was opened is added to `finished` when it is released. This one was not opened.
                     self.state.finished.push(request);
                 }
             }
@@ -66,12 +68,12 @@
         let state = &mut self.state;
         let active = state.requests.get_mut(request);
         if active.is_some_and(|active| active.discard(&state.metrics, now)) {
-            state.report(now, Event::ClientGone { request });
+            state.report_to_policy(now, Event::ClientGone { request });
             state.close(request);
         }
     }
 
-    /// Answers a query for the fate of a write from the journal.
+    /// Answers a query for the fate of a write from the write journal. Without a journal the fate is unknown.
     pub(super) fn on_fate_query(&mut self, query: FateQuery) {
         let FateQuery { id, origin, ticket } = query;
         let request_open = self.state.ids.contains(id.as_str());
@@ -85,7 +87,8 @@
 }
 
 impl RouterState {
-    /// Opens a request and reports it to the routing policy; returns false if it was answered with an error instead.
+    /// Opens a request and reports it to the routing policy. Returns false if the request cannot be routed and was
+    /// answered instead.
     fn open_request(&mut self, now: Timestamp, queued: QueuedRequest, settings: &RoutingSettings) -> bool {
         let QueuedRequest { incoming, received_at } = queued;
         let arrival = match self.check_request(&incoming, received_at, settings) {
@@ -97,17 +100,17 @@
         };
         let request = arrival.request;
         let abort_at = arrival.deadline - settings.clock_resolution;
-        let active = self.active_request(*incoming, received_at, abort_at, settings);
+        let active = self.new_active_request(*incoming, received_at, abort_at, settings);
         self.ids.insert(active.identity.id.clone());
         self.requests.insert(request, active);
         self.deadlines.set_abort_time(abort_at, request);
         let waiting = primary_discovery::Event::RequestWaiting { group: arrival.group };
         self.report_to_primary_discovery(now, waiting);
-        self.report(now, Event::RequestArrived(arrival));
+        self.report_to_policy(now, Event::RequestArrived(arrival));
         true
     }
 
-    /// Checks a request, and returns the routing policy's view of it.
+    /// Checks whether a request can be routed, and converts it to the routing policy's type.
     ///
     /// # Errors
     /// The response to a request that cannot be routed: no list is known yet, the group is unknown, the session's
@@ -120,7 +123,7 @@
     ) -> Result<RequestArrival, Response> {
         let ClientRequest { identity, session, .. } = &incoming.header;
         if self.groups.is_empty() {
-            // Without an endpoint list no group is known.
+            // No endpoint list has been received yet, so the group may exist.
             return Err(Response::Rejected { retry_after: settings.max_retry_after });
         }
         let group = self.groups.get(&identity.group).ok_or(Response::Error(UNKNOWN_GROUP))?;
@@ -132,7 +135,7 @@
             Some(PositionStatus::OnLog(position) | PositionStatus::UnknownEpoch(position)) => Some(position),
             None => None,
         };
-        // An endpoint would treat the second request as a duplicate of the first.
+        // An endpoint would drop the second of two requests with the same id as a duplicate.
         if self.ids.contains(&identity.id) {
             return Err(Response::Error(ID_IN_USE));
         }
@@ -149,8 +152,8 @@
         })
     }
 
-    /// The control loop's state of a new request.
-    fn active_request(
+    /// Creates the control loop's state of a new request.
+    fn new_active_request(
         &self,
         incoming: IncomingRequest,
         received_at: Timestamp,
@@ -177,7 +180,7 @@
     }
 }
 
-/// The scope and window of a write's deduplication, if it has an idempotency key.
+/// The scope and window in which endpoints drop duplicates of a write; `None` without an idempotency key.
 fn deduplication(
     idempotency: Option<Idempotency>,
     group: GroupNumber,
--- a/server/src/control/request_queue.rs
+++ b/server/src/control/request_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of requests that wait for admission, used if the operators' file limits the requests in flight.
+//! The queue of requests that wait for admission. It is used if the operators' file limits the requests in flight.
 
 use crate::messages::control::{IncomingRequest, QueueLimits};
 use crate::messages::response::Response;
@@ -7,23 +7,29 @@
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::HashMap;
 
-/// The table of waiting requests is not shrunk below this capacity.
+/// The histogram of the seconds that admitted requests have waited in the queue. Its standard name is
+/// `gingerwick_queue_wait_seconds`.
+const QUEUE_WAIT_HISTOGRAM: &str = "gingerwick_turn_seconds";
+/// The counter of requests that were shed, by class and reason. Its standard name is
+/// `gingerwick_requests_shed_total`.
+const SHED_COUNTER: &str = "gingerwick_rpcs_shed_total";
+/// The table of waiting requests is not shrunk if its capacity is at most this.
 const MIN_CAPACITY: usize = 1_024;
-/// The table is shrunk when it holds less than this fraction of its capacity.
+/// The table is shrunk when the number of its entries is less than its capacity divided by this.
 const SHRINK_DIVISOR: usize = 4;
-/// The capacity after shrinking, as a multiple of the entries.
+/// The capacity after shrinking, as a multiple of the number of entries.
 const SHRINK_HEADROOM: usize = 2;
 
-/// A request that was received and not yet passed to the routing policy.
+/// A request that was received but has not been passed to the routing policy yet.
 pub struct QueuedRequest {
-    /// The request.
+    /// The request as the client's connection sent it.
     pub incoming: Box<IncomingRequest>,
-    /// When the control loop received it.
+    /// When the control loop received the request.
     pub received_at: Timestamp,
 }
 
 impl QueuedRequest {
-    /// The request's id within the process.
+    /// The number by which the process identifies the request.
     pub fn request(&self) -> RequestId {
         self.incoming.ticket.request
     }
@@ -35,12 +41,13 @@
     waiting: HashMap<RequestId, QueuedRequest>,
     /// Rejections carry a Retry-After.
     sends_retry_after: bool,
-    /// Decisions of the limiter that were not applied yet.
+    /// Decisions of the limiter that have not been applied yet.
     decisions: Vec<Decision>,
 }
 
 impl RequestQueue {
-    /// Creates an empty queue. Rejections carry a Retry-After of at most `max_retry_after`, or none if that is `None`.
+    /// Creates an empty queue. Rejections carry a Retry-After of at most `max_retry_after`; if it is `None`, they
+    /// carry no Retry-After. `seed` is for the limiter's random numbers.
     pub fn new(limits: QueueLimits, max_retry_after: Option<TimeDelta>, seed: u64) -> RequestQueue {
         let limiter_max = max_retry_after.unwrap_or(TimeDelta::ZERO);
         RequestQueue {
@@ -51,20 +58,20 @@
         }
     }
 
-    /// Removes the limits: returns all waiting requests in the order of their ids.
+    /// Ends the queue, and returns all waiting requests in the order of their ids.
     pub fn into_waiting(self) -> Vec<QueuedRequest> {
         let mut waiting: Vec<QueuedRequest> = self.waiting.into_values().collect();
         waiting.sort_by_key(QueuedRequest::request);
         waiting
     }
 
-    /// Replaces the limits; requests that are admitted by that are appended to `admitted`.
+    /// Replaces the limits. Requests that the new limits admit are appended to `admitted`.
     pub fn set_limits(&mut self, now: Timestamp, limits: QueueLimits, admitted: &mut Vec<QueuedRequest>) {
         self.limiter.set_limits(now, limits.limits, limits.classes, &mut self.decisions);
         self.apply_decisions(admitted);
     }
 
-    /// Adds a request; requests that are admitted are appended to `admitted`.
+    /// Adds a request. Requests that are admitted as a result are appended to `admitted`.
     pub fn arrive(&mut self, now: Timestamp, queued: QueuedRequest, admitted: &mut Vec<QueuedRequest>) {
         let header = &queued.incoming.header;
         // Requests that are not attributed to a client are not limited.
@@ -77,13 +84,15 @@
         self.apply_decisions(admitted);
     }
 
-    /// Releases the slot of a request that has finished; requests that are admitted by that are appended to `admitted`.
+    /// Releases the slot of a request that has finished. Requests that are admitted as a result are appended to
+    /// `admitted`.
     pub fn remove(&mut self, now: Timestamp, request: RequestId, admitted: &mut Vec<QueuedRequest>) {
         self.limiter.remove(now, request, &mut self.decisions);
         self.apply_decisions(admitted);
     }
 
-    /// Discards a waiting request whose client has disconnected; returns false if the request is not in the queue.
+    /// Discards a waiting request whose client has disconnected. Requests that are admitted as a result are appended
+    /// to `admitted`. Returns false if the request does not wait in the queue.
     pub fn client_gone(
         &mut self,
         now: Timestamp,
@@ -96,23 +105,24 @@
         true
     }
 
-    /// Rejects the requests that have waited for too long.
+    /// Rejects the requests that have waited too long. Requests that are admitted as a result are appended to
+    /// `admitted`.
     pub fn tick(&mut self, now: Timestamp, admitted: &mut Vec<QueuedRequest>) {
         self.limiter.tick(now, &mut self.decisions);
         self.apply_decisions(admitted);
     }
 
-    /// When [`RequestQueue::tick`] is due next.
+    /// When [`RequestQueue::tick`] must be called next; `None` if there is nothing to wait for.
     pub fn due(&self) -> Option<Timestamp> {
         self.limiter.due()
     }
 
-    /// Applies the limiter's decisions, and shrinks a table that has become mostly empty.
+    /// Applies the limiter's decisions, and shrinks the table of waiting requests if it has become mostly empty.
     fn apply_decisions(&mut self, admitted: &mut Vec<QueuedRequest>) {
         for decision in std::mem::take(&mut self.decisions) {
             match decision {
                 Decision::Admit { request, waited } => {
-                    metrics::histogram!("gingerwick_turn_seconds").record(waited.as_secs_f64());
+                    metrics::histogram!(QUEUE_WAIT_HISTOGRAM).record(waited.as_secs_f64());
                     admitted.extend(self.waiting.remove(&request));
                 }
                 Decision::Shed(shed) => self.reject(shed),
@@ -127,14 +137,14 @@
     /// Rejects a request that the limiter has shed.
     fn reject(&mut self, shed: LoadShed) {
         let (class, reason) = (shed.class.to_string(), shed.reason.label());
-        metrics::counter!("gingerwick_rpcs_shed_total", "class" => class, "why" => reason).increment(1);
+        metrics::counter!(SHED_COUNTER, "class" => class, "why" => reason).increment(1);
         let retry_after = self.sends_retry_after.then_some(shed.retry_after);
         if let Some(queued) = self.waiting.remove(&shed.request) {
             queued.incoming.ticket.answer(Response::Rejected { retry_after });
         }
     }
 
-    /// The present state, with the `top_clients` clients that have the most requests.
+    /// A snapshot of the queue, which lists the `top_clients` clients with the most requests.
     pub fn snapshot(&self, top_clients: usize) -> QueueSnapshot {
         let limiter = &self.limiter;
         let waiting = self.waiting.values().map(|queued| WaitingRequest {
--- a/server/src/control/response_check.rs
+++ b/server/src/control/response_check.rs
@@ -1,5 +1,5 @@
-//! The check of an endpoint's answer against the position that the request's session has seen. The epoch and position
-//! in the answer take precedence over earlier reports of the endpoint.
+//! The check of an endpoint's answer against the position that the request's session has seen. The check uses the
+//! epoch and position in the answer itself, not earlier reports of the endpoint.
 
 use crate::control::active_request::ActiveRequest;
 use crate::messages::control::AttemptResult;
@@ -8,14 +8,15 @@
 use sessions::epochs::{EpochHistory, PositionStatus};
 use sessions::positions::LogPosition;
 
-/// Whether the position that a request's session has seen is lost, by the epochs reported until now.
+/// Whether the position that a request's session has seen is lost: by the epochs reported so far, the group's log no
+/// longer contains it.
 pub fn is_session_lost(epochs: &EpochHistory, request: &ActiveRequest) -> bool {
     let status = |seen| epochs.status(request.identity.group, seen);
     request.session.seen_position.is_some_and(|seen| status(seen) == PositionStatus::Lost)
 }
 
-/// The response for a value that an endpoint has answered. A read is rejected if its session has seen a position that
-/// this endpoint's log does not contain.
+/// The response to a request for which an endpoint has returned a value. A read is rejected if its session has seen a
+/// position that this endpoint's log does not contain.
 pub fn response_for_value(
     epochs: &EpochHistory,
     request: &ActiveRequest,
@@ -32,7 +33,7 @@
     if request.is_read && !request.session.seen_position.is_none_or(shows) {
         return Response::Rejected { retry_after };
     }
-    // Without a reported position, the value may reflect everything up to now.
+    // If the endpoint reported no position, the value may reflect every write up to now.
     let position = LogPosition {
         epoch: result.metadata.epoch.map_or(0, |epoch| epoch.number),
         position: position.unwrap_or(now),
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -1,4 +1,4 @@
-//! The part of the control loop's state that is replaced after a panic of the routing policy.
+//! The router state: the part of the control loop's state that is replaced after a panic of the routing policy.
 
 use crate::control::active_request::ActiveRequest;
 use crate::control::deadlines::Deadlines;
@@ -26,62 +26,62 @@
 use std::sync::Arc;
 use write_journal::record_state::RecordEvent;
 
-/// An endpoint's address and start time by the endpoint list.
+/// An endpoint's address and start time according to the endpoint list.
 #[derive(Clone, Copy, Default)]
 pub struct ListedState {
-    /// The address, if the listed one is valid.
+    /// The address; `None` if the listed one is invalid.
     pub addr: Option<SocketAddr>,
-    /// When the endpoint's process was started, if it is known.
+    /// When the endpoint's process was started; `None` if it is unknown.
     pub started_at: Option<Timestamp>,
 }
 
 /// The routing policy, primary discovery and the state of open requests.
 pub struct RouterState {
-    /// The routing policy.
+    /// Decides which attempts are started and which requests are rejected.
     pub policy: RoutingPolicy,
-    /// Actions of the routing policy that were not performed yet.
+    /// Actions of the routing policy that have not been performed yet.
     pub actions: Vec<Action>,
-    /// The timers of the routing policy and the abort times of requests.
+    /// The timers of the routing policy, and the abort times of open requests.
     pub deadlines: Deadlines,
-    /// Requests that are open, or have an attempt in flight.
+    /// The requests that are open or have an attempt in flight.
     pub requests: RequestRegistry<ActiveRequest>,
-    /// The ids of `requests`.
+    /// The clients' ids of `requests`.
     pub ids: HashSet<Arc<str>>,
-    /// The names of endpoints, and their indices.
+    /// Assigns an index to each endpoint name.
     pub endpoints: IdInterner<String>,
-    /// The listed state of each endpoint, by index.
-    pub listed: Vec<ListedState>,
-    /// The numbers of groups, and their indices.
+    /// The address and start time of each endpoint, by endpoint index.
+    pub listed_states: Vec<ListedState>,
+    /// Assigns an index to each group number.
     pub groups: IdInterner<i64>,
-    /// Requests that wait for admission, if requests are limited.
+    /// The requests that wait for admission; `None` if requests are not limited.
     pub queue: Option<RequestQueue>,
-    /// Admitted requests that have finished, to be removed from the request queue.
+    /// Admitted requests that have finished, and whose slots in the request queue must be released.
     pub finished: Vec<RequestId>,
-    /// The epochs of the groups' logs, as reported by endpoints.
+    /// The epochs of the groups' logs, as endpoints have reported them.
     pub epochs: EpochHistory,
-    /// The write journal, if writes are recorded.
+    /// The write journal; `None` if writes are not recorded.
     pub journal: Option<Arc<WriteJournal>>,
-    /// The counters of the process.
+    /// The counters and histograms of requests, attempts and health checks.
     pub metrics: Arc<Metrics>,
-    /// Primary discovery, if the endpoint list is cached.
+    /// Finds and verifies the primary of each group; `None` if the endpoint list is not cached.
     pub primary_discovery: Option<PrimaryDiscovery>,
-    /// Actions of primary discovery that were not performed yet.
+    /// Actions of primary discovery that have not been performed yet.
     pub primary_discovery_actions: Vec<primary_discovery::Action>,
-    /// List entries of endpoints that primary discovery has not admitted, or has withdrawn.
+    /// The list entries of endpoints that primary discovery has not admitted yet or has withdrawn.
     pub not_admitted: BTreeMap<EndpointIndex, ListedEndpoint>,
 }
 
 /// The parameters of a router state.
 pub struct RouterSetup<'a> {
-    /// The seed of random numbers.
+    /// The seed of the random numbers of the routing policy and the request queue.
     pub seed: u64,
     /// The settings of the routing policy.
     pub settings: &'a RoutingSettings,
-    /// Provides the clock, the write journal and the counters.
+    /// Provides the clock, the write journal and the metrics.
     pub dispatcher: &'a EndpointDispatcher,
-    /// The options of primary discovery, if the endpoint list is cached.
+    /// The options of primary discovery; `None` if the endpoint list is not cached.
     pub recovery: Option<&'a RecoveryOptions>,
-    /// The limits on requests, if there are any.
+    /// The limits on requests; `None` if requests are not limited.
     pub queue_limits: Option<QueueLimits>,
 }
 
@@ -105,7 +105,7 @@
             requests: RequestRegistry::default(),
             ids: HashSet::new(),
             endpoints: IdInterner::default(),
-            listed: Vec::new(),
+            listed_states: Vec::new(),
             groups: IdInterner::default(),
             queue: queue_limits.map(|limits| RequestQueue::new(limits, settings.max_retry_after, seed)),
             finished: Vec::new(),
@@ -119,7 +119,7 @@
     }
 
     /// Reports an event to the routing policy.
-    pub fn report(&mut self, now: Timestamp, event: Event) {
+    pub fn report_to_policy(&mut self, now: Timestamp, event: Event) {
         self.policy.on_event(now, event, &mut self.actions);
     }
 
@@ -130,21 +130,21 @@
         }
     }
 
-    /// Fires the timers and abort times that are due.
+    /// Reports the timers that are due to the routing policy, and aborts the requests whose abort time has come.
     pub fn fire_deadlines(&mut self, now: Timestamp) {
         while let Some(tag) = self.deadlines.next_timer(now) {
-            self.report(now, Event::TimerFired { tag });
+            self.report_to_policy(now, Event::TimerFired { tag });
         }
         while let Some(request) = self.deadlines.next_overdue_request(now) {
             if self.requests.is_open(request) && !self.is_answer_pending(request) {
-                log!(WARN, request = request; "request still open at its abort time, aborted");
+                log!(WARN, request = request; "request is still open at its abort time; aborting it");
                 self.answer(now, request, Response::Aborted);
-                self.report(now, Event::ClientGone { request });
+                self.report_to_policy(now, Event::ClientGone { request });
             }
         }
     }
 
-    /// Whether a pending action answers the request.
+    /// Whether a pending action of the routing policy answers the request.
     fn is_answer_pending(&self, request: RequestId) -> bool {
         self.actions.iter().any(|action| match action {
             Action::Reject { request: answered, .. } | Action::Abort { request: answered } => {
@@ -154,17 +154,18 @@
         })
     }
 
-    /// Stores an endpoint's address, and returns the endpoint's index and group for primary discovery.
+    /// Assigns indices to a listed endpoint and its group, stores the endpoint's address, and returns both indices for
+    /// primary discovery.
     pub fn register_endpoint(&mut self, listed: &ListedEndpoint) -> Member {
         let endpoint = self.endpoints.intern(listed.name.clone());
-        if self.listed.len() <= endpoint {
-            self.listed.resize(endpoint + 1, ListedState::default());
+        if self.listed_states.len() <= endpoint {
+            self.listed_states.resize(endpoint + 1, ListedState::default());
         }
-        self.listed[endpoint].addr = listed.socket_addr();
+        self.listed_states[endpoint].addr = listed.socket_addr();
         Member { endpoint, group: self.groups.intern(listed.group) }
     }
 
-    /// The routing policy's view of a list entry.
+    /// Converts an entry of the endpoint list to the routing policy's type.
     pub fn endpoint_record(&mut self, listed: &ListedEndpoint, zones: &[String]) -> EndpointRecord {
         EndpointRecord {
             endpoint: self.endpoints.intern(listed.name.clone()),
@@ -177,9 +178,9 @@
         }
     }
 
-    /// The address of an endpoint, if it has one.
+    /// The address of an endpoint; `None` if the listed address is invalid.
     pub fn addr(&self, endpoint: EndpointIndex) -> Option<SocketAddr> {
-        self.listed[endpoint].addr
+        self.listed_states[endpoint].addr
     }
 
     /// Answers a request and closes it.
@@ -190,19 +191,21 @@
         self.close(request);
     }
 
-    /// Closes a request that was answered, or whose client has disconnected.
+    /// Closes a request that was answered or whose client has disconnected. The request is removed once it has no
+    /// attempt in flight.
     pub fn close(&mut self, request: RequestId) {
         let removed = self.requests.close(request);
         self.release(request, removed);
     }
 
-    /// Releases what a request held, once it was removed: its id, its abort time and its slot of the queue's limits.
-    /// A recorded request that was certainly not executed is marked so in the journal.
+    /// Releases what a removed request held: its id, its abort time and its slot in the request queue. If the write
+    /// journal has recorded the request, and the request was certainly not executed, the journal records that too. Has
+    /// no effect if `removed` is `None`.
     pub fn release(&mut self, request: RequestId, removed: Option<ActiveRequest>) {
         let Some(active) = removed else { return };
         self.ids.remove(&active.identity.id);
         if let Some(journal) =
-            self.journal.as_ref().filter(|_| active.execution.recorded && !active.execution.may_have_run)
+            self.journal.as_ref().filter(|_| active.execution.is_recorded && !active.execution.may_have_run)
         {
             journal.record_outcome(&active.identity.id, RecordEvent::NotExecuted);
         }
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Writes a debug line for a decision on a request.
+    /// Logs a decision of the routing policy on a request at debug level.
     pub fn log_decision(&self, request: RequestId, decision: &str, now: Timestamp) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
@@ -220,16 +223,18 @@
         let Some(active) = self.requests.get(request) else { return };
         let (group, is_read) = (active.identity.group, active.is_read);
         let held_us = (now - active.response.received_at).0 / NANOS_PER_MICRO;
-        tracing::debug!(request, request_id = %active.identity.id, group, is_read, held_us, decision, "decided");
+        tracing::debug!(
+            request, request_id = %active.identity.id, group, is_read, held_us, decision, "decision on a request"
+        );
     }
 
-    /// A snapshot for the admin socket, with the oldest requests first.
+    /// Takes a snapshot for the admin socket, with the oldest requests first.
     pub fn snapshot(&self, now: Timestamp) -> ServerSnapshot {
         let requests = self.requests.iter().map(|(request, active)| self.request_snapshot(request, active));
         let mut requests: Vec<RequestSnapshot> = requests.collect();
         requests.sort_by(|a, b| (a.received_at, &a.identity.id).cmp(&(b.received_at, &b.identity.id)));
         requests.truncate(MAX_REQUESTS);
-        let endpoints = (0..self.listed.len()).map(|endpoint| ListedEndpointSnapshot {
+        let endpoints = (0..self.listed_states.len()).map(|endpoint| ListedEndpointSnapshot {
             name: self.endpoints.id(endpoint).clone(),
             addr: self.addr(endpoint),
             state: self.policy.endpoint_snapshot(now, endpoint),
@@ -244,7 +249,7 @@
         }
     }
 
-    /// A snapshot of one request.
+    /// Takes a snapshot of one request.
     fn request_snapshot(&self, request: RequestId, active: &ActiveRequest) -> RequestSnapshot {
         let in_flight = active.in_flight().map(|location| AttemptSnapshot {
             endpoint: self.endpoints.id(location.endpoint).clone(),
--- a/server/src/discovery/mod.rs
+++ b/server/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! Discovery: a watch on the endpoint list, which is reopened whenever it ends.
+//! The client of discovery, the service that provides the endpoint list: a watch on the list, which is reopened
+//! whenever it ends.
 
 pub mod stream;
 pub mod watch;
--- a/server/src/discovery/stream.rs
+++ b/server/src/discovery/stream.rs
@@ -1,23 +1,23 @@
-//! An incremental parser of discovery's response to a watch: the HTTP head, the chunked encoding, and the events in
-//! the body. It does no I/O, and accepts the bytes in pieces of any size.
+//! An incremental parser of discovery's HTTP response to a watch: the head, the chunked encoding, and the events in
+//! the body. The parser does no I/O, and accepts the bytes in pieces of any size.
 
 use httparse::{parse_chunk_size, Response, Status, EMPTY_HEADER};
 use thiserror::Error;
 
-/// The longest list that is accepted, in bytes; real lists are much shorter.
+/// The maximum length of a list in bytes. Real lists are much shorter.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// The longest HTTP head that is accepted, in bytes.
+/// The maximum length of the HTTP head in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// The most HTTP headers that are accepted.
+/// The maximum number of HTTP headers.
 const MAX_HEADERS: usize = 32;
 const HTTP_OK: u16 = 200;
 
-/// An event of the watch.
+/// An event of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
     /// A heartbeat, which is an empty line: the list has not changed.
     Unchanged,
-    /// The text of one JSON object, with any white space inside it.
+    /// A list: the text of one JSON object, with the white space in it.
     List(Vec<u8>),
 }
 
@@ -25,86 +25,88 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum StreamError {
     /// The head is not valid HTTP.
-    #[error("unreadable response head")]
+    #[error("response head is not valid HTTP")]
     BadHead,
     /// The status is not 200.
     #[error("response status is not 200")]
     BadStatus,
-    /// The size of a chunk is not a number.
-    #[error("unreadable chunk size")]
+    /// The size of a chunk is not a hexadecimal number.
+    #[error("chunk size is not a hexadecimal number")]
     BadChunkSize,
     /// A chunk is not followed by a line end.
-    #[error("chunk without an end")]
+    #[error("chunk is not followed by a line end")]
     UnterminatedChunk,
     /// A list is longer than the limit.
-    #[error("endpoint list too long")]
+    #[error("endpoint list is longer than {MAX_LIST_BYTES} bytes")]
     ListTooLong,
-    /// The body contains something other than JSON objects.
-    #[error("event is not a list")]
+    /// The body contains something other than JSON objects and white space.
+    #[error("response body contains text outside a JSON object")]
     NotAnObject,
     /// The response ended within a list.
-    #[error("response ended within a list")]
+    #[error("response ended within an endpoint list")]
     TruncatedList,
 }
 
-/// The progress of the search for the end of a JSON object.
+/// The state of the search for the end of a JSON object.
 #[derive(Default)]
 struct Scanner {
-    /// The offset of the next byte to scan.
-    at: usize,
-    /// The number of open braces and brackets.
+    /// The offset of the next byte to scan in the decoded body.
+    offset: usize,
+    /// The number of braces and brackets that are open.
     depth: usize,
     in_string: bool,
     escaped: bool,
-    /// An object has ended on the present line, so the end of the line is not a heartbeat.
+    /// An object has ended on the current line, so the end of the line is not a heartbeat.
     after_object: bool,
 }
 
 /// An incremental parser of one response to a watch.
 #[derive(Default)]
 pub struct WatchStream {
-    /// Bytes that were received but not decoded from HTTP.
+    /// Received bytes that have not been decoded yet.
     raw: Vec<u8>,
     /// The decoded body.
-    text: Vec<u8>,
-    /// The number of bytes of `text` that were returned as events.
+    body: Vec<u8>,
+    /// The number of bytes at the start of `body` that were returned as events or skipped.
     consumed: usize,
     scanner: Scanner,
     head_complete: bool,
     chunked: bool,
-    /// Bytes that are missing of the present chunk, or of a body of known length.
+    /// The number of bytes of the current chunk that have not arrived yet. If the body is not chunked, that of the
+    /// body; its length may be unknown and is then `usize::MAX`.
     remaining: usize,
-    /// The line end after a chunk has not arrived yet.
+    /// The line end after the current chunk has not arrived yet.
     expects_chunk_end: bool,
     ended: bool,
 }
 
 impl WatchStream {
-    /// Adds bytes that were received.
+    /// Adds received bytes and decodes them as far as possible.
     ///
     /// # Errors
-    /// The response is not valid HTTP with status 200, or a list is too long.
+    /// The response is not valid HTTP with status 200, or a list is longer than the limit.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), StreamError> {
         self.raw.extend_from_slice(bytes);
         if !self.head_complete && !self.parse_head()? {
             return Ok(());
         }
-        // Decoded bytes are removed once per call: removing each chunk would take quadratic time for many small chunks.
-        let mut at = 0;
-        let result = self.parse_body(&mut at);
-        self.raw.drain(..at);
+        // Decoded bytes are removed once per call. Removing each chunk on its own would take quadratic time for many
+        // small chunks.
+        let mut decoded = 0;
+        let result = self.decode_body(&mut decoded);
+        self.raw.drain(..decoded);
         result?;
-        if self.text.len() > MAX_LIST_BYTES || (self.remaining == 0 && self.raw.len() > MAX_LIST_BYTES) {
+        if self.body.len() > MAX_LIST_BYTES || (self.remaining == 0 && self.raw.len() > MAX_LIST_BYTES) {
             return Err(StreamError::ListTooLong);
         }
         Ok(())
     }
 
-    /// Decodes the body from offset `at` of `raw`, and advances `at` past the decoded bytes.
-    fn parse_body(&mut self, at: &mut usize) -> Result<(), StreamError> {
+    /// Decodes the body from offset `decoded` of `raw`, and advances `decoded` past the decoded bytes.
+    fn decode_body(&mut self, decoded: &mut usize) -> Result<(), StreamError> {
         loop {
             if self.remaining > 0 {
-                self.take_body_part(at);
+                self.decode_body_part(decoded);
                 if self.remaining > 0 || !self.chunked {
                     self.ended = self.remaining == 0;
                     return Ok(());
@@ -114,12 +116,12 @@
             if !self.chunked || self.ended {
                 return Ok(());
             }
-            if self.expects_chunk_end && !self.take_chunk_end(at)? {
+            if self.expects_chunk_end && !self.skip_chunk_end(decoded)? {
                 return Ok(());
             }
-            match parse_chunk_size(&self.raw[*at..]) {
+            match parse_chunk_size(&self.raw[*decoded..]) {
                 Ok(Status::Complete((used, size))) => {
-                    *at += used;
+                    *decoded += used;
                     self.remaining = usize::try_from(size).unwrap_or(usize::MAX);
                     self.ended = size == 0;
                 }
@@ -129,20 +131,20 @@
         }
     }
 
-    /// Moves the available part of the present chunk to `text`.
-    fn take_body_part(&mut self, at: &mut usize) {
-        let available = self.remaining.min(self.raw.len() - *at);
-        self.text.extend_from_slice(&self.raw[*at..*at + available]);
-        *at += available;
+    /// Copies the available part of the current chunk to `body`.
+    fn decode_body_part(&mut self, decoded: &mut usize) {
+        let available = self.remaining.min(self.raw.len() - *decoded);
+        self.body.extend_from_slice(&self.raw[*decoded..*decoded + available]);
+        *decoded += available;
         self.remaining -= available;
     }
 
-    /// Skips the line end after a chunk; returns false if it has not arrived yet.
-    fn take_chunk_end(&mut self, at: &mut usize) -> Result<bool, StreamError> {
-        match self.raw[*at..].first_chunk::<2>() {
+    /// Skips the line end after a chunk. Returns false if it has not arrived completely.
+    fn skip_chunk_end(&mut self, decoded: &mut usize) -> Result<bool, StreamError> {
+        match self.raw[*decoded..].first_chunk::<2>() {
             None => Ok(false),
             Some(b"\r\n") => {
-                *at += 2;
+                *decoded += 2;
                 self.expects_chunk_end = false;
                 Ok(true)
             }
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Parses the head; returns false if it is incomplete.
+    /// Parses the HTTP head. Returns false if it has not arrived completely.
     fn parse_head(&mut self) -> Result<bool, StreamError> {
         let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let mut response = Response::new(&mut headers);
@@ -174,36 +176,36 @@
         Ok(true)
     }
 
-    /// Whether the head is complete.
+    /// Whether the HTTP head has arrived completely.
     pub fn is_head_complete(&self) -> bool {
         self.head_complete
     }
 
-    /// Whether the response is complete.
+    /// Whether the response has arrived completely.
     pub fn is_complete(&self) -> bool {
         self.ended
     }
 
-    /// The next complete event, if there is one.
+    /// Returns the next event, or `None` if it has not arrived completely.
     ///
     /// # Errors
-    /// The body contains something other than JSON objects, or ended within one.
+    /// The body contains something other than JSON objects and white space, or ended within an object.
     pub fn next_event(&mut self) -> Result<Option<WatchEvent>, StreamError> {
-        while let Some(&byte) = self.text.get(self.scanner.at) {
-            self.scanner.at += 1;
+        while let Some(&byte) = self.body.get(self.scanner.offset) {
+            self.scanner.offset += 1;
             if let Some(event) = self.scan(byte)? {
                 return Ok(Some(event));
             }
         }
-        self.text.drain(..self.consumed);
-        self.scanner.at -= std::mem::take(&mut self.consumed);
+        self.body.drain(..self.consumed);
+        self.scanner.offset -= std::mem::take(&mut self.consumed);
         if self.ended && self.scanner.depth > 0 {
             return Err(StreamError::TruncatedList);
         }
         Ok(None)
     }
 
-    /// Scans one byte; returns the event that ends with it, if any.
+    /// Scans one byte, and returns the event that it ends, if it ends one.
     fn scan(&mut self, byte: u8) -> Result<Option<WatchEvent>, StreamError> {
         if self.scanner.depth > 0 {
             let object_ended = self.scanner.scan_object(byte);
@@ -212,28 +214,28 @@
         match byte {
             b'{' => self.scanner.depth = 1,
             b'\n' => {
-                self.consumed = self.scanner.at;
+                self.consumed = self.scanner.offset;
                 if !std::mem::take(&mut self.scanner.after_object) {
                     return Ok(Some(WatchEvent::Unchanged));
                 }
             }
-            b' ' | b'\t' | b'\r' => self.consumed = self.scanner.at,
+            b' ' | b'\t' | b'\r' => self.consumed = self.scanner.offset,
             _ => return Err(StreamError::NotAnObject),
         }
         Ok(None)
     }
 
-    /// Takes the object that ends at the scanner's offset.
+    /// Copies the object that ends at the scanner's offset.
     fn take_object(&mut self) -> WatchEvent {
         self.scanner.after_object = true;
-        let object = self.text[self.consumed..self.scanner.at].to_vec();
-        self.consumed = self.scanner.at;
+        let object = self.body[self.consumed..self.scanner.offset].to_vec();
+        self.consumed = self.scanner.offset;
         WatchEvent::List(object)
     }
 }
 
 impl Scanner {
-    /// Scans one byte of an object; returns true if the object ends with it.
+    /// Scans one byte of an object. Returns true if the byte ends the object.
     fn scan_object(&mut self, byte: u8) -> bool {
         match byte {
             _ if self.escaped => self.escaped = false,
@@ -248,7 +250,7 @@
     }
 }
 
-/// The value of a header by its name.
+/// The value of the header with this name; `None` if it is missing or not UTF-8.
 fn header<'a>(response: &'a Response, name: &str) -> Option<&'a str> {
     let header = response.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(header.value).ok()
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -1,4 +1,5 @@
-//! The watch on discovery, which is reopened whenever it ends, at the address that is configured then.
+//! The watch on the endpoint list of discovery. Whenever the watch ends, it is reopened at the address that is
+//! configured at that time.
 
 use crate::discovery::stream::{StreamError, WatchEvent, WatchStream};
 use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
@@ -19,46 +20,46 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use thiserror::Error;
 
-/// The address of discovery. It can be changed at any time, which interrupts the present watch.
-pub struct DiscoveryAddress(Mutex<Target>);
+/// The configured address of discovery. It can be changed at any time, which ends the current watch.
+pub struct DiscoveryAddress(Mutex<CurrentAddress>);
 
-/// One address of discovery.
+/// The address of discovery until it is changed.
 #[derive(Clone)]
-struct Target {
+struct CurrentAddress {
     addr: SocketAddr,
     /// Cancelled when the address is changed.
     changed: Arc<CancellationToken>,
 }
 
 impl DiscoveryAddress {
-    /// Creates a target with an address.
+    /// Creates the address with its first value.
     pub fn new(addr: SocketAddr) -> DiscoveryAddress {
-        DiscoveryAddress(Mutex::new(Target { addr, changed: Arc::default() }))
+        DiscoveryAddress(Mutex::new(CurrentAddress { addr, changed: Arc::default() }))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Target> {
+    fn lock(&self) -> MutexGuard<'_, CurrentAddress> {
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Changes the address and interrupts the present watch; returns false if the address is the same.
+    /// Changes the address and ends the current watch. Returns false, without an effect, if the address is the same.
     pub fn set(&self, addr: SocketAddr) -> bool {
-        let mut target = self.lock();
-        if target.addr == addr {
+        let mut current = self.lock();
+        if current.addr == addr {
             return false;
         }
-        let previous = std::mem::replace(&mut *target, Target { addr, changed: Arc::default() });
-        drop(target);
+        let previous = std::mem::replace(&mut *current, CurrentAddress { addr, changed: Arc::default() });
+        drop(current);
         previous.changed.cancel();
         true
     }
 }
 
-/// Why one watch has ended. The messages are part of a log line.
+/// Why a watch has ended. The texts are logged as the reason.
 #[derive(Debug, Error)]
 enum WatchEnd {
-    #[error("no descriptor for discovery is free")]
+    #[error("all descriptors for discovery are in use")]
     NoDescriptor,
-    #[error("no connection")]
+    #[error("connecting to discovery failed")]
     NoConnection,
     #[error("request not sent: {0}")]
     RequestNotSent(IoError),
@@ -66,65 +67,65 @@
     Io(#[from] IoError),
     #[error("{0}")]
     Stream(#[from] StreamError),
-    #[error("unreadable list")]
+    #[error("endpoint list cannot be parsed")]
     UnreadableList,
-    #[error("empty list ignored")]
+    #[error("complete endpoint list without endpoints ignored")]
     EmptyList,
-    #[error("list older than the present one")]
+    #[error("endpoint list is older than the current one")]
     OlderList,
-    #[error("response complete")]
+    #[error("discovery ended the response")]
     Complete,
 }
 
-/// The state of the watch that is kept from one connection to the next.
+/// The state that is kept from one watch to the next.
 pub struct WatchProgress {
     /// Decides which lists are accepted.
     pub incarnation: IncarnationTracker,
     /// Decides when the watch is reopened.
     pub schedule: WatchSchedule,
-    /// No complete list was received since the start, so one is fetched before changes are watched.
+    /// No complete list has been received since the start, so one is requested before changes are watched.
     pub needs_complete_list: bool,
 }
 
-/// The watch on discovery, with everything that it needs.
+/// Watches the endpoint list of discovery, and passes each accepted list to the control loop and the cache.
 pub struct DiscoveryWatch {
     /// The address of discovery.
-    pub target: Arc<DiscoveryAddress>,
-    /// The timers of the process.
+    pub address: Arc<DiscoveryAddress>,
+    /// The clock and timers of the process.
     pub timers: Arc<Timers>,
-    /// The limits on descriptors.
+    /// Provides the descriptor for the connection to discovery.
     pub resources: Arc<ResourceLimits>,
-    /// The channel to the control loop, for lists.
+    /// The channel to the control loop, for endpoint lists.
     pub control: Sender<ControlMessage>,
-    /// The state that is kept from one connection to the next.
+    /// The state that is kept from one watch to the next.
     pub progress: WatchProgress,
-    /// The cached endpoint list, if one is kept.
+    /// The writer of the cached endpoint list; `None` if the list is not cached.
     pub cache: Option<Arc<EndpointCacheWriter>>,
-    /// The source of jitter.
+    /// The random numbers for the jitter of the pauses between watches.
     pub rng: Mwc,
 }
 
 impl DiscoveryWatch {
-    /// Runs for the life of the process.
+    /// Opens one watch after another, for the life of the process.
     pub fn run(mut self) {
         loop {
             let version_before = self.progress.incarnation.version();
-            let target = self.target.lock().clone();
-            let end = self.watch_once(&target);
-            let target_changed = target.changed.is_cancelled();
-            if version_before != self.progress.incarnation.version() || target_changed {
+            let address = self.address.lock().clone();
+            let end = self.watch_once(&address);
+            let address_changed = address.changed.is_cancelled();
+            if version_before != self.progress.incarnation.version() || address_changed {
                 self.progress.schedule.reset_backoff();
             }
-            if !target_changed {
-                log!(WARN, discovery = target.addr, reason = end; "discovery watch ended");
+            if !address_changed {
+                log!(WARN, discovery = address.addr, reason = end; "discovery watch ended");
                 let _ = self.control.send(ControlMessage::DiscoveryWatchEnded);
-                self.pause(&target);
+                self.pause(&address);
             }
         }
     }
 
-    /// Waits before the watch is reopened, unless the address is changed.
-    fn pause(&mut self, target: &Target) {
+    /// Waits until the watch may be reopened. The wait ends early if the address is changed.
+    fn pause(&mut self, address: &CurrentAddress) {
         let now = self.timers.now();
         let pause = match self.progress.incarnation.poll_again_at() {
             Some(at) if at > now => at - now,
@@ -134,12 +135,12 @@
                 self.progress.schedule.ended(jitter, max_pause)
             }
         };
-        self.timers.sleep_unless_cancelled(pause, &target.changed);
+        self.timers.sleep_unless_cancelled(pause, &address.changed);
     }
 
-    /// Runs one watch, from the connect to its end.
-    fn watch_once(&mut self, target: &Target) -> WatchEnd {
-        match self.open(target).and_then(|connection| self.follow(connection, target)) {
+    /// Opens one watch and reads its events until it ends.
+    fn watch_once(&mut self, address: &CurrentAddress) -> WatchEnd {
+        match self.open(address).and_then(|connection| self.read_events(connection, address)) {
             Ok(()) => WatchEnd::Complete,
             Err(end) => end,
         }
@@ -148,22 +149,23 @@
     /// Connects to discovery and sends the request.
     ///
     /// # Errors
-    /// No descriptor is free, the connect failed, or the request was not sent.
-    fn open(&mut self, target: &Target) -> Result<PeerConnection, WatchEnd> {
+    /// No descriptor is free, connecting failed, or the request was not sent.
+    fn open(&mut self, address: &CurrentAddress) -> Result<PeerConnection, WatchEnd> {
         let descriptor = self.resources.acquire(DescriptorClass::Discovery).ok_or(WatchEnd::NoDescriptor)?;
         let deadline = self.timers.now() + OPEN_TIMEOUT;
-        let connection = PeerConnection::connect(&self.timers, &target.addr, deadline, descriptor);
+        let connection = PeerConnection::connect(&self.timers, &address.addr, deadline, descriptor);
         let mut connection = connection.map_err(|_| WatchEnd::NoConnection)?;
         let deadline = self.progress.schedule.requested(self.timers.now());
-        let limits = IoLimits { deadline, cancellation: &target.changed };
-        connection.arm(limits);
-        let request = self.request(target.addr);
+        let limits = IoLimits { deadline, cancellation: &address.changed };
+        connection.schedule_wake_ups(limits);
+        let request = self.request(address.addr);
         connection.write(&[request.as_bytes()], limits).map_err(WatchEnd::RequestNotSent)?;
         Ok(connection)
     }
 
-    /// The HTTP request. Without a complete list since the start, it asks for one: a list from before may be of another
-    /// incarnation of discovery, so changes since its version would not apply.
+    /// The HTTP request. It asks for a complete list if none has been received since the start. The list with which
+    /// the process was started may be from another incarnation of discovery, and changes since its version would not
+    /// apply.
     fn request(&self, addr: SocketAddr) -> String {
         let query = if self.progress.needs_complete_list {
             String::new()
@@ -176,13 +178,17 @@
     /// Reads events until the response is complete.
     ///
     /// # Errors
-    /// The connection or the response failed, or a list was not accepted.
-    fn follow(&mut self, mut connection: PeerConnection, target: &Target) -> Result<(), WatchEnd> {
+    /// The connection failed, the response is invalid, or a list was not accepted.
+    fn read_events(
+        &mut self,
+        mut connection: PeerConnection,
+        address: &CurrentAddress,
+    ) -> Result<(), WatchEnd> {
         let mut stream = WatchStream::default();
         let mut deadline = self.progress.schedule.answer_due();
         loop {
-            let limits = IoLimits { deadline, cancellation: &target.changed };
-            connection.arm(limits);
+            let limits = IoLimits { deadline, cancellation: &address.changed };
+            connection.schedule_wake_ups(limits);
             connection.read(limits)?;
             stream.feed(&connection.buffer)?;
             connection.buffer.clear();
@@ -199,15 +205,15 @@
         }
     }
 
-    /// Handles one event.
+    /// Handles one event of the watch.
     ///
     /// # Errors
-    /// A list is unreadable, empty or older than the present one.
+    /// A list cannot be parsed, is complete but empty, or is older than the current one.
     fn handle_event(&mut self, event: &WatchEvent) -> Result<(), WatchEnd> {
         match event {
             WatchEvent::Unchanged => {
                 if let Some(cache) = self.cache.as_ref().filter(|_| !self.progress.needs_complete_list) {
-                    cache.confirmed();
+                    cache.record_confirmation();
                 }
                 Ok(())
             }
@@ -218,10 +224,10 @@
     /// Parses a list, and passes it to the cache and the control loop if it is accepted.
     ///
     /// # Errors
-    /// The list is unreadable, empty or older than the present one.
+    /// The list cannot be parsed, is complete but empty, or is older than the current one.
     fn handle_list(&mut self, text: &[u8]) -> Result<(), WatchEnd> {
         let list: EndpointListUpdate = serde_json::from_slice(text).map_err(|error| {
-            log!(WARN, reason = error; "unreadable endpoint list");
+            log!(WARN, reason = error; "endpoint list cannot be parsed");
             WatchEnd::UnreadableList
         })?;
         let version_before = self.progress.incarnation.version();
@@ -241,7 +247,7 @@
         }
         self.progress.needs_complete_list &= !list.complete;
         if let Some(cache) = &self.cache {
-            cache.update(list.version, list.complete, &list.endpoints);
+            cache.record_list(list.version, list.complete, &list.endpoints);
         }
         let message = ControlMessage::EndpointList { complete: list.complete, endpoints: list.endpoints };
         let _ = self.control.send(message);
--- a/server/src/endpoints/answer.rs
+++ b/server/src/endpoints/answer.rs
@@ -1,41 +1,41 @@
-//! Reading of an endpoint's answer to its end.
+//! Reading of an endpoint's answer to one query.
 
 use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::endpoints::response_parser::ResponseParser;
 use crate::messages::control::AnswerMetadata;
 use routing::{AttemptOutcome, Role};
 
-/// The answer to one query, and the connection if it can be reused.
+/// The answer to one query, and the connection on which it was received.
 pub struct Answer {
     /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The messages of the value; empty unless the attempt succeeded.
+    /// The encoded messages of the value; empty unless the attempt succeeded.
     pub value: Vec<u8>,
-    /// What the answer reported about the endpoint.
+    /// What the answer reports about the endpoint.
     pub metadata: AnswerMetadata,
-    /// The connection, if it can be reused.
+    /// The connection; `None` if it cannot be reused.
     pub connection: Option<PeerConnection>,
 }
 
 impl Answer {
     /// The result of an attempt that received no answer.
-    pub fn without_value(outcome: AttemptOutcome) -> Answer {
+    pub fn not_received(outcome: AttemptOutcome) -> Answer {
         Answer { outcome, value: Vec::new(), metadata: AnswerMetadata::default(), connection: None }
     }
 }
 
-/// Reads the answer to the query that was sent.
+/// Reads the answer to the query that was sent on a connection.
 ///
-/// The connection is returned only if the answer is complete and no bytes follow it, because leftover bytes would
-/// be taken for the answer to the next request.
+/// The connection is returned only if the answer is complete and no bytes follow it, because bytes that follow would
+/// be taken for the answer to the next query.
 pub fn read_answer(mut connection: PeerConnection, limits: IoLimits) -> Answer {
     let mut parser = ResponseParser::default();
     let outcome = loop {
         if let Some(outcome) = parser.parse(&connection.buffer) {
             break outcome;
         }
-        if let Err(stop) = connection.read(limits) {
-            break parser.outcome(incomplete_outcome(stop));
+        if let Err(error) = connection.read(limits) {
+            break parser.outcome(incomplete_outcome(error));
         }
     };
     let is_reusable = parser.leaves_connection_reusable(&connection.buffer);
@@ -48,8 +48,8 @@
 }
 
 /// The outcome of an attempt whose answer is incomplete. The request was sent, so it may have been executed.
-fn incomplete_outcome(stop: IoError) -> AttemptOutcome {
-    match stop {
+fn incomplete_outcome(error: IoError) -> AttemptOutcome {
+    match error {
         IoError::ConnectionLost => AttemptOutcome::ConnectionLost,
         IoError::TimedOut => AttemptOutcome::TimedOut,
         IoError::Cancelled => AttemptOutcome::Cancelled,
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -1,10 +1,11 @@
-//! Attempts. Each runs in its own coroutine: it acquires a connection, sends the request, and reports the outcome.
+//! Attempts to have a request executed by an endpoint. Each attempt runs in its own coroutine: it acquires a
+//! connection, sends the request, and reports the result to the control loop.
 
 use crate::endpoints::answer::{read_answer, Answer};
 use crate::endpoints::completion_guard::CompletionGuard;
 use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::endpoints::pool::ConnectionPool;
-use crate::endpoints::query::{send, HEALTH_STATEMENT};
+use crate::endpoints::query::{send_query, HEALTH_STATEMENT};
 use crate::messages::control::{AttemptConfirmation, AttemptJob, AttemptResult, ControlMessage};
 use crate::messages::journal_entry::JournalVerdict;
 use crate::protocol::framing::LENGTH_BYTES;
@@ -13,10 +14,10 @@
 use may::sync::mpsc::{channel, Sender};
 use routing::AttemptOutcome;
 
-/// The shortest timeout that is sent to an endpoint, in milliseconds: zero would not be valid.
+/// The minimum timeout that is sent to an endpoint, in milliseconds. Endpoints do not accept a timeout of zero.
 const MIN_TIMEOUT_MS: i64 = 1;
 
-/// Runs an attempt and reports its end to the control loop.
+/// Runs an attempt and reports its result to the control loop.
 pub fn run_attempt(
     pool: &ConnectionPool,
     journal: Option<&WriteJournal>,
@@ -24,11 +25,11 @@
     job: &AttemptJob,
 ) {
     let started_at = job.times.started_at;
-    // An attempt that ends in a panic may have run.
+    // After a panic it is unknown whether the request was sent, so it may have been executed.
     let not_sent = AttemptResult::not_sent(job.attempt, started_at);
-    let if_lost = AttemptResult { outcome: AttemptOutcome::ConnectionLost, ..not_sent };
+    let after_panic = AttemptResult { outcome: AttemptOutcome::ConnectionLost, ..not_sent };
     let guard =
-        CompletionGuard::new(control, if_lost, |result| ControlMessage::AttemptEnded(Box::new(result)));
+        CompletionGuard::new(control, after_panic, |result| ControlMessage::AttemptEnded(Box::new(result)));
     let mut attempt = Attempt { pool, journal, control: guard.control(), job, journal_verdict: None };
     let Answer { outcome, value, metadata, connection } = attempt.run();
     let journal_verdict = attempt.journal_verdict;
@@ -45,21 +46,21 @@
     journal: Option<&'a WriteJournal>,
     control: &'a Sender<ControlMessage>,
     job: &'a AttemptJob,
-    /// The journal's verdict, once the attempt was recorded.
+    /// The journal's verdict on the attempt; `None` before the journal was asked.
     journal_verdict: Option<JournalVerdict>,
 }
 
-/// The result of an attempt on one connection.
-enum Step {
+/// How an attempt continues after it has used one connection.
+enum NextStep {
     /// The attempt has ended.
-    Ended(Box<Answer>),
-    /// The reused connection was closed by the endpoint before anything was sent; the attempt can use another one.
+    End(Box<Answer>),
+    /// The attempt uses another connection, because the endpoint closed the reused one before the request was sent.
     TryAnotherConnection,
 }
 
-impl Step {
-    fn ended(outcome: AttemptOutcome) -> Step {
-        Step::Ended(Box::new(Answer::without_value(outcome)))
+impl NextStep {
+    fn end(outcome: AttemptOutcome) -> NextStep {
+        NextStep::End(Box::new(Answer::not_received(outcome)))
     }
 }
 
@@ -79,37 +80,37 @@
             };
             let connection = match connection {
                 Ok(connection) => connection,
-                Err(error) => return Answer::without_value(error.outcome),
+                Err(error) => return Answer::not_received(error.outcome),
             };
             match self.run_on(connection, is_reused) {
-                Step::Ended(answer) => return *answer,
-                Step::TryAnotherConnection => {}
+                NextStep::End(answer) => return *answer,
+                NextStep::TryAnotherConnection => {}
             }
         }
     }
 
-    /// Runs the attempt on one connection.
-    fn run_on(&mut self, mut connection: PeerConnection, is_reused: bool) -> Step {
-        connection.arm(self.limits());
+    /// Runs the attempt on one connection; `is_reused` if it comes from the pool.
+    fn run_on(&mut self, mut connection: PeerConnection, is_reused: bool) -> NextStep {
+        connection.schedule_wake_ups(self.limits());
         if self.job.outgoing.needs_epoch && !connection.epoch_confirmed {
             connection = match self.query_epoch(connection) {
                 Ok(connection) => connection,
-                Err(stop) => return unsent(stop, is_reused),
+                Err(error) => return step_after_failed_send(error, is_reused),
             };
         }
-        // The confirmation comes right before the send, after the record: connecting and recording take time, in
-        // which the conditions under which the attempt was started may have changed.
+        // Connecting and recording take time, in which the conditions under which the attempt was started may change.
+        // So the control loop is asked for confirmation last, right before the request is sent.
         if !self.record() || !self.confirm() {
             self.pool.return_unused(self.job.addr, connection);
-            return Step::ended(AttemptOutcome::NotSent);
+            return NextStep::end(AttemptOutcome::NotSent);
         }
-        // Bytes that arrive before the request was sent cannot belong to its answer, but would be parsed as part of it.
+        // Bytes that arrive before the request is sent cannot belong to its answer, but would be parsed as part of it.
         if !connection.is_open_without_data() {
-            return unsent(IoError::ConnectionLost, is_reused);
+            return step_after_failed_send(IoError::ConnectionLost, is_reused);
         }
         match self.send(&mut connection) {
-            Ok(()) => Step::Ended(Box::new(read_answer(connection, self.limits()))),
-            Err(stop) => unsent(stop, is_reused),
+            Ok(()) => NextStep::End(Box::new(read_answer(connection, self.limits()))),
+            Err(error) => step_after_failed_send(error, is_reused),
         }
     }
 
@@ -125,8 +126,8 @@
         connection.write(&parts, self.limits())
     }
 
-    /// Records the attempt in the write journal if it must be, once for all connections that it uses; returns
-    /// whether it may be sent.
+    /// Records the attempt in the write journal, if it must be recorded. It is recorded only once, even if it uses
+    /// several connections. Returns whether the attempt may be sent.
     fn record(&mut self) -> bool {
         let (Some(entry), Some(journal)) = (&self.job.outgoing.journal_entry, self.journal) else {
             return true;
@@ -137,7 +138,7 @@
         self.journal_verdict.is_some_and(JournalVerdict::allows_sending)
     }
 
-    /// Asks the control loop whether the attempt may still be sent.
+    /// Asks the control loop whether the attempt may still be sent, and waits for the reply.
     fn confirm(&self) -> bool {
         let (reply, confirmed) = channel();
         let question = AttemptConfirmation { attempt: self.job.attempt, reply };
@@ -145,14 +146,14 @@
         asked.is_ok() && confirmed.recv().unwrap_or(false)
     }
 
-    /// Queries the endpoint's epoch and reports it to the control loop, which checks it before the attempt is sent.
+    /// Queries the endpoint's epoch and reports it to the control loop, which checks it when it confirms the attempt.
     ///
-    /// An endpoint that reports no epoch is used all the same: no loss can be detected there.
+    /// An endpoint that reports no epoch is used as well, although the loss of a position cannot be detected there.
     ///
     /// # Errors
-    /// The connection cannot be used any more.
+    /// The connection cannot be reused after the query.
     fn query_epoch(&self, mut connection: PeerConnection) -> Result<PeerConnection, IoError> {
-        send(&mut connection, HEALTH_STATEMENT, self.limits())?;
+        send_query(&mut connection, HEALTH_STATEMENT, self.limits())?;
         let answer = read_answer(connection, self.limits());
         if let Some(epoch) = answer.metadata.epoch {
             let message = ControlMessage::EpochReported { request: self.job.attempt.request, epoch };
@@ -166,12 +167,12 @@
     }
 }
 
-/// The result of an attempt whose last byte was not sent, so that it was not executed.
-fn unsent(stop: IoError, is_reused: bool) -> Step {
-    match stop {
+/// How an attempt continues if the last byte of its request was not sent, so that the request was not executed.
+fn step_after_failed_send(error: IoError, is_reused: bool) -> NextStep {
+    match error {
         // The endpoint closed the connection while it was idle in the pool.
-        IoError::ConnectionLost if is_reused => Step::TryAnotherConnection,
-        IoError::ConnectionLost => Step::ended(AttemptOutcome::Unreachable),
-        IoError::TimedOut | IoError::Cancelled => Step::ended(AttemptOutcome::NotSent),
+        IoError::ConnectionLost if is_reused => NextStep::TryAnotherConnection,
+        IoError::ConnectionLost => NextStep::end(AttemptOutcome::Unreachable),
+        IoError::TimedOut | IoError::Cancelled => NextStep::end(AttemptOutcome::NotSent),
     }
 }
--- a/server/src/endpoints/completion_guard.rs
+++ b/server/src/endpoints/completion_guard.rs
@@ -1,27 +1,28 @@
-//! A guard that reports the end of a coroutine's work to the control loop, even if the coroutine panics.
+//! A guard that reports the result of a coroutine to the control loop, even if the coroutine panics.
 
 use crate::messages::control::ControlMessage;
 use may::sync::mpsc::Sender;
 
-/// Reports the end of one piece of work to the control loop exactly once, when the guard is dropped. The control loop
-/// waits for the end of everything that it has started, so an end must be reported even after a panic.
+/// Reports the result of an attempt, health check or role query to the control loop exactly once, when the guard is
+/// dropped. The control loop waits for the result of everything that it has started, so a result must be reported even
+/// after a panic.
 pub struct CompletionGuard<T> {
     control: Sender<ControlMessage>,
-    /// The end to report; `None` once it was reported.
-    end: Option<T>,
-    /// Wraps the end in a message.
-    message: fn(T) -> ControlMessage,
+    /// The result to report; `None` once it was reported.
+    result: Option<T>,
+    /// Converts the result to a message.
+    to_message: fn(T) -> ControlMessage,
 }
 
 impl<T> CompletionGuard<T> {
-    /// Creates a guard that reports `if_lost`, unless the work is completed first. `message` wraps the end in a
-    /// message to the control loop.
+    /// Creates a guard that reports `after_panic` if it is dropped before [`CompletionGuard::complete`] is called.
+    /// `to_message` converts the result to a message to the control loop.
     pub fn new(
         control: Sender<ControlMessage>,
-        if_lost: T,
-        message: fn(T) -> ControlMessage,
+        after_panic: T,
+        to_message: fn(T) -> ControlMessage,
     ) -> CompletionGuard<T> {
-        CompletionGuard { control, end: Some(if_lost), message }
+        CompletionGuard { control, result: Some(after_panic), to_message }
     }
 
     /// The channel to the control loop.
@@ -29,16 +30,16 @@
         &self.control
     }
 
-    /// Reports the end of the work.
-    pub fn complete(mut self, end: T) {
-        self.end = Some(end);
+    /// Reports the result.
+    pub fn complete(mut self, result: T) {
+        self.result = Some(result);
     }
 }
 
 impl<T> Drop for CompletionGuard<T> {
     fn drop(&mut self) {
-        if let Some(end) = self.end.take() {
-            let _ = self.control.send((self.message)(end));
+        if let Some(result) = self.result.take() {
+            let _ = self.control.send((self.to_message)(result));
         }
     }
 }
--- a/server/src/endpoints/connection.rs
+++ b/server/src/endpoints/connection.rs
@@ -1,4 +1,4 @@
-//! A connection that the server opened to an endpoint or to discovery. Every read and write has a deadline and can be
+//! Connections that the server opens to endpoints and to discovery. Every read and write has a deadline and can be
 //! cancelled.
 
 use crate::log;
@@ -13,18 +13,19 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Bytes read from one peer without a pause. A peer that sends without end would starve the other coroutines of the
-/// single worker thread.
+/// The number of bytes that are read from one peer without a pause. Without the pause, a peer that sends bytes all the
+/// time would keep the other coroutines of the only worker thread from running.
 pub const MAX_BURST_BYTES: usize = 256 << 10;
-/// The pause after [`MAX_BURST_BYTES`].
+/// The pause after [`MAX_BURST_BYTES`] were read.
 pub const BURST_PAUSE: TimeDelta = TimeDelta::from_millis(1);
-/// Bytes of one read.
+/// The maximum number of bytes of one read.
 const READ_BYTES: u64 = 64 << 10;
-/// Buffers up to this size are kept when buffer memory runs short.
+/// The size up to which a buffer may grow even when buffer memory runs short.
 pub const SMALL_BUFFER_BYTES: usize = 16 << 10;
-/// Bytes accepted on an idle connection; more than the answer to an empty query takes.
+/// The maximum number of bytes that are accepted on an idle connection. It is more than the answer to an empty query
+/// takes.
 const MAX_IDLE_BYTES: usize = 4 << 10;
-/// Bytes of one read on an idle connection, on the stack.
+/// The size of the buffer for reads on an idle connection. It is small because the buffer is on the coroutine's stack.
 const IDLE_READ_BYTES: usize = 512;
 
 /// Why a read or a write has failed.
@@ -36,12 +37,12 @@
     /// The deadline has passed.
     #[error("timed out")]
     TimedOut,
-    /// The work was cancelled.
+    /// The operation was cancelled.
     #[error("cancelled")]
     Cancelled,
 }
 
-/// The conditions under which a read or a write is given up.
+/// When a read or a write ends without having completed.
 #[derive(Clone, Copy)]
 pub struct IoLimits<'a> {
     /// When the operation times out.
@@ -54,14 +55,14 @@
 pub struct PeerConnection {
     stream: TcpStream,
     timers: Arc<Timers>,
-    /// Bytes that were read but not consumed.
+    /// Bytes that were read but have not been consumed yet.
     pub buffer: Vec<u8>,
     charge: BufferCharge,
     /// Bytes read since the coroutine last waited.
     burst_bytes: usize,
     descriptor: Descriptor,
-    /// The endpoint has reported its epoch as a primary on this connection. An endpoint closes its connections when
-    /// it ceases to be primary, so this holds for the life of the connection.
+    /// The endpoint has reported on this connection that it is the primary, and its epoch. An endpoint closes its
+    /// connections when it stops being the primary, so the epoch is valid as long as the connection is open.
     pub epoch_confirmed: bool,
 }
 
@@ -93,15 +94,15 @@
         })
     }
 
-    /// Schedules wake-ups of the following reads and writes for the deadline and the cancellation. Must be called
-    /// before operations with new limits.
-    pub fn arm(&self, limits: IoLimits) {
+    /// Ensures that reads and writes wake up at the deadline and on cancellation. Must be called before the first
+    /// read or write with new limits.
+    pub fn schedule_wake_ups(&self, limits: IoLimits) {
         let waker = self.stream.waker();
         self.timers.call_at(limits.deadline, move || waker.wakeup());
         limits.cancellation.wake_socket(self.stream.waker());
     }
 
-    /// Waits for an event of the socket, the deadline or the cancellation.
+    /// Waits until the socket is ready, the deadline has passed or the operation is cancelled.
     ///
     /// # Errors
     /// The deadline has passed, or the operation was cancelled.
@@ -119,7 +120,8 @@
     /// Waits for bytes and appends them to the buffer.
     ///
     /// # Errors
-    /// The connection was lost, timed out or cancelled before any byte arrived, or buffer memory is used up.
+    /// The connection was lost, the deadline passed or the operation was cancelled before any byte arrived, or buffer
+    /// memory is used up.
     pub fn read(&mut self, limits: IoLimits) -> Result<(), IoError> {
         loop {
             let length_before = self.buffer.len();
@@ -138,14 +140,15 @@
         }
     }
 
-    /// Charges the bytes that were read, and pauses after a burst.
+    /// Counts the bytes that were read towards the limit on buffer memory, and pauses after [`MAX_BURST_BYTES`].
     ///
     /// # Errors
     /// Buffer memory is used up, and the buffer is larger than [`SMALL_BUFFER_BYTES`].
     fn account_read(&mut self, bytes: usize) -> Result<(), IoError> {
         self.charge.set(self.buffer.len());
         if self.buffer.len() > SMALL_BUFFER_BYTES && self.descriptor.is_memory_critical() {
-            log!(WARN, buffered = self.buffer.len(), reason = "buffer memory used up"; "long answer cut off");
+            let buffered = self.buffer.len();
+            log!(WARN, buffered = buffered, reason = "buffer memory used up"; "connection closed within a long answer");
             return Err(IoError::ConnectionLost);
         }
         self.burst_bytes += bytes;
@@ -156,16 +159,17 @@
         Ok(())
     }
 
-    /// Takes the buffer out of the connection, and releases its charge: the caller charges it where needed.
+    /// Takes the buffer out of the connection. Its bytes no longer count towards the limit on buffer memory; the
+    /// caller counts them if they must be.
     pub fn take_buffer(&mut self) -> Vec<u8> {
         self.charge.set(0);
         std::mem::take(&mut self.buffer)
     }
 
-    /// Writes all parts, waiting while the socket's send buffer is full.
+    /// Writes all parts in order. Waits while the socket's send buffer is full.
     ///
     /// # Errors
-    /// The connection was lost, timed out or cancelled before the last byte was sent.
+    /// The connection was lost, the deadline passed or the operation was cancelled before the last byte was sent.
     pub fn write(&mut self, parts: &[&[u8]], limits: IoLimits) -> Result<(), IoError> {
         let total: usize = parts.iter().map(|part| part.len()).sum();
         let mut written = 0;
@@ -181,8 +185,8 @@
         Ok(())
     }
 
-    /// Appends the bytes that have arrived on an idle connection to the buffer, without waiting. Returns false if the
-    /// connection was closed, or the buffer exceeds `MAX_IDLE_BYTES`.
+    /// Appends the bytes that have arrived on an idle connection to the buffer, without waiting for more. Returns
+    /// false if the peer has closed the connection or the buffer exceeds `MAX_IDLE_BYTES`.
     pub fn read_available(&mut self) -> bool {
         let mut bytes = [0; IDLE_READ_BYTES];
         while self.buffer.len() <= MAX_IDLE_BYTES {
@@ -197,12 +201,12 @@
         false
     }
 
-    /// Whether the connection is open and has received no unsolicited bytes.
+    /// Whether the connection is open and has received no bytes.
     pub fn is_open_without_data(&mut self) -> bool {
         self.read_available() && self.buffer.is_empty()
     }
 
-    /// Writes a few bytes without waiting; returns false if not all of them were accepted.
+    /// Writes bytes without waiting. Returns false if the socket did not accept all of them.
     pub fn try_write(&mut self, bytes: &[u8]) -> bool {
         self.stream.inner().write(bytes).is_ok_and(|written| written == bytes.len())
     }
--- a/server/src/endpoints/dispatcher.rs
+++ b/server/src/endpoints/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Starts attempts, health checks and discovery queries, each in its own coroutine.
+//! The start of attempts, health checks and role queries, each in its own coroutine.
 
 use crate::endpoints::attempt::run_attempt;
 use crate::endpoints::health_check::{check_health, query_role, RoleQuery};
@@ -14,18 +14,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Starts attempts, health checks and discovery queries with the resources that they share.
+/// Starts attempts, health checks and role queries, and gives them the resources that they share.
 #[derive(Clone)]
 pub struct EndpointDispatcher {
-    /// The connections to endpoints.
+    /// The pool of connections to endpoints.
     pub pool: Arc<ConnectionPool>,
-    /// The channel to the control loop, for reports.
+    /// The channel to the control loop, for results.
     pub control: Sender<ControlMessage>,
-    /// The timeout of health checks and discovery queries.
+    /// The timeout of health checks and role queries.
     pub health_check_timeout: TimeDelta,
-    /// The write journal, if writes are recorded.
+    /// The write journal; `None` if writes are not recorded.
     pub journal: Option<Arc<WriteJournal>>,
-    /// The counters of the process.
+    /// The counters and histograms of requests, attempts and health checks.
     pub metrics: Arc<Metrics>,
 }
 
@@ -47,7 +47,7 @@
         spawn(move || check_health(&this.pool, this.control, endpoint, addr, this.health_check_timeout));
     }
 
-    /// Starts a query of primary discovery.
+    /// Starts a role query.
     pub fn query_role(&self, query: RoleQuery) {
         let this = self.clone();
         spawn(move || query_role(&this.pool, this.control, &query, this.health_check_timeout));
--- a/server/src/endpoints/load_report.rs
+++ b/server/src/endpoints/load_report.rs
@@ -1,12 +1,13 @@
-//! Parsing of endpoints' load reports.
+//! Parsing of the load reports that endpoints send in answers and in response to `SHOW health`.
 
 use crate::runtime::clock;
 use routing::{EndpointReport, Role};
 
 /// Parses a load report, a comma-separated list of `name=value` pairs.
 ///
-/// `x0` is the position in Unix seconds, `x1` is 1 for a primary and 0 for a replica, `util` or `load_share` is the
-/// busy fraction; other names are ignored. If any part is invalid, the whole report is empty.
+/// `x0` is the endpoint's position in Unix seconds. `x1` is 1 for a primary and 0 for a replica. `util` and
+/// `load_share` are two names for the fraction of the time that the endpoint is busy. Other names are ignored. If any
+/// pair is invalid, the returned report is empty.
 pub fn parse(fields: &str) -> EndpointReport {
     parse_fields(fields).unwrap_or_default()
 }
@@ -27,7 +28,7 @@
     Some(report)
 }
 
-/// Parses a decimal number without sign and exponent; `nan` and `inf` are not numbers either.
+/// Parses a decimal number without a sign and an exponent. Rejects `nan` and `inf`.
 pub fn parse_unsigned_decimal(text: &str) -> Option<f64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     text.parse().ok().filter(|_| is_plain)
--- a/server/src/endpoints/mod.rs
+++ b/server/src/endpoints/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, and the attempts, health checks and discovery queries that use them.
+//! Connections to endpoints, and the attempts, health checks and role queries that use them.
 
 pub mod answer;
 pub mod attempt;
--- a/server/src/endpoints/pool.rs
+++ b/server/src/endpoints/pool.rs
@@ -1,9 +1,10 @@
-//! The pool of connections to endpoints. The connection that was used last is reused first; a new one is opened
+//! The pool of connections to endpoints. The connection that was used last is reused first. A new connection is opened
 //! only if none is idle.
 //!
-//! An endpoint may send extra bytes after an answer, or close the connection right after it. So an empty query,
-//! which the endpoint answers at once and without effect, is sent on every returned connection. The connection is
-//! reused only once exactly that answer has arrived: extra bytes of the answer before would precede it.
+//! An endpoint may send extra bytes after an answer, or close the connection right after it. So every connection that
+//! is returned after an answer is verified: the pool sends an empty query, which the endpoint answers at once and
+//! without effect. The connection is reused only if exactly the answer to the empty query has arrived. Extra bytes
+//! after the previous answer would precede it.
 
 use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::endpoints::response_parser::ResponseParser;
@@ -19,86 +20,86 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// An endpoint closes an idle connection after a known time; the pool does so after this fraction of it, so that a
-/// request is not sent on a connection that is being closed.
+/// The pool closes an idle connection after the endpoints' idle timeout divided by this. So no request is sent on a
+/// connection that the endpoint is about to close.
 const IDLE_TIMEOUT_DIVISOR: i64 = 2;
-/// The wait for a verification is at most this fraction of the connect timeout.
+/// The wait for a verification is at most the connect timeout divided by this.
 const VERIFICATION_CONNECT_DIVISOR: i64 = 4;
-/// The wait for a verification is at most this fraction of the request's remaining time, so that most of it is left
-/// for a new connection.
+/// The wait for a verification is at most the request's remaining time divided by this, so that most of the time is
+/// left for a new connection.
 const VERIFICATION_REQUEST_DIVISOR: i64 = 8;
 
 /// An idle connection.
 struct IdleConnection {
     connection: PeerConnection,
-    since: Timestamp,
-    /// The parser of the answer to the empty query; `None` once the connection is verified.
+    idle_since: Timestamp,
+    /// Parses the answer to the empty query; `None` if the connection is verified or needs no verification.
     verification: Option<ResponseParser>,
 }
 
 /// Whether an idle connection can be reused.
 enum Reusability {
-    /// It can be reused.
-    Now,
-    /// The answer to the empty query is incomplete.
+    /// The connection can be reused.
+    Reusable,
+    /// The answer to the empty query has not arrived completely.
     Verifying,
-    /// It was closed, has expired, or has received unexpected bytes.
-    Never,
+    /// The connection was closed, has been idle for too long, or has received unexpected bytes.
+    Unusable,
 }
 
 impl IdleConnection {
     /// Reads the bytes that have arrived, without waiting for more, and decides whether the connection can be reused.
-    fn check(&mut self, now: Timestamp, pool: &ConnectionPool) -> Reusability {
-        let age = now - self.since;
-        if age >= pool.max_idle || !self.connection.read_available() {
-            return Reusability::Never;
+    fn check_reusability(&mut self, now: Timestamp, pool: &ConnectionPool) -> Reusability {
+        let idle_time = now - self.idle_since;
+        if idle_time >= pool.idle_timeout || !self.connection.read_available() {
+            return Reusability::Unusable;
         }
         let Some(verification) = &mut self.verification else {
-            let is_clean = self.connection.buffer.is_empty();
-            return if is_clean { Reusability::Now } else { Reusability::Never };
+            let has_no_data = self.connection.buffer.is_empty();
+            return if has_no_data { Reusability::Reusable } else { Reusability::Unusable };
         };
         match verification.parse(&self.connection.buffer) {
-            None if age < pool.connect_timeout => Reusability::Verifying,
+            None if idle_time < pool.connect_timeout => Reusability::Verifying,
             Some(AttemptOutcome::Succeeded)
                 if verification.leaves_connection_reusable(&self.connection.buffer) =>
             {
                 self.connection.take_buffer();
                 self.verification = None;
-                Reusability::Now
+                Reusability::Reusable
             }
-            _ => Reusability::Never,
+            _ => Reusability::Unusable,
         }
     }
 }
 
-/// Idle connections by address. Those of one address are in the order in which they became idle.
+/// The idle connections of each address, in the order in which they became idle.
 type IdleConnections = HashMap<SocketAddr, Vec<IdleConnection>>;
 
 /// The pool of connections to endpoints.
 pub struct ConnectionPool {
-    /// The timers that the connections use.
+    /// The clock and timers that the connections use.
     pub timers: Arc<Timers>,
     resources: Arc<ResourceLimits>,
-    /// The timeout of connecting and starting a session.
+    /// The timeout for opening a connection and starting its session.
     connect_timeout: TimeDelta,
-    /// The age at which an idle connection is closed.
-    max_idle: TimeDelta,
+    /// The time after which the pool closes an idle connection.
+    idle_timeout: TimeDelta,
     idle: Mutex<IdleConnections>,
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool; `closed_after` is the time after which an endpoint closes an idle connection.
+    /// Creates an empty pool. An endpoint closes an idle connection after `endpoint_idle_timeout`.
     pub fn new(
         timers: Arc<Timers>,
         resources: Arc<ResourceLimits>,
         connect_timeout: TimeDelta,
-        closed_after: TimeDelta,
+        endpoint_idle_timeout: TimeDelta,
     ) -> ConnectionPool {
         ConnectionPool {
             timers,
             resources,
             connect_timeout,
-            max_idle: closed_after / IDLE_TIMEOUT_DIVISOR,
+            idle_timeout: endpoint_idle_timeout / IDLE_TIMEOUT_DIVISOR,
             idle: Mutex::default(),
         }
     }
@@ -107,13 +108,13 @@
         self.idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Takes an idle connection out of the pool, preferably a verified one.
+    /// Takes a reusable idle connection out of the pool; `None` if there is none.
     ///
-    /// If all are being verified, waits for one of them: the verification takes the rest of a round trip, a new
-    /// connection several round trips, and work at the endpoint.
+    /// If all idle connections are being verified, waits for a verification. It takes the rest of one round trip,
+    /// while a new connection takes several round trips and work at the endpoint.
     pub fn reuse(&self, addr: &SocketAddr, limits: IoLimits) -> Option<PeerConnection> {
         loop {
-            let idle = self.take(addr)?;
+            let idle = self.take_idle(addr)?;
             if idle.verification.is_none() {
                 return Some(idle.connection);
             }
@@ -123,34 +124,36 @@
         }
     }
 
-    /// Waits a short time for the verification of a connection; `None` if it failed or timed out.
+    /// Waits a short time for the verification of a connection. Returns `None` if the verification fails or takes
+    /// longer.
     fn await_verification(&self, mut idle: IdleConnection, limits: IoLimits) -> Option<PeerConnection> {
         let now = self.timers.now();
         let max_wait = self.connect_timeout / VERIFICATION_CONNECT_DIVISOR;
         let wait = max_wait.min((limits.deadline - now) / VERIFICATION_REQUEST_DIVISOR);
         let limits = IoLimits { deadline: now + wait, ..limits };
-        idle.connection.arm(limits);
+        idle.connection.schedule_wake_ups(limits);
         while idle.connection.read(limits).is_ok() {
-            match idle.check(self.timers.now(), self) {
-                Reusability::Now => return Some(idle.connection),
+            match idle.check_reusability(self.timers.now(), self) {
+                Reusability::Reusable => return Some(idle.connection),
                 Reusability::Verifying => {}
-                Reusability::Never => return None,
+                Reusability::Unusable => return None,
             }
         }
         None
     }
 
-    /// Takes an idle connection out of the pool, a verified one if possible, and closes those that cannot be reused.
-    fn take(&self, addr: &SocketAddr) -> Option<IdleConnection> {
+    /// Takes an idle connection out of the pool: the latest reusable one, or else one that is being verified. Closes
+    /// the unusable connections that it finds.
+    fn take_idle(&self, addr: &SocketAddr) -> Option<IdleConnection> {
         let now = self.timers.now();
         let mut idle = self.lock();
         let connections = idle.get_mut(addr)?;
         let mut unverified = None;
         for index in (0..connections.len()).rev() {
-            match connections[index].check(now, self) {
-                Reusability::Now => return Some(connections.remove(index)),
+            match connections[index].check_reusability(now, self) {
+                Reusability::Reusable => return Some(connections.remove(index)),
                 Reusability::Verifying => unverified = Some(index),
-                Reusability::Never => {
+                Reusability::Unusable => {
                     drop(connections.remove(index));
                     unverified = unverified.map(|later| later - 1);
                 }
@@ -162,14 +165,15 @@
     /// Opens a connection and starts its session.
     ///
     /// # Errors
-    /// The connection was not opened within the limits; the outcome tells whether the endpoint is at fault.
+    /// The connection was not opened. The outcome is `Unreachable` or `Rejected` if the endpoint is the cause, and
+    /// `NotSent` otherwise.
     pub fn open(&self, addr: &SocketAddr, limits: IoLimits) -> Result<PeerConnection, ConnectError> {
         if limits.cancellation.is_cancelled() {
             return Err(AttemptOutcome::NotSent.into());
         }
         let connect_deadline = self.timers.now() + self.connect_timeout;
         let descriptor = self.acquire_descriptor(addr)?;
-        // A timeout counts against the endpoint only if the whole connect timeout has passed, not if the request
+        // A timeout is attributed to the endpoint only if the whole connect timeout has passed, and not if the request
         // had less time left.
         let is_deadline_first = limits.deadline < connect_deadline;
         let timed_out = if is_deadline_first { AttemptOutcome::NotSent } else { AttemptOutcome::Unreachable };
@@ -182,13 +186,14 @@
                 ConnectError { outcome: AttemptOutcome::Unreachable, refused }
             }
         })?;
-        connection.arm(limits);
+        connection.schedule_wake_ups(limits);
         start_session(&mut connection, limits, timed_out)?;
         connection.take_buffer();
         Ok(connection)
     }
 
-    /// Acquires a descriptor for a new connection, if need be by closing the oldest idle one.
+    /// Acquires a descriptor for a new connection. If none is free, closes the connection that has been idle for the
+    /// longest time.
     ///
     /// # Errors
     /// All descriptors for endpoints are in use.
@@ -198,48 +203,50 @@
             self.resources.acquire_for_endpoint(*addr)
         });
         descriptor.ok_or_else(|| {
-            log!(WARN, endpoint = addr, reason = "descriptors for endpoints used up"; "no connection opened");
+            let reason = "all descriptors for endpoints are in use";
+            log!(WARN, endpoint = addr, reason = reason; "no connection to the endpoint opened");
             AttemptOutcome::NotSent.into()
         })
     }
 
-    /// Returns a connection to the pool on which no request was sent.
+    /// Returns to the pool a connection on which no request was sent. The connection needs no verification.
     pub fn return_unused(&self, addr: SocketAddr, connection: PeerConnection) {
-        self.insert(addr, connection, None);
+        self.add_idle(addr, connection, None);
     }
 
-    /// Returns a connection to the pool whose answer was read completely, and starts its verification.
+    /// Returns a connection to the pool after a complete answer was read from it, and starts to verify the connection.
     pub fn return_after_answer(&self, addr: SocketAddr, mut connection: PeerConnection) {
         let mut empty_query = Vec::new();
         encode::query(&mut empty_query, "");
         if connection.try_write(&empty_query) {
-            self.insert(addr, connection, Some(ResponseParser::for_empty_query()));
+            self.add_idle(addr, connection, Some(ResponseParser::for_empty_query()));
         }
     }
 
     /// Adds an idle connection to the pool.
-    fn insert(&self, addr: SocketAddr, connection: PeerConnection, verification: Option<ResponseParser>) {
-        let since = self.timers.now();
-        let idle = IdleConnection { connection, since, verification };
+    fn add_idle(&self, addr: SocketAddr, connection: PeerConnection, verification: Option<ResponseParser>) {
+        let idle_since = self.timers.now();
+        let idle = IdleConnection { connection, idle_since, verification };
         self.lock().entry(addr).or_default().push(idle);
     }
 
-    /// Closes the idle connections that have expired or cannot be reused for another reason.
+    /// Closes the idle connections that cannot be reused.
     pub fn close_expired(&self) {
         let now = self.timers.now();
         self.lock().retain(|_, connections| {
-            connections.retain_mut(|idle| !matches!(idle.check(now, self), Reusability::Never));
+            connections
+                .retain_mut(|idle| !matches!(idle.check_reusability(now, self), Reusability::Unusable));
             !connections.is_empty()
         });
     }
 
-    /// Closes all idle connections to an address, because its endpoint was restarted, is draining or was removed.
+    /// Closes all idle connections to an address whose endpoint was restarted, is draining or was removed.
     pub fn close_idle(&self, addr: &SocketAddr) {
         let connections = self.lock().remove(addr);
         drop(connections);
     }
 
-    /// Closes the idle connections to all other addresses.
+    /// Closes the idle connections to all addresses that are not in `addrs`.
     pub fn retain_addresses(&self, addrs: &BTreeSet<SocketAddr>) {
         self.lock().retain(|addr, _| addrs.contains(addr));
     }
@@ -247,23 +254,26 @@
     /// Closes the connection that has been idle for the longest time.
     fn close_oldest(&self) {
         let mut idle = self.lock();
-        let oldest = idle.iter().filter_map(|(addr, all)| Some((all.first()?.since, *addr))).min();
+        let oldest = idle
+            .iter()
+            .filter_map(|(addr, connections)| Some((connections.first()?.idle_since, *addr)))
+            .min();
         if let Some(connections) = oldest.and_then(|(_, addr)| idle.get_mut(&addr)) {
             connections.remove(0);
         }
     }
 }
 
-/// Starts the session of a new connection; `timed_out` is the outcome if the deadline passes.
+/// Starts the session of a new connection. `timed_out` is the outcome if the deadline passes.
 ///
 /// # Errors
-/// The endpoint rejected the session, or the connection was lost, timed out or cancelled.
+/// The endpoint rejected the session, the connection was lost, the deadline passed or the attempt was cancelled.
 fn start_session(
     connection: &mut PeerConnection,
     limits: IoLimits,
     timed_out: AttemptOutcome,
 ) -> Result<(), ConnectError> {
-    let outcome = |stop| match stop {
+    let outcome = |error| match error {
         IoError::TimedOut => timed_out,
         IoError::Cancelled => AttemptOutcome::NotSent,
         IoError::ConnectionLost => AttemptOutcome::Unreachable,
--- a/server/src/endpoints/query.rs
+++ b/server/src/endpoints/query.rs
@@ -1,4 +1,4 @@
-//! Queries that the server itself sends to endpoints: one statement, whose result is one column of one row.
+//! Queries that the server itself sends to endpoints. The result of each is one row with one column.
 
 use crate::endpoints::answer::read_answer;
 use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
@@ -10,20 +10,20 @@
 
 /// The result of a query.
 pub struct QueryResult {
-    /// The outcome of the query.
+    /// How the query ended.
     pub outcome: AttemptOutcome,
-    /// The column's bytes; empty if the query failed.
+    /// The bytes of the column; empty if the query failed.
     pub column: Vec<u8>,
 }
 
 /// The statement that returns an endpoint's load report.
 pub const HEALTH_STATEMENT: &str = "SHOW health";
 
-/// Sends a statement on an idle connection or a new one, and reads its result.
+/// Sends a statement on a pooled or a new connection, and reads its result.
 ///
 /// # Errors
 /// No connection could be opened, or the statement was not sent.
-pub fn query(
+pub fn query_endpoint(
     pool: &ConnectionPool,
     addr: SocketAddr,
     statement: &str,
@@ -33,8 +33,8 @@
         let reused = pool.reuse(&addr, limits);
         let is_reused = reused.is_some();
         let mut connection = reused.map_or_else(|| pool.open(&addr, limits), Ok)?;
-        connection.arm(limits);
-        match send(&mut connection, statement, limits) {
+        connection.schedule_wake_ups(limits);
+        match send_query(&mut connection, statement, limits) {
             Ok(()) => {}
             // The endpoint closed the connection while it was idle in the pool.
             Err(IoError::ConnectionLost) if is_reused => continue,
@@ -49,11 +49,11 @@
     }
 }
 
-/// Sends a statement as a simple query.
+/// Sends a statement in a Query message.
 ///
 /// # Errors
-/// The connection was lost, timed out or cancelled before the last byte was sent.
-pub fn send(connection: &mut PeerConnection, statement: &str, limits: IoLimits) -> Result<(), IoError> {
+/// The connection was lost, the deadline passed or the query was cancelled before the last byte was sent.
+pub fn send_query(connection: &mut PeerConnection, statement: &str, limits: IoLimits) -> Result<(), IoError> {
     let mut message = Vec::new();
     encode::query(&mut message, statement);
     connection.write(&[&message], limits)
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -1,5 +1,6 @@
-//! Parsing of an endpoint's answer, before any of it is forwarded to the client. An endpoint may send anything, so
-//! a message that the grammar does not allow at its position makes the whole answer invalid.
+//! Parsing of an endpoint's answer before any of it is forwarded to the client. The parser does not rely on the
+//! endpoint to follow the protocol: a message that the grammar does not allow at its position makes the whole answer
+//! invalid.
 
 use crate::endpoints::load_report::{self, parse_unsigned_decimal};
 use crate::messages::control::AnswerMetadata;
@@ -11,7 +12,7 @@
 use sessions::epochs::Epoch;
 use std::ops::Range;
 
-/// The state of the parser: which message may come next.
+/// The state of the parser, which determines the messages that may come next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
     /// After a startup message was sent.
@@ -37,31 +38,37 @@
     Invalid,
 }
 
-/// A transition of the parser.
-struct Rule {
-    /// The state in which the rule applies.
+/// A transition of the parser from one state to another by a message.
+struct Transition {
+    /// The state in which the message is allowed.
     from: State,
     /// The tag of the message.
     tag: u8,
-    /// The greatest length that the message may declare, which counts the length field but not the tag.
+    /// The maximum length that the message may declare. The length includes the length field but not the tag.
     max_bytes: usize,
-    /// Whether the message's body is valid.
+    /// Checks the message's body.
     is_valid: fn(&[u8]) -> bool,
-    /// The state that the message leads to.
+    /// The state after the message.
     to: State,
 }
 
-const fn rule(from: State, tag: u8, max_bytes: usize, is_valid: fn(&[u8]) -> bool, to: State) -> Rule {
-    Rule { from, tag, max_bytes, is_valid, to }
+const fn transition(
+    from: State,
+    tag: u8,
+    max_bytes: usize,
+    is_valid: fn(&[u8]) -> bool,
+    to: State,
+) -> Transition {
+    Transition { from, tag, max_bytes, is_valid, to }
 }
 
-/// The greatest length of errors, row descriptions and command tags.
+/// The maximum length of an error, a row description or a command tag.
 const MAX_SHORT_BYTES: usize = 1 << 10;
-/// The body of AuthenticationOk, whose code is 0.
+/// The body of AuthenticationOk: the code 0.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 /// The length of AuthenticationOk.
 const AUTHENTICATION_BYTES: usize = LENGTH_BYTES + AUTHENTICATION_OK.len();
-/// The body of BackendKeyData in bytes: a process id and a secret key.
+/// The length of the body of BackendKeyData, which consists of a process id and a secret key.
 const KEY_DATA_BODY_BYTES: usize = 8;
 /// The length of BackendKeyData.
 const KEY_DATA_BYTES: usize = LENGTH_BYTES + KEY_DATA_BODY_BYTES;
@@ -74,34 +81,40 @@
     body == READY_IDLE
 }
 
-/// The transitions of all states.
-const GRAMMAR: &[Rule] = &[
-    rule(
+/// All transitions of the parser.
+const GRAMMAR: &[Transition] = &[
+    transition(
         State::ExpectAuthentication,
         b'R',
         AUTHENTICATION_BYTES,
         |body| body == AUTHENTICATION_OK,
         State::Authenticated,
     ),
-    rule(State::ExpectAuthentication, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
-    rule(
+    transition(State::ExpectAuthentication, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    transition(
         State::Authenticated,
         b'K',
         KEY_DATA_BYTES,
         |body| body.len() == KEY_DATA_BODY_BYTES,
         State::Authenticated,
     ),
-    rule(State::Authenticated, b'Z', READY_BYTES, is_ready, State::Done),
-    rule(State::Authenticated, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
-    rule(State::ExpectDescription, b'T', MAX_SHORT_BYTES, decode::describes_one_column, State::ExpectRow),
-    rule(State::ExpectDescription, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
-    rule(State::ExpectRow, b'D', MAX_VALUE_BYTES, has_one_column, State::ExpectCompletion),
-    rule(State::ExpectRow, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
-    rule(State::ExpectCompletion, b'C', MAX_SHORT_BYTES, decode::is_text, State::Complete),
-    rule(State::ExpectCompletion, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
-    rule(State::Complete, b'Z', READY_BYTES, is_ready, State::Done),
-    rule(State::Failed, b'Z', READY_BYTES, is_ready, State::Done),
-    rule(State::ExpectEmptyResponse, b'I', LENGTH_BYTES, <[u8]>::is_empty, State::Complete),
+    transition(State::Authenticated, b'Z', READY_BYTES, is_ready, State::Done),
+    transition(State::Authenticated, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    transition(
+        State::ExpectDescription,
+        b'T',
+        MAX_SHORT_BYTES,
+        decode::describes_one_column,
+        State::ExpectRow,
+    ),
+    transition(State::ExpectDescription, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    transition(State::ExpectRow, b'D', MAX_VALUE_BYTES, has_one_column, State::ExpectCompletion),
+    transition(State::ExpectRow, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    transition(State::ExpectCompletion, b'C', MAX_SHORT_BYTES, decode::is_text, State::Complete),
+    transition(State::ExpectCompletion, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    transition(State::Complete, b'Z', READY_BYTES, is_ready, State::Done),
+    transition(State::Failed, b'Z', READY_BYTES, is_ready, State::Done),
+    transition(State::ExpectEmptyResponse, b'I', LENGTH_BYTES, <[u8]>::is_empty, State::Complete),
 ];
 
 /// Whether a body is a DataRow with exactly one column that is not null.
@@ -109,87 +122,92 @@
     decode::only_column(body).is_some()
 }
 
-/// The bytes of asynchronous messages (ParameterStatus, NoticeResponse) in one answer. They are allowed at any
-/// position.
+/// The maximum number of bytes of asynchronous messages (ParameterStatus and NoticeResponse) in one answer. They are
+/// allowed at any position.
 const MAX_ASYNCHRONOUS_BYTES: usize = 8 << 10;
 
 /// The tags of a value's messages, in order: RowDescription, DataRow and CommandComplete.
 const VALUE_TAGS: &[u8; 3] = b"TDC";
 
-/// An incremental parser of one answer.
+/// An incremental parser of one answer. By default, it expects the answer to a query.
 #[derive(Debug, Default)]
 pub struct ResponseParser {
     state: State,
     /// The offset of the next message in the connection's buffer.
-    at: usize,
+    offset: usize,
     /// The ranges of the value's messages in the buffer, in the order of [`VALUE_TAGS`].
     value_parts: [Range<usize>; VALUE_TAGS.len()],
+    /// The number of bytes of asynchronous messages so far.
     asynchronous_bytes: usize,
-    /// The outcome by the ErrorResponse, if there was one.
-    error: Option<AttemptOutcome>,
+    /// The outcome that the ErrorResponse determines; `None` if there was no ErrorResponse.
+    error_outcome: Option<AttemptOutcome>,
     metadata: AnswerMetadata,
 }
 
 impl ResponseParser {
-    /// A parser of the answer to a startup message.
+    /// Creates a parser of the answer to a startup message.
     pub fn for_startup() -> ResponseParser {
         ResponseParser { state: State::ExpectAuthentication, ..ResponseParser::default() }
     }
 
-    /// A parser of the answer to an empty query.
+    /// Creates a parser of the answer to an empty query.
     pub fn for_empty_query() -> ResponseParser {
         ResponseParser { state: State::ExpectEmptyResponse, ..ResponseParser::default() }
     }
 
-    /// Parses the messages that are complete in the buffer; returns the outcome once the answer is complete or invalid.
+    /// Parses the complete messages in the buffer, which contains all bytes of the answer so far. Returns the outcome
+    /// once the answer is complete or invalid, and `None` before that.
     pub fn parse(&mut self, buffer: &[u8]) -> Option<AttemptOutcome> {
         while !matches!(self.state, State::Done | State::Invalid) {
-            let &tag = buffer.get(self.at)?;
+            let &tag = buffer.get(self.offset)?;
             self.parse_message(tag, buffer)?;
         }
         Some(self.outcome(AttemptOutcome::Failed))
     }
 
-    /// Parses one message; `None` if it is incomplete.
+    /// Parses one message; returns `None` if it is incomplete.
     fn parse_message(&mut self, tag: u8, buffer: &[u8]) -> Option<()> {
         let is_asynchronous = matches!(tag, b'S' | b'N');
-        let rule = GRAMMAR.iter().find(|rule| rule.from == self.state && rule.tag == tag);
-        let max_bytes = match rule {
+        let is_allowed = |transition: &&Transition| transition.from == self.state && transition.tag == tag;
+        let transition = GRAMMAR.iter().find(is_allowed);
+        let max_bytes = match transition {
             _ if is_asynchronous => MAX_ASYNCHRONOUS_BYTES - self.asynchronous_bytes,
-            Some(rule) => rule.max_bytes,
+            Some(transition) => transition.max_bytes,
             None => 0,
         };
-        let start = self.at;
+        let start = self.offset;
         let next = match frame(buffer, start, max_bytes) {
             Ok(None) if max_bytes > 0 => return None,
             Ok(Some(frame)) => {
-                self.at = frame.body.end;
+                self.offset = frame.body.end;
                 let body = &buffer[frame.body];
                 if is_asynchronous {
-                    self.asynchronous_bytes += self.at - start;
+                    self.asynchronous_bytes += self.offset - start;
                     self.handle_asynchronous(tag, body)
                 } else {
-                    rule.filter(|rule| (rule.is_valid)(body)).map(|rule| rule.to)
+                    transition
+                        .filter(|transition| (transition.is_valid)(body))
+                        .map(|transition| transition.to)
                 }
             }
             _ => None,
         };
         if tag == b'E' && next.is_some() {
-            self.handle_error(&buffer[start + HEADER_BYTES..self.at]);
-        } else if let Some(part) = VALUE_TAGS.iter().position(|&part| part == tag) {
-            self.value_parts[part] = start..self.at;
+            self.handle_error(&buffer[start + HEADER_BYTES..self.offset]);
+        } else if let Some(part) = VALUE_TAGS.iter().position(|&value_tag| value_tag == tag) {
+            self.value_parts[part] = start..self.offset;
         }
         self.state = next.unwrap_or(State::Invalid);
         Some(())
     }
 
-    /// Handles an ErrorResponse. After the first message of a value, no error code proves that the request was not
-    /// executed.
+    /// Handles an ErrorResponse. Once the first message of a value has arrived, no SQLSTATE proves that the request
+    /// was not executed.
     fn handle_error(&mut self, body: &[u8]) {
         let code = decode::error_field(body, b'C').unwrap_or_default();
-        let value_begun = matches!(self.state, State::ExpectRow | State::ExpectCompletion);
-        let outcome = if value_begun { AttemptOutcome::Failed } else { outcome_of_code(code) };
-        self.error = Some(outcome);
+        let value_has_begun = matches!(self.state, State::ExpectRow | State::ExpectCompletion);
+        let outcome = if value_has_begun { AttemptOutcome::Failed } else { outcome_of_sqlstate(code) };
+        self.error_outcome = Some(outcome);
     }
 
     /// Handles a NoticeResponse or ParameterStatus; returns the next state, or `None` if the message is malformed.
@@ -211,10 +229,10 @@
         Some(self.state)
     }
 
-    /// The outcome if nothing more is read, or `incomplete` if the answer does not determine one yet. An error or a
-    /// complete value does, even if the connection was lost after it.
+    /// The outcome of the answer as far as it was read, or `incomplete` if it does not determine an outcome yet. An
+    /// error or a complete value determines the outcome, even if the connection is lost after it.
     pub fn outcome(&self, incomplete: AttemptOutcome) -> AttemptOutcome {
-        match (self.state, self.error) {
+        match (self.state, self.error_outcome) {
             (State::Invalid, _) => AttemptOutcome::Failed,
             (_, Some(outcome)) => outcome,
             (State::Complete | State::Done, None) => AttemptOutcome::Succeeded,
@@ -222,12 +240,12 @@
         }
     }
 
-    /// Whether the connection can be reused: the answer is complete, and no bytes follow it.
+    /// Whether the connection can be reused after the answer: the answer is complete, and no bytes follow it.
     pub fn leaves_connection_reusable(&self, buffer: &[u8]) -> bool {
-        self.state == State::Done && self.at == buffer.len()
+        self.state == State::Done && self.offset == buffer.len()
     }
 
-    /// What the answer reported about its endpoint; empty if the answer is invalid.
+    /// What the answer reports about its endpoint; empty if the answer is invalid.
     pub fn metadata(&self) -> AnswerMetadata {
         if self.state == State::Invalid {
             AnswerMetadata::default()
@@ -236,8 +254,8 @@
         }
     }
 
-    /// Extracts the three messages of the value from the buffer, to be forwarded to the client. The buffer is
-    /// reused if no other message is between them.
+    /// Extracts the three messages of the value from the buffer, to be forwarded to the client. The buffer is reused
+    /// if no other messages are between them.
     pub fn value(&self, mut buffer: Vec<u8>) -> Vec<u8> {
         let [description, row, completion] = self.value_parts.clone();
         if description.end != row.start || row.end != completion.start {
@@ -249,8 +267,9 @@
     }
 }
 
-/// The outcome for an error code. Only the codes that are listed prove that the request was not executed.
-fn outcome_of_code(code: &str) -> AttemptOutcome {
+/// The outcome of an attempt that was answered with an error. Only the codes that are listed here prove that the
+/// request was not executed.
+fn outcome_of_sqlstate(code: &str) -> AttemptOutcome {
     match code {
         sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD => AttemptOutcome::NotEligible,
         sqlstate::TOO_MANY_CONNECTIONS => AttemptOutcome::Rejected,
@@ -258,8 +277,8 @@
     }
 }
 
-/// Parses an epoch such as `3@1790000000123`: its number and the position at which it began, in Unix milliseconds.
-/// Without a position, as in `3`, the beginning is unknown.
+/// Parses an epoch such as `3@1790000000123`: its number, and the position at which it began in Unix milliseconds. The
+/// position may be missing, as in `3`; it is then unknown where the epoch began.
 fn parse_epoch(text: &str) -> Option<Epoch> {
     let (number, began) = match text.split_once('@') {
         Some((number, millis)) => {
--- a/server/src/messages/control.rs
+++ b/server/src/messages/control.rs
@@ -1,4 +1,4 @@
-//! The messages to the control loop, and the attempts that it starts.
+//! The messages that the control loop receives, and the jobs that it gives to attempts.
 
 use crate::messages::endpoint_list::ListedEndpoint;
 use crate::messages::journal_entry::{JournalEntry, JournalVerdict};
@@ -17,62 +17,62 @@
 use std::sync::{mpsc, Arc};
 use write_journal::record_state::Origin;
 
-/// A request received from a client.
+/// A request from a client, as its connection sends it to the control loop.
 pub struct IncomingRequest {
-    /// The checked header of the statement.
+    /// The header of the statement, checked against the configuration.
     pub header: ClientRequest,
-    /// The text of the statement.
+    /// The statement that is forwarded to an endpoint.
     pub text: RequestText,
-    /// Answers the request.
+    /// Sends the response to the client's connection.
     pub ticket: ResponseTicket,
 }
 
-/// A question whether an attempt may still be sent, asked right before the send.
+/// A question to the control loop right before an attempt is sent: whether the attempt may still be sent.
 pub struct AttemptConfirmation {
-    /// The attempt.
+    /// The attempt that is about to be sent.
     pub attempt: AttemptId,
-    /// Receives true if the attempt may be sent.
+    /// Receives true if the attempt may be sent, and false otherwise.
     pub reply: Sender<bool>,
 }
 
-/// The end of a health check.
-pub struct HealthCheckEnd {
-    /// The endpoint.
+/// The result of a health check.
+pub struct HealthCheckResult {
+    /// The endpoint that was checked.
     pub endpoint: EndpointIndex,
-    /// The outcome.
+    /// How the health check ended.
     pub outcome: AttemptOutcome,
-    /// The duration of the health check.
+    /// The time that the health check took.
     pub elapsed: TimeDelta,
-    /// The endpoint's load report; empty if it sent none.
+    /// The endpoint's load report; empty if the endpoint sent none.
     pub report: EndpointReport,
 }
 
 /// A client's query for the fate of a write.
 pub struct FateQuery {
-    /// The id of the write.
+    /// The client's id of the write.
     pub id: String,
-    /// The origin of the write: the journal in which it was recorded, if the client named it.
+    /// The origin of the write, which identifies the journal that recorded the write; `None` if the client named none.
     pub origin: Option<Origin>,
-    /// Answers the query.
+    /// Sends the response to the client's connection.
     pub ticket: ResponseTicket,
 }
 
-/// The end of a query of primary discovery.
-pub struct RoleQueryEnd {
-    /// The endpoint.
+/// The result of a role query: a query by which primary discovery learns an endpoint's role.
+pub struct RoleQueryResult {
+    /// The endpoint that was queried.
     pub endpoint: EndpointIndex,
-    /// When the query was sent.
+    /// When the query was started.
     pub queried_at: Timestamp,
-    /// The endpoint's answer, or why there is none.
+    /// The endpoint's answer, or why the query was not sent.
     pub answer: Result<EndpointQueryAnswer, ConnectError>,
 }
 
-/// The limits on requests, and the client classes that share them.
+/// The limits of the request queue, and the client classes that share them.
 #[derive(Clone)]
 pub struct QueueLimits {
-    /// The limits on requests in flight and waiting.
+    /// The limits on requests in flight and on waiting requests.
     pub limits: ConcurrencyLimits,
-    /// The client classes.
+    /// The client classes of the operators' file.
     pub classes: Vec<ClientClass>,
 }
 
@@ -82,10 +82,10 @@
     Request(Box<IncomingRequest>),
     /// A client has disconnected.
     ClientGone {
-        /// The client's pending request.
+        /// A pending request of the client.
         request: RequestId,
     },
-    /// An attempt is about to be sent.
+    /// An attempt is about to be sent and waits for confirmation.
     ConfirmAttempt(AttemptConfirmation),
     /// An endpoint has reported its epoch before an attempt is sent.
     EpochReported {
@@ -97,22 +97,22 @@
     /// An attempt has ended.
     AttemptEnded(Box<AttemptResult>),
     /// A health check has ended.
-    HealthCheckEnded(HealthCheckEnd),
+    HealthCheckEnded(HealthCheckResult),
     /// Discovery has sent an endpoint list, or changes to it.
     EndpointList {
-        /// The list is complete; otherwise it holds only the changed endpoints.
+        /// Whether the list is complete; otherwise it contains only the endpoints that have changed.
         complete: bool,
-        /// The listed endpoints.
+        /// The entries of the list.
         endpoints: Vec<ListedEndpoint>,
     },
     /// The watch on discovery has ended.
     DiscoveryWatchEnded,
     /// A client queries the fate of a write.
     QueryFate(FateQuery),
-    /// The list that was cached before the start.
+    /// The endpoint list that was cached before the process was started.
     CachedList(CachedEndpointList),
-    /// A query of primary discovery has ended.
-    RoleQueryEnded(RoleQueryEnd),
+    /// A role query has ended.
+    RoleQueryEnded(RoleQueryResult),
     /// The limits on requests have changed; `None` removes them.
     SetQueueLimits(Option<QueueLimits>),
     /// The admin socket requests a snapshot.
@@ -120,30 +120,30 @@
         /// Receives the snapshot.
         reply: mpsc::Sender<ServerSnapshot>,
     },
-    /// A scheduled wake-up.
+    /// The time of a scheduled wake-up has come.
     WakeUp {
-        /// The time for which it was scheduled.
+        /// The time for which the wake-up was scheduled.
         at: Timestamp,
     },
 }
 
-/// An endpoint's answer to a health check or a query of primary discovery.
+/// An endpoint's answer to a health check or a role query.
 #[derive(Clone, Debug)]
 pub struct EndpointQueryAnswer {
-    /// The outcome.
+    /// How the query ended.
     pub outcome: AttemptOutcome,
-    /// The endpoint's load report.
+    /// The endpoint's load report; empty if the endpoint sent no valid one.
     pub report: EndpointReport,
-    /// The endpoint's own `name,timeline`, if the query asked for it.
+    /// The endpoint's own name and timeline, as `name,timeline`; `None` if the query did not ask for them.
     pub identity: Option<String>,
 }
 
-/// Why no connection to an endpoint was opened.
+/// Why no connection to an endpoint could be opened, or why a query was not sent on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectError {
-    /// The outcome for an attempt that needed the connection.
+    /// The outcome of an attempt that needed the connection.
     pub outcome: AttemptOutcome,
-    /// The endpoint's host refused the connection, so nothing listens at the address.
+    /// The endpoint's machine refused the connection, because no process listens at the address.
     pub refused: bool,
 }
 
@@ -162,59 +162,61 @@
     pub deadline: Timestamp,
 }
 
-/// The request as an attempt sends it, and the steps before the send.
+/// The request as an attempt sends it, and what the attempt must do before sending it.
 pub struct OutgoingRequest {
-    /// The text of the statement.
+    /// The statement, whose timeout is replaced before it is sent.
     pub text: Arc<RequestText>,
-    /// The entry to record in the write journal first, if any.
+    /// The entry that must be recorded in the write journal first; `None` if the request is not journaled.
     pub journal_entry: Option<JournalEntry>,
-    /// The endpoint's epoch must be known first, to check that its log contains the session's position.
+    /// The endpoint's epoch must be known first, to check that the endpoint's log contains the position that the
+    /// session has seen.
     pub needs_epoch: bool,
 }
 
-/// The parameters of an attempt.
+/// Everything that a coroutine needs to run an attempt.
 pub struct AttemptJob {
-    /// The attempt.
+    /// Identifies the attempt, with its request and endpoint.
     pub attempt: AttemptId,
     /// The address of the endpoint.
     pub addr: SocketAddr,
-    /// The start time and the deadline.
+    /// The start time and the deadline of the attempt.
     pub times: AttemptTimes,
-    /// The request to send.
+    /// The request to send, and what must be done before.
     pub outgoing: OutgoingRequest,
-    /// Cancels the attempt.
+    /// Lets the control loop cancel the attempt.
     pub cancellation: Arc<CancellationToken>,
 }
 
-/// What an answer reports about its endpoint, apart from the value.
+/// What an answer reports about its endpoint, in addition to the value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AnswerMetadata {
     /// The role and position of the endpoint when it answered.
     pub answer_report: EndpointReport,
-    /// The load report that the answer carried, which may be older.
+    /// The load report in the answer, which the endpoint may have made earlier.
     pub load_report: EndpointReport,
-    /// The epoch of the log that the endpoint answered from.
+    /// The epoch of the endpoint's log when it answered; `None` if the endpoint reported none.
     pub epoch: Option<Epoch>,
 }
 
-/// The end of an attempt.
+/// The result of an attempt, which is reported to the control loop.
 pub struct AttemptResult {
-    /// The attempt.
+    /// Identifies the attempt, with its request and endpoint.
     pub attempt: AttemptId,
-    /// When the attempt was started.
+    /// When the control loop started the attempt.
     pub started_at: Timestamp,
-    /// The outcome.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The messages of the value; empty unless the attempt succeeded.
+    /// The encoded messages of the value; empty unless the attempt succeeded.
     pub value: Vec<u8>,
-    /// What the answer reports about its endpoint.
+    /// What the answer reports about its endpoint; empty without an answer.
     pub metadata: AnswerMetadata,
-    /// The verdict of the write journal, if it was asked. An attempt that it allows is not necessarily sent.
+    /// The verdict of the write journal; `None` if the journal was not asked. An attempt that the journal allows is
+    /// not necessarily sent.
     pub journal_verdict: Option<JournalVerdict>,
 }
 
 impl AttemptResult {
-    /// The report of an attempt that was not sent.
+    /// The result of an attempt that was not sent.
     pub fn not_sent(attempt: AttemptId, started_at: Timestamp) -> AttemptResult {
         AttemptResult {
             attempt,
--- a/server/src/messages/endpoint_list.rs
+++ b/server/src/messages/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the format of discovery.
+//! The endpoint list in the JSON format of discovery, and its conversion to the format of the cached list.
 
 use crate::runtime::clock;
 use endpoint_cache::{CachedEndpoint, CachedEndpointList};
@@ -11,13 +11,13 @@
 /// An endpoint list, or changes to it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointListUpdate {
-    /// The version of the list.
+    /// The version of the list. Within one incarnation of discovery, it increases with each change.
     #[serde(default, rename = "seq")]
     pub version: i64,
-    /// The list is complete; otherwise it holds only the changed endpoints.
+    /// Whether the list is complete; otherwise it contains only the endpoints that have changed.
     #[serde(default, rename = "whole")]
     pub complete: bool,
-    /// The listed endpoints.
+    /// The entries of the list.
     #[serde(default, rename = "hosts")]
     pub endpoints: Vec<ListedEndpoint>,
 }
@@ -25,19 +25,19 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedEndpoint {
-    /// The name of the endpoint.
+    /// The name by which all lists identify the endpoint.
     #[serde(rename = "host")]
     pub name: String,
-    /// The address, as text.
+    /// The IP address and port, as text.
     #[serde(default, rename = "dial")]
     pub address: String,
-    /// The name of the zone.
+    /// The name of the zone in which the endpoint runs.
     #[serde(default, rename = "site")]
     pub zone: String,
-    /// The number of the group.
+    /// The number of the group to which the endpoint belongs.
     #[serde(default, rename = "block")]
     pub group: i64,
-    /// Whether attempts may start at the endpoint.
+    /// Whether the endpoint accepts new attempts.
     pub health: ListedHealth,
     /// When the endpoint's process was last started, in Unix milliseconds; 0 if it is unknown.
     #[serde(default)]
@@ -47,17 +47,17 @@
     pub recovery: String,
 }
 
-/// The listed state of an endpoint.
+/// Whether an endpoint accepts new attempts, according to the endpoint list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum ListedHealth {
-    /// Attempts may start at the endpoint.
+    /// The endpoint accepts new attempts.
     Serving,
-    /// The endpoint is about to stop.
+    /// The endpoint is about to stop and accepts no new attempts.
     Draining,
-    /// The endpoint is removed from the list.
+    /// The endpoint was removed from the list.
     Deleted,
-    /// An unknown state, treated as draining: no attempts start at the endpoint.
+    /// A state that this version of the server does not know. It is treated as draining.
     #[serde(other)]
     Unknown,
 }
@@ -108,7 +108,7 @@
 }
 
 impl ListedEndpoint {
-    /// The routing policy's view of the listed state.
+    /// Converts the listed health to the routing policy's type.
     pub fn status(&self) -> EndpointStatus {
         match self.health {
             ListedHealth::Serving => EndpointStatus::Serving,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The address, if it is valid.
+    /// The parsed address; `None` if it is invalid.
     pub fn socket_addr(&self) -> Option<SocketAddr> {
         self.address.parse().ok()
     }
@@ -127,7 +127,7 @@
         self.recovery == "off"
     }
 
-    /// When the endpoint's process was last started, if it is known.
+    /// When the endpoint's process was last started; `None` if it is unknown.
     pub fn started_at(&self) -> Option<Timestamp> {
         clock::from_unix_ms(self.born_ms)
     }
--- a/server/src/messages/mod.rs
+++ b/server/src/messages/mod.rs
@@ -1,4 +1,4 @@
-//! The messages between coroutines, and the types that they carry.
+//! The messages that the coroutines of the server send to each other, and the types in them.
 
 pub mod control;
 pub mod endpoint_list;
--- a/server/src/messages/request.rs
+++ b/server/src/messages/request.rs
@@ -1,4 +1,4 @@
-//! A client's request: the header of its statement, checked against the configuration.
+//! The request of a client: the header of its statement, checked against the configuration, and the statement's text.
 
 use crate::protocol::sqlstate::{ClientError, SqlState};
 use crate::protocol::statement::RequestHeader;
@@ -12,26 +12,31 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Positions from this on are not valid times, in Unix milliseconds (the year 2255).
+/// The exclusive maximum of a position, in Unix milliseconds: a time in the year 2255.
 const MAX_POSITION_MS: i64 = 9_000_000_000_000;
-/// The longest timeout of a client, in milliseconds: a day. Longer ones are reduced to it.
+/// The maximum timeout of a request, in milliseconds: a day. Longer timeouts are reduced to it.
 const MAX_TIMEOUT_MS: i64 = 86_400_000;
+/// The error for a request whose method, the value of `c`, is not in the configuration.
+const UNKNOWN_METHOD: ClientError = ClientError::new(SqlState::UNDEFINED_OBJECT, "c names no known class");
+/// The error for a request whose last write, the value of `after`, is not a valid position.
+const POSITION_OUT_OF_RANGE: ClientError =
+    ClientError::new(SqlState::DATETIME_FIELD_OVERFLOW, "after is out of range");
 
-/// A method of the configuration.
+/// What the server needs to know about a method to check the header of a request.
 #[derive(Clone, Copy)]
 struct Method {
     index: MethodIndex,
-    /// The key in the method's statements names the session.
+    /// The key in the method's statements identifies a session.
     has_session: bool,
 }
 
-/// The methods by name.
+/// The methods of the configuration, by name.
 pub struct MethodTable {
     methods: HashMap<String, Method>,
 }
 
 impl MethodTable {
-    /// Creates a table from the names of the methods, in the order of the settings.
+    /// Creates a table of methods. The names are in the order of `settings.methods`.
     pub fn new(names: Vec<String>, settings: &RoutingSettings) -> MethodTable {
         let method = |index: MethodIndex| Method {
             index,
@@ -45,38 +50,38 @@
 /// The id, method and group of a request.
 #[derive(Clone, Debug)]
 pub struct RequestIdentity {
-    /// The id, unique among the open requests of all clients.
+    /// The client's id of the request, which must be unique among the open requests of all clients.
     pub id: Arc<str>,
-    /// The method.
+    /// The index of the method in the settings of the routing policy.
     pub method: MethodIndex,
-    /// The number of the group.
+    /// The number of the group to which the request is sent.
     pub group: GroupNumber,
 }
 
-/// The session of a request, as far as the client has specified it.
+/// What a client has specified about the session of a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestSession {
-    /// The number of the session, if the request has one.
+    /// The number of the session; `None` if the request belongs to no session.
     pub number: Option<u64>,
-    /// The time since the session's last write was committed, if the client has specified it.
+    /// The time since the session's last write was committed; `None` if the client has not specified it.
     pub since_last_write: Option<TimeDelta>,
-    /// The position in the group's log that the session has seen, if the client carries a token. A read must be
-    /// served from a log that contains it.
+    /// The position in the group's log that the session has seen; `None` if the client has no session token, or the
+    /// session has seen no position of the group. A read must be served from a log that contains the position.
     pub seen_position: Option<LogPosition>,
 }
 
 /// A client's request whose header was checked.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// The id, method and group.
+    /// The id, method and group of the request.
     pub identity: RequestIdentity,
-    /// The client's session.
+    /// What the client has specified about its session.
     pub session: RequestSession,
     /// When the client's timeout expires.
     pub deadline: Timestamp,
-    /// The client has marked the request as a retry.
+    /// The client has marked the request as a retry of an earlier one.
     pub client_retry: bool,
-    /// The client that the request is attributed to, if requests are limited.
+    /// The client whose limits apply to the request; `None` if the request is not limited.
     pub client: Option<ClientKey>,
 }
 
@@ -84,9 +89,9 @@
 pub struct RequestText {
     /// The body of the Query message.
     pub body: Vec<u8>,
-    /// The range of the timeout's digits in the body.
+    /// Where the body contains the digits of the client's timeout, which are replaced when the request is sent.
     pub timeout_digits: Range<usize>,
-    /// The charge for the body's memory.
+    /// Counts the body's memory towards the limit on buffer memory.
     pub charge: BufferCharge,
 }
 
@@ -100,8 +105,7 @@
         now: Timestamp,
         header: &RequestHeader,
     ) -> Result<ClientRequest, ClientError> {
-        let unknown_method = ClientError::new(SqlState::UNDEFINED_OBJECT, "c names no known class");
-        let method = *methods.methods.get(header.method).ok_or(unknown_method)?;
+        let method = *methods.methods.get(header.method).ok_or(UNKNOWN_METHOD)?;
         let timeout = TimeDelta::from_millis(header.timeout_ms.min(MAX_TIMEOUT_MS));
         Ok(ClientRequest {
             identity: RequestIdentity { id: header.id.into(), method: method.index, group: header.group },
@@ -119,22 +123,22 @@
 
 /// The time since the session's last write, whose position is `after_ms` in Unix milliseconds.
 ///
-/// Positions are whole milliseconds, so only a position in the next millisecond is sure to include the write.
+/// Positions are in whole milliseconds, so only a position in the next millisecond is sure to include the write.
 ///
 /// # Errors
-/// The position is out of range. It is not ignored, because reads of the session would then have no bound on
-/// staleness.
+/// The position is out of range. If an invalid position were ignored, the session's reads would have no staleness
+/// bound.
 fn since_last_write(now: Timestamp, after_ms: Option<i64>) -> Result<Option<TimeDelta>, ClientError> {
     match after_ms.unwrap_or(0) {
         0 => Ok(None),
         millis if (1..MAX_POSITION_MS).contains(&millis) => {
             Ok(Some(now - Timestamp((millis + 1) * NANOS_PER_MILLI)))
         }
-        _ => Err(ClientError::new(SqlState::DATETIME_FIELD_OVERFLOW, "after is out of range")),
+        _ => Err(POSITION_OUT_OF_RANGE),
     }
 }
 
-/// The number of a session: its key as a hexadecimal number, or the FNV-1a hash of a key that is not one.
+/// The number of the session with this key: the key as a hexadecimal number, or its FNV-1a hash if it is not one.
 fn session_number(key: &str) -> u64 {
     const HEXADECIMAL: u32 = 16;
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
--- a/server/src/messages/response.rs
+++ b/server/src/messages/response.rs
@@ -1,5 +1,5 @@
-//! The responses to a connection's requests: the channel to the connection, and the ticket that gives each request
-//! exactly one response.
+//! The responses to clients' requests: the channel to a client's connection, and the ticket that ensures that each
+//! request gets exactly one response.
 
 use crate::log;
 use crate::protocol::sqlstate::ClientError;
@@ -12,54 +12,55 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use write_journal::record_state::Fate;
 
-/// What a value proves to its session about the group's log.
+/// What the session of a request learns from a value about the group's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionUpdate {
-    /// The position that the value reflects.
+    /// The position in the log that the value reflects.
     pub position: Option<LogPosition>,
-    /// The position that the session had seen before is lost. The session's next request is answered with that.
+    /// The position that the session had seen before is lost. The response to the session's next request reports the
+    /// loss.
     pub session_lost: bool,
 }
 
 /// The response to a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Response {
-    /// A value: RowDescription, DataRow and CommandComplete as the endpoint sent them.
+    /// The value that an endpoint has returned.
     Value {
-        /// The messages.
+        /// RowDescription, DataRow and CommandComplete as the endpoint sent them.
         messages: Vec<u8>,
-        /// What the value proves to the session.
+        /// What the session learns from the value.
         session_update: SessionUpdate,
     },
     /// The position that the session has seen is lost; the request was not executed.
     SessionLost {
-        /// The position from which the session can continue.
+        /// The position that replaces the lost one, from which the session can continue.
         restart_position: LogPosition,
     },
-    /// The fate of a write.
+    /// The fate of a write, in response to a query for it.
     Fate(Fate),
     /// The request was not executed, or it can safely be retried.
     Rejected {
-        /// The Retry-After, if one may be sent.
+        /// The Retry-After that the client is sent; `None` if the settings allow none.
         retry_after: Option<TimeDelta>,
     },
     /// The request may have been executed.
     Aborted,
-    /// The request is invalid.
+    /// The request is invalid and was not executed.
     Error(ClientError),
 }
 
-/// A response, and the request that it answers.
+/// A response together with the id of the request that it answers.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RequestResponse {
-    /// The request.
+    /// The number by which the process identifies the request.
     pub request: RequestId,
-    /// The response to it.
+    /// The response to the request.
     pub response: Response,
 }
 
-/// The channel to a client's connection, for responses and requests to close. It is the only part of the connection
-/// that other parts of the server hold.
+/// The channel to the coroutine of a client's connection, for responses and for requests to close the connection. It
+/// is the only part of the connection that other parts of the server hold.
 pub struct ResponseChannel {
     responses: Mutex<Vec<RequestResponse>>,
     close_requested: AtomicBool,
@@ -67,7 +68,7 @@
 }
 
 impl ResponseChannel {
-    /// Creates the channel of a connection that `waker` wakes.
+    /// Creates the channel to a connection; `waker` wakes the connection's coroutine.
     pub fn new(waker: WaitIoWaker) -> Arc<ResponseChannel> {
         Arc::new(ResponseChannel {
             responses: Mutex::default(),
@@ -91,12 +92,12 @@
         self.wake();
     }
 
-    /// Whether a close was requested.
+    /// Whether the connection was requested to close.
     pub fn is_close_requested(&self) -> bool {
         self.close_requested.load(Ordering::Acquire)
     }
 
-    /// Whether a close was requested since the last call; clears the request.
+    /// Whether the connection was requested to close since the last call of this function.
     pub fn take_close_request(&self) -> bool {
         self.close_requested.swap(false, Ordering::AcqRel)
     }
@@ -114,9 +115,10 @@
     }
 }
 
-/// Answers one request. If it is dropped without an answer, by a panic or a lost message, the request is aborted.
+/// Answers one request. If the ticket is dropped without an answer, because of a panic or a lost message, the request
+/// is aborted.
 pub struct ResponseTicket {
-    /// The request.
+    /// The number by which the process identifies the request.
     pub request: RequestId,
     channel: Option<Arc<ResponseChannel>>,
 }
@@ -143,7 +145,7 @@
 impl Drop for ResponseTicket {
     fn drop(&mut self) {
         if let Some(channel) = self.channel.take() {
-            log!(WARN, request = self.request; "request dropped without an answer, aborted");
+            log!(WARN, request = self.request; "request was dropped without an answer; aborting it");
             channel.send(self.request, Response::Aborted);
         }
     }
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -166,9 +166,13 @@
         let bootstrap = &self.configuration.bootstrap;
         let allowed = &bootstrap.config.allowed;
         let connect_timeout = TimeDelta(allowed.dial_timeout_ns);
-        let closed_after = TimeDelta(allowed.conn_idle_ns);
-        let pool =
-            Arc::new(ConnectionPool::new(timers.clone(), resources.clone(), connect_timeout, closed_after));
+        let endpoint_idle_timeout = TimeDelta(allowed.conn_idle_ns);
+        let pool = Arc::new(ConnectionPool::new(
+            timers.clone(),
+            resources.clone(),
+            connect_timeout,
+            endpoint_idle_timeout,
+        ));
         let dispatcher = EndpointDispatcher {
             pool: pool.clone(),
             control: self.control.clone(),
@@ -214,9 +218,9 @@
         let bootstrap = &self.configuration.bootstrap;
         let config = &bootstrap.config;
         let from_local_agent = config.membership_mode == LOCAL_AGENT_MODE;
-        let target = Arc::new(DiscoveryAddress::new(bootstrap.discovery));
+        let address = Arc::new(DiscoveryAddress::new(bootstrap.discovery));
         let watch = DiscoveryWatch {
-            target: target.clone(),
+            address: address.clone(),
             timers: self.foundation.timers.clone(),
             resources: self.foundation.resources.clone(),
             control: self.control.clone(),
@@ -229,7 +233,7 @@
             rng: Mwc::new(bootstrap.seed),
         };
         spawn_part(move || watch.run())?;
-        Ok(target)
+        Ok(address)
     }
 
     /// Session tokens, if session keys are configured.
--- a/server/src/storage/endpoint_cache_writer.rs
+++ b/server/src/storage/endpoint_cache_writer.rs
@@ -1,5 +1,5 @@
-//! The writer of the cached endpoint list. Changes are recorded in memory without blocking; a separate thread saves
-//! them to disk at the times that [`SaveSchedule`] sets.
+//! The writer of the cached endpoint list. Callers record changes in memory without waiting for the disk. A separate
+//! thread saves the list to disk at the times that [`SaveSchedule`] determines.
 
 use crate::log;
 use crate::messages::endpoint_list::{ListedEndpoint, ListedHealth};
@@ -14,28 +14,28 @@
 use std::thread;
 use std::time::Duration;
 
-/// The thread's wait if nothing is to be saved; a change wakes it earlier.
+/// How long the thread waits if there is nothing to save. A change ends the wait early.
 const IDLE_WAIT: Duration = Duration::from_secs(3600);
 
 /// One endpoint of the list.
-struct Row {
+struct Entry {
     endpoint: Arc<CachedEndpoint>,
-    /// The latest report that was worth saving.
+    /// The latest report that was worth saving; `None` if there was none since the start.
     report: Option<RoleReport>,
 }
 
-/// The list in memory.
+/// The list in memory, and when it is saved.
 struct State {
     version: i64,
     /// When discovery last confirmed the list, in Unix milliseconds.
     confirmed_ms: i64,
-    /// The endpoints by name.
-    rows: BTreeMap<String, Row>,
+    /// The entries of the list by endpoint name.
+    entries: BTreeMap<String, Entry>,
     schedule: SaveSchedule,
     stopping: bool,
 }
 
-/// Records changes of the endpoint list, and saves it on a thread of its own.
+/// Records changes of the endpoint list, and saves the list on its own thread.
 pub struct EndpointCacheWriter {
     clock: Clock,
     state: Mutex<State>,
@@ -44,7 +44,8 @@
 }
 
 impl EndpointCacheWriter {
-    /// Starts the thread, with the list that is cached already, so that it is kept if discovery is not available.
+    /// Starts the thread with the list that is already cached, so that this list is kept as long as discovery sends no
+    /// other.
     ///
     /// # Errors
     /// The thread cannot be started.
@@ -54,14 +55,14 @@
         cached: Option<&CachedEndpointList>,
         min_interval: Duration,
     ) -> std::io::Result<Arc<EndpointCacheWriter>> {
-        let row = |endpoint: &CachedEndpoint| {
-            (endpoint.host.clone(), Row { endpoint: Arc::new(endpoint.clone()), report: None })
+        let entry = |endpoint: &CachedEndpoint| {
+            (endpoint.host.clone(), Entry { endpoint: Arc::new(endpoint.clone()), report: None })
         };
         let state = State {
             version: cached.map_or(0, |list| list.version),
             confirmed_ms: cached.map_or(0, |list| list.confirmed_ms),
-            rows: cached.into_iter().flat_map(|list| list.endpoints.iter().map(row)).collect(),
-            schedule: SaveSchedule::new(to_delta(min_interval)),
+            entries: cached.into_iter().flat_map(|list| list.endpoints.iter().map(entry)).collect(),
+            schedule: SaveSchedule::new(to_time_delta(min_interval)),
             stopping: false,
         };
         let writer = Arc::new(EndpointCacheWriter {
@@ -81,23 +82,23 @@
 
     /// Sets the minimum interval between two saves.
     pub fn set_min_interval(&self, min_interval: Duration) {
-        self.lock().schedule.set_min_interval(to_delta(min_interval));
+        self.lock().schedule.set_min_interval(to_time_delta(min_interval));
     }
 
-    /// Records a list from discovery, or changes to it. A complete list without endpoints is ignored: the next
-    /// start would have nothing to use.
-    pub fn update(&self, version: i64, complete: bool, endpoints: &[ListedEndpoint]) {
+    /// Records a list from discovery. If it is not `complete`, `endpoints` contains only those that have changed. A
+    /// complete list without endpoints is ignored, because the next start could not use it.
+    pub fn record_list(&self, version: i64, complete: bool, endpoints: &[ListedEndpoint]) {
         if complete && endpoints.is_empty() {
             return;
         }
         let mut state = self.lock();
         state.version = version;
         state.confirmed_ms = wall_ms();
-        let mut replaced = if complete { std::mem::take(&mut state.rows) } else { BTreeMap::new() };
+        let mut replaced = if complete { std::mem::take(&mut state.entries) } else { BTreeMap::new() };
         for listed in endpoints {
-            let known = replaced.remove(&listed.name).or_else(|| state.rows.remove(&listed.name));
+            let previous = replaced.remove(&listed.name).or_else(|| state.entries.remove(&listed.name));
             if listed.health != ListedHealth::Deleted {
-                state.rows.insert(listed.name.clone(), Row::new(listed, known));
+                state.entries.insert(listed.name.clone(), Entry::new(listed, previous));
             }
         }
         state.schedule.changed(self.clock.now());
@@ -105,10 +106,10 @@
         self.changed.notify_one();
     }
 
-    /// Records that discovery has confirmed the present list.
-    pub fn confirmed(&self) {
+    /// Records that discovery has confirmed the current list.
+    pub fn record_confirmation(&self) {
         let mut state = self.lock();
-        if !state.rows.is_empty() {
+        if !state.entries.is_empty() {
             state.confirmed_ms = wall_ms();
             state.schedule.confirmed();
             drop(state);
@@ -116,14 +117,14 @@
         }
     }
 
-    /// Records an endpoint's report, if it is worth saving.
-    pub fn reported(&self, endpoint: &str, report: RoleReport) {
+    /// Records a listed endpoint's report, if it is worth saving.
+    pub fn record_report(&self, endpoint: &str, report: RoleReport) {
         let mut state = self.lock();
-        let Some(row) = state.rows.get_mut(endpoint) else { return };
-        if !is_worth_saving(row.report, report) {
+        let Some(entry) = state.entries.get_mut(endpoint) else { return };
+        if !is_worth_saving(entry.report, report) {
             return;
         }
-        row.set_report(report);
+        entry.set_report(report);
         state.schedule.changed(self.clock.now());
         drop(state);
         self.changed.notify_one();
@@ -131,7 +132,7 @@
 
     /// Saves the list whenever a save is due, until the writer is stopped.
     fn run(&self, mut directory: CacheDirectory) {
-        let mut failing = false;
+        let mut is_failing = false;
         let mut state = self.lock();
         loop {
             let now = self.clock.now();
@@ -147,11 +148,11 @@
                 continue;
             }
             state.schedule.started(now);
-            let pending = state.pending_save();
+            let snapshot = state.snapshot();
             drop(state);
-            let mut list = pending.into_list();
+            let mut list = snapshot.into_list();
             let saved = directory.save(&mut list);
-            log_transition(&saved, &mut failing);
+            log_state_change(&saved, &mut is_failing);
             state = self.lock();
             state.schedule.ended(self.clock.now(), saved.is_ok());
             if state.stopping {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Stops the thread after a last save of pending changes, and waits for that for `timeout` at most.
+    /// Stops the thread after it has saved pending changes. Waits for the save for at most `timeout`.
     pub fn stop(&self, timeout: Duration) {
         let mut state = self.lock();
         state.stopping = true;
@@ -171,14 +172,15 @@
     }
 }
 
-impl Row {
-    /// Creates the row of a listed endpoint. The saved report of a known row is kept if the address is the same.
-    fn new(listed: &ListedEndpoint, known: Option<Row>) -> Row {
-        let report = known.as_ref().and_then(|row| row.report);
-        let at_same_address = known.filter(|row| row.endpoint.dial == listed.address);
-        let cached_report = at_same_address.and_then(|row| row.endpoint.report);
+impl Entry {
+    /// Creates the entry of a listed endpoint. The saved report of the previous entry is kept if the address is the
+    /// same.
+    fn new(listed: &ListedEndpoint, previous: Option<Entry>) -> Entry {
+        let report = previous.as_ref().and_then(|entry| entry.report);
+        let at_same_address = previous.filter(|entry| entry.endpoint.dial == listed.address);
+        let cached_report = at_same_address.and_then(|entry| entry.endpoint.report);
         let endpoint = CachedEndpoint { report: cached_report, ..CachedEndpoint::from(listed) };
-        Row { endpoint: Arc::new(endpoint), report }
+        Entry { endpoint: Arc::new(endpoint), report }
     }
 
     /// Replaces the report that is saved with the endpoint.
@@ -195,8 +197,9 @@
     }
 }
 
-/// A snapshot of the list for one save. It shares the endpoints, so the lock is held only briefly.
-struct PendingSave {
+/// A snapshot of the list for one save. It shares the endpoints with the list in memory instead of copying them, so
+/// the lock is held only briefly.
+struct ListSnapshot {
     version: i64,
     confirmed_ms: i64,
     endpoints: Vec<Arc<CachedEndpoint>>,
@@ -204,17 +207,17 @@
 
 impl State {
     /// Takes a snapshot of the list.
-    fn pending_save(&self) -> PendingSave {
-        PendingSave {
+    fn snapshot(&self) -> ListSnapshot {
+        ListSnapshot {
             version: self.version,
             confirmed_ms: self.confirmed_ms,
-            endpoints: self.rows.values().map(|row| row.endpoint.clone()).collect(),
+            endpoints: self.entries.values().map(|entry| entry.endpoint.clone()).collect(),
         }
     }
 }
 
-impl PendingSave {
-    /// Copies the snapshot to the form in which it is saved.
+impl ListSnapshot {
+    /// Converts the snapshot to the format in which it is saved. The save sets the generation.
     fn into_list(self) -> CachedEndpointList {
         CachedEndpointList {
             generation: 0,
@@ -226,16 +229,18 @@
     }
 }
 
-fn to_delta(duration: Duration) -> TimeDelta {
+fn to_time_delta(duration: Duration) -> TimeDelta {
     TimeDelta(duration.as_nanos() as i64)
 }
 
 /// Logs one line when saving begins to fail, and one when it succeeds again.
-fn log_transition(saved: &Result<usize, CacheError>, failing: &mut bool) {
+fn log_state_change(saved: &Result<usize, CacheError>, is_failing: &mut bool) {
     match saved {
-        Err(error) if !*failing => log!(WARN, reason = error; "endpoint list not cached, service goes on"),
-        Ok(bytes) if *failing => log!(INFO, bytes = bytes; "endpoint list cached again"),
+        Err(error) if !*is_failing => {
+            log!(WARN, reason = error; "endpoint list not cached; routing continues");
+        }
+        Ok(bytes) if *is_failing => log!(INFO, bytes = bytes; "endpoint list cached again"),
         _ => {}
     }
-    *failing = saved.is_err();
+    *is_failing = saved.is_err();
 }
