--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -1,4 +1,5 @@
-//! The write journal. A thread owns it, so a coroutine that waits for a record does not block the coroutine runtime.
+//! The thread that owns the write journal. A coroutine that waits for the journal is suspended, so it does not block
+//! the worker thread on which all coroutines run.
 
 use crate::log;
 use crate::messages::journal_entry::{JournalEntry, JournalVerdict};
@@ -15,15 +16,15 @@
 };
 use write_journal::record_state::{Fate, Origin, RecordEvent, SendPermission, Uptime};
 
-/// The kernel's file with an id of the present boot, a UUID.
+/// The kernel's file with a UUID that identifies the current boot.
 const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
 /// The kernel's file whose first field is the uptime in seconds.
 const UPTIME_PATH: &str = "/proc/uptime";
-/// The hexadecimal digits of the boot id that are used; they fill an `u64`.
+/// The number of hexadecimal digits of the boot id that are used. They fill a `u64`.
 const BOOT_ID_DIGITS: usize = 16;
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// Why the journal cannot be used.
+/// Why the journal could not be opened or its thread could not be started.
 #[derive(Debug, Error)]
 pub enum JournalStartError {
     /// The journal's files cannot be opened.
@@ -34,7 +35,7 @@
     Thread(#[from] std::io::Error),
 }
 
-/// Receives the reply to an operation; `None` if the journal failed.
+/// Is called with the reply to an operation, or with `None` if the journal has failed to apply the operation.
 type Callback = Box<dyn FnOnce(Option<Reply>) + Send>;
 
 /// An operation for the journal's thread.
@@ -43,10 +44,10 @@
     callback: Callback,
 }
 
-/// A handle to the write journal's thread.
+/// The handle by which coroutines use the write journal.
 pub struct WriteJournal {
     jobs: Mutex<mpsc::Sender<Job>>,
-    /// The origin that new records get.
+    /// The origin of the records that the journal makes now.
     origin: Mutex<Origin>,
 }
 
@@ -54,7 +55,7 @@
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// The time since the machine booted; `None` on a system without Linux's `/proc` files.
+/// The time since the machine was booted; `None` on systems without Linux's `/proc` files.
 fn uptime() -> Option<Uptime> {
     let boot_id = std::fs::read_to_string(BOOT_ID_PATH).ok()?;
     let boot = u64::from_str_radix(boot_id.replace('-', "").get(..BOOT_ID_DIGITS)?, 16).ok()?;
@@ -64,7 +65,7 @@
 }
 
 impl WriteJournal {
-    /// Opens the journal and starts its thread. A journal that is created now is identified by `random_id`.
+    /// Opens the journal and starts its thread. If the journal does not exist, it is created with the id `random_id`.
     ///
     /// # Errors
     /// The journal cannot be opened, or its thread cannot be started.
@@ -86,11 +87,11 @@
 
     /// Queues an operation for the journal's thread.
     fn submit(&self, operation: Operation, callback: impl FnOnce(Option<Reply>) + Send + 'static) {
-        // If the thread has ended, the callback is dropped, which closes the channel that its waiter reads.
+        // If the thread has ended, the callback is dropped. That closes the channel on which the caller waits.
         let _ = lock(&self.jobs).send(Job { operation, callback: Box::new(callback) });
     }
 
-    /// Records that an attempt is about to be sent; suspends the calling coroutine until the journal has replied.
+    /// Records that an attempt is about to be sent. Suspends the calling coroutine until the journal has replied.
     pub fn record_send(&self, entry: &JournalEntry) -> JournalVerdict {
         let (reply_to, reply) = channel();
         let submitted = Instant::now();
@@ -99,7 +100,8 @@
         self.submit(operation, move |reply| _ = reply_to.send(reply));
         match reply.recv().ok().flatten() {
             Some(Reply::Permission(SendPermission::Granted)) => JournalVerdict::Granted,
-            // The reply may arrive after the deduplication window has ended, since other records are written before it.
+            // The journal may have written other records first, so the deduplication window may have ended before the
+            // reply arrives.
             Some(Reply::Permission(SendPermission::GrantedAsDuplicate { remaining_ms }))
                 if (submitted.elapsed().as_millis() as i64) < remaining_ms =>
             {
@@ -110,13 +112,14 @@
         }
     }
 
-    /// Records the outcome of a write, without waiting for it.
+    /// Records the outcome of a write, without waiting until it is recorded.
     pub fn record_outcome(&self, id: &str, event: RecordEvent) {
         let operation = Operation::Record { id: id.to_string(), event, deduplication: None };
         self.submit(operation, |_| ());
     }
 
-    /// Calls back with the fate of a write.
+    /// Queries the fate of a write, and passes it to `callback` on the journal's thread. `request_open` states
+    /// whether a request with the id is open.
     pub fn query_fate(
         &self,
         id: String,
@@ -131,23 +134,23 @@
         });
     }
 
-    /// The origin of this journal, which a client is sent when its session starts: it tells where its writes are
-    /// recorded.
+    /// The origin of the records that the journal makes now. A client receives the origin when its session starts, so
+    /// that it can state which journal has recorded its writes.
     pub fn origin(&self) -> String {
         lock(&self.origin).to_string()
     }
 
-    /// Applies queued operations in batches, for the life of the process.
+    /// Applies the queued operations in batches, for the life of the process.
     fn run(&self, mut journal: Journal, jobs: &Receiver<Job>) {
-        let mut failing = false;
+        let mut is_failing = false;
         while let Ok(first) = jobs.recv() {
-            let Batch { operations, callbacks } = batch(first, jobs);
+            let Batch { operations, callbacks } = collect_batch(first, jobs);
             let needs_uptime =
                 |operation: &Operation| matches!(operation, Operation::Record { deduplication: Some(_), .. });
             let uptime = operations.iter().any(needs_uptime).then(uptime).flatten();
             let replies = journal.apply(ClockReading { wall_ms: wall_ms(), uptime }, &operations);
             *lock(&self.origin) = journal.origin();
-            log_transition(&replies, &mut failing);
+            log_state_change(&replies, &mut is_failing);
             let mut replies = replies.unwrap_or_default().into_iter();
             for callback in callbacks {
                 callback(replies.next());
@@ -156,14 +159,14 @@
     }
 }
 
-/// Jobs that are applied together: their operations, and their callbacks in the same order.
+/// Jobs that are applied together. The callbacks are in the order of their operations.
 struct Batch {
     operations: Vec<Operation>,
     callbacks: Vec<Callback>,
 }
 
-/// The queued jobs, [`MAX_BATCH`] at most.
-fn batch(first: Job, jobs: &Receiver<Job>) -> Batch {
+/// Collects `first` and the queued jobs, at most [`MAX_BATCH`] in total.
+fn collect_batch(first: Job, jobs: &Receiver<Job>) -> Batch {
     let queued = std::iter::from_fn(|| jobs.try_recv().ok());
     let jobs = std::iter::once(first).chain(queued).take(MAX_BATCH);
     let (operations, callbacks) = jobs.map(|job| (job.operation, job.callback)).unzip();
@@ -171,13 +174,13 @@
 }
 
 /// Logs one line when the journal begins to fail, and one when it works again.
-fn log_transition(replies: &Result<Vec<Reply>, JournalError>, failing: &mut bool) {
+fn log_state_change(replies: &Result<Vec<Reply>, JournalError>, is_failing: &mut bool) {
     match replies {
-        Err(error) if !*failing => {
-            log!(WARN, reason = error; "write journal failing, writes are rejected");
+        Err(error) if !*is_failing => {
+            log!(WARN, reason = error; "write journal has failed; writes are rejected until it works again");
         }
-        Ok(_) if *failing => log!(INFO; "write journal working again"),
+        Ok(_) if *is_failing => log!(INFO; "write journal works again; writes are accepted"),
         _ => {}
     }
-    *failing = replies.is_err();
+    *is_failing = replies.is_err();
 }
--- a/server/src/storage/mod.rs
+++ b/server/src/storage/mod.rs
@@ -1,4 +1,5 @@
-//! State on disk, each part written by its own thread: the write journal and the cached endpoint list.
+//! The data that the server stores on disk: the write journal and the cached endpoint list. Each is written by its own
+//! thread.
 
 pub mod endpoint_cache_writer;
 pub mod journal;
