--- a/server/src/control/actions.rs
+++ b/server/src/control/actions.rs
@@ -16,7 +16,7 @@
         while !self.state.actions.is_empty() {
             let mut not_sent = Vec::new();
             for action in std::mem::take(&mut self.state.actions) {
-                self.perform(now, action, &mut not_sent);
+                self.perform_action(now, action, &mut not_sent);
             }
             for result in not_sent {
                 self.on_attempt_not_sent(now, result);
@@ -25,7 +25,7 @@
     }
 
     /// Performs one action. The result of an attempt that cannot be started is appended to `not_sent`.
-    fn perform(&mut self, now: Timestamp, action: Action, not_sent: &mut Vec<AttemptResult>) {
+    fn perform_action(&mut self, now: Timestamp, action: Action, not_sent: &mut Vec<AttemptResult>) {
         match action {
             Action::StartAttempt { request, endpoint, timeout } => {
                 not_sent.extend(self.start_attempt(now, request, endpoint, timeout));
--- a/server/src/control/active_request.rs
+++ b/server/src/control/active_request.rs
@@ -35,7 +35,7 @@
     /// The attempts of the request are recorded in the write journal: a journal is configured, and the request is
     /// not idempotent.
     pub is_journaled: bool,
-    /// The scope and window in which endpoints drop duplicates of the request, if it has an idempotency key.
+    /// The scope and window in which endpoints drop duplicates of the request; `None` without an idempotency key.
     pub deduplication: Option<Deduplication>,
     /// The journal has recorded an attempt of the request.
     pub is_recorded: bool,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Whether the endpoint's epoch must be known before an attempt is sent. It must be for a write of a session that
+    /// Whether the endpoint's epoch must be known before an attempt is sent. This is true for a write of a session that
     /// has seen an epoch, because the write must be appended to a log that contains the position that the session has
     /// seen.
     fn needs_epoch(&self) -> bool {
--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -23,11 +23,11 @@
 impl ControlLoop {
     /// Replies whether an attempt may still be sent: its request is open, the routing policy agrees, and the position
     /// that the request's session has seen is not lost.
-    pub(super) fn on_confirm_attempt(&mut self, now: Timestamp, confirm: &AttemptConfirmation) {
-        let AttemptId { request, number, endpoint } = confirm.attempt;
+    pub(super) fn on_confirm_attempt(&mut self, now: Timestamp, confirmation: &AttemptConfirmation) {
+        let AttemptId { request, number, endpoint } = confirmation.attempt;
         let is_confirmed = self.state.requests.is_open(request)
             && self.state.policy.confirm_attempt(now, request, number, endpoint);
-        let _ = confirm.reply.send(is_confirmed && self.state.check_session(now, request));
+        let _ = confirmation.reply.send(is_confirmed && self.state.check_session(now, request));
     }
 
     /// Records the epoch that an endpoint has reported before an attempt is sent to it.
@@ -46,8 +46,8 @@
     }
 
     /// Handles the result of a health check, and passes the endpoint's report to primary discovery.
-    pub(super) fn on_health_check_ended(&mut self, now: Timestamp, end: HealthCheckResult) {
-        let HealthCheckResult { endpoint, outcome, elapsed, report } = end;
+    pub(super) fn on_health_check_ended(&mut self, now: Timestamp, result: HealthCheckResult) {
+        let HealthCheckResult { endpoint, outcome, elapsed, report } = result;
         if tracing::enabled!(tracing::Level::DEBUG) {
             let (name, took_us) = (self.state.endpoints.id(endpoint), elapsed.0 / NANOS_PER_MICRO);
             // A value that was not reported is logged as -1.
@@ -132,7 +132,8 @@
     }
 }
 
-/// Converts the result of an attempt to the routing policy's type, for a request that is still open.
+/// Converts the result of an attempt to the routing policy's type. The request is assumed to be still open; the caller
+/// sets `request_closed` if it is not.
 fn attempt_end(active: &ActiveRequest, result: &AttemptResult, now: Timestamp) -> AttemptEnd {
     AttemptEnd {
         attempt: result.attempt,
@@ -152,12 +153,12 @@
 fn record_outcome(active: &mut ActiveRequest, result: &AttemptResult, journal: Option<&WriteJournal>) {
     let execution = &mut active.execution;
     execution.is_duplicate |= result.journal_verdict == Some(JournalVerdict::GrantedAsDuplicate);
-    let is_first = !execution.is_duplicate && !execution.may_have_run;
+    let is_first_execution = !execution.is_duplicate && !execution.may_have_run;
     execution.is_recorded |= result.journal_verdict.is_some_and(JournalVerdict::allows_sending);
     execution.may_have_run |= execution.is_duplicate || !result.outcome.proves_not_executed();
     let Some(journal) = journal.filter(|_| execution.is_recorded) else { return };
     if result.outcome == AttemptOutcome::Succeeded {
-        let commit = result.metadata.answer_report.position.filter(|_| is_first);
+        let commit = result.metadata.answer_report.position.filter(|_| is_first_execution);
         let commit_ms = commit.map(|position| position.0 / NANOS_PER_MILLI);
         journal.record_outcome(&active.identity.id, RecordEvent::Executed(commit_ms));
     }
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -158,10 +158,10 @@
                 self.on_request(now, QueuedRequest { incoming, received_at: now });
             }
             ControlMessage::ClientGone { request } => self.on_client_gone(now, request),
-            ControlMessage::ConfirmAttempt(confirm) => self.on_confirm_attempt(now, &confirm),
+            ControlMessage::ConfirmAttempt(confirmation) => self.on_confirm_attempt(now, &confirmation),
             ControlMessage::EpochReported { request, epoch } => self.on_epoch_reported(request, epoch),
-            ControlMessage::AttemptEnded(report) => self.on_attempt_ended(now, *report),
-            ControlMessage::HealthCheckEnded(end) => self.on_health_check_ended(now, end),
+            ControlMessage::AttemptEnded(result) => self.on_attempt_ended(now, *result),
+            ControlMessage::HealthCheckEnded(result) => self.on_health_check_ended(now, result),
             ControlMessage::EndpointList { complete, endpoints } => {
                 self.on_endpoint_list(now, complete, endpoints);
             }
@@ -170,7 +170,7 @@
             }
             ControlMessage::QueryFate(query) => self.on_fate_query(query),
             ControlMessage::CachedList(list) => self.on_cached_list(now, &list),
-            ControlMessage::RoleQueryEnded(end) => self.on_role_query_ended(now, end),
+            ControlMessage::RoleQueryEnded(result) => self.on_role_query_ended(now, result),
             ControlMessage::SetQueueLimits(limits) => self.on_queue_limits(now, limits),
             // Sending fails if the admin socket no longer waits for the snapshot.
             ControlMessage::Snapshot { reply } => _ = reply.send(self.state.snapshot(now)),
--- a/server/src/control/deadlines.rs
+++ b/server/src/control/deadlines.rs
@@ -32,7 +32,7 @@
         self.abort_times.insert((at, request));
     }
 
-    /// Removes the abort time of a request that was answered.
+    /// Removes the abort time of a request that was closed before that time.
     pub fn remove_abort_time(&mut self, at: Timestamp, request: RequestId) {
         self.abort_times.remove(&(at, request));
     }
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -48,9 +48,9 @@
         self.dispatcher.pool.retain_addresses(&addrs);
     }
 
-    /// Handles the end of a role query. If the endpoint answered, its load report also counts as a health check.
-    pub(super) fn on_role_query_ended(&mut self, now: Timestamp, end: RoleQueryResult) {
-        let RoleQueryResult { endpoint, queried_at, answer } = end;
+    /// Handles the result of a role query. If the endpoint answered, its load report also counts as a health check.
+    pub(super) fn on_role_query_ended(&mut self, now: Timestamp, result: RoleQueryResult) {
+        let RoleQueryResult { endpoint, queried_at, answer } = result;
         let answered_report = match answer {
             Ok(EndpointQueryAnswer { outcome: AttemptOutcome::Succeeded, report, identity }) => {
                 self.on_role_query_answered(now, endpoint, queried_at, report, identity.as_deref());
@@ -244,8 +244,8 @@
     }
 }
 
-/// The failure of a role query without a usable answer, as primary discovery distinguishes failures. A query that was
-/// not sent, or was rejected for lack of capacity, tells nothing about the endpoint's role.
+/// Classifies the failure of a role query that has no usable answer. A query that was not sent, or was rejected for
+/// lack of capacity, tells nothing about the endpoint.
 fn query_failure(answer: &Result<EndpointQueryAnswer, ConnectError>) -> QueryFailure {
     match answer {
         Err(ConnectError { refused: true, .. }) => QueryFailure::Refused,
--- a/server/src/endpoints/connection.rs
+++ b/server/src/endpoints/connection.rs
@@ -42,7 +42,7 @@
     Cancelled,
 }
 
-/// When a read or a write ends without having completed.
+/// The conditions that end a read or a write before it has completed.
 #[derive(Clone, Copy)]
 pub struct IoLimits<'a> {
     /// When the operation times out.
