--- a/server/src/control/request_queue.rs
+++ b/server/src/control/request_queue.rs
@@ -49,9 +49,9 @@
     /// Creates an empty queue. Rejections carry a Retry-After of at most `max_retry_after`; if it is `None`, they
     /// carry no Retry-After. `seed` is for the limiter's random numbers.
     pub fn new(limits: QueueLimits, max_retry_after: Option<TimeDelta>, seed: u64) -> RequestQueue {
-        let limiter_max = max_retry_after.unwrap_or(TimeDelta::ZERO);
+        let limiter_max_retry_after = max_retry_after.unwrap_or(TimeDelta::ZERO);
         RequestQueue {
-            limiter: ConcurrencyLimiter::new(limits.limits, limits.classes, limiter_max, seed),
+            limiter: ConcurrencyLimiter::new(limits.limits, limits.classes, limiter_max_retry_after, seed),
             waiting: HashMap::new(),
             sends_retry_after: max_retry_after.is_some(),
             decisions: Vec::new(),
--- a/server/src/discovery/stream.rs
+++ b/server/src/discovery/stream.rs
@@ -24,8 +24,8 @@
 /// Why a response cannot be parsed any further.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum StreamError {
-    /// The head is not valid HTTP.
-    #[error("response head is not valid HTTP")]
+    /// The head is not valid HTTP or is longer than the limit.
+    #[error("response head is not valid HTTP or is longer than {MAX_HEAD_BYTES} bytes")]
     BadHead,
     /// The status is not 200.
     #[error("response status is not 200")]
@@ -72,8 +72,8 @@
     scanner: Scanner,
     head_complete: bool,
     chunked: bool,
-    /// The number of bytes of the current chunk that have not arrived yet. If the body is not chunked, that of the
-    /// body; its length may be unknown and is then `usize::MAX`.
+    /// The number of bytes of the current chunk that have not been decoded yet. If the body is not chunked, the number
+    /// of bytes of the body that have not been decoded yet, starting from `usize::MAX` if its length is unknown.
     remaining: usize,
     /// The line end after the current chunk has not arrived yet.
     expects_chunk_end: bool,
