--- a/server/src/endpoints/connection.rs
+++ b/server/src/endpoints/connection.rs
@@ -99,7 +99,7 @@
     pub fn schedule_wake_ups(&self, limits: IoLimits) {
         let waker = self.stream.waker();
         self.timers.call_at(limits.deadline, move || waker.wakeup());
-        limits.cancellation.wake_socket(self.stream.waker());
+        limits.cancellation.register_socket(self.stream.waker());
     }
 
     /// Waits until the socket is ready, the deadline has passed or the operation is cancelled.
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -5,7 +5,7 @@
 use crate::endpoints::load_report::{self, parse_unsigned_decimal};
 use crate::messages::control::AnswerMetadata;
 use crate::protocol::decode;
-use crate::protocol::framing::{frame, HEADER_BYTES, LENGTH_BYTES, MAX_VALUE_BYTES};
+use crate::protocol::framing::{parse_frame, HEADER_BYTES, LENGTH_BYTES, MAX_VALUE_BYTES};
 use crate::protocol::sqlstate::endpoint as sqlstate;
 use crate::runtime::clock;
 use routing::{AttemptOutcome, Role};
@@ -90,7 +90,7 @@
         |body| body == AUTHENTICATION_OK,
         State::Authenticated,
     ),
-    transition(State::ExpectAuthentication, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    transition(State::ExpectAuthentication, b'E', MAX_SHORT_BYTES, decode::is_valid_error, State::Failed),
     transition(
         State::Authenticated,
         b'K',
@@ -99,7 +99,7 @@
         State::Authenticated,
     ),
     transition(State::Authenticated, b'Z', READY_BYTES, is_ready, State::Done),
-    transition(State::Authenticated, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    transition(State::Authenticated, b'E', MAX_SHORT_BYTES, decode::is_valid_error, State::Failed),
     transition(
         State::ExpectDescription,
         b'T',
@@ -107,11 +107,11 @@
         decode::describes_one_column,
         State::ExpectRow,
     ),
-    transition(State::ExpectDescription, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    transition(State::ExpectDescription, b'E', MAX_SHORT_BYTES, decode::is_valid_error, State::Failed),
     transition(State::ExpectRow, b'D', MAX_VALUE_BYTES, has_one_column, State::ExpectCompletion),
-    transition(State::ExpectRow, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
-    transition(State::ExpectCompletion, b'C', MAX_SHORT_BYTES, decode::is_text, State::Complete),
-    transition(State::ExpectCompletion, b'E', MAX_SHORT_BYTES, decode::is_error, State::Failed),
+    transition(State::ExpectRow, b'E', MAX_SHORT_BYTES, decode::is_valid_error, State::Failed),
+    transition(State::ExpectCompletion, b'C', MAX_SHORT_BYTES, decode::is_printable_string, State::Complete),
+    transition(State::ExpectCompletion, b'E', MAX_SHORT_BYTES, decode::is_valid_error, State::Failed),
     transition(State::Complete, b'Z', READY_BYTES, is_ready, State::Done),
     transition(State::Failed, b'Z', READY_BYTES, is_ready, State::Done),
     transition(State::ExpectEmptyResponse, b'I', LENGTH_BYTES, <[u8]>::is_empty, State::Complete),
@@ -119,7 +119,7 @@
 
 /// Whether a body is a DataRow with exactly one column that is not null.
 fn has_one_column(body: &[u8]) -> bool {
-    decode::only_column(body).is_some()
+    decode::single_column_value(body).is_some()
 }
 
 /// The maximum number of bytes of asynchronous messages (ParameterStatus and NoticeResponse) in one answer. They are
@@ -176,7 +176,7 @@
             None => 0,
         };
         let start = self.offset;
-        let next = match frame(buffer, start, max_bytes) {
+        let next = match parse_frame(buffer, start, max_bytes) {
             Ok(None) if max_bytes > 0 => return None,
             Ok(Some(frame)) => {
                 self.offset = frame.body.end;
@@ -213,14 +213,14 @@
     /// Handles a NoticeResponse or ParameterStatus; returns the next state, or `None` if the message is malformed.
     fn handle_asynchronous(&mut self, tag: u8, body: &[u8]) -> Option<State> {
         if tag == b'N' {
-            return decode::is_error(body).then_some(self.state);
+            return decode::is_valid_error(body).then_some(self.state);
         }
-        match decode::parameter(body)? {
+        match decode::parse_parameter_status(body)? {
             ("recovery", "off") => self.metadata.answer_report.role = Some(Role::Primary),
             ("recovery", "on") => self.metadata.answer_report.role = Some(Role::Replica),
             ("lsn_ms", millis) => {
                 self.metadata.answer_report.position =
-                    parse_unsigned_decimal(millis).and_then(clock::from_unix_ms);
+                    parse_unsigned_decimal(millis).and_then(clock::timestamp_from_unix_ms);
             }
             ("health", fields) => self.metadata.load_report = load_report::parse(fields),
             ("epoch", text) => self.metadata.epoch = parse_epoch(text),
@@ -282,7 +282,7 @@
 fn parse_epoch(text: &str) -> Option<Epoch> {
     let (number, began) = match text.split_once('@') {
         Some((number, millis)) => {
-            (number, Some(parse_unsigned_decimal(millis).and_then(clock::from_unix_ms)?))
+            (number, Some(parse_unsigned_decimal(millis).and_then(clock::timestamp_from_unix_ms)?))
         }
         None => (text, None),
     };
--- a/server/src/storage/endpoint_cache_writer.rs
+++ b/server/src/storage/endpoint_cache_writer.rs
@@ -3,7 +3,7 @@
 
 use crate::log;
 use crate::messages::endpoint_list::{ListedEndpoint, ListedHealth};
-use crate::runtime::clock::{to_duration, wall_ms, Clock, NANOS_PER_MILLI};
+use crate::runtime::clock::{to_duration, unix_time_ms, Clock, NANOS_PER_MILLI};
 use endpoint_cache::{CacheDirectory, CacheError, CachedEndpoint, CachedEndpointList, CachedReport};
 use recovery::endpoint_state::RoleReport;
 use recovery::save_schedule::{is_worth_saving, SaveSchedule};
@@ -93,7 +93,7 @@
         }
         let mut state = self.lock();
         state.version = version;
-        state.confirmed_ms = wall_ms();
+        state.confirmed_ms = unix_time_ms();
         let mut replaced = if complete { std::mem::take(&mut state.entries) } else { BTreeMap::new() };
         for listed in endpoints {
             let previous = replaced.remove(&listed.name).or_else(|| state.entries.remove(&listed.name));
@@ -110,7 +110,7 @@
     pub fn record_confirmation(&self) {
         let mut state = self.lock();
         if !state.entries.is_empty() {
-            state.confirmed_ms = wall_ms();
+            state.confirmed_ms = unix_time_ms();
             state.schedule.confirmed();
             drop(state);
             self.changed.notify_one();
@@ -189,7 +189,7 @@
             primary: report.role == Some(Role::Primary),
             position_ms: report.position.map(|position| position.0 / NANOS_PER_MILLI),
             timeline: report.timeline,
-            at_ms: wall_ms(),
+            at_ms: unix_time_ms(),
         };
         let endpoint = CachedEndpoint { report: Some(cached), ..CachedEndpoint::clone(&self.endpoint) };
         self.endpoint = Arc::new(endpoint);
@@ -223,7 +223,7 @@
             generation: 0,
             version: self.version,
             confirmed_ms: self.confirmed_ms,
-            saved_ms: wall_ms(),
+            saved_ms: unix_time_ms(),
             endpoints: self.endpoints.iter().map(|endpoint| CachedEndpoint::clone(endpoint)).collect(),
         }
     }
