--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -13,8 +13,8 @@
 mod views;
 
 pub use types::{
-    Arrival, ClassRequests, ClientKey, ClientRequests, ConcurrencyLimits, Decision, LoadShed, RequestCounts,
-    RequestId, ShedCount, ShedReason,
+    Arrival, ClassRequests, ClientKey, ClientRequests, ConcurrencyLimits, Decision, RequestCounts, RequestId,
+    ShedCount, ShedReason, ShedRequest,
 };
 
 use crate::client_class::ClientClass;
@@ -260,7 +260,7 @@
     }
 
     /// When [`ConcurrencyLimiter::tick`] must be called next, if any request is waiting.
-    pub fn due(&self) -> Option<Timestamp> {
+    pub fn next_tick(&self) -> Option<Timestamp> {
         let expiry = self.expiries.first().map(|(at, _)| *at);
         let head_expiry = self.head_expiries.first().map(|(at, _)| *at);
         expiry.into_iter().chain(head_expiry).min()
@@ -377,6 +377,6 @@
     ) {
         self.shed.increment(class.clone(), reason);
         let retry_after = self.jitter.next(now, TimeDelta::ZERO);
-        decisions.push(Decision::Shed(LoadShed { request, class, reason, retry_after }));
+        decisions.push(Decision::Shed(ShedRequest { request, class, reason, retry_after }));
     }
 }
--- a/endpoint-cache/src/cached_list.rs
+++ b/endpoint-cache/src/cached_list.rs
@@ -1,11 +1,12 @@
-//! The cached data: an endpoint list and its endpoints' last reports.
+//! The cached data: an endpoint list, and the last report of each endpoint.
 
 use serde::{Deserialize, Serialize};
 
 /// The cached list. Times are Unix milliseconds by the wall clock of the instance that wrote them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CachedEndpointList {
-    /// Increases by one with every save: orders files independently of the clock.
+    /// Number of the save that wrote the list. It increases by one with each save, so that files can be ordered
+    /// independently of the clock.
     pub generation: u64,
     /// Discovery's version of the list.
     #[serde(rename = "seq")]
@@ -19,27 +20,30 @@
     pub endpoints: Vec<CachedEndpoint>,
 }
 
-/// A cached endpoint, with field names as in discovery's format.
+/// A cached endpoint. The file has its fields under the names of discovery's format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CachedEndpoint {
     /// Name of the endpoint.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub name: String,
     /// Address of the endpoint.
-    pub dial: String,
+    #[serde(rename = "dial")]
+    pub address: String,
     /// Zone of the endpoint.
-    #[serde(default)]
-    pub site: String,
-    /// Number of its group.
-    pub block: i64,
-    /// Health status in the list, which decides whether it may be used.
+    #[serde(default, rename = "site")]
+    pub zone: String,
+    /// Number of the endpoint's group.
+    #[serde(rename = "block")]
+    pub group: i64,
+    /// Health status in the list, which determines whether the endpoint may be used.
     pub health: String,
-    /// Time of its last start in Unix milliseconds; 0 if unknown.
-    #[serde(default)]
-    pub born_ms: f64,
+    /// When the endpoint last started, in Unix milliseconds; 0 if unknown.
+    #[serde(default, rename = "born_ms")]
+    pub started_ms: f64,
     /// Role in the list: `off` for the primary, `on` for a replica.
     #[serde(default)]
     pub recovery: String,
-    /// The last report from the endpoint itself.
+    /// The last report from the endpoint itself; `None` if the endpoint has not reported yet.
     #[serde(default, rename = "said", skip_serializing_if = "Option::is_none")]
     pub report: Option<CachedReport>,
 }
@@ -47,14 +51,15 @@
 /// The last report from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CachedReport {
-    /// It reported to be primary.
+    /// Whether the endpoint reported that it is primary.
     pub primary: bool,
-    /// Its position (commit time).
+    /// Reported position, as a commit time in Unix milliseconds.
     #[serde(default)]
     pub position_ms: Option<i64>,
-    /// PostgreSQL timeline of its log.
+    /// Reported PostgreSQL timeline of the endpoint's log.
     #[serde(default)]
     pub timeline: Option<u32>,
-    /// When the report was received.
-    pub at_ms: i64,
+    /// When the report was received, in Unix milliseconds.
+    #[serde(rename = "at_ms")]
+    pub received_ms: i64,
 }
--- a/server/src/control/active_request.rs
+++ b/server/src/control/active_request.rs
@@ -52,12 +52,12 @@
         if !self.is_journaled {
             return None;
         }
-        // Each attempt of a duplicate is recorded as `Starting`, so that the journal checks whether the
+        // Each attempt of a duplicate is recorded as `FirstAttempt`, so that the journal checks whether the
         // deduplication window is still open.
         let event = if self.is_recorded && !self.is_duplicate {
-            RecordEvent::Retrying
+            RecordEvent::RetryAttempt
         } else {
-            RecordEvent::Starting
+            RecordEvent::FirstAttempt
         };
         Some(JournalEntry { id: id.clone(), event, deduplication: self.deduplication })
     }
--- a/server/src/control/attempt_handling.rs
+++ b/server/src/control/attempt_handling.rs
@@ -26,7 +26,7 @@
     pub(super) fn on_confirm_attempt(&mut self, now: Timestamp, confirmation: &AttemptConfirmation) {
         let AttemptId { request, number, endpoint } = confirmation.attempt;
         let is_confirmed = self.state.requests.is_open(request)
-            && self.state.policy.confirm_attempt(now, request, number, endpoint);
+            && self.state.policy.may_send_attempt(now, request, number, endpoint);
         let _ = confirmation.reply.send(is_confirmed && self.state.check_session(now, request));
     }
 
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -207,7 +207,8 @@
     /// time instead, no other would be scheduled then, and the deadline might never be handled.
     fn schedule_wake_up(&mut self, now: Timestamp) {
         let state = &self.state;
-        let discovery_due = state.primary_discovery.as_ref().and_then(|discovery| discovery.due(now));
+        let discovery_due =
+            state.primary_discovery.as_ref().and_then(|discovery| discovery.next_tick_due(now));
         let queue_due = state.queue.as_ref().and_then(RequestQueue::due);
         let due = state.deadlines.due().into_iter().chain(queue_due).chain(discovery_due).min();
         let is_earlier = |due: &Timestamp| self.pending_wake_up.is_none_or(|pending| *due < pending);
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -58,7 +58,8 @@
             }
             answer => {
                 let failure = query_failure(&answer);
-                self.state.report_to_primary_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
+                self.state
+                    .report_to_primary_discovery(now, DiscoveryEvent::QueryFailed { endpoint, failure });
                 None
             }
         };
@@ -86,7 +87,7 @@
         let IdentityReport { identity, timeline } =
             parse_identity(identity.filter(|_| self.queries_identity()), name);
         let report = RoleReport::new(report, timeline);
-        let event = DiscoveryEvent::Answered { endpoint, queried_at, identity, report };
+        let event = DiscoveryEvent::QueryAnswered { endpoint, queried_at, identity, report };
         self.state.report_to_primary_discovery(now, event);
     }
 
@@ -110,7 +111,7 @@
         report: EndpointReport,
     ) {
         if report.role.is_some() && self.state.primary_discovery.is_some() {
-            let event = DiscoveryEvent::Observed { endpoint, queried_at, report };
+            let event = DiscoveryEvent::ReportReceived { endpoint, queried_at, report };
             self.state.report_to_primary_discovery(now, event);
             self.cache_report(endpoint);
         }
@@ -147,17 +148,19 @@
             }
             None => {
                 let failure = QueryFailure::NoAnswer;
-                self.state.report_to_primary_discovery(now, DiscoveryEvent::Failed { endpoint, failure });
+                self.state
+                    .report_to_primary_discovery(now, DiscoveryEvent::QueryFailed { endpoint, failure });
             }
         }
     }
 
-    /// Makes an endpoint of a cached list known to the routing policy. It is unknown when the endpoint was started, so
-    /// its start time is presumed to be now.
+    /// Makes an endpoint of a cached list known to the routing policy. It is unknown when the endpoint was started,
+    /// so the current time is reported as an upper bound of its start time.
     fn admit_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.state.not_admitted.remove(&endpoint) else { return };
         let record = self.state.endpoint_record(&listed, &self.config.zones);
-        let record = EndpointRecord { started_at: Some(now), start_presumed: true, primary: false, ..record };
+        let record =
+            EndpointRecord { started_at: Some(now), start_is_upper_bound: true, primary: false, ..record };
         self.state.report_to_policy(now, Event::EndpointList { complete: false, records: vec![record] });
     }
 
@@ -193,7 +196,10 @@
             .into_iter()
             .map(|(group, minimum)| GroupMinimum { group: self.groups.intern(group), minimum })
             .collect();
-        self.report_to_primary_discovery(now, DiscoveryEvent::CachedList { members, minimum_positions });
+        self.report_to_primary_discovery(
+            now,
+            DiscoveryEvent::CachedListLoaded { members, minimum_positions },
+        );
     }
 
     /// Reports a list from discovery to primary discovery. This is done before the list is reported to the routing
@@ -217,7 +223,7 @@
                 self.not_admitted.remove(&member.endpoint);
             }
         }
-        self.report_to_primary_discovery(now, DiscoveryEvent::Listed { complete, members, removed });
+        self.report_to_primary_discovery(now, DiscoveryEvent::ListReceived { complete, members, removed });
     }
 
     /// Reports a list from discovery to the routing policy. Returns the addresses whose idle connections must be
@@ -282,7 +288,7 @@
 fn minimum_positions(list: &CachedEndpointList) -> BTreeMap<i64, MinimumPosition> {
     let mut minimums: BTreeMap<i64, MinimumPosition> = BTreeMap::new();
     for endpoint in &list.endpoints {
-        let minimum = minimums.entry(endpoint.block).or_default();
+        let minimum = minimums.entry(endpoint.group).or_default();
         let Some(report) = endpoint.report else { continue };
         let position = report.position_ms.map(|millis| Timestamp(millis.saturating_mul(NANOS_PER_MILLI)));
         if report.timeline > minimum.timeline {
--- a/server/src/control/request_queue.rs
+++ b/server/src/control/request_queue.rs
@@ -3,7 +3,7 @@
 use crate::messages::control::{IncomingRequest, QueueLimits};
 use crate::messages::response::Response;
 use crate::messages::snapshot::{QueueSnapshot, WaitingRequest};
-use admission::concurrency_limiter::{Arrival, ConcurrencyLimiter, Decision, LoadShed, RequestId};
+use admission::concurrency_limiter::{Arrival, ConcurrencyLimiter, Decision, RequestId, ShedRequest};
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::HashMap;
 
@@ -114,7 +114,7 @@
 
     /// When [`RequestQueue::tick`] must be called next; `None` if there is nothing to wait for.
     pub fn due(&self) -> Option<Timestamp> {
-        self.limiter.due()
+        self.limiter.next_tick()
     }
 
     /// Applies the limiter's decisions, and shrinks the table of waiting requests if it has become mostly empty.
@@ -135,7 +135,7 @@
     }
 
     /// Rejects a request that the limiter has shed.
-    fn reject(&mut self, shed: LoadShed) {
+    fn reject(&mut self, shed: ShedRequest) {
         let (class, reason) = (shed.class.to_string(), shed.reason.label());
         metrics::counter!(SHED_COUNTER, "class" => class, "why" => reason).increment(1);
         let retry_after = self.sends_retry_after.then_some(shed.retry_after);
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -12,7 +12,7 @@
 use crate::storage::endpoint_cache_writer::EndpointCacheWriter;
 use may::sync::mpsc::Sender;
 use recovery::discovery_incarnation::{
-    IncarnationTracker, ListDecision, OfferedList, MAX_PAUSE_WITHOUT_LIST,
+    IncarnationTracker, ListDecision, ReceivedList, MAX_PAUSE_WITHOUT_LIST,
 };
 use recovery::watch_schedule::{WatchSchedule, JITTER_RANGE, OPEN_TIMEOUT};
 use routing::rng::Mwc;
@@ -132,7 +132,7 @@
             _ => {
                 let jitter = self.rng.below(JITTER_RANGE);
                 let max_pause = self.progress.needs_complete_list.then_some(MAX_PAUSE_WITHOUT_LIST);
-                self.progress.schedule.ended(jitter, max_pause)
+                self.progress.schedule.watch_ended(jitter, max_pause)
             }
         };
         self.timers.sleep_unless_cancelled(pause, &address.changed);
@@ -155,7 +155,7 @@
         let deadline = self.timers.now() + OPEN_TIMEOUT;
         let connection = PeerConnection::connect(&self.timers, &address.addr, deadline, descriptor);
         let mut connection = connection.map_err(|_| WatchEnd::NoConnection)?;
-        let deadline = self.progress.schedule.requested(self.timers.now());
+        let deadline = self.progress.schedule.watch_requested(self.timers.now());
         let limits = IoLimits { deadline, cancellation: &address.changed };
         connection.schedule_wake_ups(limits);
         let request = self.request(address.addr);
@@ -185,7 +185,7 @@
         address: &CurrentAddress,
     ) -> Result<(), WatchEnd> {
         let mut stream = WatchStream::default();
-        let mut deadline = self.progress.schedule.answer_due();
+        let mut deadline = self.progress.schedule.response_due();
         loop {
             let limits = IoLimits { deadline, cancellation: &address.changed };
             connection.schedule_wake_ups(limits);
@@ -231,13 +231,13 @@
             WatchEnd::UnreadableList
         })?;
         let version_before = self.progress.incarnation.version();
-        let offered =
-            OfferedList { version: list.version, complete: list.complete, empty: list.endpoints.is_empty() };
-        match self.progress.incarnation.offer(self.timers.now(), offered) {
+        let received =
+            ReceivedList { version: list.version, complete: list.complete, empty: list.endpoints.is_empty() };
+        match self.progress.incarnation.decide(self.timers.now(), received) {
             ListDecision::Accept => {}
-            ListDecision::Ignore if offered.complete && offered.empty => return Err(WatchEnd::EmptyList),
+            ListDecision::Ignore if received.complete && received.empty => return Err(WatchEnd::EmptyList),
             ListDecision::Ignore => return Ok(()),
-            ListDecision::Suspect => return Err(WatchEnd::OlderList),
+            ListDecision::AwaitConfirmation => return Err(WatchEnd::OlderList),
         }
         if self.progress.incarnation.version() < version_before {
             log!(
--- a/server/src/messages/journal_entry.rs
+++ b/server/src/messages/journal_entry.rs
@@ -9,7 +9,7 @@
 pub struct JournalEntry {
     /// The client's id of the write, which is the key of its record.
     pub id: Arc<str>,
-    /// The event to record: `Starting` or `Retrying`.
+    /// The event to record: `FirstAttempt` or `RetryAttempt`.
     pub event: RecordEvent,
     /// The scope and window in which endpoints drop duplicates of the write; `None` without an idempotency key.
     pub deduplication: Option<Deduplication>,
--- a/server/src/storage/endpoint_cache_writer.rs
+++ b/server/src/storage/endpoint_cache_writer.rs
@@ -56,7 +56,7 @@
         min_interval: Duration,
     ) -> std::io::Result<Arc<EndpointCacheWriter>> {
         let entry = |endpoint: &CachedEndpoint| {
-            (endpoint.host.clone(), Entry { endpoint: Arc::new(endpoint.clone()), report: None })
+            (endpoint.name.clone(), Entry { endpoint: Arc::new(endpoint.clone()), report: None })
         };
         let state = State {
             version: cached.map_or(0, |list| list.version),
@@ -101,7 +101,7 @@
                 state.entries.insert(listed.name.clone(), Entry::new(listed, previous));
             }
         }
-        state.schedule.changed(self.clock.now());
+        state.schedule.record_change(self.clock.now());
         drop(state);
         self.changed.notify_one();
     }
@@ -111,7 +111,7 @@
         let mut state = self.lock();
         if !state.entries.is_empty() {
             state.confirmed_ms = unix_time_ms();
-            state.schedule.confirmed();
+            state.schedule.record_confirmation();
             drop(state);
             self.changed.notify_one();
         }
@@ -125,7 +125,7 @@
             return;
         }
         entry.set_report(report);
-        state.schedule.changed(self.clock.now());
+        state.schedule.record_change(self.clock.now());
         drop(state);
         self.changed.notify_one();
     }
@@ -136,7 +136,7 @@
         let mut state = self.lock();
         loop {
             let now = self.clock.now();
-            let due = state.schedule.due();
+            let due = state.schedule.next_save_due();
             let save_now = due.is_some_and(|due| due <= now || state.stopping);
             if !save_now && state.stopping {
                 return self.stopped.notify_all();
@@ -147,14 +147,14 @@
                 state = waited.unwrap_or_else(|poisoned| poisoned.into_inner()).0;
                 continue;
             }
-            state.schedule.started(now);
+            state.schedule.save_started(now);
             let snapshot = state.snapshot();
             drop(state);
             let mut list = snapshot.into_list();
             let saved = directory.save(&mut list);
             log_state_change(&saved, &mut is_failing);
             state = self.lock();
-            state.schedule.ended(self.clock.now(), saved.is_ok());
+            state.schedule.save_ended(self.clock.now(), saved.is_ok());
             if state.stopping {
                 return self.stopped.notify_all();
             }
@@ -166,7 +166,7 @@
         let mut state = self.lock();
         state.stopping = true;
         self.changed.notify_all();
-        if state.schedule.due().is_some() {
+        if state.schedule.next_save_due().is_some() {
             drop(self.stopped.wait_timeout(state, timeout));
         }
     }
@@ -177,7 +177,7 @@
     /// same.
     fn new(listed: &ListedEndpoint, previous: Option<Entry>) -> Entry {
         let report = previous.as_ref().and_then(|entry| entry.report);
-        let at_same_address = previous.filter(|entry| entry.endpoint.dial == listed.address);
+        let at_same_address = previous.filter(|entry| entry.endpoint.address == listed.address);
         let cached_report = at_same_address.and_then(|entry| entry.endpoint.report);
         let endpoint = CachedEndpoint { report: cached_report, ..CachedEndpoint::from(listed) };
         Entry { endpoint: Arc::new(endpoint), report }
@@ -189,7 +189,7 @@
             primary: report.role == Some(Role::Primary),
             position_ms: report.position.map(|position| position.0 / NANOS_PER_MILLI),
             timeline: report.timeline,
-            at_ms: unix_time_ms(),
+            received_ms: unix_time_ms(),
         };
         let endpoint = CachedEndpoint { report: Some(cached), ..CachedEndpoint::clone(&self.endpoint) };
         self.endpoint = Arc::new(endpoint);
--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 use thiserror::Error;
 use write_journal::journal::{
-    ClockReading, Durability, Journal, JournalError, Operation, Reply, Retention, MAX_BATCH,
+    ClockReading, Durability, Journal, JournalError, Operation, Reply, Retention, MAX_BATCH_OPERATIONS,
 };
 use write_journal::record_state::{Fate, Origin, RecordEvent, SendPermission, Uptime};
 
@@ -57,11 +57,11 @@
 
 /// The time since the machine was booted; `None` on systems without Linux's `/proc` files.
 fn uptime() -> Option<Uptime> {
-    let boot_id = std::fs::read_to_string(BOOT_ID_PATH).ok()?;
-    let boot = u64::from_str_radix(boot_id.replace('-', "").get(..BOOT_ID_DIGITS)?, 16).ok()?;
+    let uuid = std::fs::read_to_string(BOOT_ID_PATH).ok()?;
+    let boot_id = u64::from_str_radix(uuid.replace('-', "").get(..BOOT_ID_DIGITS)?, 16).ok()?;
     let uptime = std::fs::read_to_string(UPTIME_PATH).ok()?;
     let seconds: f64 = uptime.split_whitespace().next()?.parse().ok()?;
-    Some(Uptime { boot, ms: (seconds * MILLIS_PER_SECOND).round() as i64 })
+    Some(Uptime { boot_id, ms: (seconds * MILLIS_PER_SECOND).round() as i64 })
 }
 
 impl WriteJournal {
@@ -165,10 +165,10 @@
     callbacks: Vec<Callback>,
 }
 
-/// Collects `first` and the queued jobs, at most [`MAX_BATCH`] in total.
+/// Collects `first` and the queued jobs, at most [`MAX_BATCH_OPERATIONS`] in total.
 fn collect_batch(first: Job, jobs: &Receiver<Job>) -> Batch {
     let queued = std::iter::from_fn(|| jobs.try_recv().ok());
-    let jobs = std::iter::once(first).chain(queued).take(MAX_BATCH);
+    let jobs = std::iter::once(first).chain(queued).take(MAX_BATCH_OPERATIONS);
     let (operations, callbacks) = jobs.map(|job| (job.operation, job.callback)).unzip();
     Batch { operations, callbacks }
 }
