--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -168,9 +168,13 @@
         let bootstrap = &self.configuration.bootstrap;
         let allowed = &bootstrap.config.allowed;
         let connect_timeout = TimeDelta(allowed.connect_timeout_ns);
-        let closed_after = TimeDelta(allowed.idle_timeout_ns);
-        let pool =
-            Arc::new(ConnectionPool::new(timers.clone(), resources.clone(), connect_timeout, closed_after));
+        let endpoint_idle_timeout = TimeDelta(allowed.idle_timeout_ns);
+        let pool = Arc::new(ConnectionPool::new(
+            timers.clone(),
+            resources.clone(),
+            connect_timeout,
+            endpoint_idle_timeout,
+        ));
         let dispatcher = EndpointDispatcher {
             pool: pool.clone(),
             control: self.control.clone(),
@@ -218,7 +222,7 @@
         let from_local_agent = config.membership_mode == LOCAL_AGENT_MODE;
         let address = Arc::new(DiscoveryAddress::new(bootstrap.discovery));
         let watch = DiscoveryWatch {
-            target: address.clone(),
+            address: address.clone(),
             timers: self.services.timers.clone(),
             resources: self.services.resources.clone(),
             control: self.control.clone(),
