--- a/operator-config/src/keywords.rs
+++ b/operator-config/src/keywords.rs
@@ -28,13 +28,13 @@
 pub const KEYWORDS: &[Keyword] = &[
     keyword("state-dir", |settings, value| store(&mut settings.storage.state_dir, path(value).map(Some))),
     keyword("save-gap", |settings, value| {
-        store(&mut settings.storage.save_interval, duration(value, "100ms", "1h"))
+        store(&mut settings.storage.min_save_interval, duration(value, "100ms", "1h"))
     }),
     keyword("store-identity", |settings, value| {
         let known = [("none", EndpointIdentity::None), ("postgres", EndpointIdentity::Postgres)];
         store(&mut settings.endpoint_identity, one_of(value, &known))
     }),
-    keyword("session-keys", |settings, value| store(&mut settings.sessions.keys, path(value).map(Some))),
+    keyword("session-keys", |settings, value| store(&mut settings.sessions.keys_path, path(value).map(Some))),
     keyword("session-lasts", |settings, value| {
         store(&mut settings.sessions.lifetime, duration(value, "1s", "30days"))
     }),
--- a/operator-config/src/settings.rs
+++ b/operator-config/src/settings.rs
@@ -70,7 +70,7 @@
     /// `state-dir`: directory of the endpoint cache and the write journal. Without it the endpoint list is not cached.
     pub state_dir: Option<PathBuf>,
     /// `save-gap`: minimum interval between two saves of the endpoint list. 100 ms to an hour.
-    pub save_interval: Duration,
+    pub min_save_interval: Duration,
     /// The write journal.
     pub journal: JournalSettings,
 }
@@ -79,7 +79,7 @@
     fn default() -> StorageSettings {
         StorageSettings {
             state_dir: None,
-            save_interval: Duration::from_secs(1),
+            min_save_interval: Duration::from_secs(1),
             journal: JournalSettings::default(),
         }
     }
@@ -89,14 +89,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionSettings {
     /// `session-keys`: file of the keys that authenticate session tokens; `None` disables tokens.
-    pub keys: Option<PathBuf>,
+    pub keys_path: Option<PathBuf>,
     /// `session-lasts`: lifetime of session tokens. 1 s to 30 days.
     pub lifetime: Duration,
 }
 
 impl Default for SessionSettings {
     fn default() -> SessionSettings {
-        SessionSettings { keys: None, lifetime: Duration::from_secs(3600) }
+        SessionSettings { keys_path: None, lifetime: Duration::from_secs(3600) }
     }
 }
 
@@ -194,14 +194,14 @@
     }
 
     /// Keywords whose values differ in `newer` and that take effect only after a restart.
-    pub fn changed_keywords(&self, newer: &OperatorSettings) -> Vec<&'static str> {
+    pub fn changed_start_keywords(&self, newer: &OperatorSettings) -> Vec<&'static str> {
         let (storage, newer_storage) = (&self.storage, &newer.storage);
         let (journal, newer_journal) = (&storage.journal, &newer_storage.journal);
         let (clients, newer_clients) = (&self.admission.clients, &newer.admission.clients);
         let changes = [
             ("state-dir", storage.state_dir != newer_storage.state_dir),
             ("store-identity", self.endpoint_identity != newer.endpoint_identity),
-            ("session-keys", self.sessions.keys != newer.sessions.keys),
+            ("session-keys", self.sessions.keys_path != newer.sessions.keys_path),
             ("session-lasts", self.sessions.lifetime != newer.sessions.lifetime),
             ("write-journal", journal.mode != newer_journal.mode),
             ("write-journal-keeps", journal.max_age != newer_journal.max_age),
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -34,10 +34,10 @@
             "no-probes-refuses",
             RoutingSettings { may_check_health: false, ..support::routing_settings(LagHandling::Reject) },
         ),
-        ("pushed-lists", RoutingSettings { list_poll_within: None, ..defaults() }),
+        ("pushed-lists", RoutingSettings { max_list_poll_interval: None, ..defaults() }),
         (
             "marks-remembered",
-            RoutingSettings { clients_hold_positions: false, may_cancel: false, ..defaults() },
+            RoutingSettings { clients_send_last_write: false, may_cancel: false, ..defaults() },
         ),
         (
             "gone-stays-open",
@@ -109,7 +109,7 @@
             status,
             primary: endpoint.is_multiple_of(3),
             started_at,
-            start_presumed: self.draw(16) == 0,
+            start_is_upper_bound: self.draw(16) == 0,
         }
     }
 
@@ -151,7 +151,7 @@
         }
         let nth = self.draw(self.attempts.len());
         let Attempt { request, number, endpoint, sent } = self.attempts.remove(nth);
-        let confirmed = self.policy.confirm_attempt(self.now, request, number, endpoint);
+        let confirmed = self.policy.may_send_attempt(self.now, request, number, endpoint);
         self.record(&format!("confirms {request} {number} {endpoint} {confirmed}"));
         // All outcomes except success.
         let outcomes = &support::OUTCOMES[1..];
--- a/server/src/startup/reload.rs
+++ b/server/src/startup/reload.rs
@@ -38,11 +38,11 @@
 
     /// Applies the settings of a newer operators' file.
     fn apply_operator_settings(&self, newer: &OperatorSettings) {
-        for keyword in self.configuration.operators.changed_keywords(newer) {
+        for keyword in self.configuration.operators.changed_start_keywords(newer) {
             log_needs_restart(keyword);
         }
         if let Some(cache) = &self.endpoint_cache {
-            cache.set_min_interval(newer.storage.save_interval);
+            cache.set_min_interval(newer.storage.min_save_interval);
         }
         match self.apply_classes(newer) {
             Ok(()) => {
@@ -70,7 +70,7 @@
 
     /// Reads the key file again. Its path is the one from the start.
     fn apply_session_keys(&self) {
-        let path = self.configuration.operators.sessions.keys.as_ref();
+        let path = self.configuration.operators.sessions.keys_path.as_ref();
         let (Some(tokens), Some(path)) = (&self.session_tokens, path) else { return };
         match read_keys(path) {
             Ok(keys) => tokens.set_keys(keys),
