--- a/recovery/src/save_schedule.rs
+++ b/recovery/src/save_schedule.rs
@@ -61,12 +61,12 @@
 
     /// When the next save is due; `None` if there is nothing to save.
     pub fn next_save_due(&self) -> Option<Timestamp> {
-        let wanted = match self.changed_at {
+        let earliest = match self.changed_at {
             Some(at) => at + BATCHING_DELAY,
             None if self.confirmed => self.saved_at + CONFIRMATION_SAVE_INTERVAL,
             None => return None,
         };
-        Some(wanted.max(self.saved_at + self.min_pause()))
+        Some(earliest.max(self.saved_at + self.min_pause()))
     }
 
     /// Minimum time from the last save to the next one.
--- a/sessions/tests/guarantees.rs
+++ b/sessions/tests/guarantees.rs
@@ -203,15 +203,15 @@
 #[test]
 fn session_cache_is_bounded_and_expires_sessions() {
     let mut cached = SessionCache::new(50_000, TimeDelta::from_millis(60_000));
-    let session = |nth: u32| {
+    let session = |index: u32| {
         let mut id = [0; 16];
-        id[..4].copy_from_slice(&nth.to_be_bytes());
+        id[..4].copy_from_slice(&index.to_be_bytes());
         id
     };
     let mut positions = SessionPositions::default();
     positions.advance(1, position(1, 5));
-    for nth in 0..1_000_000 {
-        cached.merge(at(i64::from(nth)), session(nth), &mut positions.clone());
+    for index in 0..1_000_000 {
+        cached.merge(at(i64::from(index)), session(index), &mut positions.clone());
         assert!(cached.len() <= 50_000);
     }
     // A second connection of the newest session presents a token without positions.
@@ -234,11 +234,11 @@
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    (0..10u8, 0..4usize, any::<u8>()).prop_map(|(kind, nth, detail)| match kind {
+    (0..10u8, 0..4usize, any::<u8>()).prop_map(|(kind, index, detail)| match kind {
         0..=2 => Step::Replicate { lag_ms: detail.into() },
-        3 if detail < 40 => Step::FailOver { promoted: nth % 3 },
+        3 if detail < 40 => Step::FailOver { promoted: index % 3 },
         _ => Step::Read {
-            session: nth,
+            session: index,
             instance: usize::from(detail) % 2,
             endpoint: usize::from(detail / 2) % 3,
         },
@@ -310,8 +310,8 @@
             return;
         }
         self.epoch_starts.push(fork.ms);
-        for (nth, endpoint) in self.endpoints.iter_mut().enumerate() {
-            if nth == promoted || (endpoint.epoch == current && endpoint.ms <= fork.ms) {
+        for (index, endpoint) in self.endpoints.iter_mut().enumerate() {
+            if index == promoted || (endpoint.epoch == current && endpoint.ms <= fork.ms) {
                 endpoint.epoch = current + 1;
             }
         }
--- a/write-journal/tests/support/mod.rs
+++ b/write-journal/tests/support/mod.rs
@@ -25,7 +25,7 @@
     Journal::open(path, Durability::System, retention, 7).expect("the journal opens")
 }
 
-/// A journal in a temporary directory of its own.
+/// A journal in its own temporary directory.
 pub struct TestJournal {
     /// The journal under test.
     pub journal: Journal,
