--- a/server/tests/admission.rs
+++ b/server/tests/admission.rs
@@ -172,15 +172,15 @@
     assert!(fifth.retry_after_ms.is_some_and(|ms| (1..=1_000).contains(&ms)), "{:?}", fifth.retry_after_ms);
     // A file with contradictory limits is rejected as a whole.
     fixture.reload(&daemon, "admit desk from 127.9.0.0/16 keep 5 most 4\n");
-    assert!(daemon.has_logged("reload: operators' file cannot be used, its settings are unchanged"));
+    assert!(daemon.wait_for_log("reload: operators' file cannot be used, its settings are unchanged"));
     assert!(daemon
-        .has_logged("1: admit: class desk reserves more connections (keep 5) than its maximum (most 4)"));
+        .wait_for_log("1: admit: class desk reserves more connections (keep 5) than its maximum (most 4)"));
     fixture.reload(&daemon, "admit desk from 127.9.0.0/16 keep 5000\n");
-    assert!(daemon.has_logged("the classes reserve 5000 connections (keep), more than the capacity of "));
+    assert!(daemon.wait_for_log("the classes reserve 5000 connections (keep), more than the capacity of "));
     assert_eq!(open().rejected_with.as_deref(), Some("53300"), "the earlier limits still apply");
     // The limit is lowered below the connections in use: new ones are rejected, admitted ones stay.
     fixture.reload(&daemon, &format!("{desk}admit others each 1\n"));
-    assert!(daemon.has_logged("others 4; rejected since the start: others 2"));
+    assert!(daemon.wait_for_log("others 4; rejected since the start: others 2"));
     for (index, client) in held.iter_mut().enumerate() {
         let answer = client.request(&format!("h{index}"), 1, Kind::Write, 800).answer;
         assert!(matches!(answer, Answer::Value(_)), "{answer:?}");
@@ -249,7 +249,7 @@
     fixture.program = limited(&fixture, 100);
     let daemon = fixture.start("admit desk from 127.9.0.0/16 keep 8\nadmit others each 3\n");
     assert!(daemon
-        .has_logged("descriptor limit of the process is lower than configured allowed=100 configured=200"));
+        .wait_for_log("descriptor limit of the process is lower than configured allowed=100 configured=200"));
     let result = flood(&fixture);
     let log = daemon.kill();
     assert_eq!((result.desk_served, result.requests_lost), (60, 0), "{result:?}");
@@ -297,7 +297,7 @@
             "no client is admitted although descriptors are available again"
         );
     }
-    assert!(daemon.has_logged("connection not accepted reason="));
+    assert!(daemon.wait_for_log("connection not accepted reason="));
 }
 
 #[test]
@@ -306,6 +306,6 @@
     let mut daemon = fixture.begin("admit desk from 127.9.0.0/16 keep 5000\n");
     assert_eq!(daemon.exit_status_within(Duration::from_secs(5)), Some(78));
     assert!(
-        daemon.has_logged("admit: the classes reserve 5000 connections (keep), more than the capacity of ")
+        daemon.wait_for_log("admit: the classes reserve 5000 connections (keep), more than the capacity of ")
     );
 }
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -127,7 +127,7 @@
         let daemon = fixture.start(&fixture.operator_file());
         fixture.time_until_served(Kind::Write, &format!("b{round}"));
         fixture.time_until_served(Kind::Read, &format!("c{round}"));
-        assert!(daemon.has_logged("starting from the cached endpoint list"), "{}", daemon.kill());
+        assert!(daemon.wait_for_log("starting from the cached endpoint list"), "{}", daemon.kill());
         daemon.kill();
         fixture.wait_for_cached(is_verified);
     }
@@ -141,7 +141,11 @@
     fixture.discovery.set_list(2, hosts.collect());
     fixture.discovery.set_mode(DiscoveryMode::Up);
     fixture.wait_for_cached(|cached| cached.version == 2);
-    assert!(daemon.has_logged("endpoint list of a new discovery incarnation accepted"), "{}", daemon.kill());
+    assert!(
+        daemon.wait_for_log("endpoint list of a new discovery incarnation accepted"),
+        "{}",
+        daemon.kill()
+    );
     assert!(fixture.cluster.lock().executions.values().flatten().all(|run| run.at_primary));
 }
 
@@ -150,7 +154,7 @@
     let fixture = Fixture::new(DiscoveryMode::Up);
     let missing = fixture.start(&fixture.operator_file().replace("/state", "/nowhere"));
     fixture.time_until_served(Kind::Write, "a");
-    missing.has_logged("endpoint list not cached");
+    missing.wait_for_log("endpoint list not cached");
     // A second log line would appear with the next saves.
     thread::sleep(Duration::from_millis(300));
     let log = missing.kill();
@@ -161,7 +165,7 @@
     let second = Fixture { listen: free_address(), ..Fixture::new(DiscoveryMode::Up) };
     let other = second.start(&fixture.operator_file());
     second.time_until_served(Kind::Write, "c");
-    assert!(other.has_logged("another process uses it"), "{}", other.kill());
+    assert!(other.wait_for_log("another process uses it"), "{}", other.kill());
     // A directory in place of the temporary file makes all saves fail from now on, which is logged once.
     let entries = fixture.wait_for_cached(|cached| cached.version == 7).endpoints;
     let blocked = fixture.state().join("list.new");
@@ -175,10 +179,10 @@
         thread::sleep(Duration::from_millis(150));
         fixture.time_until_served(Kind::Read, &format!("d{seq}"));
     }
-    first.has_logged("endpoint list not cached");
+    first.wait_for_log("endpoint list not cached");
     std::fs::remove_dir(&blocked).expect("gone");
     fixture.wait_for_cached(|cached| cached.version == 11);
-    first.has_logged("endpoint list cached again");
+    first.wait_for_log("endpoint list cached again");
     let log = first.kill();
     assert_eq!(log.matches("endpoint list not cached").count(), 1, "{log}");
     assert_eq!(log.matches("endpoint list cached again").count(), 1, "{log}");
@@ -298,10 +302,10 @@
     let file = fixture.folder.path().join("gingerwick.conf");
     std::fs::write(&file, conf.replace("postgres", "none").replace("100ms", "2s")).expect("written");
     daemon.signal("HUP");
-    daemon.has_logged("changed setting takes effect at the next start");
+    daemon.wait_for_log("changed setting takes effect at the next start");
     std::fs::write(&file, "save-gap never\n").expect("written");
     daemon.signal("HUP");
-    daemon.has_logged("cannot be used, its settings are unchanged");
+    daemon.wait_for_log("cannot be used, its settings are unchanged");
     fixture.time_until_served(Kind::Write, "b");
     daemon.signal("TERM");
     let mut daemon = daemon;
--- a/test-servers/src/daemon.rs
+++ b/test-servers/src/daemon.rs
@@ -10,7 +10,7 @@
 
 /// Interval at which the process and its log are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long [`Daemon::has_logged`] waits for a text.
+/// How long [`Daemon::wait_for_log`] waits for a text.
 const LOG_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running daemon.
@@ -89,7 +89,7 @@
     /// Waits until the log contains `text`, for ten seconds at most. Returns whether it does. Use this instead of
     /// reading the log once: the effect of an action can be visible before its log line, and a killed daemon logs
     /// nothing more.
-    pub fn has_logged(&self, text: &str) -> bool {
+    pub fn wait_for_log(&self, text: &str) -> bool {
         let deadline = Instant::now() + LOG_TIMEOUT;
         while !self.log.lock().expect("no reader panicked").contains(text) {
             if Instant::now() > deadline {
