--- a/server/tests/histories.rs
+++ b/server/tests/histories.rs
@@ -20,7 +20,7 @@
     let build = Build { program, has_operator_file: true };
     let mut sum = Outcome::default();
     for seed in 1..=6 {
-        let plan = Plan::draw(seed, KILLS);
+        let plan = Plan::random(seed, KILLS);
         let outcome = run_plan(&plan, &build).expect("the run could not be set up");
         assert!(outcome.verdict.violations.is_empty(), "{plan:?}\n{:#?}", outcome.verdict.violations);
         sum.verdict.add(outcome.verdict);
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -34,7 +34,7 @@
     // Daemons, endpoints and clients of one plan use one or two cores. With fewer cores answers would be late.
     let cores = thread::available_parallelism().map_or(2, usize::from);
     let failed = each_seed(0..18, (cores / 2).clamp(1, 6), |seed| {
-        let plan = Plan::draw(seed);
+        let plan = Plan::random(seed);
         println!("seed {seed}: {plan:?}");
         let outcome = run_plan(&plan, &build, phases).expect("the run could not be set up");
         let lacks_writes = outcome.groups_writing < outcome.groups_with_primary;
--- a/test-servers/src/bin/sessions.rs
+++ b/test-servers/src/bin/sessions.rs
@@ -54,7 +54,7 @@
     let NamedBuild { name, build } = compared;
     let seeds = arguments.first..arguments.first + arguments.seeds;
     let runs = each_seed(seeds, arguments.at_once, |seed| {
-        let plan = Plan::draw(seed, arguments.kills);
+        let plan = Plan::random(seed, arguments.kills);
         let outcome = run_plan(&plan, build).expect("a plan can be run here");
         Run { plan, outcome }
     });
--- a/test-servers/src/bin/starts/faults.rs
+++ b/test-servers/src/bin/starts/faults.rs
@@ -25,7 +25,7 @@
     for NamedBuild { name, build } in builds(arguments) {
         let seeds = arguments.first..arguments.first + arguments.seeds;
         let runs = each_seed(seeds, arguments.at_once, |seed| {
-            let plan = Plan::draw(seed);
+            let plan = Plan::random(seed);
             let outcome = run_plan(&plan, &build, phases).expect("a plan can be run here");
             Run { plan, outcome }
         });
--- a/test-servers/src/restart/plan.rs
+++ b/test-servers/src/restart/plan.rs
@@ -97,7 +97,7 @@
 
 impl Plan {
     /// Draws a plan from a seed.
-    pub fn draw(seed: u64) -> Plan {
+    pub fn random(seed: u64) -> Plan {
         let mut rng = plan_rng(seed);
         let faults = (0..GROUPS).map(|_| choose(&mut rng, &FAULTS)).collect();
         let age_s = choose(&mut rng, &AGES_S);
--- a/test-servers/src/sessions/plan.rs
+++ b/test-servers/src/sessions/plan.rs
@@ -35,7 +35,7 @@
 
 impl Plan {
     /// Draws a plan from a seed.
-    pub fn draw(seed: u64, kills: usize) -> Plan {
+    pub fn random(seed: u64, kills: usize) -> Plan {
         let mut rng = plan_rng(seed);
         let lags_ms = [SHORT_LAG.draw(&mut rng), LONG_LAG.draw(&mut rng)];
         let instances = choose(&mut rng, &INSTANCE_COUNTS);
