--- a/server/tests/fates.rs
+++ b/server/tests/fates.rs
@@ -52,7 +52,7 @@
         // The first write after a start waits for the endpoint list. Later writes are sent at once.
         self.wait_until_served("warm");
         // However late this machine runs the kill, no answer is sent before it.
-        self.single_endpoint.cluster.answers.close();
+        self.single_endpoint.cluster.answer_gate.close();
         let asking = writes.map(|(id, kind)| {
             let mut client = self.client(0);
             thread::spawn(move || client.request(id, 1, kind, 900).answer)
@@ -65,7 +65,7 @@
         let ran = Instant::now();
         instance.kill();
         asking.into_iter().for_each(|asking| assert_eq!(asking.join().expect("no panic"), Answer::Missing));
-        self.single_endpoint.cluster.answers.open();
+        self.single_endpoint.cluster.answer_gate.open();
         ran
     }
 
--- a/test-servers/src/cluster/mod.rs
+++ b/test-servers/src/cluster/mod.rs
@@ -39,14 +39,14 @@
     /// Grace period after the announcement of a drain within which statements may still arrive.
     pub drain_grace_ms: i64,
     /// Gate for the answers to statements.
-    pub answers: AnswerGate,
+    pub answer_gate: AnswerGate,
     state: Mutex<ClusterState>,
 }
 
 impl Cluster {
     /// Creates a cluster without endpoints.
     pub fn new(slow_start: SlowStartModel, drain_grace_ms: i64) -> Cluster {
-        Cluster { slow_start, drain_grace_ms, answers: AnswerGate::default(), state: Mutex::default() }
+        Cluster { slow_start, drain_grace_ms, answer_gate: AnswerGate::default(), state: Mutex::default() }
     }
 
     /// Locks the state of the cluster.
--- a/test-servers/src/endpoint.rs
+++ b/test-servers/src/endpoint.rs
@@ -175,7 +175,7 @@
             return parameter_status(out, "recovery", "on");
         };
         thread::sleep(reply.service_time);
-        self.cluster.answers.wait_until_open();
+        self.cluster.answer_gate.wait_until_open();
         let LogPoint { branch, at_ms } = reply.shown;
         row(out, format!("{} {} {branch} {at_ms}", statement.id, reply.consistent_until_ms).as_bytes());
         parameter_status(out, "recovery", if reply.is_primary { "off" } else { "on" });
