--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -1,7 +1,8 @@
 //! The check of a history: rules for single requests, executions and reported fates of writes.
 
 use crate::history::{
-    includes, Answer, Execution, FateAnswer, History, Kind, LogPoint, RequestRecord, ShownValue, FATE_UNKNOWN,
+    log_includes, Answer, Execution, FateAnswer, History, Kind, LogPoint, RequestRecord, ShownValue,
+    FATE_UNKNOWN,
 };
 use crate::verdict::{Rule, Verdict};
 use std::collections::{HashMap, HashSet};
@@ -45,7 +46,7 @@
     fn live_execution_count(&self, id: &str) -> usize {
         let is_live = |execution: &&&Execution| {
             let forks = self.history.forks_of(execution.group);
-            includes(forks, LogPoint::newest(forks), execution.point)
+            log_includes(forks, LogPoint::newest(forks), execution.point)
         };
         self.executions.get(id).into_iter().flatten().filter(is_live).count()
     }
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -153,7 +153,7 @@
 
 /// Whether the log up to `shown` includes the log up to `seen`: `shown` is not earlier, and no fork between their
 /// branches is before `seen`.
-pub fn includes(forks: &[i64], shown: LogPoint, seen: LogPoint) -> bool {
+pub fn log_includes(forks: &[i64], shown: LogPoint, seen: LogPoint) -> bool {
     let (low, high) = (shown.branch.min(seen.branch), shown.branch.max(seen.branch));
     let first_fork = forks.get(low + 1..=high).into_iter().flatten().min();
     shown.at_ms >= seen.at_ms && first_fork.is_none_or(|fork| seen.at_ms <= *fork)
--- a/history-checker/src/session_checker.rs
+++ b/history-checker/src/session_checker.rs
@@ -2,7 +2,7 @@
 //! Weakly Consistent Replicated Data*, PDIS 1994), and that lost data is reported.
 
 use crate::checker::Checker;
-use crate::history::{includes, Answer, Kind, LogPoint, RequestRecord, ShownValue, SESSION_LOST};
+use crate::history::{log_includes, Answer, Kind, LogPoint, RequestRecord, ShownValue, SESSION_LOST};
 use crate::verdict::Rule;
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
 
     fn check_guarantees(&mut self, view: &mut SessionView, record: &RequestRecord, point: LogPoint) {
         let forks = self.history.forks_of(record.group);
-        let includes_all = |seen: &[LogPoint]| seen.iter().all(|seen| includes(forks, point, *seen));
+        let includes_all = |seen: &[LogPoint]| seen.iter().all(|seen| log_includes(forks, point, *seen));
         let (has_writes, has_reads) = (includes_all(&view.written), includes_all(&view.read));
         let is_read = record.kind == Kind::Read;
         if !(has_writes && has_reads) {
@@ -57,7 +57,7 @@
     fn check_loss(&mut self, view: &SessionView, record: &RequestRecord) {
         let forks = self.history.forks_of(record.group);
         let newest = LogPoint::newest(forks);
-        if view.observed.iter().all(|seen| includes(forks, newest, *seen)) {
+        if view.observed.iter().all(|seen| log_includes(forks, newest, *seen)) {
             let detail = "was reported a loss that did not happen".into();
             self.verdict.report(Rule::LossReported, &record.id, detail);
         }
--- a/test-servers/src/cluster/state.rs
+++ b/test-servers/src/cluster/state.rs
@@ -2,7 +2,7 @@
 
 use super::endpoint_model::{EndpointIndex, EndpointModel};
 use super::slow_start::EndpointLoad;
-use history_checker::{includes, Execution, LogPoint, Rule, Violation};
+use history_checker::{log_includes, Execution, LogPoint, Rule, Violation};
 use std::collections::{BTreeMap, HashMap};
 
 /// One branch of a group's log.
@@ -74,7 +74,7 @@
     pub fn duplicate_of(&self, id: &str, at: LogPoint, window_ms: i64) -> Option<LogPoint> {
         let is_known = |execution: &&Execution| {
             at.at_ms - execution.point.at_ms < window_ms
-                && includes(&self.forks(execution.group), at, execution.point)
+                && log_includes(&self.forks(execution.group), at, execution.point)
         };
         self.executions.get(id)?.iter().find(is_known).map(|execution| execution.point)
     }
