--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -83,7 +83,7 @@
 
     fn check_one_answer_in_time(&mut self, record: &RequestRecord) {
         let RequestRecord { id, answer, timeout_ms, .. } = record;
-        if record.surplus || (*answer == Answer::Missing && !record.cut_off) {
+        if record.has_extra_answer || (*answer == Answer::Missing && !record.cut_off) {
             let detail = format!("has no answer, or more than one ({answer:?})");
             self.verdict.report(Rule::OneAnswer, id, detail);
         }
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -52,7 +52,7 @@
     /// The answer.
     pub answer: Answer,
     /// The answer was followed by another one that belongs to no request.
-    pub surplus: bool,
+    pub has_extra_answer: bool,
     /// The router was killed while the request was open, so no answer is required.
     pub cut_off: bool,
 }
--- a/history-checker/tests/breaches.rs
+++ b/history-checker/tests/breaches.rs
@@ -116,7 +116,7 @@
             name: "two answers",
             rule: Rule::OneAnswer,
             subject: "b",
-            change: |history| request(history, "b").surplus = true,
+            change: |history| request(history, "b").has_extra_answer = true,
         },
         Breach {
             name: "the value of another request",
--- a/history-checker/tests/support/mod.rs
+++ b/history-checker/tests/support/mod.rs
@@ -18,7 +18,7 @@
         answered_ms,
         timeout_ms: 400,
         answer,
-        surplus: false,
+        has_extra_answer: false,
         cut_off: false,
     }
 }
--- a/test-servers/src/client.rs
+++ b/test-servers/src/client.rs
@@ -162,7 +162,7 @@
                 answered_ms: unix_ms(),
                 timeout_ms,
                 answer: received.answer,
-                surplus: received.surplus,
+                has_extra_answer: received.surplus,
                 cut_off: false,
             }
         };
