--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -83,12 +83,12 @@
 
     fn check_one_answer_in_time(&mut self, record: &RequestRecord) {
         let RequestRecord { id, answer, timeout_ms, .. } = record;
-        if record.has_extra_answer || (*answer == Answer::Missing && !record.cut_off) {
+        if record.has_extra_answer || (*answer == Answer::Missing && !record.router_killed) {
             let detail = format!("has no answer, or more than one ({answer:?})");
             self.verdict.report(Rule::OneAnswer, id, detail);
         }
         let took_ms = record.answered_ms - record.sent_ms;
-        if took_ms > timeout_ms + self.history.scheduling_slack_ms && !record.cut_off {
+        if took_ms > timeout_ms + self.history.scheduling_slack_ms && !record.router_killed {
             let detail = format!("was answered after {took_ms} ms, wanted within {timeout_ms}");
             self.verdict.report(Rule::InTime, id, detail);
         }
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -54,7 +54,7 @@
     /// The answer was followed by another one that belongs to no request.
     pub has_extra_answer: bool,
     /// The router was killed while the request was open, so no answer is required.
-    pub cut_off: bool,
+    pub router_killed: bool,
 }
 
 /// A point on a group's log: a branch and a position.
--- a/history-checker/tests/breaches.rs
+++ b/history-checker/tests/breaches.rs
@@ -19,13 +19,14 @@
         record("a", Kind::Write, 1_130, value("a", at(1, 1_130))),
         record("b", Kind::Read, 1_140, value("b", at(1, 1_135))),
     ];
-    let cut_off = RequestRecord { cut_off: true, ..record("x", Kind::Write, 1_005, Answer::Missing) };
+    let router_killed =
+        RequestRecord { router_killed: true, ..record("x", Kind::Write, 1_005, Answer::Missing) };
     let keyed = record("t", Kind::KeyedWrite, 1_006, Answer::Aborted);
     let keyed_again = record("t", Kind::KeyedWrite, 1_007, value("t", at(0, 1_006)));
     let fate = |id: &str, answer| FateAnswer { id: id.into(), answered_ms: 1_200, answer };
     History {
         without_session: vec![
-            cut_off,
+            router_killed,
             keyed,
             keyed_again,
             record("p", Kind::Write, 1_050, Answer::Rejected(Some(40))),
--- a/history-checker/tests/support/mod.rs
+++ b/history-checker/tests/support/mod.rs
@@ -19,7 +19,7 @@
         timeout_ms: 400,
         answer,
         has_extra_answer: false,
-        cut_off: false,
+        router_killed: false,
     }
 }
 
--- a/test-servers/src/client.rs
+++ b/test-servers/src/client.rs
@@ -163,7 +163,7 @@
                 timeout_ms,
                 answer: received.answer,
                 has_extra_answer: received.surplus,
-                cut_off: false,
+                router_killed: false,
             }
         };
         ids.iter().map(record).collect()
--- a/test-servers/src/sessions/client.rs
+++ b/test-servers/src/sessions/client.rs
@@ -134,7 +134,7 @@
     fn request(&mut self, connection: &mut Connection, id: &str, group: i64, kind: Kind) -> Answer {
         let mut record = connection.client.request(id, group, kind, TIMEOUTS.of(kind));
         let killed_ms = lock(&self.shared.killed_ms[connection.instance]);
-        record.cut_off = killed_ms.iter().any(|&at_ms| at_ms >= connection.opened_ms);
+        record.router_killed = killed_ms.iter().any(|&at_ms| at_ms >= connection.opened_ms);
         drop(killed_ms);
         self.token = connection.client.token.clone().or(self.token.take());
         let answer = record.answer.clone();
