--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -121,7 +121,7 @@
             let detail = format!("got a value that was not made for it: {value}");
             self.verdict.report(Rule::OneAnswer, id, detail);
         }
-        let oldest = sent_ms - self.history.bound_ms - self.history.network_slack_ms;
+        let oldest = sent_ms - self.history.staleness_bound_ms - self.history.network_slack_ms;
         if let Some(shown) = shown.filter(|shown| is_read && shown.consistent_until_ms < oldest) {
             let age_ms = sent_ms - shown.consistent_until_ms;
             self.verdict.report(Rule::BoundedStaleness, id, format!("got data {age_ms} ms old"));
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -136,7 +136,7 @@
     /// Violations detected by the endpoints themselves.
     pub endpoint_violations: Vec<Violation>,
     /// Bound on the staleness of a read's data at the time the read is sent.
-    pub bound_ms: i64,
+    pub staleness_bound_ms: i64,
     /// Tolerance added to a client's timeout for the time until a busy machine schedules the client's thread.
     pub scheduling_slack_ms: i64,
     /// Tolerance added to the bound on staleness for the time from the client to the router, since the bound applies
--- a/history-checker/tests/breaches.rs
+++ b/history-checker/tests/breaches.rs
@@ -46,7 +46,7 @@
             execution("a", at(1, 1_130)),
         ],
         forks: BTreeMap::from([(1, vec![0, 990])]),
-        bound_ms: 800,
+        staleness_bound_ms: 800,
         ..History::default()
     }
 }
--- a/history-checker/tests/random_sessions.rs
+++ b/history-checker/tests/random_sessions.rs
@@ -84,7 +84,7 @@
             sessions: vec![self.requests],
             executions: self.executions,
             forks: BTreeMap::from([(1, forks)]),
-            bound_ms: 800,
+            staleness_bound_ms: 800,
             ..History::default()
         }
     }
--- a/test-servers/src/cluster/mod.rs
+++ b/test-servers/src/cluster/mod.rs
@@ -69,7 +69,7 @@
             executions: state.executions.values().flatten().cloned().collect(),
             forks: state.branches.keys().map(|&group| (group, state.forks(group))).collect(),
             endpoint_violations: state.violations.clone(),
-            bound_ms: BOUND_MS,
+            staleness_bound_ms: BOUND_MS,
             scheduling_slack_ms: SCHEDULING_SLACK_MS,
             network_slack_ms: NETWORK_SLACK_MS,
         }
