--- a/history-checker/src/verdict.rs
+++ b/history-checker/src/verdict.rs
@@ -67,7 +67,7 @@
     }
 
     /// The violated rules with their numbers of violations.
-    pub fn broken_rules(&self) -> BTreeMap<Rule, usize> {
+    pub fn violation_counts(&self) -> BTreeMap<Rule, usize> {
         let mut counts = BTreeMap::new();
         self.violations.iter().for_each(|violation| *counts.entry(violation.rule).or_default() += 1);
         counts
--- a/test-servers/src/bin/sessions.rs
+++ b/test-servers/src/bin/sessions.rs
@@ -68,7 +68,7 @@
         }
     }
     let total = |value: fn(&Outcome) -> usize| runs.iter().map(|run| value(&run.outcome)).sum::<usize>();
-    let (plans, broken_rules) = (runs.len(), sum.broken_rules());
+    let (plans, broken_rules) = (runs.len(), sum.violation_counts());
     let (requests, succeeded) = (sum.requests, sum.succeeded);
     println!(
         "{name}: {broke} of {plans} plans broke a guarantee {broken_rules:?}; {} kills, {requests} requests, \
--- a/test-servers/src/bin/starts/faults.rs
+++ b/test-servers/src/bin/starts/faults.rs
@@ -61,7 +61,7 @@
     let count = |matches: fn(&Outcome) -> bool| runs.iter().filter(|run| matches(&run.outcome)).count();
     let total = |value: fn(&Outcome) -> usize| runs.iter().map(|run| value(&run.outcome)).sum::<usize>();
     let (plans, broke) = (runs.len(), count(|run| !run.verdict.violations.is_empty()));
-    let broken_rules = sum.broken_rules();
+    let broken_rules = sum.violation_counts();
     let (requests, succeeded) = (sum.requests, sum.succeeded);
     println!(
         "{name}: {broke} of {plans} plans broke a rule {broken_rules:?}; of {requests} requests {succeeded} ok"
