--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -151,5 +151,5 @@
 /// Whether a reported fate of an executed write, with its commit position if present, is true for an execution.
 fn matches_execution(reported: &str, point: LogPoint, answered_ms: i64) -> bool {
     let Some(commit) = reported.strip_prefix(FATE_RAN).map(str::trim) else { return false };
-    point.at_ms <= answered_ms && (commit.is_empty() || commit.parse() == Ok(point.at_ms))
+    point.position_ms <= answered_ms && (commit.is_empty() || commit.parse() == Ok(point.position_ms))
 }
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -63,13 +63,13 @@
     /// Index of the branch. The first one is 0, and each failover begins another.
     pub branch: usize,
     /// Position on the branch, in Unix milliseconds.
-    pub at_ms: i64,
+    pub position_ms: i64,
 }
 
 impl LogPoint {
     /// The current end of a log with these forks.
     pub fn newest(forks: &[i64]) -> LogPoint {
-        LogPoint { branch: forks.len().saturating_sub(1), at_ms: i64::MAX }
+        LogPoint { branch: forks.len().saturating_sub(1), position_ms: i64::MAX }
     }
 }
 
@@ -90,8 +90,8 @@
         let mut fields = value.split(' ');
         let id = fields.next()?;
         let mut number = || fields.next().and_then(|field| field.parse::<i64>().ok());
-        let (consistent_until_ms, branch, at_ms) = (number()?, number()?, number()?);
-        let point = LogPoint { branch: usize::try_from(branch).ok()?, at_ms };
+        let (consistent_until_ms, branch, position_ms) = (number()?, number()?, number()?);
+        let point = LogPoint { branch: usize::try_from(branch).ok()?, position_ms };
         Some(ShownValue { id, consistent_until_ms, point })
     }
 }
@@ -156,5 +156,5 @@
 pub fn log_includes(forks: &[i64], shown: LogPoint, seen: LogPoint) -> bool {
     let (low, high) = (shown.branch.min(seen.branch), shown.branch.max(seen.branch));
     let first_fork = forks.get(low + 1..=high).into_iter().flatten().min();
-    shown.at_ms >= seen.at_ms && first_fork.is_none_or(|fork| seen.at_ms <= *fork)
+    shown.position_ms >= seen.position_ms && first_fork.is_none_or(|fork| seen.position_ms <= *fork)
 }
--- a/history-checker/tests/random_sessions.rs
+++ b/history-checker/tests/random_sessions.rs
@@ -63,7 +63,7 @@
             return;
         }
         let branch = self.forks.len();
-        let latest_seen = self.seen.iter().map(|point| point.at_ms).max().unwrap_or(0);
+        let latest_seen = self.seen.iter().map(|point| point.position_ms).max().unwrap_or(0);
         let point = at(branch, if kind == Kind::Write { now } else { endpoint_ms.max(latest_seen) });
         if kind == Kind::Write {
             self.executions.push(execution(id, point));
@@ -75,7 +75,7 @@
     }
 
     fn is_lost(&self, point: &LogPoint) -> bool {
-        self.forks[point.branch..].iter().any(|fork| point.at_ms > *fork)
+        self.forks[point.branch..].iter().any(|fork| point.position_ms > *fork)
     }
 
     fn into_history(self) -> History {
--- a/history-checker/tests/support/mod.rs
+++ b/history-checker/tests/support/mod.rs
@@ -4,7 +4,7 @@
 
 /// The value that an endpoint at this point of the log answers to the request.
 pub fn value(id: &str, point: LogPoint) -> Answer {
-    Answer::Value(format!("{id} {} {} {}", point.at_ms, point.branch, point.at_ms))
+    Answer::Value(format!("{id} {} {} {}", point.position_ms, point.branch, point.position_ms))
 }
 
 /// A request to group 1 that is answered after 5 ms of its 400.
@@ -29,6 +29,6 @@
 }
 
 /// A point on a branch of the log, in milliseconds.
-pub fn at(branch: usize, at_ms: i64) -> LogPoint {
-    LogPoint { branch, at_ms }
+pub fn at(branch: usize, position_ms: i64) -> LogPoint {
+    LogPoint { branch, position_ms }
 }
--- a/test-servers/src/cluster/state.rs
+++ b/test-servers/src/cluster/state.rs
@@ -61,7 +61,10 @@
 
     /// Branch and position of an endpoint on its group's log.
     pub fn log_point(&self, index: EndpointIndex, now_ms: i64) -> LogPoint {
-        LogPoint { branch: self.endpoints[index].replication.branch, at_ms: self.position(index, now_ms) }
+        LogPoint {
+            branch: self.endpoints[index].replication.branch,
+            position_ms: self.position(index, now_ms),
+        }
     }
 
     /// Positions at which the branches of a group's log forked.
@@ -73,7 +76,7 @@
     /// deduplication window.
     pub fn duplicate_of(&self, id: &str, at: LogPoint, window_ms: i64) -> Option<LogPoint> {
         let is_known = |execution: &&Execution| {
-            at.at_ms - execution.point.at_ms < window_ms
+            at.position_ms - execution.point.position_ms < window_ms
                 && log_includes(&self.forks(execution.group), at, execution.point)
         };
         self.executions.get(id)?.iter().find(is_known).map(|execution| execution.point)
--- a/test-servers/src/endpoint.rs
+++ b/test-servers/src/endpoint.rs
@@ -176,8 +176,8 @@
         };
         thread::sleep(reply.service_time);
         self.cluster.answers.wait_until_open();
-        let LogPoint { branch, at_ms } = reply.shown;
-        row(out, format!("{} {} {branch} {at_ms}", statement.id, reply.consistent_until_ms).as_bytes());
+        let LogPoint { branch, position_ms } = reply.shown;
+        row(out, format!("{} {} {branch} {position_ms}", statement.id, reply.consistent_until_ms).as_bytes());
         parameter_status(out, "recovery", if reply.is_primary { "off" } else { "on" });
         parameter_status(out, "lsn_ms", &reply.position_ms.to_string());
         out.extend(reply.epoch);
@@ -208,7 +208,7 @@
         Some(Reply {
             service_time,
             shown: duplicate_of.unwrap_or(at),
-            position_ms: at.at_ms,
+            position_ms: at.position_ms,
             consistent_until_ms: if is_own_group { consistent_until_ms } else { 0 },
             is_primary: endpoint.primary,
             epoch,
