--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -1,7 +1,7 @@
 //! The check of a history: rules for single requests, executions and reported fates of writes.
 
 use crate::history::{
-    log_includes, Answer, Execution, FateAnswer, History, Kind, LogPoint, RequestRecord, ShownValue,
+    log_includes, Answer, AnswerValue, Execution, FateAnswer, History, Kind, LogPoint, RequestRecord,
     FATE_UNKNOWN,
 };
 use crate::verdict::{Rule, Verdict};
@@ -116,7 +116,7 @@
     fn check_value(&mut self, record: &RequestRecord, value: &str) {
         let RequestRecord { id, kind, sent_ms, .. } = record;
         let is_read = *kind == Kind::Read;
-        let shown = ShownValue::parse(value).filter(|shown| shown.id == id);
+        let shown = AnswerValue::parse(value).filter(|shown| shown.id == id);
         if shown.is_none() || (!is_read && self.execution_count(id) == 0) {
             let detail = format!("got a value that was not made for it: {value}");
             self.verdict.report(Rule::OneAnswer, id, detail);
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -75,7 +75,7 @@
 
 /// The parsed value of an answer, which describes the state of the endpoint that created it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ShownValue<'a> {
+pub struct AnswerValue<'a> {
     /// Id of the request that it was created for.
     pub id: &'a str,
     /// Up to when the endpoint's data is that of the live branch.
@@ -84,15 +84,15 @@
     pub point: LogPoint,
 }
 
-impl ShownValue<'_> {
+impl AnswerValue<'_> {
     /// Parses `id consistent-until branch at`. Returns `None` if the value is malformed.
-    pub fn parse(value: &str) -> Option<ShownValue<'_>> {
+    pub fn parse(value: &str) -> Option<AnswerValue<'_>> {
         let mut fields = value.split(' ');
         let id = fields.next()?;
         let mut number = || fields.next().and_then(|field| field.parse::<i64>().ok());
         let (consistent_until_ms, branch, position_ms) = (number()?, number()?, number()?);
         let point = LogPoint { branch: usize::try_from(branch).ok()?, position_ms };
-        Some(ShownValue { id, consistent_until_ms, point })
+        Some(AnswerValue { id, consistent_until_ms, point })
     }
 }
 
--- a/history-checker/src/lib.rs
+++ b/history-checker/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use checker::check;
 pub use history::{
-    log_includes, Answer, Execution, FateAnswer, History, Kind, LogPoint, RequestRecord, ShownValue,
+    log_includes, Answer, AnswerValue, Execution, FateAnswer, History, Kind, LogPoint, RequestRecord,
     FATE_UNKNOWN, SESSION_LOST,
 };
 pub use verdict::{Rule, Verdict, Violation};
--- a/history-checker/src/session_checker.rs
+++ b/history-checker/src/session_checker.rs
@@ -2,7 +2,7 @@
 //! Weakly Consistent Replicated Data*, PDIS 1994), and that lost data is reported.
 
 use crate::checker::Checker;
-use crate::history::{log_includes, Answer, Kind, LogPoint, RequestRecord, ShownValue, SESSION_LOST};
+use crate::history::{log_includes, Answer, AnswerValue, Kind, LogPoint, RequestRecord, SESSION_LOST};
 use crate::verdict::Rule;
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
         for record in records {
             match &record.answer {
                 Answer::Value(value) => {
-                    let Some(shown) = ShownValue::parse(value) else { continue };
+                    let Some(shown) = AnswerValue::parse(value) else { continue };
                     self.check_guarantees(views.entry(record.group).or_default(), record, shown.point);
                 }
                 Answer::Error(code) if code == SESSION_LOST => {
