--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -46,7 +46,7 @@
     fn live_execution_count(&self, id: &str) -> usize {
         let is_live = |execution: &&&Execution| {
             let forks = self.history.forks_of(execution.group);
-            log_includes(forks, LogPoint::newest(forks), execution.point)
+            log_includes(forks, LogPoint::current_end(forks), execution.point)
         };
         self.executions.get(id).into_iter().flatten().filter(is_live).count()
     }
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -68,7 +68,7 @@
 
 impl LogPoint {
     /// The current end of a log with these forks.
-    pub fn newest(forks: &[i64]) -> LogPoint {
+    pub fn current_end(forks: &[i64]) -> LogPoint {
         LogPoint { branch: forks.len().saturating_sub(1), position_ms: i64::MAX }
     }
 }
--- a/history-checker/src/session_checker.rs
+++ b/history-checker/src/session_checker.rs
@@ -56,8 +56,8 @@
 
     fn check_loss(&mut self, view: &SessionView, record: &RequestRecord) {
         let forks = self.history.forks_of(record.group);
-        let newest = LogPoint::newest(forks);
-        if view.observed.iter().all(|seen| log_includes(forks, newest, *seen)) {
+        let current_end = LogPoint::current_end(forks);
+        if view.observed.iter().all(|seen| log_includes(forks, current_end, *seen)) {
             let detail = "was reported a loss that did not happen".into();
             self.verdict.report(Rule::LossReported, &record.id, detail);
         }
