--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -52,9 +52,9 @@
     /// The answer.
     pub answer: Answer,
     /// The answer was followed by another one that belongs to no request.
-    pub surplus: bool,
+    pub has_extra_answer: bool,
     /// The router was killed while the request was open, so no answer is required.
-    pub cut_off: bool,
+    pub router_killed: bool,
 }
 
 /// A point on a group's log: a branch and a position.
@@ -63,19 +63,19 @@
     /// Index of the branch. The first one is 0, and each failover begins another.
     pub branch: usize,
     /// Position on the branch, in Unix milliseconds.
-    pub at_ms: i64,
+    pub position_ms: i64,
 }
 
 impl LogPoint {
     /// The current end of a log with these forks.
-    pub fn newest(forks: &[i64]) -> LogPoint {
-        LogPoint { branch: forks.len().saturating_sub(1), at_ms: i64::MAX }
+    pub fn current_end(forks: &[i64]) -> LogPoint {
+        LogPoint { branch: forks.len().saturating_sub(1), position_ms: i64::MAX }
     }
 }
 
 /// The parsed value of an answer, which describes the state of the endpoint that created it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ShownValue<'a> {
+pub struct AnswerValue<'a> {
     /// Id of the request that it was created for.
     pub id: &'a str,
     /// Up to when the endpoint's data is that of the live branch.
@@ -84,15 +84,15 @@
     pub point: LogPoint,
 }
 
-impl ShownValue<'_> {
+impl AnswerValue<'_> {
     /// Parses `id consistent-until branch at`. Returns `None` if the value is malformed.
-    pub fn parse(value: &str) -> Option<ShownValue<'_>> {
+    pub fn parse(value: &str) -> Option<AnswerValue<'_>> {
         let mut fields = value.split(' ');
         let id = fields.next()?;
         let mut number = || fields.next().and_then(|field| field.parse::<i64>().ok());
-        let (consistent_until_ms, branch, at_ms) = (number()?, number()?, number()?);
-        let point = LogPoint { branch: usize::try_from(branch).ok()?, at_ms };
-        Some(ShownValue { id, consistent_until_ms, point })
+        let (consistent_until_ms, branch, position_ms) = (number()?, number()?, number()?);
+        let point = LogPoint { branch: usize::try_from(branch).ok()?, position_ms };
+        Some(AnswerValue { id, consistent_until_ms, point })
     }
 }
 
@@ -136,7 +136,7 @@
     /// Violations detected by the endpoints themselves.
     pub endpoint_violations: Vec<Violation>,
     /// Bound on the staleness of a read's data at the time the read is sent.
-    pub bound_ms: i64,
+    pub staleness_bound_ms: i64,
     /// Tolerance added to a client's timeout for the time until a busy machine schedules the client's thread.
     pub scheduling_slack_ms: i64,
     /// Tolerance added to the bound on staleness for the time from the client to the router, since the bound applies
@@ -153,8 +153,8 @@
 
 /// Whether the log up to `shown` includes the log up to `seen`: `shown` is not earlier, and no fork between their
 /// branches is before `seen`.
-pub fn includes(forks: &[i64], shown: LogPoint, seen: LogPoint) -> bool {
+pub fn log_includes(forks: &[i64], shown: LogPoint, seen: LogPoint) -> bool {
     let (low, high) = (shown.branch.min(seen.branch), shown.branch.max(seen.branch));
     let first_fork = forks.get(low + 1..=high).into_iter().flatten().min();
-    shown.at_ms >= seen.at_ms && first_fork.is_none_or(|fork| seen.at_ms <= *fork)
+    shown.position_ms >= seen.position_ms && first_fork.is_none_or(|fork| seen.position_ms <= *fork)
 }
