--- a/server/tests/common/endpoint_group.rs
+++ b/server/tests/common/endpoint_group.rs
@@ -6,12 +6,12 @@
 use test_servers::endpoint::{serve, ServedEndpoint};
 use test_servers::settings::{DRAIN_GRACE_MS, NO_SLOW_START};
 
-/// The number of the group that [`one_group`] starts.
+/// The number of the group that [`start_endpoint_group`] starts.
 const GROUP: i64 = 1;
 
 /// Starts one group of endpoints on loopback, named `s-0`, `s-1` and so on, without slow start. `s-0` is the primary,
 /// the others are its replicas. `lags_ms` has the replication lag of each endpoint in milliseconds.
-pub fn one_group(lags_ms: &[i64]) -> (Arc<Cluster>, Vec<ServedEndpoint>) {
+pub fn start_endpoint_group(lags_ms: &[i64]) -> (Arc<Cluster>, Vec<ServedEndpoint>) {
     let cluster = Arc::new(Cluster::new(NO_SLOW_START, DRAIN_GRACE_MS));
     let endpoint = |index: usize| {
         EndpointModel::new(format!("s-{index}"), GROUP, (index > 0).then_some(0), lags_ms[index])
@@ -22,7 +22,7 @@
     (cluster, served)
 }
 
-/// The entry of endpoint `s-{index}` of [`one_group`] in an endpoint list. It is serving, and the primary if `index`
+/// The entry of endpoint `s-{index}` of [`start_endpoint_group`] in an endpoint list. It is serving, and the primary if `index`
 /// equals `primary`.
 pub fn group_entry(served: &[ServedEndpoint], index: usize, primary: usize) -> serde_json::Value {
     list_entry(&format!("s-{index}"), &served[index].addr, GROUP, index == primary, "SERVING", 0)
--- a/server/tests/sessions.rs
+++ b/server/tests/sessions.rs
@@ -9,7 +9,7 @@
 }
 
 use common::connect::connect;
-use common::endpoint_group::{group_entry, one_group};
+use common::endpoint_group::{group_entry, start_endpoint_group};
 use common::start_router::start_router;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
 impl Fixture {
     /// Starts the group. `lags` has the replication lag of each replica in milliseconds.
     fn new(lags: [i64; 2]) -> Fixture {
-        let (cluster, served) = one_group(&[0, lags[0], lags[1]]);
+        let (cluster, served) = start_endpoint_group(&[0, lags[0], lags[1]]);
         let folder = tempfile::tempdir().expect("a folder");
         std::fs::write(folder.path().join("keys"), KEYS[0]).expect("written");
         let discovery = Discovery::start(DiscoveryMode::Up, 1, Vec::new());
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -7,7 +7,7 @@
     pub mod start_router;
 }
 
-use common::endpoint_group::{group_entry, one_group};
+use common::endpoint_group::{group_entry, start_endpoint_group};
 use common::router_program::ROUTER;
 use common::start_router::start_router;
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList};
@@ -55,7 +55,7 @@
 
 impl Fixture {
     fn new(mode: DiscoveryMode) -> Fixture {
-        let (cluster, served) = one_group(&[20, 20]);
+        let (cluster, served) = start_endpoint_group(&[20, 20]);
         let discovery =
             Discovery::start(mode, 7, vec![group_entry(&served, 0, 0), group_entry(&served, 1, 0)]);
         let folder = tempfile::tempdir().expect("a folder");
