--- a/endpoint-cache/src/directory.rs
+++ b/endpoint-cache/src/directory.rs
@@ -27,7 +27,7 @@
     /// An I/O operation failed.
     #[error("{}: {failure}: {error}", path.display())]
     Io {
-        /// What failed, such as `can't be opened`.
+        /// What failed, such as `cannot be opened`.
         failure: &'static str,
         /// The file or directory.
         path: PathBuf,
@@ -35,7 +35,7 @@
         error: std::io::Error,
     },
     /// Another process holds the lock of the directory.
-    #[error("{}: another process uses it", .0.display())]
+    #[error("{}: another process uses this directory", .0.display())]
     Locked(PathBuf),
     /// A file is invalid.
     #[error("{}: {error}", path.display())]
@@ -111,7 +111,7 @@
                     }
                 }
                 // An incomplete new file is expected if the process ended during a save.
-                Err(CacheError::InvalidFile { error: FileError::Torn, .. }) if name == NEXT_FILE => {}
+                Err(CacheError::InvalidFile { error: FileError::Damaged, .. }) if name == NEXT_FILE => {}
                 Err(error) => loaded.errors.push(error),
             }
         }
@@ -126,11 +126,11 @@
         let file = match File::open(path) {
             Ok(file) => file,
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
-            Err(error) => return Err(io_error("can't be opened", path)(error)),
+            Err(error) => return Err(io_error("cannot be opened", path)(error)),
         };
         let mut bytes = Vec::new();
         let limit = MAX_FILE_BYTES as u64 + 1;
-        file.take(limit).read_to_end(&mut bytes).map_err(io_error("can't be read", path))?;
+        file.take(limit).read_to_end(&mut bytes).map_err(io_error("cannot be read", path))?;
         let list = decode(&bytes);
         list.map(Some).map_err(|error| CacheError::InvalidFile { path: path.to_path_buf(), error })
     }
@@ -145,17 +145,17 @@
         let [current, previous, next] =
             [CURRENT_FILE, PREVIOUS_FILE, NEXT_FILE].map(|name| self.path.join(name));
         let bytes = encode(list).map_err(|error| CacheError::InvalidFile { path: next.clone(), error })?;
-        let mut file = File::create(&next).map_err(io_error("can't be created", &next))?;
-        file.write_all(&bytes).map_err(io_error("can't be written", &next))?;
-        file.sync_all().map_err(io_error("can't be synced", &next))?;
+        let mut file = File::create(&next).map_err(io_error("cannot be created", &next))?;
+        file.write_all(&bytes).map_err(io_error("cannot be written", &next))?;
+        file.sync_all().map_err(io_error("cannot be synced", &next))?;
         drop(file);
         if self.current_is_valid {
-            std::fs::rename(&current, &previous).map_err(io_error("can't be renamed", &current))?;
+            std::fs::rename(&current, &previous).map_err(io_error("cannot be renamed", &current))?;
             self.current_is_valid = false;
         }
-        std::fs::rename(&next, &current).map_err(io_error("can't be renamed", &next))?;
-        let directory = File::open(&self.path).map_err(io_error("can't be opened", &self.path))?;
-        directory.sync_all().map_err(io_error("can't be synced", &self.path))?;
+        std::fs::rename(&next, &current).map_err(io_error("cannot be renamed", &next))?;
+        let directory = File::open(&self.path).map_err(io_error("cannot be opened", &self.path))?;
+        directory.sync_all().map_err(io_error("cannot be synced", &self.path))?;
         self.generation = list.generation;
         self.current_is_valid = true;
         Ok(bytes.len())
@@ -165,10 +165,10 @@
 fn lock(directory: &Path) -> Result<File, CacheError> {
     let path = directory.join(LOCK_FILE);
     let lock = OpenOptions::new().create(true).truncate(false).write(true).open(&path);
-    let lock = lock.map_err(io_error("can't be opened", &path))?;
+    let lock = lock.map_err(io_error("cannot be opened", &path))?;
     match lock.try_lock() {
         Ok(()) => Ok(lock),
         Err(TryLockError::WouldBlock) => Err(CacheError::Locked(directory.to_path_buf())),
-        Err(TryLockError::Error(error)) => Err(io_error("can't be locked", &path)(error)),
+        Err(TryLockError::Error(error)) => Err(io_error("cannot be locked", &path)(error)),
     }
 }
--- a/endpoint-cache/src/encoding.rs
+++ b/endpoint-cache/src/encoding.rs
@@ -13,24 +13,24 @@
 /// Number of hexadecimal digits of the checksum.
 const CHECKSUM_DIGITS: usize = 8;
 
-/// Why a file is invalid. The texts are part of the output of `query-router list verify`.
+/// Why a file is invalid. The messages follow the path of the file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FileError {
     /// The header line does not start with the file type: another program wrote the file.
-    #[error("no list of ours")]
+    #[error("the file is not a cached endpoint list; such a list starts with {MAGIC:?}")]
     UnknownFileType,
     /// A newer version of this program wrote the file, in this format version.
-    #[error("of format {0}, newer than this program's {FORMAT_VERSION}")]
+    #[error("the file has format version {0}; this program reads versions up to {FORMAT_VERSION}")]
     NewerFormat(u32),
     /// The file is incomplete or damaged: the header is incomplete, or its length or checksum does not match the
     /// body.
-    #[error("torn: its length or checksum does not fit")]
-    Torn,
-    /// The file has this size in bytes, which exceeds [`MAX_FILE_BYTES`].
-    #[error("{0} bytes, more than the {MAX_FILE_BYTES} that are taken")]
+    #[error("the file is incomplete or damaged: the length and checksum in its header do not match its body")]
+    Damaged,
+    /// The file has at least this size in bytes, which exceeds [`MAX_FILE_BYTES`].
+    #[error("the file has at least {0} bytes; the maximum is {MAX_FILE_BYTES}")]
     TooLarge(usize),
     /// The file is complete, but the body is not a list in JSON, for this reason.
-    #[error("whole, but no list: {0}")]
+    #[error("the body of the file is not an endpoint list in JSON: {0}")]
     Malformed(String),
 }
 
@@ -62,16 +62,16 @@
         return Err(FileError::UnknownFileType);
     }
     let body = bytes.get(header.len() + 1..);
-    let header = std::str::from_utf8(header).map_err(|_| FileError::Torn)?;
+    let header = std::str::from_utf8(header).map_err(|_| FileError::Damaged)?;
     let tokens: Vec<&str> = header.split(' ').collect();
-    let format: u32 = tokens.get(1).and_then(|token| token.parse().ok()).ok_or(FileError::Torn)?;
+    let format: u32 = tokens.get(1).and_then(|token| token.parse().ok()).ok_or(FileError::Damaged)?;
     if format > FORMAT_VERSION {
         return Err(FileError::NewerFormat(format));
     }
-    let [_, _, length, checksum] = tokens[..] else { return Err(FileError::Torn) };
-    let body = body.ok_or(FileError::Torn)?;
+    let [_, _, length, checksum] = tokens[..] else { return Err(FileError::Damaged) };
+    let body = body.ok_or(FileError::Damaged)?;
     if !is_intact(body, length, checksum) {
-        return Err(FileError::Torn);
+        return Err(FileError::Damaged);
     }
     serde_json::from_slice(body).map_err(|error| FileError::Malformed(error.to_string()))
 }
--- a/endpoint-cache/tests/crashes.rs
+++ b/endpoint-cache/tests/crashes.rs
@@ -122,7 +122,7 @@
     }
     assert_eq!(decode(b"SQLite format 3\0"), Err(FileError::UnknownFileType));
     assert_eq!(decode(b"{}"), Err(FileError::UnknownFileType));
-    assert_eq!(decode(b""), Err(FileError::Torn));
+    assert_eq!(decode(b""), Err(FileError::Damaged));
     let newer = String::from_utf8(valid.clone()).expect("text").replacen(" 1 ", " 2 ", 1);
     assert_eq!(decode(newer.as_bytes()), Err(FileError::NewerFormat(FORMAT_VERSION + 1)));
     assert!(matches!(decode(&vec![b'g'; 17 << 20]), Err(FileError::TooLarge(_))));
@@ -152,7 +152,7 @@
         std::fs::remove_file(path.join("list.new")).expect("removed");
         std::os::unix::fs::symlink("/dev/full", path.join("list.new")).expect("linked");
         let error = dir.save(&mut list(1, 4)).expect_err("the device is full");
-        assert!(error.to_string().contains("can't be written"), "{error}");
+        assert!(error.to_string().contains("cannot be written"), "{error}");
         assert_eq!(generation(path), Some(2));
     }
 }
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -165,7 +165,7 @@
     let second = Fixture { listen: free_address(), ..Fixture::new(DiscoveryMode::Up) };
     let other = second.start(&fixture.operator_file());
     second.time_until_served(Kind::Write, "c");
-    assert!(other.wait_for_log("another process uses it"), "{}", other.kill());
+    assert!(other.wait_for_log("another process uses this directory"), "{}", other.kill());
     // A directory in place of the temporary file makes all saves fail from now on, which is logged once.
     let entries = fixture.wait_for_cached(|cached| cached.version == 7).endpoints;
     let blocked = fixture.state().join("list.new");
@@ -290,7 +290,7 @@
     assert_eq!(run(&["list", "verify", state], &bootstrap).0, Some(0));
     std::fs::write(folder.path().join("list"), "gingerwick-list 1 9").expect("written");
     let (code, _, stderr) = run(&["list", "verify", state], &bootstrap);
-    assert!(code == Some(65) && stderr.contains("torn"), "{stderr}");
+    assert!(code == Some(65) && stderr.contains("the file is incomplete or damaged"), "{stderr}");
 }
 
 #[test]
