--- a/routing/tests/support/checks.rs
+++ b/routing/tests/support/checks.rs
@@ -62,15 +62,34 @@
     }
 
     /// Checks that an attempt belongs to an open request, keeps within the request's limits, and goes to an endpoint
-    /// that may get it.
+    /// that may get it. Then records the attempt.
     fn check_attempt(&mut self, request: RequestId, endpoint: EndpointIndex, timeout: TimeDelta) {
-        let open = self.open_requests.get_mut(&request).expect("an attempt of an open request");
-        let method = &self.routing_settings.methods[open.method];
+        self.check_attempt_count(request);
+        self.check_attempt_endpoint(request, endpoint);
+        self.check_attempt_time(request, timeout);
+        self.check_attempt_position(request, endpoint);
+        self.record_attempt(request, endpoint);
+    }
+
+    /// The open request that an attempt belongs to, and the settings of the request's method.
+    fn request_of_attempt(&self, request: RequestId) -> (&OpenRequest, &MethodSettings) {
+        let open = self.open_requests.get(&request).expect("an attempt of an open request");
+        (open, &self.routing_settings.methods[open.method])
+    }
+
+    /// Checks that a request has no other attempt in flight, and at most the allowed number of attempts.
+    fn check_attempt_count(&self, request: RequestId) {
+        let (open, _) = self.request_of_attempt(request);
         assert!(open.in_flight.is_none(), "request {request} has two attempts in flight");
         assert!(
             open.attempts < self.routing_settings.max_attempts,
             "request {request} has too many attempts"
         );
+    }
+
+    /// Checks that an attempt goes to a serving endpoint of the request's group, and a write to an eligible primary.
+    fn check_attempt_endpoint(&self, request: RequestId, endpoint: EndpointIndex) {
+        let (open, method) = self.request_of_attempt(request);
         assert_eq!(
             self.group_of[endpoint], open.group,
             "request {request} was sent to another group's endpoint"
@@ -89,6 +108,12 @@
             PrimaryEligibility::Any => {}
         }
         assert!(self.is_serving[endpoint], "endpoint {endpoint} is draining or removed");
+    }
+
+    /// Checks that an attempt times out before the request's deadline, and that a request that may have run is only
+    /// sent again if its method allows it at this time.
+    fn check_attempt_time(&self, request: RequestId, timeout: TimeDelta) {
+        let (open, method) = self.request_of_attempt(request);
         assert!(
             timeout > TimeDelta::ZERO && self.now + timeout < open.deadline,
             "timeout {timeout:?} of request {request} is zero or beyond the deadline"
@@ -105,6 +130,12 @@
             }
             _ => {}
         }
+    }
+
+    /// Checks that a read goes to an endpoint whose position is high enough for the method's staleness bound and for
+    /// what the session has seen.
+    fn check_attempt_position(&self, request: RequestId, endpoint: EndpointIndex) {
+        let (open, method) = self.request_of_attempt(request);
         if self.routing_settings.lag_handling == LagHandling::ServeStale && !self.claims_primary[endpoint] {
             let required = match method.access {
                 Access::BoundedRead(bound) => Some(self.now - bound),
@@ -116,15 +147,21 @@
                 "request {request} was sent to endpoint {endpoint}, which is not known to be fresh enough"
             );
         }
+        let is_write = method.access == Access::Write;
         if !is_write && !self.claims_primary[endpoint] {
             assert!(
                 open.seen_position.is_none() || self.highest_position[endpoint] >= open.seen_position,
                 "request {request} was sent to endpoint {endpoint}, behind its session's seen position"
             );
         }
+    }
+
+    /// Records an attempt as the attempt in flight of its request.
+    fn record_attempt(&mut self, request: RequestId, endpoint: EndpointIndex) {
         if self.started_at[endpoint].is_some_and(|at| self.now - at < self.routing_settings.overload_window) {
             self.attempts_in_slow_start[endpoint].push(self.now);
         }
+        let open = self.open_requests.get_mut(&request).expect("an attempt of an open request");
         open.in_flight = Some(InFlight { attempt: open.attempts, endpoint, sent_at: self.now });
         open.attempts += 1;
         self.sent_attempts.push(SentAttempt { request, endpoint });
