--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -73,7 +73,7 @@
         };
         let is_read = !method.is_write();
         let request = self.new_request(arrival);
-        self.set_timer(TimerTag::HalfTime(id), request.deadlines.half_time());
+        self.set_timer(TimerTag::HalfTimeout(id), request.deadlines.half_timeout_at());
         self.set_timer(TimerTag::AnswerDue(id), request.deadlines.answer_by);
         self.requests.insert(id, request);
         self.apply_request_event(id, AttemptPossible);
@@ -154,7 +154,7 @@
         let retry_over = request.attempts.retry_until.is_some_and(|until| self.now >= until);
         // If the request has reached no endpoint in half of its time, its client should retry at another
         // instance.
-        let is_unsent = !request.attempts.reached_endpoint && self.now >= request.deadlines.half_time();
+        let is_unsent = !request.attempts.reached_endpoint && self.now >= request.deadlines.half_timeout_at();
         retry_over || too_late || is_unsent || request.attempts.started >= self.settings.settings.max_attempts
     }
 
--- a/routing/src/routing_policy.rs
+++ b/routing/src/routing_policy.rs
@@ -76,7 +76,7 @@
             Event::AttemptEnded(end) => self.on_attempt_ended(&end),
             Event::TimerFired { tag } => match TimerTag::decode(tag) {
                 TimerTag::Tick => self.on_tick(),
-                TimerTag::HalfTime(request) => {
+                TimerTag::HalfTimeout(request) => {
                     self.apply_request_event(request, RequestEvent::AttemptPossible);
                 }
                 TimerTag::AnswerDue(request) => self.apply_request_event(request, RequestEvent::AnswerDue),
--- a/routing/src/state/request.rs
+++ b/routing/src/state/request.rs
@@ -43,8 +43,8 @@
 }
 
 impl RequestDeadlines {
-    /// The middle of the time between arrival and `answer_by`.
-    pub fn half_time(&self) -> Timestamp {
+    /// The time at which half of the time between arrival and `answer_by` has passed.
+    pub fn half_timeout_at(&self) -> Timestamp {
         self.arrived_at + (self.answer_by - self.arrived_at) / 2
     }
 }
--- a/routing/src/state/timer_tag.rs
+++ b/routing/src/state/timer_tag.rs
@@ -8,7 +8,7 @@
     /// The periodic tick of the policy.
     Tick,
     /// Half of the time between a request's arrival and its final answer has passed.
-    HalfTime(RequestId),
+    HalfTimeout(RequestId),
     /// The final answer to a request must be given now.
     AnswerDue(RequestId),
 }
@@ -18,7 +18,7 @@
     pub fn encode(self) -> u64 {
         match self {
             TimerTag::Tick => 0,
-            TimerTag::HalfTime(request) => request * 2 + 1,
+            TimerTag::HalfTimeout(request) => request * 2 + 1,
             TimerTag::AnswerDue(request) => request * 2 + 2,
         }
     }
@@ -27,7 +27,7 @@
     pub fn decode(tag: u64) -> TimerTag {
         match tag {
             0 => TimerTag::Tick,
-            tag if tag % 2 == 1 => TimerTag::HalfTime(tag / 2),
+            tag if tag % 2 == 1 => TimerTag::HalfTimeout(tag / 2),
             tag => TimerTag::AnswerDue(tag / 2 - 1),
         }
     }
