--- a/admission/src/client_class.rs
+++ b/admission/src/client_class.rs
@@ -153,7 +153,7 @@
         classes: [Arc<str>; 2],
     },
     /// The default class lists networks or users.
-    #[error("class {DEFAULT_CLASS} contains the clients of no other class; it cannot have from or user")]
+    #[error("class {DEFAULT_CLASS} is for clients that match no other class; it cannot have from or user")]
     DefaultClassHasCriteria,
     /// A class other than the default class lists neither networks nor users.
     #[error("class {0} matches no client; it requires from, user or both")]
--- a/endpoint-cache/src/encoding.rs
+++ b/endpoint-cache/src/encoding.rs
@@ -24,7 +24,9 @@
     NewerFormat(u32),
     /// The file is incomplete or damaged: the header is incomplete, or its length or checksum does not match the
     /// body.
-    #[error("the file is incomplete or damaged: the length and checksum in its header do not match its body")]
+    #[error(
+        "the file is incomplete or damaged: the length and checksum in its header do not match its body"
+    )]
     Damaged,
     /// The file has at least this size in bytes, which exceeds [`MAX_FILE_BYTES`].
     #[error("the file has at least {0} bytes; the maximum is {MAX_FILE_BYTES}")]
--- a/host-support/src/routing_settings.rs
+++ b/host-support/src/routing_settings.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// A value that must be positive is not.
-    #[error("{key}: must be greater than 0, not {value}")]
+    #[error("{key}: {value} is not greater than 0")]
     NotPositive {
         /// Key of the value.
         key: &'static str,
--- a/operator-config/tests/lines.rs
+++ b/operator-config/tests/lines.rs
@@ -107,7 +107,7 @@
         ("admit desk each 4", "class desk matches no client; it requires from, user or both"),
         (
             "admit others from 10.0.0.0/8",
-            "class others contains the clients of no other class; it cannot have from or user",
+            "class others is for clients that match no other class; it cannot have from or user",
         ),
         ("admit others each 4\nadmit others each 5", "class others is defined more than once"),
         (
--- a/server/src/admin/socket.rs
+++ b/server/src/admin/socket.rs
@@ -71,13 +71,13 @@
 #[derive(Debug, Error)]
 pub enum AdminSocketError {
     /// The path exists and is not a socket.
-    #[error("{}: the file exists and is not a socket", .0.display())]
+    #[error("{}: the path exists and is not a socket", .0.display())]
     NotASocket(PathBuf),
     /// Another process is listening on the socket at the path.
     #[error("{}: another process is listening on this socket", .0.display())]
     InUse(PathBuf),
     /// An operation on the socket failed.
-    #[error("{}: {error}", path.display())]
+    #[error("{}: the admin socket cannot be used: {error}", path.display())]
     Io {
         /// The path of the socket.
         path: PathBuf,
--- a/server/src/cli/cached_list.rs
+++ b/server/src/cli/cached_list.rs
@@ -84,8 +84,9 @@
 /// Loads all list files of a state directory, or one list file.
 fn load(path: &Path) -> Result<LoadedCache, Failure> {
     let metadata = std::fs::metadata(path);
-    let metadata = metadata
-        .map_err(|error| Failure::new(ExitStatus::NoInput, format!("{}: {error}", path.display())))?;
+    let metadata = metadata.map_err(|error| {
+        Failure::new(ExitStatus::NoInput, format!("{}: cannot be read: {error}", path.display()))
+    })?;
     if metadata.is_dir() {
         return Ok(CacheDirectory::read(path));
     }
--- a/server/src/cli/check.rs
+++ b/server/src/cli/check.rs
@@ -36,7 +36,7 @@
     let path = settings.storage.state_dir.as_ref()?;
     match std::fs::metadata(path) {
         Ok(found) if found.is_dir() => None,
-        Ok(_) => Some(format!("state-dir: {}: not a directory", path.display())),
-        Err(error) => Some(format!("state-dir: {}: {error}", path.display())),
+        Ok(_) => Some(format!("state-dir: {}: is not a directory", path.display())),
+        Err(error) => Some(format!("state-dir: {}: cannot be read: {error}", path.display())),
     }
 }
--- a/server/src/clients/acceptor.rs
+++ b/server/src/clients/acceptor.rs
@@ -193,7 +193,7 @@
         if let Some(descriptor) = context.resources.acquire_for_client(context.timers.now()) {
             return descriptor;
         }
-        log!(WARN, reason = "all client descriptors in use, including overflow"; "accept loop waits for a descriptor");
+        log!(WARN, reason = "all descriptors for clients are in use, including the overflow"; "accept loop waits for a descriptor");
         context.timers.sleep(DESCRIPTOR_RETRY_INTERVAL);
     }
 }
--- a/server/src/clients/connection.rs
+++ b/server/src/clients/connection.rs
@@ -214,7 +214,7 @@
             return None;
         }
         if flushed == FlushOutcome::Blocked {
-            log!(WARN, reason = "buffer memory used up"; "closed a connection whose client does not read its responses");
+            log!(WARN, reason = "buffer memory is used up"; "client connection closed, the client does not read its responses");
             return Some(NextStep::Close(CloseMode::Immediate));
         }
         if self.codec.buffer_bytes() > SMALL_BUFFER_BYTES {
--- a/server/src/clients/session_tokens.rs
+++ b/server/src/clients/session_tokens.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Error)]
 pub enum ReadKeysError {
     /// The key file cannot be read.
-    #[error("{}: {error}", path.display())]
+    #[error("{}: cannot be read: {error}", path.display())]
     Io {
         /// The path of the file.
         path: PathBuf,
--- a/server/src/config/bootstrap.rs
+++ b/server/src/config/bootstrap.rs
@@ -115,7 +115,7 @@
     #[error("{CONFIG_VARIABLE}: not set; it must contain the path of the bootstrap file")]
     NotSet,
     /// The file cannot be read.
-    #[error("{CONFIG_VARIABLE}: {path}: {error}")]
+    #[error("{CONFIG_VARIABLE}: {path}: cannot be read: {error}")]
     Io {
         /// The path of the file.
         path: String,
@@ -131,11 +131,11 @@
         problem: String,
     },
     /// The file as a whole, or one of its keys, is invalid.
-    #[error("{CONFIG_VARIABLE}: {path}: {location}{problem}")]
+    #[error("{CONFIG_VARIABLE}: {path}:{location} {problem}")]
     Key {
         /// The path of the file.
         path: String,
-        /// The line and the key, each followed by `: `; empty if the file as a whole is invalid.
+        /// The line and the key, as in `2: seed:`; empty if the file as a whole is invalid.
         location: String,
         /// Why it is invalid.
         problem: String,
@@ -172,8 +172,8 @@
             Source::File => None,
             Source::Key(key) => Some(key),
         };
-        let line = key.and_then(|key| line_of(text, key)).map(|line| format!("{line}: "));
-        let key = key.map(|key| format!("{key}: "));
+        let line = key.and_then(|key| line_of(text, key)).map(|line| format!("{line}:"));
+        let key = key.map(|key| format!(" {key}:"));
         let location = line.unwrap_or_default() + &key.unwrap_or_default();
         BootstrapError::Key { path: path.to_string(), location, problem }
     }
--- a/server/src/config/operator_file.rs
+++ b/server/src/config/operator_file.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Error)]
 pub enum OperatorFileError {
     /// The file cannot be read.
-    #[error("{}: {error}", path.display())]
+    #[error("{}: cannot be read: {error}", path.display())]
     Io {
         /// The path of the file.
         path: PathBuf,
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -59,17 +59,17 @@
 enum WatchEnd {
     #[error("all descriptors for discovery are in use")]
     NoDescriptor,
-    #[error("connecting to discovery failed")]
+    #[error("cannot connect to discovery")]
     NoConnection,
-    #[error("request not sent: {0}")]
+    #[error("cannot send the request to discovery: {0}")]
     RequestNotSent(IoError),
-    #[error("{0}")]
+    #[error("cannot read the response of discovery: {0}")]
     Io(#[from] IoError),
     #[error("{0}")]
     Stream(#[from] StreamError),
     #[error("endpoint list cannot be parsed")]
     UnreadableList,
-    #[error("complete endpoint list without endpoints ignored")]
+    #[error("complete endpoint list has no endpoints and is ignored")]
     EmptyList,
     #[error("endpoint list is older than the current one")]
     OlderList,
--- a/server/src/endpoints/connection.rs
+++ b/server/src/endpoints/connection.rs
@@ -148,7 +148,7 @@
         self.charge.set(self.buffer.len());
         if self.buffer.len() > SMALL_BUFFER_BYTES && self.descriptor.is_memory_critical() {
             let buffered = self.buffer.len();
-            log!(WARN, buffered = buffered, reason = "buffer memory used up"; "connection closed within a long answer");
+            log!(WARN, buffered = buffered, reason = "buffer memory is used up"; "endpoint connection closed within a long answer");
             return Err(IoError::ConnectionLost);
         }
         self.burst_bytes += bytes;
--- a/server/src/endpoints/pool.rs
+++ b/server/src/endpoints/pool.rs
@@ -204,7 +204,7 @@
         });
         descriptor.ok_or_else(|| {
             let reason = "all descriptors for endpoints are in use";
-            log!(WARN, endpoint = addr, reason = reason; "no connection to the endpoint opened");
+            log!(WARN, endpoint = addr, reason = reason; "connection to the endpoint not opened");
             AttemptOutcome::NotSent.into()
         })
     }
--- a/server/src/startup/initial_list.rs
+++ b/server/src/startup/initial_list.rs
@@ -4,7 +4,7 @@
 use crate::messages::control::ControlMessage;
 use crate::messages::endpoint_list::{cache_times, EndpointListUpdate};
 use crate::runtime::clock::Clock;
-use crate::storage::endpoint_cache_writer::EndpointCacheWriter;
+use crate::storage::endpoint_cache_writer::{EndpointCacheWriter, NOT_CACHED};
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList, LoadedCache};
 use recovery::discovery_incarnation::IncarnationTracker;
 use recovery::staleness::CacheTimes;
@@ -70,14 +70,12 @@
     pub fn open(path: &Path, clock: Clock, save_interval: Duration) -> EndpointCache {
         let (directory, loaded) = open_directory(path);
         for error in &loaded.errors {
-            log!(WARN, reason = error; "invalid file of the cached endpoint list ignored");
+            log!(WARN, reason = error; "file of the endpoint cache cannot be used and is ignored");
         }
         let list = loaded.list.map(|newest| newest.list);
         let writer = directory.and_then(|directory| {
             let writer = EndpointCacheWriter::start(clock, directory, list.as_ref(), save_interval);
-            writer
-                .map_err(|error| log!(WARN, reason = error; "endpoint list not cached, continuing without the cache"))
-                .ok()
+            writer.map_err(|error| log!(WARN, reason = error; "{NOT_CACHED}")).ok()
         });
         EndpointCache { list, writer }
     }
@@ -90,7 +88,7 @@
         let is_newer = |list: &EndpointListUpdate| cached_version.is_none_or(|cached| cached < list.version);
         let newer = bootstrap.filter(|list| !list.endpoints.is_empty()).filter(is_newer);
         if let Some(list) = newer {
-            return InitialList::ToVerify { list: without_times(&list), times: None };
+            return InitialList::ToVerify { list: to_cached_list(&list), times: None };
         }
         let Some(list) = cached else { return InitialList::Unknown };
         let times = cache_times(&list);
@@ -101,7 +99,7 @@
 }
 
 /// Converts the bootstrap file's list to a cached list without times.
-fn without_times(list: &EndpointListUpdate) -> CachedEndpointList {
+fn to_cached_list(list: &EndpointListUpdate) -> CachedEndpointList {
     let endpoints = list.endpoints.iter().map(CachedEndpoint::from).collect();
     CachedEndpointList { version: list.version, endpoints, ..CachedEndpointList::default() }
 }
@@ -112,7 +110,7 @@
     match CacheDirectory::open(path) {
         Ok((directory, loaded)) => (Some(directory), loaded),
         Err(error) => {
-            log!(WARN, reason = error; "endpoint list not cached, continuing without the cache");
+            log!(WARN, reason = error; "{NOT_CACHED}");
             (None, CacheDirectory::read(path))
         }
     }
--- a/server/src/startup/reload.rs
+++ b/server/src/startup/reload.rs
@@ -78,7 +78,7 @@
         match read_keys(path) {
             Ok(keys) => tokens.set_keys(keys),
             Err(error) => {
-                log!(WARN, reason = error; "reload: session-keys file cannot be used, keys unchanged");
+                log!(WARN, reason = error; "reload: session-keys file cannot be used, its keys are unchanged");
             }
         }
     }
@@ -98,7 +98,7 @@
 
 fn log_class_errors(errors: &[ClassError]) {
     for error in errors {
-        log!(WARN, reason = error; "reload: client classes are invalid, classes unchanged");
+        log!(WARN, reason = error; "reload: client classes are invalid, the classes are unchanged");
     }
 }
 
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -356,7 +356,7 @@
     };
     let path = state_dir.join(JOURNAL_DIRECTORY);
     let journal = WriteJournal::start(&path, durability, retention, unpredictable_seed());
-    journal.map(Some).map_err(|error| failure(error.to_string()))
+    journal.map(Some).map_err(|error| failure(format!("{}: {error}", path.display())))
 }
 
 /// The limits on requests and the client classes that share them; `None` if the operators' file sets no limits.
--- a/server/src/storage/endpoint_cache_writer.rs
+++ b/server/src/storage/endpoint_cache_writer.rs
@@ -16,6 +16,9 @@
 
 /// How long the thread waits if there is nothing to save. A change ends the wait early.
 const IDLE_WAIT: Duration = Duration::from_secs(3600);
+/// The log message if the cache directory cannot be opened, the writer cannot be started, or a save has failed. The
+/// cache is optional, so the server runs without it.
+pub const NOT_CACHED: &str = "endpoint list not cached, continuing without the cache";
 
 /// One endpoint of the list.
 struct Entry {
@@ -237,7 +240,7 @@
 fn log_state_change(saved: &Result<usize, CacheError>, is_failing: &mut bool) {
     match saved {
         Err(error) if !*is_failing => {
-            log!(WARN, reason = error; "endpoint list not cached; routing continues");
+            log!(WARN, reason = error; "{NOT_CACHED}");
         }
         Ok(bytes) if *is_failing => log!(INFO, bytes = bytes; "endpoint list cached again"),
         _ => {}
--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -28,10 +28,10 @@
 #[derive(Debug, Error)]
 pub enum JournalStartError {
     /// The journal's files cannot be opened.
-    #[error(transparent)]
+    #[error("the journal cannot be opened: {0}")]
     Journal(#[from] JournalError),
     /// The journal's thread cannot be started.
-    #[error(transparent)]
+    #[error("the thread of the journal cannot be started: {0}")]
     Thread(#[from] std::io::Error),
 }
 
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -267,7 +267,7 @@
     assert_eq!(code, Some(78));
     for expected in [
         format!(
-            "ROUTER_CONFIG: {}: 2: seed: \"xyz\" is not a hexadecimal number of up to 64 bits",
+            "ROUTER_CONFIG: {}:2: seed: \"xyz\" is not a hexadecimal number of up to 64 bits",
             bootstrap.display()
         ),
         format!("{with}:1: log-fromat: unknown keyword; did you mean log-format?"),
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -120,7 +120,7 @@
         problem: KeyLineProblem,
     },
     /// The file contains no key.
-    #[error("1: the file contains no key")]
+    #[error("1: the file contains no key; expected a line with an id and a key")]
     Empty,
 }
 
@@ -134,10 +134,10 @@
     #[error("the id is not a number from 0 to 255")]
     BadId,
     /// The key is not hexadecimal, has an odd number of digits, or is shorter than [`MIN_KEY_BYTES`].
-    #[error("the key must have an even number of hex digits, at least 32")]
+    #[error("the key is not an even number of hexadecimal digits, at least 32")]
     BadKey,
     /// An earlier line has the same id.
-    #[error("an earlier line has the same id")]
+    #[error("an earlier line has the same id; it may be used only once")]
     DuplicateId,
 }
 
--- a/sessions/tests/guarantees.rs
+++ b/sessions/tests/guarantees.rs
@@ -180,17 +180,18 @@
 
 #[test]
 fn invalid_key_files_are_rejected_and_keys_are_not_printed() {
-    let invalid_key = "1: the key must have an even number of hex digits, at least 32";
+    let no_key = "1: the file contains no key; expected a line with an id and a key";
+    let invalid_key = "1: the key is not an even number of hexadecimal digits, at least 32";
     for (text, expected) in [
-        ("", "1: the file contains no key"),
-        ("# none\n", "1: the file contains no key"),
+        ("", no_key),
+        ("# none\n", no_key),
         ("1 00", invalid_key),
         ("\n256 000102030405060708090a0b0c0d0e0f", "2: the id is not a number from 0 to 255"),
         ("1 000102030405060708090a0b0c0d0e0", invalid_key),
         ("1 +00102030405060708090a0b0c0d0e0f", invalid_key),
         (
             "1 000102030405060708090a0b0c0d0e0f\n1 ffeeddccbbaa99887766554433221100",
-            "2: an earlier line has the same id",
+            "2: an earlier line has the same id; it may be used only once",
         ),
         ("1", "1: expected an id and a key, separated by white space"),
     ] {
--- a/write-journal/src/journal.rs
+++ b/write-journal/src/journal.rs
@@ -87,7 +87,7 @@
 
 /// Failure of the key-value store under the journal.
 #[derive(Debug, Error)]
-#[error("{0:?}")]
+#[error("key-value store: {0:?}")]
 pub struct JournalError(#[from] fjall::Error);
 
 /// Clock readings at the time a batch is applied.
