--- a/test-servers/src/client.rs
+++ b/test-servers/src/client.rs
@@ -14,28 +14,28 @@
 const TOO_MANY_CONNECTIONS: &str = "53300";
 /// SQLSTATE `cannot_connect_now`.
 const CANNOT_CONNECT_NOW: &str = "57P03";
-/// SQLSTATE `system_error`: the router's answer when a write may have been executed.
+/// SQLSTATE `system_error`. The router answers with it if it aborts a request that may have been executed.
 const SYSTEM_ERROR: &str = "58000";
-/// Version 3.0 of the PostgreSQL protocol, as in the startup message.
+/// Version 3.0 of the PostgreSQL protocol, as encoded in the startup message.
 const PROTOCOL_VERSION: &[u8] = b"\0\x03\0\0";
 const SESSION_PARAMETER: &str = "gingerwick.session";
 const ORIGIN_PARAMETER: &str = "gingerwick.origin";
-/// Bytes before the value in a DataRow of one column: the number of columns and the length of the value.
+/// Number of bytes before the value in a DataRow of one column: the number of columns and the length of the value.
 const COLUMN_HEADER_BYTES: usize = 6;
 const READ: &str = "SELECT content FROM kv WHERE name = '00000000000000aa'";
 const INSERT: &str = "INSERT INTO kv (name, content) VALUES ('00000000000000aa', '\\x01') RETURNING content";
 
-/// Timeouts of a client by the kind of the request.
+/// Timeouts that a client sends with its requests, by the kind of the request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestTimeouts {
-    /// Timeout of reads.
+    /// Timeout of reads in milliseconds.
     pub read_ms: i64,
-    /// Timeout of writes.
+    /// Timeout of writes in milliseconds, with and without an idempotency key.
     pub write_ms: i64,
 }
 
 impl RequestTimeouts {
-    /// The timeout of a request in milliseconds.
+    /// The timeout of requests of a kind in milliseconds.
     pub fn of(&self, kind: Kind) -> i64 {
         match kind {
             Kind::Read => self.read_ms,
@@ -44,20 +44,21 @@
     }
 }
 
-/// A client connection.
+/// A connection of a client to an instance.
 pub struct Client {
     stream: TcpStream,
-    /// The session token that was received last.
+    /// The most recent session token that the instance has sent.
     pub token: Option<String>,
-    /// The origin of the connection: the journal that records its writes, as reported when the connection began.
+    /// The origin that the instance sends when the connection begins: the write journal that records the connection's
+    /// writes.
     pub origin: Option<String>,
-    /// SQLSTATE with which the connection was rejected.
+    /// SQLSTATE with which the instance rejected the connection; `None` if it accepted the connection.
     pub rejected_with: Option<String>,
-    /// Retry-After time received with the rejection, in milliseconds.
+    /// Retry-After time that the rejection contained, in milliseconds.
     pub retry_after_ms: Option<i64>,
 }
 
-/// An answer, and whether it was followed by another one that belongs to no request.
+/// An answer, and whether a second answer to the same request followed it.
 struct Received {
     answer: Answer,
     surplus: bool,
@@ -72,8 +73,9 @@
         Client::with_session(addr, DEFAULT_USER, None)
     }
 
-    /// Connects with a session: `new`, or the one of a token. If the router rejects the connection, the client has
-    /// `rejected_with` set.
+    /// Connects as `user`. `session` is the value of the session parameter: `new` to begin a session, or the token of a
+    /// session to continue; `None` connects without a session. If the instance rejects the connection, the client is
+    /// returned with `rejected_with` set.
     ///
     /// # Errors
     /// As [`Client::open`].
@@ -81,7 +83,7 @@
         Client::start(TcpStream::connect_timeout(addr, CONNECT_TIMEOUT)?, user, session)
     }
 
-    /// Connects from a given local address of the loopback network.
+    /// Connects without a session from the loopback address `local`.
     ///
     /// # Errors
     /// As [`Client::open`].
@@ -107,7 +109,7 @@
                     client.retry_after_ms = retry_after_ms(&body);
                     return Ok(client);
                 }
-                _ => client.keep_parameter(tag, &body),
+                _ => client.store_parameter(tag, &body),
             }
         }
     }
@@ -116,8 +118,9 @@
         wire::read_message(&mut self.stream)
     }
 
-    /// Stores the token or the origin from a ParameterStatus message.
-    fn keep_parameter(&mut self, tag: u8, body: &[u8]) {
+    /// Stores the value of a ParameterStatus message that contains a session token or an origin. Ignores all other
+    /// messages.
+    fn store_parameter(&mut self, tag: u8, body: &[u8]) {
         let text = String::from_utf8_lossy(body);
         let mut fields = text.split('\0');
         match fields.next().filter(|_| tag == b'S') {
@@ -127,17 +130,18 @@
         }
     }
 
-    /// Queries the fate of a write by its id and the origin of the connection on which it was sent.
+    /// Queries the fate of the write with this id. `origin` is that of the connection on which the write was sent.
     pub fn fate(&mut self, id: &str, origin: &str) -> Answer {
         let mut out = Vec::new();
-        wire::query(&mut out, &format!("/* fate={id},at={origin} */ SHOW gingerwick.fate"));
+        wire::append_query(&mut out, &format!("/* fate={id},at={origin} */ SHOW gingerwick.fate"));
         if self.stream.write_all(&out).is_err() {
             return Answer::Missing;
         }
         self.receive().answer
     }
 
-    /// Sends several requests at once on the connection. Returns their records in the same order.
+    /// Sends one request for each id without waiting for answers, then receives the answers. Returns the records of the
+    /// requests in the order of `ids`.
     pub fn pipeline(
         &mut self,
         ids: &[String],
@@ -147,7 +151,7 @@
     ) -> Vec<RequestRecord> {
         let mut out = Vec::new();
         for id in ids {
-            wire::query(&mut out, &statement(id, group, kind, timeout_ms));
+            wire::append_query(&mut out, &statement(id, group, kind, timeout_ms));
         }
         let sent_ms = unix_ms();
         let sent = self.stream.write_all(&out).is_ok();
@@ -175,7 +179,7 @@
         records.remove(0)
     }
 
-    /// Receives an answer up to the next ReadyForQuery message.
+    /// Receives the messages of an answer, up to the next ReadyForQuery message.
     fn receive(&mut self) -> Received {
         let (mut answer, mut answers) = (Answer::Missing, 0);
         while let Some(Message { tag, body }) = self.read_message() {
@@ -190,7 +194,7 @@
                     answers += 1;
                 }
                 b'Z' => return Received { answer, surplus: answers > 1 },
-                _ => self.keep_parameter(tag, &body),
+                _ => self.store_parameter(tag, &body),
             }
         }
         Received { answer: Answer::Missing, surplus: answers > 1 }
--- a/test-servers/src/closed_loop.rs
+++ b/test-servers/src/closed_loop.rs
@@ -1,4 +1,5 @@
-//! Clients in a closed loop: each sends its next request only after the answer to the previous one.
+//! Connections of clients that work in a closed loop: each client sends its next request only after it has received
+//! the answer to the previous one.
 
 use crate::client::Client;
 use std::net::SocketAddr;
@@ -6,8 +7,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// Opens one connection after another until `is_over` is set, and calls `use_connection` with each, which returns when
-/// its connection ends or the run is over. Waits `reconnect_delay` after an attempt that failed.
+/// Opens connections to `listen`, one after the other, until `is_over` is set. `use_connection` is called with each
+/// connection and has to return when the connection ends or `is_over` is set. After a failed attempt to connect, the
+/// next one follows after `reconnect_delay`.
 pub fn reconnect_until_over(
     listen: &SocketAddr,
     is_over: &AtomicBool,
--- a/test-servers/src/cluster/answer_gate.rs
+++ b/test-servers/src/cluster/answer_gate.rs
@@ -1,9 +1,9 @@
-//! A gate that holds back the answers of a cluster's endpoints.
+//! A gate that delays the answers of a cluster's endpoints.
 
 use crate::lock;
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Holds back answers while it is closed. Statements are executed all the same.
+/// Delays answers while it is closed. Statements are executed when they arrive, also while it is closed.
 #[derive(Default)]
 pub struct AnswerGate {
     is_closed: Mutex<bool>,
@@ -11,12 +11,12 @@
 }
 
 impl AnswerGate {
-    /// Holds back all answers from now on.
+    /// Delays all answers that have not been sent yet, until the gate is opened.
     pub fn close(&self) {
         *lock(&self.is_closed) = true;
     }
 
-    /// Lets the answers pass that were held back, and all later ones.
+    /// Releases the delayed answers, and lets later answers pass without a delay.
     pub fn open(&self) {
         *lock(&self.is_closed) = false;
         self.opened.notify_all();
--- a/test-servers/src/cluster/endpoint_model.rs
+++ b/test-servers/src/cluster/endpoint_model.rs
@@ -1,44 +1,44 @@
-//! Model of an endpoint: its replication state and its process.
+//! Model of an endpoint: its role, its replication state and its process.
 
 /// Index of an endpoint in its cluster.
 pub type EndpointIndex = usize;
 
-/// Reachability of an endpoint.
+/// How an endpoint reacts to connections and statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// The endpoint answers.
+    /// Connections are accepted and statements are answered.
     Up,
-    /// Connections are accepted but never answered.
+    /// New connections are accepted, but nothing is ever sent on them.
     Silent,
-    /// Connections are refused.
-    Refused,
+    /// The endpoint is no longer at its listed address. The fault that sets this state also changes that address.
+    Unreachable,
 }
 
-/// An endpoint's replication state and its position on its group's log.
+/// Where an endpoint is on its group's log, and how it replicates that log.
 #[derive(Clone, Debug)]
 pub struct ReplicationModel {
-    /// PostgreSQL timeline of its log.
+    /// Number of the PostgreSQL timeline that it is on.
     pub timeline: u32,
-    /// Index of its branch of the group's log.
+    /// Index of the branch that it is on, among the branches of the group's log.
     pub branch: usize,
-    /// The endpoint that it replicates from.
+    /// The endpoint that it replicates from; `None` for a primary.
     pub upstream: Option<EndpointIndex>,
-    /// Replication lag behind the upstream.
+    /// Replication lag behind the upstream, in milliseconds.
     pub lag_ms: i64,
-    /// Position at which replication has stopped, if it has.
+    /// Position at which replication has stopped, in Unix milliseconds; `None` while it continues.
     pub stopped_at_ms: Option<i64>,
 }
 
 /// The process of an endpoint.
 #[derive(Clone, Debug)]
 pub struct ProcessModel {
-    /// Reachability for instances.
+    /// How it reacts to connections and statements.
     pub reachability: Reachability,
-    /// When its drain began, if it is draining.
+    /// When its drain began, in Unix milliseconds; `None` if it is not draining.
     pub draining_since_ms: Option<i64>,
-    /// When it was started.
+    /// When it was started, in Unix milliseconds.
     pub started_ms: i64,
-    /// It reports its identity when queried.
+    /// Whether it answers the statement for its identity. If not, it reports that the privilege is missing.
     pub reports_identity: bool,
 }
 
@@ -49,9 +49,9 @@
     pub name: String,
     /// Number of its group.
     pub group: i64,
-    /// It executes writes.
+    /// Whether it acts as a primary and executes writes. An isolated old primary does so on an abandoned branch.
     pub primary: bool,
-    /// Replication state.
+    /// State of its replication.
     pub replication: ReplicationModel,
     /// State of its process.
     pub process: ProcessModel,
--- a/test-servers/src/cluster/mod.rs
+++ b/test-servers/src/cluster/mod.rs
@@ -1,8 +1,9 @@
-//! Model of a cluster: its groups, the branches of their logs, the primaries, and the executions on each endpoint.
+//! Model of a cluster: its groups, the branches of their logs, the primaries, and the executed writes.
 //!
-//! Positions are Unix milliseconds. The position of a primary is the current time. The position of a replica is that
-//! of its upstream minus the lag, or where its replication has stopped. A failover forks a new branch: what an
-//! isolated old primary writes afterwards is on an abandoned branch.
+//! A position on a log is a time in Unix milliseconds. The position of a primary is the current time. The position of a
+//! replica is the position of its upstream minus its lag, or the position at which its replication has stopped. A
+//! failover forks a new branch of the log. If the old primary is isolated and continues to execute writes, these are on
+//! an abandoned branch.
 
 mod answer_gate;
 mod endpoint_model;
@@ -20,11 +21,11 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Bound on staleness in the settings of the tested instances.
-pub const BOUND_MS: i64 = 800;
-/// Tolerance added to a client's timeout for the time until a busy machine schedules the client's thread.
+/// Bound on the staleness of reads, in the settings of the tested instances.
+pub const STALENESS_BOUND_MS: i64 = 800;
+/// Tolerance in the check of a client's timeout: the time until a busy machine schedules the client's thread.
 const SCHEDULING_SLACK_MS: i64 = 500;
-/// Tolerance added to the bound on staleness for the time that a request takes from the client to the router.
+/// Tolerance in the check of the bound on staleness: the time that a request takes from the client to the router.
 const NETWORK_SLACK_MS: i64 = 60;
 
 /// The wall clock in Unix milliseconds.
@@ -32,11 +33,11 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64
 }
 
-/// A cluster shared by its endpoints.
+/// A cluster model that all its endpoints share.
 pub struct Cluster {
-    /// Slow start of its endpoints.
+    /// Model of the endpoints' slow start and load.
     pub slow_start: SlowStartModel,
-    /// Grace period after the announcement of a drain within which statements may still arrive.
+    /// Grace period in milliseconds after a drain begins, within which statements may still arrive.
     pub drain_grace_ms: i64,
     /// Gate for the answers to statements.
     pub answer_gate: AnswerGate,
@@ -54,7 +55,8 @@
         lock(&self.state)
     }
 
-    /// Combines the executions in the cluster with the records of clients.
+    /// Combines the executions in the cluster with the records of clients into a history that can be checked.
+    /// `without_session` has the requests of clients without sessions, `sessions` the requests of each session.
     pub fn history(
         &self,
         without_session: Vec<RequestRecord>,
@@ -69,7 +71,7 @@
             executions: state.executions.values().flatten().cloned().collect(),
             forks: state.branches.keys().map(|&group| (group, state.forks(group))).collect(),
             endpoint_violations: state.violations.clone(),
-            bound_ms: BOUND_MS,
+            bound_ms: STALENESS_BOUND_MS,
             scheduling_slack_ms: SCHEDULING_SLACK_MS,
             network_slack_ms: NETWORK_SLACK_MS,
         }
--- a/test-servers/src/cluster/state.rs
+++ b/test-servers/src/cluster/state.rs
@@ -1,4 +1,5 @@
-//! The state of a cluster: the branches of the groups' logs, and the position of each endpoint on them.
+//! The state of a cluster: the branches of the groups' logs, the position of each endpoint on them, and the executed
+//! writes.
 
 use super::endpoint_model::{EndpointIndex, EndpointModel};
 use super::slow_start::EndpointLoad;
@@ -8,9 +9,10 @@
 /// One branch of a group's log.
 #[derive(Clone, Copy, Debug)]
 pub struct Branch {
-    /// Position at which it forked from the previous branch. Both branches share the log before it.
+    /// Position at which it forked from the previous branch, in Unix milliseconds. The two branches share the log up to
+    /// there.
     pub forked_ms: i64,
-    /// It is the current branch of the group.
+    /// Whether it is the group's current branch. The others are abandoned.
     pub is_live: bool,
 }
 
@@ -21,7 +23,7 @@
     }
 }
 
-/// Behaviour of the old primary after a failover.
+/// What the old primary does after a failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OldPrimary {
     /// It is isolated from the group and continues to execute writes.
@@ -33,20 +35,20 @@
 /// The state of a cluster.
 #[derive(Default)]
 pub struct ClusterState {
-    /// The endpoints of the cluster.
+    /// The endpoints of all groups. An [`EndpointIndex`] is an index of this list.
     pub endpoints: Vec<EndpointModel>,
-    /// The branches of each group's log.
+    /// The branches of each group's log, from the oldest to the newest, by the number of the group.
     pub branches: BTreeMap<i64, Vec<Branch>>,
-    /// Executions of writes by the id of their request.
+    /// Executions of writes, by the id of the request.
     pub executions: HashMap<String, Vec<Execution>>,
     /// The load on each endpoint.
     pub(super) loads: HashMap<EndpointIndex, EndpointLoad>,
-    /// Violations detected by endpoints.
+    /// Violations that endpoints have detected.
     pub(super) violations: Vec<Violation>,
 }
 
 impl ClusterState {
-    /// Position of an endpoint on its branch.
+    /// Position of an endpoint on its branch at the time `now_ms`.
     pub fn position(&self, index: EndpointIndex, now_ms: i64) -> i64 {
         let endpoint = &self.endpoints[index];
         match (endpoint.primary, endpoint.replication.stopped_at_ms, endpoint.replication.upstream) {
@@ -59,18 +61,18 @@
         }
     }
 
-    /// Branch and position of an endpoint on its group's log.
+    /// Branch and position of an endpoint on its group's log at the time `now_ms`.
     pub fn log_point(&self, index: EndpointIndex, now_ms: i64) -> LogPoint {
         LogPoint { branch: self.endpoints[index].replication.branch, at_ms: self.position(index, now_ms) }
     }
 
-    /// Positions at which the branches of a group's log forked.
+    /// Positions at which the branches of a group's log forked, from the oldest branch to the newest.
     pub fn forks(&self, group: i64) -> Vec<i64> {
         self.branches.get(&group).into_iter().flatten().map(|branch| branch.forked_ms).collect()
     }
 
-    /// The earlier execution of a write for which an endpoint at log point `at` drops duplicates, given a
-    /// deduplication window.
+    /// Searches for an earlier execution of the write `id` that an endpoint at log point `at` can detect: it is on the
+    /// endpoint's log, and within the deduplication window. Returns its log point.
     pub fn duplicate_of(&self, id: &str, at: LogPoint, window_ms: i64) -> Option<LogPoint> {
         let is_known = |execution: &&Execution| {
             at.at_ms - execution.point.at_ms < window_ms
@@ -79,7 +81,7 @@
         self.executions.get(id)?.iter().find(is_known).map(|execution| execution.point)
     }
 
-    /// Position up to which an endpoint's data is that of the live branch.
+    /// Position up to which an endpoint has the same data as the live branch of its group.
     pub fn consistent_until_ms(&self, index: EndpointIndex, now_ms: i64) -> i64 {
         let endpoint = &self.endpoints[index];
         let position = self.position(index, now_ms);
@@ -107,7 +109,8 @@
         (0..self.endpoints.len()).find(|&index| self.is_live_primary(index, group))
     }
 
-    /// Promotes a replica to primary of its group, on a new branch that forks at `at_ms`.
+    /// Promotes a replica to the primary of its group, on a new branch that forks at `at_ms`. The other endpoints of the
+    /// group replicate from it, except an isolated old primary.
     pub fn promote(&mut self, successor: EndpointIndex, old_primary: OldPrimary, at_ms: i64) {
         let group = self.endpoints[successor].group;
         let isolated = self.primary_of(group).filter(|_| old_primary == OldPrimary::Isolated);
@@ -127,8 +130,8 @@
         }
     }
 
-    /// Records a violation detected by an endpoint.
-    pub fn report(&mut self, index: EndpointIndex, rule: Rule, detail: String) {
+    /// Records a violation that the endpoint with this index has detected.
+    pub fn report_violation(&mut self, index: EndpointIndex, rule: Rule, detail: String) {
         let subject = self.endpoints[index].name.clone();
         self.violations.push(Violation { rule, subject, detail });
     }
--- a/test-servers/src/comparison.rs
+++ b/test-servers/src/comparison.rs
@@ -1,28 +1,31 @@
-//! Comparison of two builds of the daemon in the experiments, and the output for rules that a run broke.
+//! The builds of the daemon that an experiment compares, and the output of the violations that it found.
 
 use crate::Build;
 use history_checker::Verdict;
 use std::path::Path;
 
-/// A build with its name in the output.
+/// A build and its name in the output.
 #[derive(Clone, Copy, Debug)]
 pub struct NamedBuild<'a> {
-    /// The name.
+    /// Name in the output.
     pub name: &'static str,
-    /// The build.
+    /// Executable and capabilities.
     pub build: Build<'a>,
 }
 
-/// The build under test, then the earlier build that it is compared with, if there is one.
+/// The build under test, followed by the earlier build `before` that it is compared with, if there is one. The
+/// earlier build does not support operators' files.
 pub fn builds_to_compare<'a>(daemon: &'a Path, before: Option<&'a Path>) -> Vec<NamedBuild<'a>> {
     let under_test =
         NamedBuild { name: "this build", build: Build { program: daemon, has_operator_file: true } };
-    let earlier =
-        |program: &'a Path| NamedBuild { name: "before", build: Build { program, has_operator_file: false } };
+    let earlier = |program: &'a Path| NamedBuild {
+        name: "earlier build",
+        build: Build { program, has_operator_file: false },
+    };
     std::iter::once(under_test).chain(before.map(earlier)).collect()
 }
 
-/// Prints the first violations of a verdict, `max_shown` at most, one a line.
+/// Prints up to `max_shown` violations of a verdict, each on a line of its own.
 pub fn print_violations(verdict: &Verdict, max_shown: usize) {
     verdict.violations.iter().take(max_shown).for_each(|violation| println!("    {violation:?}"));
 }
--- a/test-servers/src/daemon.rs
+++ b/test-servers/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The router daemon as a child process with its own configuration. Dropping a [`Daemon`] kills the process.
+//! The router daemon as a child process. Dropping a [`Daemon`] kills the process.
 
 use std::io::{self, BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -8,37 +8,39 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Interval at which the process and its log are polled.
+/// Interval at which the exit status and the log of the process are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long [`Daemon::wait_for_log`] waits for a text.
+/// Timeout of [`Daemon::wait_for_log`].
 const LOG_TIMEOUT: Duration = Duration::from_secs(10);
+/// Name of every instance.
+const INSTANCE_NAME: &str = "f";
 
 /// A running daemon.
 pub struct Daemon {
     child: Child,
     log: Arc<Mutex<String>>,
-    /// Thread that reads the log until the process closes it.
+    /// The thread that reads the standard error stream of the process until the stream ends.
     log_reader: Option<JoinHandle<()>>,
 }
 
-/// Options to start a daemon with.
+/// Options for the start of a daemon.
 pub struct DaemonOptions<'a> {
     /// Path of the executable.
     pub program: &'a Path,
     /// Content of the bootstrap file.
     pub bootstrap: &'a str,
-    /// Content of the operators' file; `None` starts the daemon without one.
+    /// Content of the operators' file; if `None`, the daemon is started without one.
     pub operator_file: Option<&'a str>,
-    /// Directory in which both files are written.
+    /// Existing directory to which both files are written.
     pub folder: &'a Path,
     /// Address that the daemon listens on.
     pub listen: SocketAddr,
-    /// Address of discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
 }
 
 impl Daemon {
-    /// Starts a daemon.
+    /// Writes the configuration files and starts a daemon, without waiting until it listens.
     ///
     /// # Errors
     /// A file cannot be written, or the process cannot be started.
@@ -51,7 +53,7 @@
             std::fs::write(&path, text)?;
             command.arg("--conf").arg(path);
         }
-        command.env_clear().env("ROUTER_CONFIG", &bootstrap).env("ROUTER_NAME", "f");
+        command.env_clear().env("ROUTER_CONFIG", &bootstrap).env("ROUTER_NAME", INSTANCE_NAME);
         command.env("ROUTER_LISTEN", options.listen.to_string());
         command.env("ROUTER_DISCOVERY", options.discovery.to_string());
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn()?;
@@ -68,13 +70,13 @@
         self.child.id()
     }
 
-    /// Sends a signal, by its name without `SIG`, with the `kill` program.
+    /// Sends the process a signal with the `kill` program. `name` is the signal's name without `SIG`.
     pub fn signal(&self, name: &str) {
         let _ = Command::new("kill").arg(format!("-{name}")).arg(self.pid().to_string()).status();
     }
 
-    /// Waits for the process to exit. Returns its exit status, or `None` if it is still running after `timeout` or was
-    /// terminated by a signal.
+    /// Waits until the process exits, for `timeout` at most. Returns its exit status, or `None` if the process is still
+    /// running or was terminated by a signal.
     pub fn exit_status_within(&mut self, timeout: Duration) -> Option<i32> {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
@@ -86,12 +88,12 @@
         None
     }
 
-    /// Waits until the log contains `text`, for ten seconds at most. Returns whether it does. Use this instead of
-    /// reading the log once: the effect of an action can be visible before its log line, and a killed daemon logs
-    /// nothing more.
+    /// Waits until the log contains `text`, for ten seconds at most. Returns whether the log contains it. A test has to
+    /// wait before it kills the daemon: an action can take effect before its log line is written, and a killed daemon
+    /// writes no more lines.
     pub fn wait_for_log(&self, text: &str) -> bool {
         let deadline = Instant::now() + LOG_TIMEOUT;
-        while !self.log.lock().expect("no reader panicked").contains(text) {
+        while !self.log.lock().expect("the log reader panicked").contains(text) {
             if Instant::now() > deadline {
                 return false;
             }
@@ -106,7 +108,7 @@
         if let Some(reader) = self.log_reader.take() {
             let _ = reader.join();
         }
-        std::mem::take(&mut self.log.lock().expect("no reader panicked"))
+        std::mem::take(&mut self.log.lock().expect("the log reader panicked"))
     }
 
     fn end(&mut self) {
@@ -125,7 +127,7 @@
     let mut reader = BufReader::new(stderr);
     let mut line = Vec::new();
     while reader.read_until(b'\n', &mut line).is_ok_and(|read| read > 0) {
-        log.lock().expect("no reader panicked").push_str(&String::from_utf8_lossy(&line));
+        log.lock().expect("the log reader panicked").push_str(&String::from_utf8_lossy(&line));
         line.clear();
     }
 }
--- a/test-servers/src/discovery.rs
+++ b/test-servers/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that serves the complete endpoint list and a watch on it over HTTP, with simulated failures.
+//! A discovery service that serves the complete endpoint list and a watch on it over HTTP, and simulates failures.
 
 use crate::lock;
 use serde_json::{json, Value};
@@ -8,38 +8,38 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Interval at which a watch checks for changes.
+/// Interval at which a connection checks whether the list or the mode has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// An empty line is sent on a watch after this time without a change.
+/// A watch sends an empty line after this time without a new list.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
-/// Length of an empty line of a request, including the line end.
+/// Length of the empty line that ends a request's header fields, including the line end.
 const EMPTY_LINE_BYTES: usize = 2;
 
-/// Behaviour of the service.
+/// How the service responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Connections are closed without an answer.
+    /// Connections are closed without a response.
     Down,
-    /// Requests are answered.
+    /// Requests are answered with the current list.
     Up,
-    /// Requests are answered with an empty complete list.
+    /// Requests are answered with a complete list that contains no endpoints.
     Empty,
-    /// The connection is closed in the middle of a line.
+    /// The connection is closed in the middle of the line that contains the list.
     TruncatedLine,
-    /// Alternates between up and down, for this duration each.
+    /// The service alternates between up and down, each for this duration, and starts with up.
     Flapping(Duration),
 }
 
-struct State {
+struct ServiceState {
     mode: DiscoveryMode,
     mode_since: Instant,
     version: i64,
     entries: Vec<Value>,
 }
 
-impl State {
+impl ServiceState {
     fn is_down(&self) -> bool {
         match self.mode {
             DiscoveryMode::Down => true,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The list that was sent last on a connection, and the behaviour at that time.
+/// Version of the list that was sent last on a connection, and the mode at that time.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct SentList {
     version: i64,
@@ -65,25 +65,27 @@
 }
 
 /// The next step on a connection.
-enum Next {
-    /// The list has not changed since it was sent.
+enum NextStep {
+    /// Send nothing: neither the list nor the mode has changed since the list was sent.
     Nothing,
+    /// Send this list.
     List(String),
-    /// Send half of a list, then close the connection.
+    /// Send this first half of a list, then close the connection.
     TruncatedList(String),
     /// Close the connection.
-    Down,
+    Close,
 }
 
-/// A listening discovery service.
+/// A listening discovery service. Its clones share one state. It listens until the process ends.
 #[derive(Clone)]
 pub struct Discovery {
     /// Address that it listens on.
     pub addr: SocketAddr,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<ServiceState>>,
 }
 
-/// Creates an entry of the endpoint list in discovery's format.
+/// An endpoint's entry in the endpoint list, in the format of the discovery service. `health` is `SERVING`, `DRAINING`
+/// or `DELETED`; `born_ms` is the time when the endpoint started, in Unix milliseconds.
 pub fn list_entry(
     name: &str,
     address: &SocketAddr,
@@ -98,11 +100,11 @@
 }
 
 impl Discovery {
-    /// Starts a service with a mode and a list.
+    /// Starts a service on a free port. `version` is the version of the list that consists of `entries`.
     pub fn start(mode: DiscoveryMode, version: i64, entries: Vec<Value>) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
         let addr = listener.local_addr().expect("a bound listener has an address");
-        let state = State { mode, mode_since: Instant::now(), version, entries };
+        let state = ServiceState { mode, mode_since: Instant::now(), version, entries };
         let discovery = Discovery { addr, state: Arc::new(Mutex::new(state)) };
         let serving = discovery.clone();
         thread::spawn(move || {
@@ -114,14 +116,14 @@
         discovery
     }
 
-    /// Changes the mode.
+    /// Changes the mode, on open connections as well.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         let mut state = lock(&self.state);
         state.mode = mode;
         state.mode_since = Instant::now();
     }
 
-    /// Replaces the list. The version may be higher or lower than the previous one.
+    /// Replaces the list. Watches send it if its version differs from the previous one, higher or lower.
     pub fn set_list(&self, version: i64, entries: Vec<Value>) {
         let mut state = lock(&self.state);
         state.version = version;
@@ -137,16 +139,18 @@
         stream.write_all(RESPONSE_HEAD).ok()?;
         let (mut sent, mut last_sent) = (None, Instant::now());
         loop {
-            match self.next(&mut sent) {
-                Next::Down => return None,
-                Next::TruncatedList(half) => {
-                    // The connection is closed in any case, so a failed write does not matter.
+            match self.next_step(&mut sent) {
+                NextStep::Close => return None,
+                NextStep::TruncatedList(half) => {
+                    // A failed write needs no handling, since the connection is closed in any case.
                     let _ = write_chunk(&mut stream, &half);
                     return None;
                 }
-                Next::List(list) => write_chunk(&mut stream, &list)?,
-                Next::Nothing if last_sent.elapsed() > HEARTBEAT_INTERVAL => write_chunk(&mut stream, "\n")?,
-                Next::Nothing => {
+                NextStep::List(list) => write_chunk(&mut stream, &list)?,
+                NextStep::Nothing if last_sent.elapsed() > HEARTBEAT_INTERVAL => {
+                    write_chunk(&mut stream, "\n")?
+                }
+                NextStep::Nothing => {
                     thread::sleep(POLL_INTERVAL);
                     continue;
                 }
@@ -158,25 +162,26 @@
         }
     }
 
-    fn next(&self, sent: &mut Option<SentList>) -> Next {
+    /// Chooses the next step on a connection and updates `sent` accordingly.
+    fn next_step(&self, sent: &mut Option<SentList>) -> NextStep {
         let state = lock(&self.state);
         if state.is_down() {
-            return Next::Down;
+            return NextStep::Close;
         }
         let current = Some(SentList { version: state.version, mode: state.mode });
         if std::mem::replace(sent, current) == current {
-            return Next::Nothing;
+            return NextStep::Nothing;
         }
         let list = state.complete_list();
         if state.mode == DiscoveryMode::TruncatedLine {
-            Next::TruncatedList(list[..list.len() / 2].to_string())
+            NextStep::TruncatedList(list[..list.len() / 2].to_string())
         } else {
-            Next::List(list)
+            NextStep::List(list)
         }
     }
 }
 
-/// Reads a request and returns its first line.
+/// Reads a request up to the end of its header fields. Returns the request line.
 fn read_request(stream: &TcpStream) -> Option<String> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     let mut request = String::new();
--- a/test-servers/src/endpoint.rs
+++ b/test-servers/src/endpoint.rs
@@ -1,8 +1,9 @@
-//! A listening endpoint. It answers from the current state of its cluster and records its executions there.
+//! An endpoint that listens on loopback. It answers from the current state of the cluster model and records its
+//! executions of writes there.
 
 use crate::cluster::{unix_ms, Cluster, ClusterState, EndpointIndex, Reachability};
 use crate::settings::DEDUP_WINDOW_MS;
-use crate::wire::{self, error, parameter_status, ready_for_query, row};
+use crate::wire::{self, append_error, append_parameter_status, append_ready_for_query, append_single_value};
 use history_checker::{Execution, LogPoint, Rule};
 use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -15,17 +16,20 @@
 const READ_ONLY: &str = "25006";
 /// SQLSTATE `insufficient_privilege`.
 const INSUFFICIENT_PRIVILEGE: &str = "42501";
+/// The statement of the router's health checks.
 const HEALTH_STATEMENT: &str = "SHOW health";
-/// Contained in the statement that queries an endpoint's identity.
+/// A function that only the statement for an endpoint's identity calls.
 const IDENTITY_FUNCTION: &str = "pg_control_checkpoint";
-/// The method whose writes have idempotency keys.
+/// The method whose requests are writes with an idempotency key.
 const KEYED_METHOD: &str = "deposit";
-/// Timeout of the connection that wakes a listener so that it ends.
+/// Timeout of the connection that wakes a listener's thread so that the thread ends.
 const WAKE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Processes are spread over this many values of the second byte of loopback addresses.
+/// Number of values of the second byte of a loopback address that processes are distributed over, to keep the
+/// addresses of concurrent test processes apart.
 const PROCESS_ADDRESSES: u32 = 250;
 
-/// A listening endpoint. Dropping it stops the listener; open connections are closed on their next statement.
+/// A listening endpoint. Dropping it stops the listener; open connections are closed when their next statement
+/// arrives.
 pub struct ServedEndpoint {
     /// Address that it listens on.
     pub addr: SocketAddr,
@@ -39,9 +43,9 @@
     }
 }
 
-/// Returns an address that no process listens on, found by binding it briefly. Every call uses another loopback IP
-/// address, so that the port is not assigned to another socket before the intended process listens or after it has
-/// stopped.
+/// Returns a loopback address and port that no process listens on. The port is found by binding it briefly. Every call
+/// uses another IP address: on a shared one, the system could assign the port to another socket before the intended
+/// process listens, or while that process is restarted.
 pub fn free_address() -> SocketAddr {
     static ADDRESSES: AtomicU32 = AtomicU32::new(0);
     let (index, process) = (ADDRESSES.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -51,7 +55,7 @@
     listener.local_addr().expect("a bound listener has an address")
 }
 
-/// Starts an endpoint of a cluster.
+/// Starts the endpoint with this index of the cluster model, on a free port.
 pub fn serve(cluster: &Arc<Cluster>, index: EndpointIndex) -> ServedEndpoint {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
     let addr = listener.local_addr().expect("a bound listener has an address");
@@ -62,7 +66,7 @@
     served
 }
 
-/// The state shared by the connections of an endpoint.
+/// The endpoint as its listener and its connections use it.
 #[derive(Clone)]
 struct Endpoint {
     cluster: Arc<Cluster>,
@@ -70,26 +74,27 @@
     is_over: Arc<AtomicBool>,
 }
 
-/// A parsed statement.
+/// A statement of a request.
 struct Statement {
     id: String,
     group: i64,
     is_write: bool,
-    has_key: bool,
+    has_idempotency_key: bool,
 }
 
-/// The answer to a statement, by the state of the cluster at its arrival.
+/// The answer to a statement, from the state of the cluster when the statement arrived.
 struct Reply {
-    /// Time until the answer is sent.
+    /// Time from the arrival of the statement to the answer.
     service_time: Duration,
-    /// The log point at which the value was read or written.
-    shown: LogPoint,
+    /// The log point at which the data was read or written. A duplicate of a write has that of the first execution.
+    log_point: LogPoint,
     /// Position of the endpoint, in Unix milliseconds.
     position_ms: i64,
-    /// Up to when the endpoint's data is that of the live branch, in Unix milliseconds.
+    /// Position up to which the endpoint's data is that of the live branch, in Unix milliseconds; 0 if the endpoint
+    /// belongs to another group than the requested one.
     consistent_until_ms: i64,
     is_primary: bool,
-    /// The encoded ParameterStatus message with the endpoint's epoch.
+    /// The encoded ParameterStatus message that reports the endpoint's epoch.
     epoch: Vec<u8>,
 }
 
@@ -116,8 +121,8 @@
             return None;
         }
         let mut out = Vec::new();
-        wire::message(&mut out, b'R', &[0; 4]);
-        ready_for_query(&mut out);
+        wire::append_message(&mut out, b'R', &[0; 4]);
+        append_ready_for_query(&mut out);
         stream.write_all(&out).ok()?;
         while let Some(message) = wire::read_message(&mut stream).filter(|message| message.tag == b'Q') {
             if self.is_over.load(Ordering::Acquire) {
@@ -126,66 +131,76 @@
             let text = String::from_utf8_lossy(&message.body);
             let mut out = Vec::new();
             self.answer(text.trim_end_matches('\0'), &mut out)?;
-            ready_for_query(&mut out);
+            append_ready_for_query(&mut out);
             stream.write_all(&out).ok()?;
         }
         None
     }
 
+    /// Appends the answer to a statement. Returns `None` if the statement lacks what every request contains.
     fn answer(&self, text: &str, out: &mut Vec<u8>) -> Option<()> {
         match text {
-            "" => wire::message(out, b'I', b""),
-            HEALTH_STATEMENT => self.report_health(out),
-            text if text.contains(IDENTITY_FUNCTION) => self.report_identity(out),
-            text => self.execute(&Statement::parse(text)?, out),
+            "" => wire::append_message(out, b'I', b""),
+            HEALTH_STATEMENT => self.append_health(out),
+            text if text.contains(IDENTITY_FUNCTION) => self.append_identity(out),
+            text => self.append_execution(&Statement::parse(text)?, out),
         }
         Some(())
     }
 
-    fn report_health(&self, out: &mut Vec<u8>) {
+    fn append_health(&self, out: &mut Vec<u8>) {
         let state = self.cluster.lock();
         let position_s = state.position(self.index, unix_ms()) as f64 / 1e3;
         let primary = u8::from(state.endpoints[self.index].primary);
-        row(out, format!("x0={position_s:.3},x1={primary},load_share=0.1").as_bytes());
-        self.report_epoch(&state, out);
+        append_single_value(out, format!("x0={position_s:.3},x1={primary},load_share=0.1").as_bytes());
+        self.append_epoch(&state, out);
     }
 
-    /// Appends a ParameterStatus message with the endpoint's timeline and the position at which it began.
-    fn report_epoch(&self, state: &ClusterState, out: &mut Vec<u8>) {
+    /// Appends a ParameterStatus message with the endpoint's epoch: the timeline, and unless it is the first one, `@` and
+    /// the position at which it began.
+    fn append_epoch(&self, state: &ClusterState, out: &mut Vec<u8>) {
         let endpoint = &state.endpoints[self.index];
         let forks = state.forks(endpoint.group);
         let began = forks.get(endpoint.replication.branch).filter(|began| **began > 0);
         let began = began.map_or(String::new(), |began| format!("@{began}"));
-        parameter_status(out, "epoch", &format!("{}{began}", endpoint.replication.timeline));
+        append_parameter_status(out, "epoch", &format!("{}{began}", endpoint.replication.timeline));
     }
 
-    fn report_identity(&self, out: &mut Vec<u8>) {
+    /// Appends the endpoint's name and timeline, or an error if the endpoint does not report its identity.
+    fn append_identity(&self, out: &mut Vec<u8>) {
         let state = self.cluster.lock();
         let endpoint = &state.endpoints[self.index];
         if endpoint.process.reports_identity {
-            row(out, format!("{},{}", endpoint.name, endpoint.replication.timeline).as_bytes());
+            append_single_value(
+                out,
+                format!("{},{}", endpoint.name, endpoint.replication.timeline).as_bytes(),
+            );
         } else {
-            error(out, INSUFFICIENT_PRIVILEGE);
+            append_error(out, INSUFFICIENT_PRIVILEGE);
         }
     }
 
-    fn execute(&self, statement: &Statement, out: &mut Vec<u8>) {
-        let Some(reply) = self.reply(statement) else {
-            error(out, READ_ONLY);
-            return parameter_status(out, "recovery", "on");
+    /// Executes a statement, and appends the answer after the service time when the answer gate is open.
+    fn append_execution(&self, statement: &Statement, out: &mut Vec<u8>) {
+        let Some(reply) = self.execute_statement(statement) else {
+            append_error(out, READ_ONLY);
+            return append_parameter_status(out, "recovery", "on");
         };
         thread::sleep(reply.service_time);
         self.cluster.answer_gate.wait_until_open();
-        let LogPoint { branch, at_ms } = reply.shown;
-        row(out, format!("{} {} {branch} {at_ms}", statement.id, reply.consistent_until_ms).as_bytes());
-        parameter_status(out, "recovery", if reply.is_primary { "off" } else { "on" });
-        parameter_status(out, "lsn_ms", &reply.position_ms.to_string());
+        let LogPoint { branch, at_ms } = reply.log_point;
+        append_single_value(
+            out,
+            format!("{} {} {branch} {at_ms}", statement.id, reply.consistent_until_ms).as_bytes(),
+        );
+        append_parameter_status(out, "recovery", if reply.is_primary { "off" } else { "on" });
+        append_parameter_status(out, "lsn_ms", &reply.position_ms.to_string());
         out.extend(reply.epoch);
     }
 
-    /// Executes a statement. Returns `None` if it is a write and the endpoint is not a primary. The answer reflects
-    /// the state at the arrival of the statement, regardless of the service time.
-    fn reply(&self, statement: &Statement) -> Option<Reply> {
+    /// Executes a statement when it arrives, whatever its service time. Returns `None` if the statement is a write and
+    /// the endpoint is not a primary.
+    fn execute_statement(&self, statement: &Statement) -> Option<Reply> {
         let now_ms = unix_ms();
         let mut state = self.cluster.lock();
         let service_time = state.accept_work(self.index, now_ms, &self.cluster.slow_start);
@@ -195,19 +210,21 @@
             return None;
         }
         let at = state.log_point(self.index, now_ms);
-        let duplicate_of =
-            statement.has_key.then(|| state.duplicate_of(&statement.id, at, DEDUP_WINDOW_MS)).flatten();
+        let duplicate_of = statement
+            .has_idempotency_key
+            .then(|| state.duplicate_of(&statement.id, at, DEDUP_WINDOW_MS))
+            .flatten();
         if statement.is_write && duplicate_of.is_none() {
             self.record_execution(&mut state, statement, at);
         }
-        // An endpoint of another group does not have the requested data.
+        // An endpoint of another group has none of the requested data.
         let is_own_group = endpoint.group == statement.group;
         let consistent_until_ms = state.consistent_until_ms(self.index, now_ms);
         let mut epoch = Vec::new();
-        self.report_epoch(&state, &mut epoch);
+        self.append_epoch(&state, &mut epoch);
         Some(Reply {
             service_time,
-            shown: duplicate_of.unwrap_or(at),
+            log_point: duplicate_of.unwrap_or(at),
             position_ms: at.at_ms,
             consistent_until_ms: if is_own_group { consistent_until_ms } else { 0 },
             is_primary: endpoint.primary,
@@ -215,12 +232,16 @@
         })
     }
 
+    /// Reports a violation if a statement arrives after the grace period of the endpoint's drain.
     fn check_drain(&self, state: &mut ClusterState, statement: &Statement, now_ms: i64) {
         let Some(since_ms) = state.endpoints[self.index].process.draining_since_ms else { return };
-        let late_ms = now_ms - since_ms;
-        if late_ms > self.cluster.drain_grace_ms {
-            let detail = format!("got {} {late_ms} ms after its drain", statement.id);
-            state.report(self.index, Rule::DrainGrace, detail);
+        let since_drain_ms = now_ms - since_ms;
+        if since_drain_ms > self.cluster.drain_grace_ms {
+            let detail = format!(
+                "received statement {} {since_drain_ms} ms after its drain began; at most {} ms are allowed",
+                statement.id, self.cluster.drain_grace_ms
+            );
+            state.report_violation(self.index, Rule::DrainGrace, detail);
         }
     }
 
@@ -238,12 +259,12 @@
             id: comment_value(text, "id")?.to_string(),
             group: comment_value(text, "cluster")?.parse().ok()?,
             is_write: text.contains("INSERT"),
-            has_key: comment_value(text, "c") == Some(KEYED_METHOD),
+            has_idempotency_key: comment_value(text, "c") == Some(KEYED_METHOD),
         })
     }
 }
 
-/// Returns the value of a key in a statement's leading comment.
+/// Returns the value of a key in the comment at the start of a statement.
 fn comment_value<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let comment = text.strip_prefix("/*")?.split("*/").next()?;
     comment.split(',').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('=')).map(str::trim)
--- a/test-servers/src/lib.rs
+++ b/test-servers/src/lib.rs
@@ -1,18 +1,18 @@
-//! Test doubles of everything an instance of the router talks to, on loopback and without privileges, and randomized
-//! test runs that are reproducible by their seed.
+//! Test doubles of the endpoints, the discovery service and the clients of a router instance, and randomized test runs
+//! that are reproducible by their seed. All of them listen on loopback and need no privileges.
 //!
-//! - [`cluster`]: model of a cluster: groups, branches of their logs, primaries, slow starts and drains
+//! - [`cluster`]: model of a cluster: its groups, the branches of their logs, the primaries, slow starts and drains
 //! - [`endpoint`]: a listening endpoint of a cluster
 //! - [`discovery`]: a discovery service with simulated outages and restarts
 //! - [`client`]: a client that records its requests and their answers
 //! - [`closed_loop`]: clients that send one request after another and reconnect
-//! - [`comparison`]: two builds of the daemon in one experiment
+//! - [`comparison`]: the builds of the daemon that an experiment compares
 //! - [`daemon`]: the router daemon as a child process
-//! - [`settings`]: bootstrap settings for all of them
+//! - [`settings`]: bootstrap settings of the instances, and the matching models of endpoints
 //! - [`single_endpoint`]: a cluster of one endpoint
 //! - [`random`]: random choices that are reproducible by their seed
-//! - [`restart`]: runs that start with discovery down and a cached list that may be outdated
-//! - [`sessions`]: runs of sessions during kills of instances, replication lag and a failover
+//! - [`restart`]: runs in which instances start while discovery is down, from a cached list that may be outdated
+//! - [`sessions`]: runs of sessions with kills of instances, replication lag and a failover
 //! - [`wire`]: PostgreSQL protocol messages
 //!
 //! Written from the public specifications of the PostgreSQL protocol, version 3, and of HTTP/1.1.
@@ -39,22 +39,22 @@
 use std::sync::{Mutex, MutexGuard};
 use std::thread;
 
-/// A build of the daemon under test.
+/// A build of the daemon that a run starts.
 #[derive(Clone, Copy, Debug)]
 pub struct Build<'a> {
     /// Path of the executable.
     pub program: &'a Path,
-    /// The build supports operators' files. Earlier builds are started without one.
+    /// Whether the build supports an operators' file. A build that does not is started without one.
     pub has_operator_file: bool,
 }
 
-/// The result of the run of a seed.
+/// The result of the run with one seed.
 struct SeedResult<T> {
     seed: u64,
     result: T,
 }
 
-/// Runs each seed once, `at_once` of them concurrently. Returns the results in the order of the seeds.
+/// Calls `run` once with each seed, in `at_once` threads. Returns the results in the order of the seeds.
 pub fn each_seed<T: Send>(seeds: Range<u64>, at_once: usize, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let next = AtomicU64::new(seeds.start);
     let results = Mutex::new(Vec::new());
@@ -66,11 +66,11 @@
                     return;
                 }
                 let result = run(seed);
-                results.lock().expect("no run panicked").push(SeedResult { seed, result });
+                results.lock().expect("a run panicked").push(SeedResult { seed, result });
             });
         }
     });
-    let mut results = results.into_inner().expect("no run panicked");
+    let mut results = results.into_inner().expect("a run panicked");
     results.sort_by_key(|run| run.seed);
     results.into_iter().map(|run| run.result).collect()
 }
--- a/test-servers/src/restart/client_loop.rs
+++ b/test-servers/src/restart/client_loop.rs
@@ -1,4 +1,5 @@
-//! The loop of one client: sends reads and writes until the run is over, and reconnects whenever its connection ends.
+//! The request loop of a client: it sends reads and writes until the run is over, and reconnects when its connection
+//! ends.
 
 use crate::client::{Answer, Client, Kind, RequestRecord, RequestTimeouts};
 use crate::closed_loop::reconnect_until_over;
@@ -12,47 +13,50 @@
 use std::time::{Duration, Instant};
 
 const TIMEOUTS: RequestTimeouts = RequestTimeouts { read_ms: 400, write_ms: 600 };
-/// On average one in this many requests is preceded by a pipeline of reads.
+/// A pipeline of reads precedes a request with a probability of one in this number.
 const REQUESTS_PER_PIPELINE: usize = 40;
-/// Reads in a pipeline: enough to overload an endpoint in slow start that is treated as warm.
+/// Number of reads in a pipeline: enough to overload an endpoint in slow start if the router does not limit the load.
 const PIPELINE_LENGTH: usize = 32;
-/// On average one in this many requests is a write.
+/// A request is a write with a probability of one in this number.
 const REQUESTS_PER_WRITE: usize = 3;
 const RECONNECT_DELAY: Duration = Duration::from_millis(2);
 /// Pause after a rejection without a Retry-After time.
 const DEFAULT_RETRY_AFTER_MS: i64 = 20;
-/// Shortest and longest pause after a rejection: clients may return before their Retry-After time, to keep up the
-/// load.
+/// Shortest pause after a rejection, also if the Retry-After time is shorter.
 const MIN_RETRY_PAUSE_MS: i64 = 5;
+/// Longest pause after a rejection. Clients may retry before their Retry-After time, which keeps the load high.
 const MAX_RETRY_PAUSE_MS: i64 = 60;
-/// Pause between two requests.
+/// Pause between two requests if the first one was not rejected.
 const REQUEST_PAUSE: JitteredMs = JitteredMs { min_ms: 4, jitter_ms: 8 };
 
-/// State shared by all clients of a run.
-pub struct ClientRun {
+/// State that all clients of a run share.
+pub struct RunState {
+    /// When the run started, before the start of the instances.
     pub started: Instant,
+    /// Numbers of the groups that requests are sent to.
     pub groups: Vec<i64>,
+    /// Set at the end of the run.
     pub is_over: AtomicBool,
+    /// Records of the requests of all clients.
     pub records: Mutex<Vec<RequestRecord>>,
 }
 
-/// When the first read and the first write were served, in milliseconds since the run started: a client's own, or the
-/// earliest of all clients.
+/// When the first read and the first write of one client or of all clients were served.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FirstServed {
-    /// The first read.
+    /// Milliseconds from the start of the run until the first read was served; `None` if no read was served.
     pub read_ms: Option<f64>,
-    /// The first write.
+    /// Milliseconds from the start of the run until the first write was served; `None` if no write was served.
     pub write_ms: Option<f64>,
 }
 
-impl ClientRun {
+impl RunState {
     fn is_over(&self) -> bool {
         self.is_over.load(Ordering::Acquire)
     }
 
-    /// Runs one client until the run is over.
-    pub fn run(&self, listen: &SocketAddr, index: usize, seed: u64) -> FirstServed {
+    /// Runs the client with this index, which connects to `listen`, until the run is over.
+    pub fn run_client(&self, listen: &SocketAddr, index: usize, seed: u64) -> FirstServed {
         let mut client_loop =
             ClientLoop { run: self, index, rng: Mwc::new(seed), serial: 0, first: FirstServed::default() };
         reconnect_until_over(listen, &self.is_over, RECONNECT_DELAY, |client| {
@@ -62,8 +66,9 @@
     }
 }
 
+/// State of one client.
 struct ClientLoop<'a> {
-    run: &'a ClientRun,
+    run: &'a RunState,
     index: usize,
     rng: Mwc,
     serial: usize,
@@ -71,10 +76,10 @@
 }
 
 impl ClientLoop<'_> {
-    /// Sends requests until the connection ends.
+    /// Sends requests until the connection ends or the run is over.
     fn use_connection(&mut self, mut client: Client) {
         while !self.run.is_over() {
-            let record = self.next_request(&mut client);
+            let record = self.send_next(&mut client);
             let answer = record.answer.clone();
             lock(&self.run.records).push(record);
             if answer == Answer::Missing {
@@ -84,13 +89,14 @@
         }
     }
 
-    fn next_request(&mut self, client: &mut Client) -> RequestRecord {
+    /// Sends a random request, in some cases after a pipeline of reads, and waits for its answer.
+    fn send_next(&mut self, client: &mut Client) -> RequestRecord {
         self.serial += 1;
         let kind = if one_in(&mut self.rng, REQUESTS_PER_WRITE) { Kind::Write } else { Kind::Read };
         let group = choose(&mut self.rng, &self.run.groups);
         let id = format!("{:04x}{:012x}", self.index, self.serial);
         if one_in(&mut self.rng, REQUESTS_PER_PIPELINE) {
-            // The load of a page that is opened.
+            // As when a user opens a page that needs many reads.
             let ids: Vec<String> = (0..PIPELINE_LENGTH).map(|member| format!("{id}b{member}")).collect();
             let records = client.pipeline(&ids, group, Kind::Read, TIMEOUTS.read_ms);
             lock(&self.run.records).extend(records);
@@ -104,13 +110,14 @@
         record
     }
 
+    /// The pause after a request with this answer.
     fn pause(&mut self, answer: &Answer) -> Duration {
         let pause_ms = match answer {
             Answer::Rejected(retry_after_ms) => {
                 let wait_ms = retry_after_ms.unwrap_or(DEFAULT_RETRY_AFTER_MS);
                 wait_ms.clamp(MIN_RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS)
             }
-            _ => REQUEST_PAUSE.draw(&mut self.rng),
+            _ => REQUEST_PAUSE.sample(&mut self.rng),
         };
         Duration::from_millis(pause_ms as u64)
     }
--- a/test-servers/src/restart/faults.rs
+++ b/test-servers/src/restart/faults.rs
@@ -1,24 +1,29 @@
-//! Applies faults to a cluster.
+//! Applies the faults of a plan to a cluster.
 
 use super::plan::Fault;
-use crate::cluster::{ClusterState, EndpointIndex, OldPrimary, Reachability, BOUND_MS};
+use crate::cluster::{ClusterState, EndpointIndex, OldPrimary, Reachability, STALENESS_BOUND_MS};
 use crate::endpoint::free_address;
 use crate::random::JitteredMs;
 use routing::rng::Mwc;
 use std::net::SocketAddr;
 
-/// Time from a failover to the start of the instances: longer than any lag, so that replicas have followed it.
-const FAILOVER_AGO: JitteredMs = JitteredMs { min_ms: 5_000, jitter_ms: 3_000 };
-/// Multiple of the bound on staleness by which lagging replicas lag: clearly stale.
+/// Time from a failover to the start of the instances: longer than any replication lag, so that the positions of the
+/// replicas are beyond the failover.
+const TIME_SINCE_FAILOVER: JitteredMs = JitteredMs { min_ms: 5_000, jitter_ms: 3_000 };
+/// Lag of the replicas of [`Fault::ReplicasLag`], as a multiple of the bound on staleness.
 const LAG_MULTIPLE: i64 = 2;
-/// Time before the failover at which a replica on the old primary's branch stopped.
+/// Time before the failover at which the replication of a replica on the old primary's branch stopped.
 const STOPPED_BEFORE_MS: i64 = 100;
 
-/// The endpoints of one group: its first primary, two replicas, and one that is not in the cached list.
+/// The endpoints of one group.
 struct GroupMembers {
+    /// The primary before the fault.
     primary: EndpointIndex,
+    /// The replica that a failover promotes.
     successor: EndpointIndex,
+    /// A replica that is never promoted.
     replica: EndpointIndex,
+    /// A replica that is not in the cached list.
     unlisted: EndpointIndex,
 }
 
@@ -31,8 +36,8 @@
     }
 }
 
-/// Applies a fault to the group whose endpoints begin at index `first`. `listed_addresses` are the addresses in the
-/// cached list, by endpoint.
+/// Applies a fault to the group whose first endpoint has index `first`. `listed_addresses` has the address of each
+/// endpoint in the outdated list. `now_ms` is the time of the start.
 pub fn apply_fault(
     state: &mut ClusterState,
     fault: Fault,
@@ -42,7 +47,7 @@
     rng: &mut Mwc,
 ) {
     let members = GroupMembers::starting_at(first);
-    let at_ms = now_ms - FAILOVER_AGO.draw(rng);
+    let at_ms = now_ms - TIME_SINCE_FAILOVER.sample(rng);
     match fault {
         Fault::None => {}
         Fault::OldPrimaryIsolated => state.promote(members.successor, OldPrimary::Isolated, at_ms),
@@ -61,21 +66,21 @@
         Fault::NewPrimaryUnlisted => state.promote(members.unlisted, OldPrimary::Isolated, at_ms),
         Fault::AddressReused => {
             state.promote(members.successor, OldPrimary::Follows, at_ms);
-            state.endpoints[members.primary].process.reachability = Reachability::Refused;
-            // The address was reassigned to the primary of the next group, which is this group's own if it is the only
-            // one.
+            state.endpoints[members.primary].process.reachability = Reachability::Unreachable;
+            // The address now belongs to the primary of the next group. If there is only one group, that is the old
+            // primary itself.
             let next_primary = (first + GROUP_SIZE) % listed_addresses.len();
             listed_addresses[members.primary] = listed_addresses[next_primary];
         }
         Fault::AddressUnused => {
             state.promote(members.successor, OldPrimary::Follows, at_ms);
-            state.endpoints[members.primary].process.reachability = Reachability::Refused;
+            state.endpoints[members.primary].process.reachability = Reachability::Unreachable;
             listed_addresses[members.primary] = free_address();
         }
         Fault::ReplicaSilent => state.endpoints[members.replica].process.reachability = Reachability::Silent,
         Fault::ReplicasLag => {
-            state.endpoints[members.successor].replication.lag_ms = BOUND_MS * LAG_MULTIPLE;
-            state.endpoints[members.replica].replication.lag_ms = BOUND_MS * LAG_MULTIPLE;
+            state.endpoints[members.successor].replication.lag_ms = STALENESS_BOUND_MS * LAG_MULTIPLE;
+            state.endpoints[members.replica].replication.lag_ms = STALENESS_BOUND_MS * LAG_MULTIPLE;
         }
         Fault::NoPrimary => {
             remove_primary(state, &members, at_ms);
@@ -84,11 +89,12 @@
     }
 }
 
+/// Makes the primary of a group unreachable, and stops the replication of the other endpoints at `at_ms`.
 fn remove_primary(state: &mut ClusterState, members: &GroupMembers, at_ms: i64) {
     for index in [members.successor, members.replica, members.unlisted] {
         state.endpoints[index].replication.stopped_at_ms = Some(at_ms);
         state.endpoints[index].replication.upstream = None;
     }
-    state.endpoints[members.primary].process.reachability = Reachability::Refused;
+    state.endpoints[members.primary].process.reachability = Reachability::Unreachable;
     state.endpoints[members.primary].primary = false;
 }
--- a/test-servers/src/restart/run.rs
+++ b/test-servers/src/restart/run.rs
@@ -1,7 +1,6 @@
-//! One run: instances start while discovery is down, clients send requests, discovery returns, and the history is
-//! checked.
+//! A run: instances start while discovery is down, clients send requests, discovery returns, and the history is checked.
 
-use super::client_loop::{ClientRun, FirstServed};
+use super::client_loop::{FirstServed, RunState};
 use super::plan::{DiscoveryReturn, Plan};
 use super::scenario::Scenario;
 use crate::client::{Answer, Kind, RequestRecord};
@@ -25,16 +24,17 @@
 pub(super) const LIST_VERSION: i64 = 1_000;
 /// Limits of each instance: small, since many runs share the machine.
 pub(super) const LIMITS: ResourceLimits = ResourceLimits { descriptors: 512, memory_mb: 64 };
-/// The part of a plan's seed that is used in the seed of an instance: 32 bits, so that it stays short.
+/// Mask of the bits of a plan's seed that are used in the seed of an instance, so that the latter has 64 bits at most.
 const BOOTSTRAP_SEED_MASK: u64 = 0xffff_ffff;
-/// Smallest number of instances in the settings, also if only one is started.
+/// Smallest number of instances in the settings, even if only one is started.
 const MIN_CONFIGURED_INSTANCES: usize = 2;
-/// Increase of the version while discovery was down.
+/// Increase of the list's version while discovery is down.
 const VERSIONS_WHILE_DOWN: i64 = 5;
-/// Version of the list of a discovery that was restored from a backup.
+/// Version of the list after a restore of discovery from a backup: lower than [`LIST_VERSION`].
 const RESTORED_VERSION: i64 = 3;
-/// How long discovery is still broken after its return.
+/// How long discovery sends empty or truncated lists after its return.
 const BROKEN_RETURN: Duration = Duration::from_millis(400);
+/// How long a flapping discovery is up, and then down.
 const FLAPPING_PERIOD: Duration = Duration::from_millis(1_000);
 
 /// Durations of the phases of a run.
@@ -51,13 +51,13 @@
 pub struct Outcome {
     /// Verdict on the history of the run.
     pub verdict: Verdict,
-    /// When the first requests of all clients were served.
+    /// When the first read and the first write of all clients were served.
     pub first_served: FirstServed,
     /// Number of groups with a reachable primary in which writes were served after discovery returned.
     pub groups_writing: usize,
     /// Number of groups with a reachable primary.
     pub groups_with_primary: usize,
-    /// A write was served while discovery was down.
+    /// Whether a write was served while discovery was down.
     pub wrote_without_discovery: bool,
     /// Number of rejected requests.
     pub rejected: usize,
@@ -65,25 +65,25 @@
     pub log: String,
 }
 
-/// An instance, and where it listens.
+/// An instance and the address that it listens on.
 struct Instance {
     daemon: Daemon,
     listen: SocketAddr,
 }
 
-/// Runs a plan with a build. Each call sets up a cluster of its own, so two builds can be compared.
+/// Runs a plan with a build. Each call creates its own cluster, so that builds can be compared.
 ///
 /// # Errors
-/// A process cannot be started, or a file not written.
+/// A process cannot be started, or a file cannot be written.
 pub fn run_plan(plan: &Plan, build: &Build, phases: Phases) -> std::io::Result<Outcome> {
     let folder = tempfile::tempdir()?;
     let scenario = Scenario::new(plan);
-    let discovery = Discovery::start(DiscoveryMode::Down, LIST_VERSION, scenario.lists.present.clone());
+    let discovery = Discovery::start(DiscoveryMode::Down, LIST_VERSION, scenario.lists.current.clone());
     let started = Instant::now();
     let instances: Vec<Instance> = (0..plan.instances)
         .map(|index| start_instance(index, plan, build, &scenario, &discovery, folder.path()))
         .collect::<Result<_, _>>()?;
-    let run = Arc::new(ClientRun {
+    let run = Arc::new(RunState {
         started,
         groups: scenario.groups.clone(),
         is_over: AtomicBool::new(false),
@@ -91,14 +91,14 @@
     });
     let clients = start_clients(plan, &instances, &run);
     thread::sleep(phases.discovery_down);
-    bring_back(plan, &discovery, &scenario);
-    let back_at_ms = unix_ms();
+    restore_discovery(plan, &discovery, &scenario);
+    let restored_ms = unix_ms();
     thread::sleep(phases.discovery_back);
     run.is_over.store(true, Ordering::Release);
     let first: Vec<FirstServed> = clients.into_iter().filter_map(|client| client.join().ok()).collect();
     let log = instances.into_iter().map(|instance| instance.daemon.kill()).collect();
     let records = std::mem::take(&mut *lock(&run.records));
-    let mut outcome = judge(&scenario, &records, back_at_ms);
+    let mut outcome = evaluate(&scenario, &records, restored_ms);
     outcome.first_served = FirstServed {
         read_ms: earliest(first.iter().filter_map(|first| first.read_ms)),
         write_ms: earliest(first.iter().filter_map(|first| first.write_ms)),
@@ -110,6 +110,8 @@
     Ok(outcome)
 }
 
+/// Starts an instance whose bootstrap file contains the outdated list, and which has that list cached if the build
+/// supports it.
 fn start_instance(
     index: usize,
     plan: &Plan,
@@ -118,7 +120,7 @@
     discovery: &Discovery,
     folder: &Path,
 ) -> std::io::Result<Instance> {
-    let list = serde_json::json!({ "seq": LIST_VERSION, "whole": true, "hosts": scenario.lists.old });
+    let list = serde_json::json!({ "seq": LIST_VERSION, "whole": true, "hosts": scenario.lists.outdated });
     let bootstrap = format!(
         r#"{{"seed":"{:x}{index}","limits":{},"known":{list},"settings":{}}}"#,
         plan.seed & BOOTSTRAP_SEED_MASK,
@@ -144,6 +146,7 @@
     Ok(Instance { daemon, listen })
 }
 
+/// Writes the cached list of an instance.
 fn write_cache(state_dir: &Path, plan: &Plan, scenario: &Scenario) -> std::io::Result<()> {
     let saved_ms = unix_ms() - plan.age_ms();
     let mut list = CachedEndpointList {
@@ -158,37 +161,42 @@
     Ok(())
 }
 
-fn start_clients(plan: &Plan, instances: &[Instance], run: &Arc<ClientRun>) -> Vec<JoinHandle<FirstServed>> {
+/// Starts a thread for each client, distributed over the instances.
+fn start_clients(plan: &Plan, instances: &[Instance], run: &Arc<RunState>) -> Vec<JoinHandle<FirstServed>> {
     let start = |index: usize| {
         let run = run.clone();
         let seed = client_seed(plan.seed, index);
         let listen = instances[index % instances.len()].listen;
-        thread::spawn(move || run.run(&listen, index, seed))
+        thread::spawn(move || run.run_client(&listen, index, seed))
     };
     (0..plan.clients).map(start).collect()
 }
 
-/// Ends the outage of discovery in the way that the plan says.
-fn bring_back(plan: &Plan, discovery: &Discovery, scenario: &Scenario) {
-    let broken_first = |mode: DiscoveryMode| {
+/// Ends the outage of discovery as described by the plan.
+fn restore_discovery(plan: &Plan, discovery: &Discovery, scenario: &Scenario) {
+    let fail_first = |mode: DiscoveryMode| {
         discovery.set_mode(mode);
         thread::sleep(BROKEN_RETURN);
     };
-    discovery.set_list(LIST_VERSION + VERSIONS_WHILE_DOWN, scenario.lists.present.clone());
+    discovery.set_list(LIST_VERSION + VERSIONS_WHILE_DOWN, scenario.lists.current.clone());
     match plan.discovery_return {
         DiscoveryReturn::AtOnce => {}
-        DiscoveryReturn::LowerVersion => discovery.set_list(RESTORED_VERSION, scenario.lists.present.clone()),
-        DiscoveryReturn::EmptyFirst => broken_first(DiscoveryMode::Empty),
-        DiscoveryReturn::TruncatedLineFirst => broken_first(DiscoveryMode::TruncatedLine),
+        DiscoveryReturn::LowerVersion => discovery.set_list(RESTORED_VERSION, scenario.lists.current.clone()),
+        DiscoveryReturn::EmptyFirst => fail_first(DiscoveryMode::Empty),
+        DiscoveryReturn::TruncatedLineFirst => fail_first(DiscoveryMode::TruncatedLine),
         DiscoveryReturn::Flapping => return discovery.set_mode(DiscoveryMode::Flapping(FLAPPING_PERIOD)),
     }
     discovery.set_mode(DiscoveryMode::Up);
 }
 
-fn judge(scenario: &Scenario, records: &[RequestRecord], back_at_ms: i64) -> Outcome {
+/// Checks the history of a run. Counts rejections, and the groups in which a write that was sent after the return of
+/// discovery, at `restored_ms`, was served.
+fn evaluate(scenario: &Scenario, records: &[RequestRecord], restored_ms: i64) -> Outcome {
     let groups = scenario.groups_with_primary();
     let is_served_write = |record: &&RequestRecord| {
-        record.kind == Kind::Write && matches!(record.answer, Answer::Value(_)) && record.sent_ms > back_at_ms
+        record.kind == Kind::Write
+            && matches!(record.answer, Answer::Value(_))
+            && record.sent_ms > restored_ms
     };
     let writes = |group: &&i64| {
         let mut served = records.iter().filter(is_served_write);
--- a/test-servers/src/restart/scenario.rs
+++ b/test-servers/src/restart/scenario.rs
@@ -1,4 +1,4 @@
-//! A cluster after its faults, with the endpoint lists from before and after them.
+//! A cluster to which the faults of a plan have been applied, and the endpoint lists before and after the faults.
 
 use super::faults::{apply_fault, GROUP_SIZE};
 use super::plan::Plan;
@@ -13,28 +13,32 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Time since the start of endpoints whose slow start is over.
-const LONG_AGO_MS: i64 = 3_600_000;
-/// Replication lag: far below the bound on staleness, so that only faults make replicas stale.
+/// Age of endpoints whose slow start is over.
+const WARM_ENDPOINT_AGE_MS: i64 = 3_600_000;
+/// Replication lag without a fault: far below the bound on staleness, so that only faults make replicas stale.
 const REPLICATION_LAG: JitteredMs = JitteredMs { min_ms: 10, jitter_ms: 60 };
-/// Lag of a replica's position when it was reported for the cached list.
+/// Lag of the reported positions in the cached list.
 const REPORTED_LAG_MS: i64 = 10;
 
-/// The endpoint lists from before and after the faults.
+/// The endpoint lists before and after the faults.
 pub struct ScenarioLists {
-    /// The list from before the faults, in discovery's format.
-    pub old: Vec<Value>,
-    /// The same list as cached by an instance.
+    /// The list before the faults, in the format of the discovery service.
+    pub outdated: Vec<Value>,
+    /// The same list as an instance has cached it.
     pub cached: Vec<CachedEndpoint>,
-    /// The current list, in discovery's format.
-    pub present: Vec<Value>,
+    /// The list after the faults, in the format of the discovery service.
+    pub current: Vec<Value>,
 }
 
-/// A cluster after its faults.
+/// A cluster to which the faults of a plan have been applied.
 pub struct Scenario {
+    /// Model of the cluster.
     pub cluster: Arc<Cluster>,
+    /// The listening endpoints, in the order of their indices.
     pub served: Vec<ServedEndpoint>,
+    /// The endpoint lists before and after the faults.
     pub lists: ScenarioLists,
+    /// Numbers of the groups.
     pub groups: Vec<i64>,
 }
 
@@ -44,7 +48,7 @@
         let cluster = Arc::new(Cluster::new(SLOW_START, DRAIN_GRACE_MS));
         let mut rng = event_rng(plan.seed);
         let now_ms = unix_ms();
-        let started_ms = if plan.just_started { now_ms } else { now_ms - LONG_AGO_MS };
+        let started_ms = if plan.just_started { now_ms } else { now_ms - WARM_ENDPOINT_AGE_MS };
         let groups: Vec<i64> = (1..=plan.faults.len() as i64).collect();
         for &group in &groups {
             add_group(&mut cluster.lock(), group, started_ms, &mut rng);
@@ -59,18 +63,20 @@
             apply_fault(state, *fault, first, now_ms, &mut listed_addresses, &mut rng);
         }
         let state = cluster.lock();
-        let listed = || (0..count).filter(|index| is_listed(*index));
-        let old = listed().map(|index| old_entry(&state, index, &listed_addresses[index])).collect();
-        let cached =
-            listed().map(|index| cached_entry(&state, index, &listed_addresses[index], now_ms, plan));
-        let members = (0..count).filter(|index| is_member(&state, *index));
-        let present = members.map(|index| present_entry(&state, index, &addresses[index], plan)).collect();
-        let lists = ScenarioLists { old, cached: cached.collect(), present };
+        let previously_listed = || (0..count).filter(|index| was_listed(*index));
+        let outdated = previously_listed()
+            .map(|index| outdated_entry(&state, index, &listed_addresses[index]))
+            .collect();
+        let cached = previously_listed()
+            .map(|index| cached_entry(&state, index, &listed_addresses[index], now_ms, plan));
+        let members = (0..count).filter(|index| is_listed_now(&state, *index));
+        let current = members.map(|index| current_entry(&state, index, &addresses[index], plan)).collect();
+        let lists = ScenarioLists { outdated, cached: cached.collect(), current };
         drop(state);
         Scenario { cluster, served, lists, groups }
     }
 
-    /// Groups with a reachable primary.
+    /// Numbers of the groups with a reachable primary.
     pub fn groups_with_primary(&self) -> Vec<i64> {
         let state = self.cluster.lock();
         let has_primary = |group: &i64| {
@@ -86,35 +92,37 @@
     let first = state.endpoints.len();
     for member in 0..GROUP_SIZE {
         let upstream = (member > 0).then_some(first);
-        let lag_ms = REPLICATION_LAG.draw(rng);
+        let lag_ms = REPLICATION_LAG.sample(rng);
         let mut endpoint = EndpointModel::new(format!("s-{group}-{member}"), group, upstream, lag_ms);
         endpoint.process.started_ms = started_ms;
         state.endpoints.push(endpoint);
     }
 }
 
-/// Whether an endpoint is in the old list: the last one of each group was added later.
-fn is_listed(index: EndpointIndex) -> bool {
+/// Whether an endpoint is in the outdated list: all except the last one of each group, which was added later.
+fn was_listed(index: EndpointIndex) -> bool {
     index % GROUP_SIZE != GROUP_SIZE - 1
 }
 
+/// Whether an endpoint was the primary of its group before the faults.
 fn was_primary(index: EndpointIndex) -> bool {
     index.is_multiple_of(GROUP_SIZE)
 }
 
-/// Whether discovery lists an endpoint now: unreachable endpoints and those on abandoned branches were removed.
-fn is_member(state: &ClusterState, index: EndpointIndex) -> bool {
+/// Whether an endpoint is in the current list: all except those that do not answer, are unreachable or are on an
+/// abandoned branch.
+fn is_listed_now(state: &ClusterState, index: EndpointIndex) -> bool {
     let endpoint = &state.endpoints[index];
     endpoint.process.reachability == Reachability::Up
         && state.branches[&endpoint.group][endpoint.replication.branch].is_live
 }
 
-fn old_entry(state: &ClusterState, index: EndpointIndex, address: &SocketAddr) -> Value {
+fn outdated_entry(state: &ClusterState, index: EndpointIndex, address: &SocketAddr) -> Value {
     let endpoint = &state.endpoints[index];
     list_entry(&endpoint.name, address, endpoint.group, was_primary(index), "SERVING", 0)
 }
 
-fn present_entry(state: &ClusterState, index: EndpointIndex, address: &SocketAddr, plan: &Plan) -> Value {
+fn current_entry(state: &ClusterState, index: EndpointIndex, address: &SocketAddr, plan: &Plan) -> Value {
     let endpoint = &state.endpoints[index];
     let born_ms = if plan.just_started { endpoint.process.started_ms } else { 0 };
     list_entry(&endpoint.name, address, endpoint.group, endpoint.primary, "SERVING", born_ms)
--- a/test-servers/src/restart/throughput.rs
+++ b/test-servers/src/restart/throughput.rs
@@ -1,4 +1,4 @@
-//! Cost of caching the endpoint list: read throughput with and without it.
+//! Read throughput with and without a cached endpoint list, to measure the cost of caching it.
 
 use super::plan::Plan;
 use super::run::{LIMITS, LIST_VERSION};
@@ -18,20 +18,21 @@
 
 /// Time before reads are counted.
 const WARM_UP: Duration = Duration::from_millis(1_500);
-/// Interval of new versions of the endpoint list.
+/// Interval at which discovery publishes a new version of the endpoint list.
 const LIST_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause of a client after a read that was not served.
 const RETRY_DELAY: Duration = Duration::from_millis(2);
-/// Any fixed number: the cluster is the same in every measurement.
+/// Any fixed number, so that the cluster is the same in every measurement.
 const SEED: u64 = 1;
-/// Age of the cached list: too short to matter.
+/// Age of the list in the plan. Discovery is up, so the age has no effect.
 const LIST_AGE_S: i64 = 5;
 const READ_TIMEOUT_MS: i64 = 400;
 
-/// Measures the reads served per second, with discovery up and a new version of the list every 100 ms. Each client
-/// sends its requests one after the other.
+/// Measures how many reads a daemon serves per second, while discovery publishes a new version of the endpoint list
+/// every 100 ms. `caches_list` says whether the daemon caches the list. Each client sends one request after another.
 ///
 /// # Errors
-/// The daemon cannot be started.
+/// The daemon cannot be started, or a file cannot be written.
 pub fn reads_per_second(
     program: &Path,
     caches_list: bool,
@@ -40,7 +41,7 @@
 ) -> std::io::Result<f64> {
     let folder = tempfile::tempdir()?;
     let scenario = Scenario::new(&Plan::without_faults(SEED, LIST_AGE_S));
-    let discovery = Discovery::start(DiscoveryMode::Up, LIST_VERSION, scenario.lists.present.clone());
+    let discovery = Discovery::start(DiscoveryMode::Up, LIST_VERSION, scenario.lists.current.clone());
     let listen = free_address();
     let daemon = start_daemon(program, caches_list, folder.path(), listen, &discovery)?;
     let count_from = Instant::now() + WARM_UP;
@@ -54,7 +55,7 @@
     while Instant::now() < count_from + duration {
         thread::sleep(LIST_INTERVAL);
         version += 1;
-        discovery.set_list(version, scenario.lists.present.clone());
+        discovery.set_list(version, scenario.lists.current.clone());
     }
     is_over.store(true, Ordering::Release);
     let reads: usize = counting.into_iter().filter_map(|client| client.join().ok()).sum();
@@ -84,7 +85,7 @@
     })
 }
 
-/// Sends reads until the run is over. Returns the number of reads served since `count_from`.
+/// Sends reads until `is_over` is set. Returns the number of reads that were served after `count_from`.
 fn count_reads(
     listen: &SocketAddr,
     index: usize,
--- a/test-servers/src/sessions/client.rs
+++ b/test-servers/src/sessions/client.rs
@@ -1,4 +1,5 @@
-//! A client with one session, which it carries from instance to instance, and its writes in doubt.
+//! A client that continues one session on several instances, and resolves its writes in doubt. A write is in doubt if it
+//! was aborted or its answer was lost, so that the client does not know whether it was executed.
 
 use super::plan::GROUPS;
 use crate::client::{Answer, Client, Kind, RequestRecord, RequestTimeouts};
@@ -13,49 +14,56 @@
 use std::thread;
 use std::time::Duration;
 
-/// On average a client moves to another instance once in this many requests.
+/// A client closes its connection before a request, to continue on a random instance, with a probability of one in this
+/// number.
 const REQUESTS_PER_MOVE: usize = 4;
 /// Pause of a client between two requests.
 const REQUEST_PAUSE: JitteredMs = JitteredMs { min_ms: 2, jitter_ms: 10 };
-/// Kinds of requests in the proportions in which they are drawn.
-const KINDS: [Kind; 5] = [Kind::Read, Kind::Read, Kind::Read, Kind::Write, Kind::KeyedWrite];
+/// Kinds of requests to choose from, in their proportions.
+const REQUEST_KINDS: [Kind; 5] = [Kind::Read, Kind::Read, Kind::Read, Kind::Write, Kind::KeyedWrite];
 const TIMEOUTS: RequestTimeouts = RequestTimeouts { read_ms: 400, write_ms: 700 };
 const RECONNECT_DELAY: Duration = Duration::from_millis(3);
-/// Maximum number of attempts of a client to reconnect to a killed instance.
+/// Maximum number of attempts to reconnect to the instance that a write in doubt was sent to.
 const MAX_RECONNECTS: usize = 400;
-/// Delays after which a client resolves a write in doubt. The longest exceeds the deduplication window.
-const QUERY_DELAYS_MS: [u64; 4] = [0, 0, 40, 1_700];
-/// On average one in this many keyed writes in doubt is not sent again, so that its fate is that of the first attempt.
+/// Delays to choose from before a client resolves a write in doubt. The longest exceeds the deduplication window.
+const RESOLVE_DELAYS_MS: [u64; 4] = [0, 0, 40, 1_700];
+/// A keyed write in doubt is not sent again with a probability of one in this number. Its fate is then that of the first
+/// attempt.
 const KEYED_WRITES_PER_UNRETRIED: usize = 3;
 /// Value of the session parameter that begins a session.
 const NEW_SESSION: &str = "new";
 /// User that clients connect as.
 const USER: &str = "backend";
 
-/// State shared by the clients and the thread that kills instances.
+/// State that the clients share with the thread that kills instances.
 pub(super) struct RunState {
     /// Addresses of the instances.
     pub listen: Vec<SocketAddr>,
-    /// Times of the kills of each instance.
+    /// Times of the kills of each instance, in Unix milliseconds.
     pub killed_ms: Vec<Mutex<Vec<i64>>>,
+    /// Set at the end of the run.
     pub is_over: AtomicBool,
 }
 
-/// A client with one session, which it carries from instance to instance.
-pub(super) struct Session {
+/// A client that continues one session on several instances, and what it has recorded.
+pub(super) struct SessionClient {
     shared: Arc<RunState>,
-    has_token: bool,
+    uses_session: bool,
     index: usize,
     rng: Mwc,
     serial: usize,
     token: Option<String>,
+    /// Records of its requests.
     pub records: Vec<RequestRecord>,
+    /// Answers to its fate queries.
     pub fates: Vec<FateAnswer>,
+    /// Number of writes that were aborted or whose answer was lost.
     pub writes_in_doubt: usize,
+    /// Number of writes in doubt that were served when they were sent again.
     pub served_on_retry: usize,
 }
 
-/// A connection to an instance, and when it was opened.
+/// A connection to the instance with this index, and when it was opened, in Unix milliseconds.
 struct Connection {
     client: Client,
     instance: usize,
@@ -69,12 +77,12 @@
     kind: Kind,
 }
 
-impl Session {
-    /// Creates a client that has no session yet. If `has_token` is false, it never uses one.
-    pub fn new(seed: u64, index: usize, has_token: bool, shared: Arc<RunState>) -> Session {
-        Session {
+impl SessionClient {
+    /// Creates a client that has no session yet. If `uses_session` is false, it connects without a session.
+    pub fn new(seed: u64, index: usize, uses_session: bool, shared: Arc<RunState>) -> SessionClient {
+        SessionClient {
             shared,
-            has_token,
+            uses_session,
             index,
             rng: Mwc::new(seed),
             serial: 0,
@@ -86,8 +94,8 @@
         }
     }
 
-    /// Sends requests until the run is over.
-    pub fn run(mut self) -> Session {
+    /// Sends requests until the run is over. Returns the client with its records.
+    pub fn run(mut self) -> SessionClient {
         let mut connection = None;
         while !self.shared.is_over.load(Ordering::Acquire) {
             if one_in(&mut self.rng, REQUESTS_PER_MOVE) {
@@ -96,16 +104,16 @@
             let instance = self.rng.below(self.shared.listen.len());
             let Some(current) = connection.take().or_else(|| self.open(instance)) else { continue };
             connection = self.send_next(current);
-            thread::sleep(Duration::from_millis(REQUEST_PAUSE.draw(&mut self.rng) as u64));
+            thread::sleep(Duration::from_millis(REQUEST_PAUSE.sample(&mut self.rng) as u64));
         }
         self
     }
 
-    /// Sends one request. Returns the connection unless it has ended.
+    /// Sends a random request, and resolves it if it is a write in doubt. Returns the connection unless it has ended.
     fn send_next(&mut self, mut connection: Connection) -> Option<Connection> {
         self.serial += 1;
         let id = format!("{:x}.{:x}", self.index, self.serial);
-        let kind = choose(&mut self.rng, &KINDS);
+        let kind = choose(&mut self.rng, &REQUEST_KINDS);
         let group = choose(&mut self.rng, &GROUPS);
         let answer = self.request(&mut connection, &id, group, kind);
         let is_in_doubt = matches!(answer, Answer::Missing | Answer::Aborted) && kind != Kind::Read;
@@ -120,9 +128,10 @@
         (answer != Answer::Missing).then_some(connection)
     }
 
+    /// Connects to an instance and continues the session. Waits for a short time after a failure.
     fn open(&mut self, instance: usize) -> Option<Connection> {
         let opened_ms = unix_ms();
-        let session = self.has_token.then(|| self.token.as_deref().unwrap_or(NEW_SESSION));
+        let session = self.uses_session.then(|| self.token.as_deref().unwrap_or(NEW_SESSION));
         let client = Client::with_session(&self.shared.listen[instance], USER, session).ok();
         let client = client.filter(|client| client.rejected_with.is_none());
         if client.is_none() {
@@ -131,6 +140,7 @@
         client.map(|client| Connection { client, instance, opened_ms })
     }
 
+    /// Sends a request and records it, and stores the session token that the answer contains.
     fn request(&mut self, connection: &mut Connection, id: &str, group: i64, kind: Kind) -> Answer {
         let mut record = connection.client.request(id, group, kind, TIMEOUTS.of(kind));
         let killed_ms = lock(&self.shared.killed_ms[connection.instance]);
@@ -142,10 +152,10 @@
         answer
     }
 
-    /// Resolves a write in doubt at the instance that it was sent to: sends it again if it has an idempotency key, in
-    /// some cases after the deduplication window, and queries its fate.
+    /// Resolves a write in doubt at the instance that it was sent to: sends most writes with an idempotency key again, in
+    /// some cases after the deduplication window, and queries the fate of the write.
     fn resolve_doubt(&mut self, instance: usize, write: &Write, origin: Option<String>) {
-        let delay_ms = choose(&mut self.rng, &QUERY_DELAYS_MS);
+        let delay_ms = choose(&mut self.rng, &RESOLVE_DELAYS_MS);
         thread::sleep(Duration::from_millis(delay_ms));
         let mut tries = 0..MAX_RECONNECTS;
         let Some(mut connection) = tries.find_map(|_| self.open(instance)) else { return };
--- a/test-servers/src/sessions/deployment.rs
+++ b/test-servers/src/sessions/deployment.rs
@@ -1,6 +1,7 @@
-//! The deployment of a run: a cluster with discovery, instances of the router on it, their kills, and the failover.
+//! The deployment of a run: a cluster with discovery, the instances of the router, the kills of instances, and the
+//! failover.
 
-use super::client::{RunState, Session};
+use super::client::{RunState, SessionClient};
 use super::plan::{Plan, GROUPS};
 use crate::cluster::{unix_ms, Branch, Cluster, EndpointIndex, EndpointModel, OldPrimary};
 use crate::daemon::{Daemon, DaemonOptions};
@@ -19,25 +20,28 @@
 const GROUP_SIZE: usize = 3;
 /// Content of the session key file of all instances.
 const SESSION_KEYS: &str = "1 000102030405060708090a0b0c0d0e0f\n";
-/// Versions of the endpoint list before and after the failover.
+/// Version of the endpoint list before the failover.
 const FIRST_LIST_VERSION: i64 = 2;
+/// Version of the endpoint list after the failover.
 const FAILOVER_LIST_VERSION: i64 = 3;
 /// Pause between two kills, during which clients send requests.
 const KILL_PAUSE: JitteredMs = JitteredMs { min_ms: 120, jitter_ms: 200 };
 
-/// A cluster with discovery, and what instances of the router need to start on it.
+/// A cluster with discovery, and what instances of the router need to start.
 pub(super) struct Deployment<'a> {
     plan: &'a Plan,
     build: &'a Build<'a>,
     folder: tempfile::TempDir,
     discovery: Discovery,
+    /// Model of the cluster.
     pub cluster: Arc<Cluster>,
     served: Vec<ServedEndpoint>,
+    /// State that the clients share with the thread that kills instances.
     pub shared: Arc<RunState>,
 }
 
 impl<'a> Deployment<'a> {
-    /// Starts the endpoints and discovery, which lists them.
+    /// Starts the endpoints, and a discovery service that lists them.
     pub fn new(plan: &'a Plan, build: &'a Build<'a>) -> std::io::Result<Deployment<'a>> {
         let cluster = Arc::new(Cluster::new(NO_SLOW_START, DRAIN_GRACE_MS));
         for group in GROUPS {
@@ -58,7 +62,7 @@
         Ok(deployment)
     }
 
-    /// Publishes the current endpoint list in discovery.
+    /// Publishes the endpoints with their current roles as a new version of the endpoint list.
     fn publish_list(&self, version: i64) {
         let state = self.cluster.lock();
         let entry = |index: EndpointIndex| {
@@ -69,7 +73,7 @@
         self.discovery.set_list(version, (0..state.endpoints.len()).map(entry).collect());
     }
 
-    /// Starts an instance, which finds the state that an earlier one of this index left.
+    /// Starts the instance with this index. Its state directory is kept when it is killed and started again.
     pub fn start_instance(&self, index: usize) -> std::io::Result<Daemon> {
         let folder = self.folder.path().join(format!("instance-{index}"));
         let state_dir = folder.join("state");
@@ -92,20 +96,20 @@
     }
 
     /// Starts a thread for each client of the plan.
-    pub fn start_clients(&self) -> Vec<JoinHandle<Session>> {
+    pub fn start_clients(&self) -> Vec<JoinHandle<SessionClient>> {
         let start = |index: usize| {
             let seed = client_seed(self.plan.seed, index);
-            let session = Session::new(seed, index, self.build.has_operator_file, self.shared.clone());
+            let session = SessionClient::new(seed, index, self.build.has_operator_file, self.shared.clone());
             thread::spawn(move || session.run())
         };
         (0..self.plan.clients).map(start).collect()
     }
 
-    /// Kills instances at random and restarts each one at once, with a failover halfway.
+    /// Kills random instances and restarts each one immediately. A failover happens after half of the kills.
     pub fn kill_instances(&self, daemons: &mut [Option<Daemon>]) -> std::io::Result<()> {
         let mut rng = event_rng(self.plan.seed);
         for kill in 0..self.plan.kills {
-            thread::sleep(Duration::from_millis(KILL_PAUSE.draw(&mut rng) as u64));
+            thread::sleep(Duration::from_millis(KILL_PAUSE.sample(&mut rng) as u64));
             if kill == self.plan.kills / 2 {
                 self.fail_over(&mut rng);
             }
@@ -117,7 +121,7 @@
         Ok(())
     }
 
-    /// Promotes the first replica of a group, which loses the log beyond the replica's position.
+    /// Promotes the first replica of a random group. The group loses the part of its log after the replica's position.
     fn fail_over(&self, rng: &mut Mwc) {
         let mut state = self.cluster.lock();
         let successor = 1 + rng.below(GROUPS.len()) * GROUP_SIZE;
--- a/test-servers/src/sessions/mod.rs
+++ b/test-servers/src/sessions/mod.rs
@@ -1,5 +1,5 @@
-//! Randomized runs of sessions and writes during kills of instances, moves of clients between instances, replication
-//! lag, and a failover that loses the end of a log. The resulting history is checked.
+//! Randomized runs of sessions and writes, during which instances are killed, clients move between instances, replicas
+//! lag, and a failover loses the end of a log. The resulting history is checked.
 
 mod client;
 mod deployment;
--- a/test-servers/src/sessions/run.rs
+++ b/test-servers/src/sessions/run.rs
@@ -1,6 +1,6 @@
-//! One run: clients send requests while instances are killed and a failover happens, and the history is checked.
+//! A run: clients send requests while instances are killed and a failover happens, and the history is checked.
 
-use super::client::Session;
+use super::client::SessionClient;
 use super::deployment::Deployment;
 use super::plan::Plan;
 use crate::client::{Answer, RequestRecord};
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long clients continue after the last kill.
+/// How long clients continue to send requests after the last kill.
 const AFTER_LAST_KILL: Duration = Duration::from_millis(600);
 
 /// Result of a run.
@@ -21,13 +21,13 @@
     pub verdict: Verdict,
     /// Number of kills of instances.
     pub kills: usize,
-    /// Writes that were aborted or whose answer was lost.
+    /// Number of writes that were aborted or whose answer was lost.
     pub writes_in_doubt: usize,
-    /// Writes in doubt whose fate query was answered with a fate.
+    /// Number of writes in doubt whose fate was reported when it was queried.
     pub fates_reported: usize,
-    /// Writes in doubt that were served when they were sent again.
+    /// Number of writes in doubt that were served when they were sent again.
     pub served_on_retry: usize,
-    /// Notifications of sessions that a failover had lost data that they had observed.
+    /// Number of errors that told a session that a failover has lost data that the session had observed.
     pub losses_reported: usize,
 }
 
@@ -47,10 +47,10 @@
     let mut outcome = Outcome { kills: plan.kills, ..Outcome::default() };
     let (mut sessions, mut fates) = (Vec::new(), Vec::new());
     for client in clients {
-        let session = client.join().map_err(|_| std::io::Error::other("a client panicked"))?;
-        outcome.add(&session);
-        sessions.push(session.records);
-        fates.extend(session.fates);
+        let client = client.join().map_err(|_| std::io::Error::other("a client panicked"))?;
+        outcome.add(&client);
+        sessions.push(client.records);
+        fates.extend(client.fates);
     }
     drop(daemons);
     outcome.verdict = check(&deployment.cluster.history(Vec::new(), sessions, fates));
@@ -58,12 +58,13 @@
 }
 
 impl Outcome {
-    fn add(&mut self, session: &Session) {
+    /// Adds the results of one client.
+    fn add(&mut self, client: &SessionClient) {
         let is_loss = |record: &&RequestRecord| record.answer == Answer::Error(SESSION_LOST.into());
         let is_reported = |fate: &&FateAnswer| matches!(fate.answer, Answer::Value(_));
-        self.writes_in_doubt += session.writes_in_doubt;
-        self.served_on_retry += session.served_on_retry;
-        self.losses_reported += session.records.iter().filter(is_loss).count();
-        self.fates_reported += session.fates.iter().filter(is_reported).count();
+        self.writes_in_doubt += client.writes_in_doubt;
+        self.served_on_retry += client.served_on_retry;
+        self.losses_reported += client.records.iter().filter(is_loss).count();
+        self.fates_reported += client.fates.iter().filter(is_reported).count();
     }
 }
--- a/test-servers/src/settings.rs
+++ b/test-servers/src/settings.rs
@@ -1,28 +1,29 @@
-//! Bootstrap settings of instances, and the slow-start models that match them.
+//! Bootstrap settings of instances, and the slow-start models of endpoints that match them.
 
-use crate::cluster::{SlowStartModel, BOUND_MS};
+use crate::cluster::{SlowStartModel, STALENESS_BOUND_MS};
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
-/// Instances in a deployment whose number does not matter.
+/// Number of instances in the settings of tests that do not depend on it.
 const DEFAULT_INSTANCES: usize = 2;
-/// Resolution of clocks and positions.
+/// Resolution of the clocks and of the positions on logs.
 const CLOCK_RESOLUTION_MS: i64 = 5;
-/// Latency objective of every class: an answer within this time has its full value.
+/// Latency objective of every method: an answer within this time has its full value for the client.
 const LATENCY_OBJECTIVE_MS: i64 = 400;
-/// Maximum times that clients wait for the answer to a read and to a write.
+/// Longest time that a client waits for the answer to a read.
 const READ_DEADLINE_MS: i64 = 800;
+/// Longest time that a client waits for the answer to a write.
 const WRITE_DEADLINE_MS: i64 = 1_000;
-/// The fraction of its value that the answer to a write after the latency objective still has.
+/// Fraction of its full value that the answer to a write has after the latency objective.
 const LATE_WRITE_VALUE: f64 = 0.5;
 /// Maximum attempts per request.
 const MAX_ATTEMPTS: u32 = 6;
-/// Longest Retry-After time of a rejection: short, so that rejected clients return within a run.
+/// Longest Retry-After time of a rejection: short, so that rejected clients retry within a run.
 const MAX_RETRY_AFTER_MS: i64 = 500;
 /// Deduplication window of writes with an idempotency key.
 pub const DEDUP_WINDOW_MS: i64 = 1_500;
-/// Grace period after the announcement of a drain within which statements may still arrive.
+/// Grace period after a drain begins, within which statements may still arrive.
 pub const DRAIN_GRACE_MS: i64 = 250;
-/// Slow start as in the operators' deployments, but shorter.
+/// Slow start as in the operators' deployments, but shorter. The settings of instances describe it.
 pub const SLOW_START: SlowStartModel = SlowStartModel {
     initial_fraction: 0.23,
     duration_ms: 8_000,
@@ -30,7 +31,7 @@
     window_ms: 2_000,
     work_ms: 4,
 };
-/// Endpoints with full capacity from the start that cannot be overloaded.
+/// No slow start: endpoints have their full capacity from the start, and no load overloads them.
 pub const NO_SLOW_START: SlowStartModel = SlowStartModel {
     initial_fraction: 1.0,
     duration_ms: 1,
@@ -42,25 +43,25 @@
 /// Limits on the resources of an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
-    /// Number of file descriptors.
+    /// Maximum number of file descriptors.
     pub descriptors: usize,
-    /// Memory in MB.
+    /// Maximum memory in MB.
     pub memory_mb: usize,
 }
 
 impl ResourceLimits {
-    /// The limits section of a bootstrap file, in JSON.
+    /// The `limits` section of a bootstrap file, in JSON.
     pub fn to_json(&self) -> String {
         format!(r#"{{"sockets":{},"memory_mb":{}}}"#, self.descriptors, self.memory_mb)
     }
 }
 
-/// The settings section of a bootstrap file, in JSON, for a deployment of two instances.
+/// The `settings` section of a bootstrap file, in JSON, for a deployment of two instances.
 pub fn settings() -> String {
     settings_for(DEFAULT_INSTANCES)
 }
 
-/// The settings section of a bootstrap file, in JSON, for a deployment of `instances`.
+/// The `settings` section of a bootstrap file, in JSON, for a deployment of `instances` instances.
 pub fn settings_for(instances: usize) -> String {
     let ms = |ms: i64| ms * NANOS_PER_MILLI;
     format!(
@@ -82,7 +83,7 @@
         ms(LATENCY_OBJECTIVE_MS),
         ms(WRITE_DEADLINE_MS),
         ms(DEDUP_WINDOW_MS),
-        ms(BOUND_MS),
+        ms(STALENESS_BOUND_MS),
         ms(MAX_RETRY_AFTER_MS),
         SLOW_START.initial_fraction,
         ms(SLOW_START.duration_ms),
--- a/test-servers/src/single_endpoint.rs
+++ b/test-servers/src/single_endpoint.rs
@@ -1,4 +1,4 @@
-//! The smallest cluster: one group with one primary, a discovery service that lists it, and a temporary directory.
+//! The smallest cluster: one group of one endpoint, its primary, and a discovery service that lists the endpoint.
 
 use crate::cluster::{Branch, Cluster, EndpointModel, SlowStartModel};
 use crate::daemon::{Daemon, DaemonOptions};
@@ -9,12 +9,12 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Memory limit in the bootstrap files of instances, in MB.
+/// Memory limit of each instance in MB.
 const MEMORY_MB: usize = 256;
 
-/// A cluster of one endpoint.
+/// A cluster of one endpoint, and a temporary directory for its instances.
 pub struct SingleEndpoint {
-    /// Temporary directory for instances.
+    /// Temporary directory for the files of instances.
     pub folder: tempfile::TempDir,
     /// Model of the cluster.
     pub cluster: Arc<Cluster>,
@@ -23,7 +23,7 @@
 }
 
 impl SingleEndpoint {
-    /// Starts the cluster. The endpoint takes `work_ms` milliseconds for each statement.
+    /// Starts the endpoint and the discovery service. Each statement has a service time of `work_ms` milliseconds.
     pub fn new(work_ms: i64) -> SingleEndpoint {
         let slow_start = SlowStartModel { work_ms, ..NO_SLOW_START };
         let cluster = Arc::new(Cluster::new(slow_start, DRAIN_GRACE_MS));
@@ -32,11 +32,13 @@
         let served = serve(&cluster, 0);
         let entry = list_entry("s-0", &served.addr, 1, true, "SERVING", 0);
         let discovery = Discovery::start(DiscoveryMode::Up, 1, vec![entry]);
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("the temporary directory could not be created");
         SingleEndpoint { folder, cluster, discovery, _served: served }
     }
 
-    /// Starts an instance in its own directory, which gets a subdirectory `state`, with a limit on file descriptors.
+    /// Starts an instance that listens on `listen` and may open `descriptors` file descriptors. Its configuration files
+    /// are written to `folder`; a subdirectory `state` is created there if it does not exist. `operator_file`
+    /// is the content of the operators' file.
     pub fn start(
         &self,
         program: &Path,
@@ -45,7 +47,7 @@
         descriptors: usize,
         operator_file: &str,
     ) -> Daemon {
-        std::fs::create_dir_all(folder.join("state")).expect("a writable folder");
+        std::fs::create_dir_all(folder.join("state")).expect("the state directory could not be created");
         let limits = ResourceLimits { descriptors, memory_mb: MEMORY_MB }.to_json();
         let bootstrap = format!(r#"{{"seed":"1","limits":{limits},"settings":{}}}"#, settings());
         let options = DaemonOptions {
@@ -56,6 +58,6 @@
             listen,
             discovery: self.discovery.addr,
         };
-        Daemon::start(&options).expect("it starts")
+        Daemon::start(&options).expect("the daemon could not be started")
     }
 }
