--- a/test-servers/src/bin/starts/main.rs
+++ b/test-servers/src/bin/starts/main.rs
@@ -1,5 +1,5 @@
-//! Runs starts with discovery down against one build or two, and prints which rules broke, how long the first requests
-//! took, or the cost of caching the endpoint list.
+//! Starts instances while discovery is down, with one build or two, and prints the violated rules or the times of the
+//! first requests. Also measures the cost of caching the endpoint list.
 
 mod ages;
 mod faults;
@@ -14,40 +14,42 @@
 use std::time::Duration;
 use test_servers::comparison::{builds_to_compare, NamedBuild};
 
-/// How long discovery is down after the start.
+/// How long discovery is down after the start of the instances.
 const DISCOVERY_DOWN: Duration = Duration::from_millis(1_500);
 
+/// The experiments. The doc comments of the variants are part of the help text.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Experiment {
-    /// Drawn faults; which rules broke
+    /// Random faults: prints the violated rules
     Faults,
-    /// No faults; how long the first read and the first write take, by the list's age
+    /// No faults: prints the time until the first read and the first write, by the age of the cached list
     Ages,
-    /// Reads per second with the list cached and not cached, in turn
+    /// No outage: prints the reads per second with and without caching of the endpoint list
     Rate,
 }
 
-/// Starts with discovery down and a list that may no longer be true.
+/// Starts instances while discovery is down, with a cached endpoint list that may be outdated.
 #[derive(Parser)]
 struct Arguments {
+    /// The experiment to run
     #[arg(value_enum, default_value_t = Experiment::Faults)]
     experiment: Experiment,
-    /// The daemon to test
+    /// Executable of the daemon to test
     #[arg(long)]
     daemon: PathBuf,
-    /// An earlier build without state directories, for comparison
+    /// Executable of an earlier build without a state directory, for comparison
     #[arg(long)]
     before: Option<PathBuf>,
-    /// Runs
+    /// Number of runs, each with its own seed; in `rate`, the number of pairs of measurements
     #[arg(long, default_value_t = 200)]
     seeds: u64,
-    /// The first seed
+    /// Seed of the first run; each later run uses the next number
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// Runs at the same time
+    /// Number of concurrent runs in `faults`
     #[arg(long, default_value_t = 4)]
     at_once: usize,
-    /// Prints the log of the daemon wherever something broke
+    /// Print the logs of the instances after each failed run of `faults`
     #[arg(long)]
     logs: bool,
 }
@@ -62,6 +64,7 @@
     ExitCode::SUCCESS
 }
 
+/// The builds that the command line names.
 fn builds(arguments: &Arguments) -> Vec<NamedBuild<'_>> {
     builds_to_compare(&arguments.daemon, arguments.before.as_deref())
 }
--- a/test-servers/src/bin/starts/rate.rs
+++ b/test-servers/src/bin/starts/rate.rs
@@ -1,30 +1,31 @@
-//! Cost of caching the endpoint list: reads per second with and without it.
+//! The `rate` experiment: reads per second with and without caching of the endpoint list.
 
 use crate::Arguments;
 use std::time::Duration;
 use test_servers::restart::reads_per_second;
 
 const CLIENTS: usize = 16;
-/// How long reads are counted.
+/// How long each measurement counts reads.
 const DURATION: Duration = Duration::from_secs(3);
 
-/// Measures both variants in pairs, and prints the medians and their ratio.
+/// Measures each variant once in each pair, and prints the medians and their ratio.
 pub fn run_rate(arguments: &Arguments) {
-    let (mut cached, mut plain) = (Vec::new(), Vec::new());
+    let (mut cached, mut uncached) = (Vec::new(), Vec::new());
     for pair in 0..arguments.seeds {
-        // Alternate the order, so that neither variant always runs first.
+        // The order alternates, so that neither variant always runs first.
         for caches_list in [pair % 2 == 0, pair % 2 == 1] {
             let daemon = &arguments.daemon;
             let rate = reads_per_second(daemon, caches_list, CLIENTS, DURATION);
-            let rates = if caches_list { &mut cached } else { &mut plain };
-            rates.push(rate.expect("it can be run here"));
+            let rates = if caches_list { &mut cached } else { &mut uncached };
+            rates.push(rate.expect("the measurement could not be set up"));
         }
     }
-    let (cached, plain) = (median(cached), median(plain));
+    let (cached, uncached) = (median(cached), median(uncached));
     println!(
-        "reads answered a second, median of {} pairs: cached {cached:.0}, not {plain:.0}, ratio {:.3}",
+        "reads served per second, median of {} pairs: {cached:.0} with a cached list, {uncached:.0} without, \
+         ratio {:.3}",
         arguments.seeds,
-        cached / plain
+        cached / uncached
     );
 }
 
--- a/test-servers/src/bin/writes/main.rs
+++ b/test-servers/src/bin/writes/main.rs
@@ -1,4 +1,5 @@
-//! Cost of the write journal: throughput and latency of writes, or the time that a start on a large journal takes.
+//! Cost of the write journal: throughput and latency of writes, or the duration and memory of a start with a large
+//! journal.
 
 mod starts;
 mod throughput;
@@ -11,23 +12,24 @@
 use test_servers::single_endpoint::SingleEndpoint;
 use throughput::measure_writes;
 
-/// Service time of the endpoint: none, so that only the cost of the router is measured.
+/// Service time of the endpoint in milliseconds: none, so that only the cost of the router is measured.
 const WORK_MS: i64 = 0;
 const WRITE_TIMEOUT_MS: i64 = 900;
+/// Limit of the instance on file descriptors: enough for the connections of all clients.
 const DESCRIPTORS: usize = 4_096;
-/// Larger than the number of records in any measurement, so that no record is dropped.
+/// Maximum number of records in the journal: larger than in any measurement, so that no record is dropped.
 const MAX_RECORDS: u64 = 100_000_000;
 
-/// The cost of recording writes.
+/// Measures the cost of recording writes in the write journal.
 #[derive(Parser)]
 struct Arguments {
-    /// The daemon to test
+    /// Executable of the daemon to test
     #[arg(long)]
     daemon: PathBuf,
-    /// Seconds for each row
+    /// Duration of the measurement for each row of the table, in seconds
     #[arg(long, default_value_t = 3)]
     seconds: u64,
-    /// Instead: how long a start takes on a journal of so many MB, and what memory it has then
+    /// Instead measure the duration and the peak memory of a start with a journal of this size in MB
     #[arg(long)]
     start_on_mb: Option<u64>,
 }
@@ -40,7 +42,8 @@
     }
 }
 
-/// Starts an instance whose records have the durability `journal` before their writes are sent.
+/// Starts an instance that listens on `listen`. `journal` is the mode of its write journal: the durability that a
+/// record must have before its write is sent, or `off`.
 fn start(arguments: &Arguments, fixture: &SingleEndpoint, listen: SocketAddr, journal: &str) -> Daemon {
     let folder = fixture.folder.path();
     let state_dir = folder.join("state").display().to_string();
--- a/test-servers/src/bin/writes/starts.rs
+++ b/test-servers/src/bin/writes/starts.rs
@@ -1,4 +1,4 @@
-//! How long a start takes on a large journal, and what memory it needs.
+//! Duration and peak memory of a start with a large write journal.
 
 use crate::{start, Arguments, MAX_RECORDS, WORK_MS, WRITE_TIMEOUT_MS};
 use std::net::SocketAddr;
@@ -12,47 +12,48 @@
 use write_journal::journal::{ClockReading, Durability, Journal, Operation, Retention};
 use write_journal::record_state::RecordEvent;
 
-/// Measured starts on the same journal.
+/// Number of measured starts with the same journal.
 const STARTS: usize = 3;
-/// Batches between two measurements of the size on disk, which lags behind the batches.
+/// Number of batches of records between two measurements of the size on disk, which increases after a delay.
 const BATCHES_PER_MEASUREMENT: u64 = 20;
 const RECORDS_PER_BATCH: u64 = 8_192;
-/// Records of the filled journal are kept for an hour, longer than the measurement takes.
+/// Time for which records are kept: an hour, longer than the measurement takes.
 const MAX_AGE_MS: i64 = 3_600_000;
-/// Any fixed number: names the filled journal.
+/// Seed of the journal's name. Any fixed number.
 const JOURNAL_NAME_SEED: u64 = 7;
-/// Durability of the records in the measured starts.
+/// Mode of the write journal in the measured starts.
 const JOURNAL_MODE: &str = "system";
-/// Binary logarithm of the bytes in a MB.
+/// Binary logarithm of the number of bytes in a MB.
 const MB_SHIFT: u32 = 20;
-/// The 16 hexadecimal digits of each quarter of an id come from another odd multiple of the record's number.
+/// An id consists of four numbers of 16 hexadecimal digits. Each is computed from another odd multiple of the index of
+/// the record.
 const ID_MULTIPLIERS: [u64; 4] = [1, 3, 5, 7];
 /// The first multiplier in the finalizer of `splitmix64`.
 const SPLITMIX64_MULTIPLIER: u64 = 0xbf58_476d_1ce4_e5b9;
 
-/// Measures how long starts take on a journal of `mb` MB.
+/// Measures and prints the duration and the peak memory of starts with a journal of `mb` MB.
 pub fn measure_starts(arguments: &Arguments, mb: u64) {
     let (fixture, listen) = (SingleEndpoint::new(WORK_MS), free_address());
     let path = fixture.folder.path().join("state").join("writes");
-    std::fs::create_dir_all(&path).expect("a writable folder");
+    std::fs::create_dir_all(&path).expect("the directory of the journal could not be created");
     let records = fill_journal(&path, mb);
-    println!("{records} records, {} MB on disk", folder_bytes(&path) >> MB_SHIFT);
+    println!("journal of {records} records, {} MB on disk", folder_bytes(&path) >> MB_SHIFT);
     for _ in 0..STARTS {
         let started = Instant::now();
         let daemon = start(arguments, &fixture, listen, JOURNAL_MODE);
         let first_write = wait_for_write(&listen, started);
         let status = std::fs::read_to_string(format!("/proc/{}/status", daemon.pid())).unwrap_or_default();
         let memory = status.lines().find(|line| line.starts_with("VmHWM")).unwrap_or_default();
-        println!("first write after {first_write:?}; {memory}");
+        println!("first write served {first_write:?} after the start; peak memory: {memory}");
         daemon.kill();
     }
 }
 
-/// Fills a journal until it takes `mb` MB on disk. Returns the number of records.
+/// Adds records to a new journal until its size on disk is at least `mb` MB. Returns the number of records.
 fn fill_journal(path: &Path, mb: u64) -> u64 {
     let retention = Retention { max_records: MAX_RECORDS, max_age_ms: MAX_AGE_MS };
     let journal = Journal::open(path, Durability::System, retention, JOURNAL_NAME_SEED);
-    let mut journal = journal.expect("it opens");
+    let mut journal = journal.expect("the journal could not be opened");
     let mut records = 0;
     while folder_bytes(path) < mb << MB_SHIFT {
         for _ in 0..BATCHES_PER_MEASUREMENT {
@@ -60,19 +61,20 @@
                 (records..records + RECORDS_PER_BATCH).map(record_operation).collect();
             records += RECORDS_PER_BATCH;
             let clock = ClockReading { wall_ms: unix_ms(), uptime: None };
-            journal.apply(clock, &operations).expect("it is recorded");
+            journal.apply(clock, &operations).expect("the records could not be written");
         }
     }
     records
 }
 
-/// A record with an id of the maximum length that has no prefix in common with the next one.
+/// The operation that adds the record with this index. Its id has the maximum length and no common prefix with the
+/// next one.
 fn record_operation(index: u64) -> Operation {
     let id = ID_MULTIPLIERS.map(|odd| format!("{:016x}", mix_bits(index.wrapping_mul(odd)))).concat();
     Operation::Record { id, event: RecordEvent::FirstAttempt, deduplication: None }
 }
 
-/// Mixes the bits of a number in the manner of the generator `splitmix64`.
+/// Mixes the bits of a number, in a similar way to the generator `splitmix64`.
 fn mix_bits(number: u64) -> u64 {
     let number = (number ^ (number >> 31)).wrapping_mul(GOLDEN_RATIO_64);
     (number ^ (number >> 29)).wrapping_mul(SPLITMIX64_MULTIPLIER)
@@ -89,7 +91,7 @@
     entries.map(size).sum()
 }
 
-/// Sends writes until one is served. Returns the time since `started`.
+/// Connects and sends writes until one is served. Returns the time since `started`.
 fn wait_for_write(listen: &SocketAddr, started: Instant) -> Duration {
     loop {
         let Ok(mut client) = Client::open(listen) else { continue };
--- a/test-servers/src/client.rs
+++ b/test-servers/src/client.rs
@@ -73,8 +73,8 @@
         Client::with_session(addr, DEFAULT_USER, None)
     }
 
-    /// Connects as `user`. `session` is the value of the session parameter: `new` to begin a session, or the token of a
-    /// session to continue; `None` connects without a session. If the instance rejects the connection, the client is
+    /// Connects as `user`. `session` is the value of the session parameter: `new` to begin a session, or the token of
+    /// a session to continue; `None` connects without a session. If the instance rejects the connection, the client is
     /// returned with `rejected_with` set.
     ///
     /// # Errors
@@ -140,8 +140,8 @@
         self.receive().answer
     }
 
-    /// Sends one request for each id without waiting for answers, then receives the answers. Returns the records of the
-    /// requests in the order of `ids`.
+    /// Sends one request for each id without waiting for answers, then receives the answers. Returns the records of
+    /// the requests in the order of `ids`.
     pub fn pipeline(
         &mut self,
         ids: &[String],
--- a/test-servers/src/cluster/load.rs
+++ b/test-servers/src/cluster/load.rs
@@ -8,8 +8,8 @@
 
 impl ClusterState {
     /// Adds a statement that arrives at an endpoint to the endpoint's load. Returns the time until the endpoint has
-    /// finished the statement: it executes one statement at a time, and needs longer for each during slow start. Reports
-    /// a violation if the statement overloads the endpoint during slow start.
+    /// finished the statement: it executes one statement at a time, and needs longer for each during slow start.
+    /// Reports a violation if the statement overloads the endpoint during slow start.
     pub fn accept_work(&mut self, index: EndpointIndex, now_ms: i64, model: &SlowStartModel) -> Duration {
         let age_ms = now_ms - self.endpoints[index].process.started_ms;
         let fraction = model.fraction_at(age_ms);
--- a/test-servers/src/cluster/slow_start.rs
+++ b/test-servers/src/cluster/slow_start.rs
@@ -31,9 +31,9 @@
 }
 
 impl EndpointLoad {
-    /// Records the arrival of a statement. Returns whether the work within the window overloads the endpoint, which has
-    /// this fraction of its full capacity; `None` is full capacity, which is never overloaded. After an overload, the
-    /// window is cleared, so that each overload is reported once.
+    /// Records the arrival of a statement. Returns whether the work within the window overloads the endpoint, which
+    /// has this fraction of its full capacity; `None` is full capacity, which is never overloaded. After an overload,
+    /// the window is cleared, so that each overload is reported once.
     pub(super) fn is_overloaded_by(
         &mut self,
         now_ms: i64,
@@ -51,8 +51,8 @@
         is_overloaded
     }
 
-    /// Adds a statement with a service time of `work_us` microseconds after all earlier ones. Returns the time until the
-    /// endpoint has finished it.
+    /// Adds a statement with a service time of `work_us` microseconds after all earlier ones. Returns the time until
+    /// the endpoint has finished it.
     pub(super) fn add_work(&mut self, now_ms: i64, work_us: i64) -> Duration {
         let now_us = now_ms * MICROS_PER_MILLI;
         self.busy_until_us = self.busy_until_us.max(now_us) + work_us;
--- a/test-servers/src/cluster/state.rs
+++ b/test-servers/src/cluster/state.rs
@@ -9,8 +9,8 @@
 /// One branch of a group's log.
 #[derive(Clone, Copy, Debug)]
 pub struct Branch {
-    /// Position at which it forked from the previous branch, in Unix milliseconds. The two branches share the log up to
-    /// there.
+    /// Position at which it forked from the previous branch, in Unix milliseconds. The two branches share the log up
+    /// to there.
     pub forked_ms: i64,
     /// Whether it is the group's current branch. The others are abandoned.
     pub is_live: bool,
@@ -109,8 +109,8 @@
         (0..self.endpoints.len()).find(|&index| self.is_live_primary(index, group))
     }
 
-    /// Promotes a replica to the primary of its group, on a new branch that forks at `at_ms`. The other endpoints of the
-    /// group replicate from it, except an isolated old primary.
+    /// Promotes a replica to the primary of its group, on a new branch that forks at `at_ms`. The other endpoints of
+    /// the group replicate from it, except an isolated old primary.
     pub fn promote(&mut self, successor: EndpointIndex, old_primary: OldPrimary, at_ms: i64) {
         let group = self.endpoints[successor].group;
         let isolated = self.primary_of(group).filter(|_| old_primary == OldPrimary::Isolated);
--- a/test-servers/src/daemon.rs
+++ b/test-servers/src/daemon.rs
@@ -75,8 +75,8 @@
         let _ = Command::new("kill").arg(format!("-{name}")).arg(self.pid().to_string()).status();
     }
 
-    /// Waits until the process exits, for `timeout` at most. Returns its exit status, or `None` if the process is still
-    /// running or was terminated by a signal.
+    /// Waits until the process exits, for `timeout` at most. Returns its exit status, or `None` if the process is
+    /// still running or was terminated by a signal.
     pub fn exit_status_within(&mut self, timeout: Duration) -> Option<i32> {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
@@ -88,9 +88,9 @@
         None
     }
 
-    /// Waits until the log contains `text`, for ten seconds at most. Returns whether the log contains it. A test has to
-    /// wait before it kills the daemon: an action can take effect before its log line is written, and a killed daemon
-    /// writes no more lines.
+    /// Waits until the log contains `text`, for ten seconds at most. Returns whether the log contains it. A test has
+    /// to wait before it kills the daemon: an action can take effect before its log line is written, and a killed
+    /// daemon writes no more lines.
     pub fn wait_for_log(&self, text: &str) -> bool {
         let deadline = Instant::now() + LOG_TIMEOUT;
         while !self.log.lock().expect("the log reader panicked").contains(text) {
--- a/test-servers/src/discovery.rs
+++ b/test-servers/src/discovery.rs
@@ -148,7 +148,7 @@
                 }
                 NextStep::List(list) => write_chunk(&mut stream, &list)?,
                 NextStep::Nothing if last_sent.elapsed() > HEARTBEAT_INTERVAL => {
-                    write_chunk(&mut stream, "\n")?
+                    write_chunk(&mut stream, "\n")?;
                 }
                 NextStep::Nothing => {
                     thread::sleep(POLL_INTERVAL);
--- a/test-servers/src/endpoint.rs
+++ b/test-servers/src/endpoint.rs
@@ -156,8 +156,8 @@
         self.append_epoch(&state, out);
     }
 
-    /// Appends a ParameterStatus message with the endpoint's epoch: the timeline, and unless it is the first one, `@` and
-    /// the position at which it began.
+    /// Appends a ParameterStatus message with the endpoint's epoch: the timeline, and unless it is the first one, `@`
+    /// and the position at which it began.
     fn append_epoch(&self, state: &ClusterState, out: &mut Vec<u8>) {
         let endpoint = &state.endpoints[self.index];
         let forks = state.forks(endpoint.group);
--- a/test-servers/src/restart/mod.rs
+++ b/test-servers/src/restart/mod.rs
@@ -1,6 +1,6 @@
 //! Randomized runs in which instances start while discovery is down, from a cached list that may be outdated. First,
-//! faults are applied to a cluster whose endpoint list has been cached. Then the instances and their clients are started,
-//! and discovery returns in one of several ways. The resulting history is checked.
+//! faults are applied to a cluster whose endpoint list has been cached. Then the instances and their clients are
+//! started, and discovery returns in one of several ways. The resulting history is checked.
 
 mod client_loop;
 mod faults;
--- a/test-servers/src/restart/run.rs
+++ b/test-servers/src/restart/run.rs
@@ -1,4 +1,5 @@
-//! A run: instances start while discovery is down, clients send requests, discovery returns, and the history is checked.
+//! A run: instances start while discovery is down, clients send requests, discovery returns, and the history is
+//! checked.
 
 use super::client_loop::{FirstServed, RunState};
 use super::plan::{DiscoveryReturn, Plan};
--- a/test-servers/src/sessions/client.rs
+++ b/test-servers/src/sessions/client.rs
@@ -1,5 +1,5 @@
-//! A client that continues one session on several instances, and resolves its writes in doubt. A write is in doubt if it
-//! was aborted or its answer was lost, so that the client does not know whether it was executed.
+//! A client that continues one session on several instances, and resolves its writes in doubt. A write is in doubt if
+//! it was aborted or its answer was lost, so that the client does not know whether it was executed.
 
 use super::plan::GROUPS;
 use crate::client::{Answer, Client, Kind, RequestRecord, RequestTimeouts};
@@ -14,8 +14,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// A client closes its connection before a request, to continue on a random instance, with a probability of one in this
-/// number.
+/// A client closes its connection before a request, to continue on a random instance, with a probability of one in
+/// this number.
 const REQUESTS_PER_MOVE: usize = 4;
 /// Pause of a client between two requests.
 const REQUEST_PAUSE: JitteredMs = JitteredMs { min_ms: 2, jitter_ms: 10 };
@@ -27,8 +27,8 @@
 const MAX_RECONNECTS: usize = 400;
 /// Delays to choose from before a client resolves a write in doubt. The longest exceeds the deduplication window.
 const RESOLVE_DELAYS_MS: [u64; 4] = [0, 0, 40, 1_700];
-/// A keyed write in doubt is not sent again with a probability of one in this number. Its fate is then that of the first
-/// attempt.
+/// A keyed write in doubt is not sent again with a probability of one in this number. Its fate is then that of the
+/// first attempt.
 const KEYED_WRITES_PER_UNRETRIED: usize = 3;
 /// Value of the session parameter that begins a session.
 const NEW_SESSION: &str = "new";
@@ -152,8 +152,8 @@
         answer
     }
 
-    /// Resolves a write in doubt at the instance that it was sent to: sends most writes with an idempotency key again, in
-    /// some cases after the deduplication window, and queries the fate of the write.
+    /// Resolves a write in doubt at the instance that it was sent to: sends most writes with an idempotency key again,
+    /// in some cases after the deduplication window, and queries the fate of the write.
     fn resolve_doubt(&mut self, instance: usize, write: &Write, origin: Option<String>) {
         let delay_ms = choose(&mut self.rng, &RESOLVE_DELAYS_MS);
         thread::sleep(Duration::from_millis(delay_ms));
--- a/test-servers/src/single_endpoint.rs
+++ b/test-servers/src/single_endpoint.rs
@@ -36,9 +36,9 @@
         SingleEndpoint { folder, cluster, discovery, _served: served }
     }
 
-    /// Starts an instance that listens on `listen` and may open `descriptors` file descriptors. Its configuration files
-    /// are written to `folder`; a subdirectory `state` is created there if it does not exist. `operator_file`
-    /// is the content of the operators' file.
+    /// Starts an instance that listens on `listen` and may open `descriptors` file descriptors. Its configuration
+    /// files are written to `folder`; a subdirectory `state` is created there if it does not exist. `operator_file` is
+    /// the content of the operators' file.
     pub fn start(
         &self,
         program: &Path,
