--- a/test-servers/src/cluster/answer_gate.rs
+++ b/test-servers/src/cluster/answer_gate.rs
@@ -3,7 +3,7 @@
 use crate::lock;
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Delays answers while it is closed. Statements are executed when they arrive, also while it is closed.
+/// Delays answers while it is closed. It does not delay the execution of statements.
 #[derive(Default)]
 pub struct AnswerGate {
     is_closed: Mutex<bool>,
--- a/test-servers/src/cluster/endpoint_model.rs
+++ b/test-servers/src/cluster/endpoint_model.rs
@@ -21,7 +21,7 @@
     pub timeline: u32,
     /// Index of the branch that it is on, among the branches of the group's log.
     pub branch: usize,
-    /// The endpoint that it replicates from; `None` for a primary.
+    /// The endpoint that it replicates from; `None` if it does not replicate.
     pub upstream: Option<EndpointIndex>,
     /// Replication lag behind the upstream, in milliseconds.
     pub lag_ms: i64,
--- a/test-servers/src/restart/throughput.rs
+++ b/test-servers/src/restart/throughput.rs
@@ -24,7 +24,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(2);
 /// Any fixed number, so that the cluster is the same in every measurement.
 const SEED: u64 = 1;
-/// Age of the list in the plan. Discovery is up, so the age has no effect.
+/// Age of the cached list in the plan. The measurement does not use that list.
 const LIST_AGE_S: i64 = 5;
 const READ_TIMEOUT_MS: i64 = 400;
 
