--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -1,4 +1,4 @@
-//! The check of a history: rules for single requests, executions and reported fates of writes.
+//! Checks a history: the rules for single requests, for executions and for reported fates of writes.
 
 use crate::history::{
     log_includes, Answer, AnswerValue, Execution, FateAnswer, History, Kind, LogPoint, RequestRecord,
@@ -7,22 +7,22 @@
 use crate::verdict::{Rule, Verdict};
 use std::collections::{HashMap, HashSet};
 
-/// Reported fate of a write that was not executed and will never be.
+/// Reported fate of a write that was not executed and will never be executed.
 const FATE_NEVER: &str = "never";
 /// Reported fate of a write in flight.
 const FATE_UNDER_WAY: &str = "under way";
 /// Reported fate of an executed write, followed by its commit position if that is known.
 const FATE_RAN: &str = "ran";
 
-/// State of a check.
+/// Checks one history and collects its violations.
 pub(crate) struct Checker<'a> {
     pub history: &'a History,
-    /// Executions by the id of their request.
+    /// Executions by request id.
     executions: HashMap<&'a str, Vec<&'a Execution>>,
     pub verdict: Verdict,
 }
 
-/// Checks a history against all rules.
+/// Checks a history against all rules. The verdict includes the violations that the endpoints detected.
 pub fn check(history: &History) -> Verdict {
     let mut executions: HashMap<&str, Vec<&Execution>> = HashMap::new();
     for execution in &history.executions {
@@ -42,7 +42,7 @@
         self.executions.get(id).map_or(0, Vec::len)
     }
 
-    /// Number of executions of a write that the live branch of the log includes.
+    /// Number of executions of a write that the live branch of its group's log includes.
     fn live_execution_count(&self, id: &str) -> usize {
         let is_live = |execution: &&&Execution| {
             let forks = self.history.forks_of(execution.group);
@@ -56,17 +56,19 @@
         let mut ids = HashSet::new();
         for record in history.without_session.iter().chain(history.sessions.iter().flatten()) {
             self.check_request(record);
-            // Only a write with an idempotency key may be sent again under its id.
+            // Only a write with an idempotency key may be sent more than once under the same id.
             if !ids.insert(&record.id) && record.kind != Kind::KeyedWrite {
-                self.verdict.report(Rule::OneAnswer, &record.id, "is the id of two requests".into());
+                let detail = "is the id of more than one request".into();
+                self.verdict.add_violation(Rule::OneAnswer, &record.id, detail);
             }
         }
     }
 
     fn check_executions(&mut self) {
         for execution in self.history.executions.iter().filter(|execution| !execution.at_primary) {
-            let detail = format!("ran on branch {}, which is dead", execution.point.branch);
-            self.verdict.report(Rule::WritesAtPrimary, &execution.id, detail);
+            let detail =
+                format!("was executed on branch {}, not by the primary of its group", execution.point.branch);
+            self.verdict.add_violation(Rule::WritesAtPrimary, &execution.id, detail);
         }
     }
 
@@ -84,47 +86,53 @@
     fn check_one_answer_in_time(&mut self, record: &RequestRecord) {
         let RequestRecord { id, answer, timeout_ms, .. } = record;
         if record.has_extra_answer || (*answer == Answer::Missing && !record.router_killed) {
-            let detail = format!("has no answer, or more than one ({answer:?})");
-            self.verdict.report(Rule::OneAnswer, id, detail);
+            let detail = format!("has no answer or more than one ({answer:?}), exactly one is allowed");
+            self.verdict.add_violation(Rule::OneAnswer, id, detail);
         }
         let took_ms = record.answered_ms - record.sent_ms;
-        if took_ms > timeout_ms + self.history.scheduling_slack_ms && !record.router_killed {
-            let detail = format!("was answered after {took_ms} ms, wanted within {timeout_ms}");
-            self.verdict.report(Rule::InTime, id, detail);
+        let max_ms = timeout_ms + self.history.scheduling_slack_ms;
+        if took_ms > max_ms && !record.router_killed {
+            let detail = format!("was answered after {took_ms} ms, at most {max_ms} ms are allowed");
+            self.verdict.add_violation(Rule::InTime, id, detail);
         }
     }
 
     fn check_at_most_once(&mut self, record: &RequestRecord) {
         let id = &record.id;
-        // A failover that loses an execution also loses the group's record of its key, so only executions that the
-        // live branch includes count.
+        // A failover that loses an execution of a write also loses the group's deduplication record of its idempotency
+        // key. The write may then be executed again, so only executions that the live branch includes count.
         let count = match record.kind {
             Kind::KeyedWrite => self.live_execution_count(id),
             Kind::Read | Kind::Write => self.execution_count(id),
         };
         if count > 1 {
-            self.verdict.report(Rule::AtMostOnce, id, format!("ran {count} times"));
+            self.verdict.add_violation(
+                Rule::AtMostOnce,
+                id,
+                format!("was executed {count} times, at most once is allowed"),
+            );
         }
-        // The rejection of a write with a key does not mean that an earlier attempt was not executed, and the client
-        // can safely retry it.
+        // A write with an idempotency key may be rejected although an earlier attempt was executed: the client can
+        // safely retry it.
         let rejected = matches!(record.answer, Answer::Rejected(_)) && record.kind == Kind::Write;
         if rejected && self.execution_count(id) > 0 {
-            self.verdict.report(Rule::AtMostOnce, id, "ran and was rejected".into());
+            self.verdict.add_violation(Rule::AtMostOnce, id, "was executed although it was rejected".into());
         }
     }
 
     fn check_value(&mut self, record: &RequestRecord, value: &str) {
         let RequestRecord { id, kind, sent_ms, .. } = record;
         let is_read = *kind == Kind::Read;
-        let shown = AnswerValue::parse(value).filter(|shown| shown.id == id);
-        if shown.is_none() || (!is_read && self.execution_count(id) == 0) {
-            let detail = format!("got a value that was not made for it: {value}");
-            self.verdict.report(Rule::OneAnswer, id, detail);
+        let parsed = AnswerValue::parse(value).filter(|parsed| parsed.id == id);
+        if parsed.is_none() || (!is_read && self.execution_count(id) == 0) {
+            let detail = format!("was answered with a value that was not created for it: {value}");
+            self.verdict.add_violation(Rule::OneAnswer, id, detail);
         }
         let oldest = sent_ms - self.history.staleness_bound_ms - self.history.network_slack_ms;
-        if let Some(shown) = shown.filter(|shown| is_read && shown.consistent_until_ms < oldest) {
-            let age_ms = sent_ms - shown.consistent_until_ms;
-            self.verdict.report(Rule::BoundedStaleness, id, format!("got data {age_ms} ms old"));
+        if let Some(data) = parsed.filter(|data| is_read && data.consistent_until_ms < oldest) {
+            let (age_ms, max_ms) = (sent_ms - data.consistent_until_ms, sent_ms - oldest);
+            let detail = format!("was answered with data {age_ms} ms old, at most {max_ms} ms are allowed");
+            self.verdict.add_violation(Rule::BoundedStaleness, id, detail);
         }
     }
 
@@ -138,17 +146,19 @@
                 !points.iter().any(|point| matches_execution(value, *point, fate.answered_ms))
             }
             Answer::Error(code) => code != FATE_UNKNOWN,
-            // No fate was reported.
+            // No fate was reported, so there is nothing to check.
             Answer::Rejected(_) | Answer::Aborted | Answer::Missing => false,
         };
         if is_wrong {
-            let detail = format!("reported {:?}, executed at {points:?}", fate.answer);
-            self.verdict.report(Rule::FateCorrect, &fate.id, detail);
+            let detail =
+                format!("has the executions {points:?}, but its fate was reported as {:?}", fate.answer);
+            self.verdict.add_violation(Rule::FateCorrect, &fate.id, detail);
         }
     }
 }
 
-/// Whether a reported fate of an executed write, with its commit position if present, is true for an execution.
+/// Whether the reported fate of an executed write matches the execution at `point`: the execution precedes the report,
+/// and the reported commit position, if there is one, is that of the execution.
 fn matches_execution(reported: &str, point: LogPoint, answered_ms: i64) -> bool {
     let Some(commit) = reported.strip_prefix(FATE_RAN).map(str::trim) else { return false };
     point.position_ms <= answered_ms && (commit.is_empty() || commit.parse() == Ok(point.position_ms))
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -1,4 +1,4 @@
-//! Recorded history of a run: requests, executions, and forks of logs.
+//! The recorded history of a run: requests, executions and forks of logs.
 
 use crate::verdict::Violation;
 use std::collections::BTreeMap;
@@ -6,11 +6,11 @@
 /// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A read with a bound on staleness.
+    /// A read, whose data must not be older than the staleness bound.
     Read,
-    /// A write that is not idempotent.
+    /// A write without an idempotency key.
     Write,
-    /// A write with an idempotency key: its group drops duplicates within the deduplication window.
+    /// A write with an idempotency key. Its group discards duplicates within the deduplication window.
     KeyedWrite,
 }
 
@@ -19,19 +19,19 @@
 pub enum Answer {
     /// The request succeeded with this value.
     Value(String),
-    /// The request was rejected and may be retried, after the Retry-After time in milliseconds if given.
+    /// The request was rejected and may be retried, after the given Retry-After time in milliseconds if there is one.
     Rejected(Option<i64>),
     /// The request was aborted and may have been executed.
     Aborted,
-    /// Another error, with this SQLSTATE.
+    /// The request failed with another error, which has this SQLSTATE.
     Error(String),
     /// No answer was received before the connection ended or the client's read timed out.
     Missing,
 }
 
-/// SQLSTATE reported once to a session if a failover lost data that the session had observed.
+/// SQLSTATE that a session receives once if a failover lost data that the session had observed.
 pub const SESSION_LOST: &str = "ZG001";
-/// SQLSTATE reported if the fate of a write is not known.
+/// SQLSTATE of the answer to a fate query if the fate of the write is not known.
 pub const FATE_UNKNOWN: &str = "40003";
 
 /// A request as recorded by its client.
@@ -39,53 +39,53 @@
 pub struct RequestRecord {
     /// Id of the request.
     pub id: String,
-    /// Number of the group that it was sent to.
+    /// Number of the group that the request is addressed to.
     pub group: i64,
     /// Kind of the request.
     pub kind: Kind,
-    /// When it was sent.
+    /// Time at which the client sent the request.
     pub sent_ms: i64,
-    /// When its answer was received.
+    /// Time at which the client received the answer, or stopped waiting for it.
     pub answered_ms: i64,
-    /// Timeout of the client.
+    /// The client's timeout for the request, in milliseconds.
     pub timeout_ms: i64,
-    /// The answer.
+    /// The answer, [`Answer::Missing`] if there was none.
     pub answer: Answer,
-    /// The answer was followed by another one that belongs to no request.
+    /// The answer was followed by a further one, which belongs to no request.
     pub has_extra_answer: bool,
     /// The router was killed while the request was open, so no answer is required.
     pub router_killed: bool,
 }
 
-/// A point on a group's log: a branch and a position.
+/// A point on a group's log: a position on one of its branches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogPoint {
-    /// Index of the branch. The first one is 0, and each failover begins another.
+    /// Index of the branch: 0 for the first one; each failover begins a new branch.
     pub branch: usize,
     /// Position on the branch, in Unix milliseconds.
     pub position_ms: i64,
 }
 
 impl LogPoint {
-    /// The current end of a log with these forks.
+    /// The current end of the log with these forks: the end of its newest branch.
     pub fn current_end(forks: &[i64]) -> LogPoint {
         LogPoint { branch: forks.len().saturating_sub(1), position_ms: i64::MAX }
     }
 }
 
-/// The parsed value of an answer, which describes the state of the endpoint that created it.
+/// The parsed value of an answer. It describes the state of the endpoint that created it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerValue<'a> {
-    /// Id of the request that it was created for.
+    /// Id of the request that the value was created for.
     pub id: &'a str,
-    /// Up to when the endpoint's data is that of the live branch.
+    /// Time up to which the endpoint's data is the same as on the live branch.
     pub consistent_until_ms: i64,
-    /// The endpoint's point on the log.
+    /// Point on the group's log up to which the endpoint has applied it.
     pub point: LogPoint,
 }
 
 impl AnswerValue<'_> {
-    /// Parses `id consistent-until branch at`. Returns `None` if the value is malformed.
+    /// Parses `ID CONSISTENT_UNTIL_MS BRANCH POSITION_MS`. Returns `None` if the value is malformed.
     pub fn parse(value: &str) -> Option<AnswerValue<'_>> {
         let mut fields = value.split(' ');
         let id = fields.next()?;
@@ -99,62 +99,62 @@
 /// An execution of a write on an endpoint.
 #[derive(Clone, Debug)]
 pub struct Execution {
-    /// Id of the request.
+    /// Id of the write's request.
     pub id: String,
-    /// Number of the group.
+    /// Number of the group that executed the write.
     pub group: i64,
     /// Log point of the commit.
     pub point: LogPoint,
-    /// The endpoint was the group's primary at that time.
+    /// The endpoint was the primary of the group's live branch at that time.
     pub at_primary: bool,
 }
 
-/// The answer to a client's query for the fate of a write.
+/// The answer to a client's fate query.
 #[derive(Clone, Debug)]
 pub struct FateAnswer {
     /// Id of the write.
     pub id: String,
-    /// When the answer was received.
+    /// Time at which the client received the answer.
     pub answered_ms: i64,
-    /// The answer.
+    /// The fate as text, or the error.
     pub answer: Answer,
 }
 
-/// History of a run.
+/// The history of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Requests of clients without sessions, in any order.
     pub without_session: Vec<RequestRecord>,
     /// Requests of each session. Each request was sent after the answer to the previous one.
     pub sessions: Vec<Vec<RequestRecord>>,
-    /// Answers to queries for the fate of writes.
+    /// Answers to fate queries.
     pub fates: Vec<FateAnswer>,
     /// Executions of writes on endpoints.
     pub executions: Vec<Execution>,
-    /// By group, the position at which each branch of the log forked from the previous one; 0 for the first branch.
+    /// For each group, the positions at which each branch of its log forked from the previous one; 0 for the first.
     pub forks: BTreeMap<i64, Vec<i64>>,
     /// Violations detected by the endpoints themselves.
     pub endpoint_violations: Vec<Violation>,
-    /// Bound on the staleness of a read's data at the time the read is sent.
+    /// Maximum age of a read's data at the time when the read is sent.
     pub staleness_bound_ms: i64,
-    /// Tolerance added to a client's timeout for the time until a busy machine schedules the client's thread.
+    /// Tolerance added to a client's timeout, for the time until a busy machine schedules the client's thread.
     pub scheduling_slack_ms: i64,
-    /// Tolerance added to the bound on staleness for the time from the client to the router, since the bound applies
-    /// when the router forwards the read.
+    /// Tolerance added to the staleness bound, for the time that a read takes from the client to the router: the bound
+    /// applies at the time when the router forwards the read.
     pub network_slack_ms: i64,
 }
 
 impl History {
-    /// Positions at which the branches of a group's log forked.
+    /// The forks of a group's log, as in [`forks`](Self::forks). Empty if the group is not known.
     pub fn forks_of(&self, group: i64) -> &[i64] {
         self.forks.get(&group).map_or(&[], Vec::as_slice)
     }
 }
 
-/// Whether the log up to `shown` includes the log up to `seen`: `shown` is not earlier, and no fork between their
-/// branches is before `seen`.
-pub fn log_includes(forks: &[i64], shown: LogPoint, seen: LogPoint) -> bool {
-    let (low, high) = (shown.branch.min(seen.branch), shown.branch.max(seen.branch));
-    let first_fork = forks.get(low + 1..=high).into_iter().flatten().min();
-    shown.position_ms >= seen.position_ms && first_fork.is_none_or(|fork| seen.position_ms <= *fork)
+/// Whether the log up to `end` includes `point`: the position of `end` is not less than that of `point`, and no fork
+/// between their branches is before `point`.
+pub fn log_includes(forks: &[i64], end: LogPoint, point: LogPoint) -> bool {
+    let (older, newer) = (end.branch.min(point.branch), end.branch.max(point.branch));
+    let first_fork = forks.get(older + 1..=newer).into_iter().flatten().min();
+    end.position_ms >= point.position_ms && first_fork.is_none_or(|fork| point.position_ms <= *fork)
 }
--- a/history-checker/src/lib.rs
+++ b/history-checker/src/lib.rs
@@ -1,11 +1,11 @@
-//! Checks a history of client requests against the executions on endpoints and the forks of logs. It is independent of
-//! the router and uses no data from it.
+//! Checks a history of client requests against the executions on endpoints and the forks of the groups' logs. The check
+//! is independent of the router: it uses only what clients and endpoints recorded.
 //!
-//! - [`history`]: the recorded requests, executions and forks
+//! - [`history`]: the recorded requests, executions and forks of logs
 //! - [`verdict`]: the rules and their violations
-//! - [`checker`]: the check of a history
+//! - [`checker`]: the check of a history against all rules
 //!
-//! Times are Unix milliseconds of one clock: clients and endpoints run on the same machine.
+//! All times are in Unix milliseconds and from one clock, since clients and endpoints run on the same machine.
 
 #![warn(clippy::too_many_lines)]
 
--- a/history-checker/src/verdict.rs
+++ b/history-checker/src/verdict.rs
@@ -1,11 +1,11 @@
-//! Rules for a history, and their violations.
+//! The rules that a history must satisfy, and their violations.
 
 use std::collections::BTreeMap;
 
-/// A rule that a history must satisfy.
+/// A rule for a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request has exactly one answer, with a value created for it.
+    /// Each request has exactly one answer, and a value in it was created for this request.
     OneAnswer,
     /// Answers are received within the client's timeout.
     InTime,
@@ -19,15 +19,15 @@
     ReadYourWrites,
     /// A session's reads include everything that its earlier reads observed.
     MonotonicReads,
-    /// A session's writes are on a log that includes everything that the session has observed.
+    /// A session's writes are executed on a log that includes everything that the session has observed.
     WritesFollowReads,
-    /// A loss is reported to sessions only if a failover lost data that they had observed.
+    /// A session receives the error for lost data only if a failover lost data that the session had observed.
     LossReported,
-    /// The reported fate of a write is and remains correct.
+    /// The reported fate of a write is correct and stays correct.
     FateCorrect,
-    /// No endpoint in slow start is overloaded. Detected by the endpoints.
+    /// No endpoint is overloaded during its slow start. Checked by the endpoints.
     SlowStart,
-    /// No statement arrives at a draining endpoint after the grace period. Detected by the endpoints.
+    /// No statement arrives at a draining endpoint after the drain grace. Checked by the endpoints.
     DrainGrace,
 }
 
@@ -36,20 +36,20 @@
 pub struct Violation {
     /// The violated rule.
     pub rule: Rule,
-    /// Id of the request or name of the endpoint.
+    /// Id of the request, or name of the endpoint.
     pub subject: String,
-    /// Description of the violation.
+    /// What was found and what is allowed, as a predicate to `subject`.
     pub detail: String,
 }
 
 /// Result of the check of one or more histories.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Number of requests.
+    /// Number of requests that were checked.
     pub requests: usize,
     /// Number of requests that were answered with a value.
     pub succeeded: usize,
-    /// All violations.
+    /// All violations, including those that the endpoints detected.
     pub violations: Vec<Violation>,
 }
 
@@ -59,21 +59,21 @@
         self.violations.iter().filter(|violation| violation.rule == rule).count()
     }
 
-    /// Adds the verdict on another history.
+    /// Adds the counts and violations of another history.
     pub fn add(&mut self, other: Verdict) {
         self.requests += other.requests;
         self.succeeded += other.succeeded;
         self.violations.extend(other.violations);
     }
 
-    /// The violated rules with their numbers of violations.
+    /// Number of violations of each violated rule.
     pub fn violation_counts(&self) -> BTreeMap<Rule, usize> {
         let mut counts = BTreeMap::new();
         self.violations.iter().for_each(|violation| *counts.entry(violation.rule).or_default() += 1);
         counts
     }
 
-    pub(crate) fn report(&mut self, rule: Rule, subject: &str, detail: String) {
+    pub(crate) fn add_violation(&mut self, rule: Rule, subject: &str, detail: String) {
         self.violations.push(Violation { rule, subject: subject.to_string(), detail });
     }
 }
--- a/history-checker/tests/random_sessions.rs
+++ b/history-checker/tests/random_sessions.rs
@@ -1,4 +1,4 @@
-//! Random sessions that are served correctly pass, and are reported with one answer that is too old.
+//! Checks random sessions: a correct one has no violations, and one with an outdated answer to a read has.
 
 mod support;
 
@@ -8,15 +8,15 @@
 use std::collections::BTreeMap;
 use support::{at, execution, record, value};
 
-/// What one step of a random sequence does, 10 ms after the one before.
+/// One step of a random session. Steps are 10 ms apart.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Write,
-    /// A read from an endpoint so many milliseconds behind.
+    /// A read from an endpoint with this replication lag.
     Read {
         lag_ms: i64,
     },
-    /// A failover that loses the last milliseconds of the log.
+    /// A failover that loses the last `lost_ms` milliseconds of the log, at most back to the previous failover.
     FailOver {
         lost_ms: i64,
     },
@@ -30,15 +30,17 @@
     })
 }
 
-/// One session served by endpoints that keep every guarantee.
+/// A session whose answers satisfy every guarantee.
 #[derive(Default)]
 struct CorrectSession {
     requests: Vec<RequestRecord>,
     executions: Vec<Execution>,
-    /// Where each later branch of the log forked off, in milliseconds.
+    /// Position at which each branch after the first one forked, in milliseconds.
     forks: Vec<i64>,
-    seen: Vec<LogPoint>,
-    /// The last read since a loss that had to show something, and a point just before that.
+    /// Points that the session has observed since the last reported loss.
+    observed: Vec<LogPoint>,
+    /// Index of the last read that followed an observation, and a point 1 ms too old for that read.
+    /// `None` after a reported loss.
     last_read: Option<(usize, LogPoint)>,
 }
 
@@ -54,23 +56,24 @@
         }
     }
 
-    /// A request that an endpoint at this time of the log answers, or the next one that has what the session saw.
+    /// A request that is answered by an endpoint at position `endpoint_ms`, or at the latest observed position if that
+    /// is greater. If a failover lost observed data, the answer is the error for that.
     fn request(&mut self, id: &str, now: i64, kind: Kind, endpoint_ms: i64) {
-        if self.seen.iter().any(|point| self.is_lost(point)) {
-            self.seen.clear();
+        if self.observed.iter().any(|point| self.is_lost(point)) {
+            self.observed.clear();
             self.last_read = None;
             self.requests.push(record(id, kind, now, Answer::Error(SESSION_LOST.into())));
             return;
         }
         let branch = self.forks.len();
-        let latest_seen = self.seen.iter().map(|point| point.position_ms).max().unwrap_or(0);
-        let point = at(branch, if kind == Kind::Write { now } else { endpoint_ms.max(latest_seen) });
+        let latest_observed = self.observed.iter().map(|point| point.position_ms).max().unwrap_or(0);
+        let point = at(branch, if kind == Kind::Write { now } else { endpoint_ms.max(latest_observed) });
         if kind == Kind::Write {
             self.executions.push(execution(id, point));
-        } else if latest_seen > 0 {
-            self.last_read = Some((self.requests.len(), at(branch, latest_seen - 1)));
+        } else if latest_observed > 0 {
+            self.last_read = Some((self.requests.len(), at(branch, latest_observed - 1)));
         }
-        self.seen.push(point);
+        self.observed.push(point);
         self.requests.push(record(id, kind, now, value(id, point)));
     }
 
@@ -93,10 +96,10 @@
 proptest! {
     #![proptest_config(seeded_cases(256, 20_26))]
 
-    /// Sessions over any failovers, served by endpoints that keep every guarantee, have no violation; with the answer
-    /// to one read replaced by an older one they have.
+    /// A correct session has no violations, whatever failovers happen. After its last read's answer is replaced by an
+    /// older one, a violation is reported.
     #[test]
-    fn correct_sessions_pass_and_one_older_answer_is_reported(
+    fn correct_sessions_pass_and_an_outdated_read_is_reported(
         steps in prop::collection::vec(any_step(), 2..60),
     ) {
         let mut session = CorrectSession::default();
--- a/history-checker/tests/support/mod.rs
+++ b/history-checker/tests/support/mod.rs
@@ -1,13 +1,13 @@
-//! Requests, executions and points of the log, for histories.
+//! Constructors of requests, executions and log points for the tests' histories.
 
 use history_checker::{Answer, Execution, Kind, LogPoint, RequestRecord};
 
-/// The value that an endpoint at this point of the log answers to the request.
+/// The value with which an endpoint at this point on the log answers the request. Its data is consistent up to there.
 pub fn value(id: &str, point: LogPoint) -> Answer {
     Answer::Value(format!("{id} {} {} {}", point.position_ms, point.branch, point.position_ms))
 }
 
-/// A request to group 1 that is answered after 5 ms of its 400.
+/// A request to group 1 that is answered after 5 ms, with a timeout of 400 ms.
 pub fn record(id: &str, kind: Kind, sent_ms: i64, answer: Answer) -> RequestRecord {
     let (id, answered_ms) = (id.to_string(), sent_ms + 5);
     RequestRecord {
@@ -23,12 +23,12 @@
     }
 }
 
-/// The execution of a write at the primary of group 1.
+/// An execution of a write by the primary of group 1.
 pub fn execution(id: &str, point: LogPoint) -> Execution {
     Execution { id: id.to_string(), group: 1, point, at_primary: true }
 }
 
-/// A point on a branch of the log, in milliseconds.
+/// A point on a branch of the log. The position is in milliseconds.
 pub fn at(branch: usize, position_ms: i64) -> LogPoint {
     LogPoint { branch, position_ms }
 }
--- a/history-checker/tests/breaches.rs
+++ b/history-checker/tests/violations.rs
@@ -1,4 +1,4 @@
-//! A correct history passes, and one that breaks one guarantee is reported for that one.
+//! Checks a correct history, which has no violations, and changes to it that violate a rule and must be reported.
 
 mod support;
 
@@ -8,9 +8,11 @@
 use std::collections::BTreeMap;
 use support::{at, execution, record, value};
 
-/// A correct history. A session writes at 1,000, reads up to 1,010, gets the report at 1,120 that a failover lost all
-/// beyond 990, and writes again; beside it a write without an answer, one that was rejected and one that a client
-/// repeated with its idempotency key.
+/// A correct history of group 1, whose log forked at position 990. The requests are named by their ids:
+/// - The session writes (`w`) and reads (`r`), is told that a failover lost what it observed beyond 990 (`l`), and
+///   then writes (`a`) and reads (`b`) again.
+/// - Without a session, `x` is a write whose answer is missing since the router was killed, `t` is a write that its
+///   client retried with its idempotency key, and `p` is a rejected write.
 fn correct_history() -> History {
     let session = vec![
         record("w", Kind::Write, 1_000, value("w", at(0, 1_000))),
@@ -40,7 +42,7 @@
         executions: vec![
             execution("w", at(0, 1_000)),
             execution("x", at(0, 1_005)),
-            // Lost with the tail of the log, and with it the deduplication record of its group.
+            // The failover lost this execution and its deduplication record, so the retry was executed again.
             execution("t", at(0, 1_006)),
             execution("t", at(1, 1_125)),
             execution("a", at(1, 1_130)),
@@ -51,23 +53,24 @@
     }
 }
 
-/// A change to the correct history that breaks one guarantee, and what has to be reported for it.
-struct Breach {
+/// A change to the correct history that violates a rule.
+struct ViolationCase {
     name: &'static str,
+    /// The rule that the check must report.
     rule: Rule,
-    /// The id of the request that is reported.
+    /// Id of the request that the check must report.
     subject: &'static str,
     change: fn(&mut History),
 }
 
-/// The first record of a request.
+/// The first record with this request id. Sessions come before requests without a session.
 fn request<'h>(history: &'h mut History, id: &str) -> &'h mut RequestRecord {
     let requests = history.sessions.iter_mut().flatten().chain(&mut history.without_session);
     requests.into_iter().find(|request| request.id == id).expect("a request with this id")
 }
 
-/// The first execution of a request.
-fn first_execution(history: &History, id: &str) -> usize {
+/// Index of the first execution of a request.
+fn first_execution_index(history: &History, id: &str) -> usize {
     history.executions.iter().position(|execution| execution.id == id).expect("an execution with this id")
 }
 
@@ -76,16 +79,16 @@
     fate.answer = answer;
 }
 
-/// Each breach is reported under its rule for its request, and at most one other violation.
-fn assert_each_is_reported(breaches: &[Breach]) {
-    for Breach { name, rule, subject, change } in breaches {
+/// Asserts that the check reports each case under its rule and for its request, with at most one other violation.
+fn assert_each_is_reported(cases: &[ViolationCase]) {
+    for ViolationCase { name, rule, subject, change } in cases {
         let mut history = correct_history();
         change(&mut history);
         let violations = check(&history).violations;
         let is_reported =
             violations.iter().any(|violation| violation.rule == *rule && violation.subject == *subject);
         assert!(is_reported, "{name}: {violations:?}");
-        // Some break two rules, as a write that was executed and rejected; none breaks what it does not touch.
+        // Some changes violate two rules; none may lead to violations of rules that it does not affect.
         assert!(violations.len() <= 2, "{name}: {violations:?}");
     }
 }
@@ -97,42 +100,43 @@
 }
 
 #[test]
-fn violations_that_endpoints_saw_are_counted() {
+fn violations_detected_by_endpoints_are_counted() {
     let mut history = correct_history();
-    let (rule, subject, detail) = (Rule::DrainGrace, "s-1".to_string(), "got one".to_string());
+    let (rule, subject, detail) =
+        (Rule::DrainGrace, "s-1".to_string(), "received a statement after the drain grace".to_string());
     history.endpoint_violations.push(Violation { rule, subject, detail });
     assert_eq!(check(&history).count(Rule::DrainGrace), 1);
 }
 
 #[test]
-fn breaches_in_answers_are_reported() {
+fn missing_and_wrong_answers_are_reported() {
     assert_each_is_reported(&[
-        Breach {
+        ViolationCase {
             name: "no answer",
             rule: Rule::OneAnswer,
             subject: "b",
             change: |history| request(history, "b").answer = Answer::Missing,
         },
-        Breach {
+        ViolationCase {
             name: "two answers",
             rule: Rule::OneAnswer,
             subject: "b",
             change: |history| request(history, "b").has_extra_answer = true,
         },
-        Breach {
+        ViolationCase {
             name: "the value of another request",
             rule: Rule::OneAnswer,
             subject: "b",
             change: |history| request(history, "b").answer = value("w", at(1, 1_135)),
         },
-        Breach {
+        ViolationCase {
             name: "a malformed value",
             rule: Rule::OneAnswer,
             subject: "b",
             change: |history| request(history, "b").answer = Answer::Value("b 1 x".into()),
         },
-        Breach {
-            name: "one id for two requests",
+        ViolationCase {
+            name: "two requests with the same id",
             rule: Rule::OneAnswer,
             subject: "p",
             change: |history| {
@@ -143,16 +147,16 @@
 }
 
 #[test]
-fn late_answers_and_answers_without_an_execution_are_reported() {
+fn late_answers_and_answers_without_execution_are_reported() {
     assert_each_is_reported(&[
-        Breach {
-            name: "late",
+        ViolationCase {
+            name: "answered after the timeout",
             rule: Rule::InTime,
             subject: "r",
             change: |history| request(history, "r").answered_ms += 400,
         },
-        Breach {
-            name: "an answer to a write that no endpoint executed",
+        ViolationCase {
+            name: "a value for a write that no endpoint executed",
             rule: Rule::OneAnswer,
             subject: "a",
             change: |history| history.executions.retain(|execution| execution.id != "a"),
@@ -161,28 +165,28 @@
 }
 
 #[test]
-fn breaches_in_executions_are_reported() {
+fn wrong_executions_are_reported() {
     assert_each_is_reported(&[
-        Breach {
-            name: "executed twice",
+        ViolationCase {
+            name: "a write without an idempotency key executed twice",
             rule: Rule::AtMostOnce,
             subject: "x",
             change: |history| history.executions.push(execution("x", at(0, 1_006))),
         },
-        Breach {
-            name: "a keyed write executed twice",
+        ViolationCase {
+            name: "a write with an idempotency key executed twice on the live branch",
             rule: Rule::AtMostOnce,
             subject: "t",
             change: |history| history.executions.push(execution("t", at(1, 1_126))),
         },
-        Breach {
+        ViolationCase {
             name: "rejected and executed",
             rule: Rule::AtMostOnce,
             subject: "x",
             change: |history| request(history, "x").answer = Answer::Rejected(None),
         },
-        Breach {
-            name: "executed despite the report of a loss",
+        ViolationCase {
+            name: "executed, but answered with the error for lost data",
             rule: Rule::AtMostOnce,
             subject: "l",
             change: |history| {
@@ -190,43 +194,43 @@
                 history.executions.push(execution("l", at(1, 1_121)));
             },
         },
-        Breach {
-            name: "executed at a former primary",
+        ViolationCase {
+            name: "executed by a former primary",
             rule: Rule::WritesAtPrimary,
             subject: "x",
             change: |history| {
-                let nth = first_execution(history, "x");
-                history.executions[nth].at_primary = false;
+                let index = first_execution_index(history, "x");
+                history.executions[index].at_primary = false;
             },
         },
     ]);
 }
 
 #[test]
-fn breaches_of_reads_are_reported() {
+fn stale_reads_are_reported() {
     assert_each_is_reported(&[
-        Breach {
-            name: "stale data",
+        ViolationCase {
+            name: "a read of data older than the staleness bound",
             rule: Rule::BoundedStaleness,
             subject: "o",
             change: |history| {
                 history.without_session.push(record("o", Kind::Read, 2_000, value("o", at(1, 1_199))));
             },
         },
-        Breach {
-            name: "older than its own write",
+        ViolationCase {
+            name: "a read of data older than the session's own write",
             rule: Rule::ReadYourWrites,
             subject: "r",
             change: |history| request(history, "r").answer = value("r", at(0, 999)),
         },
-        Breach {
-            name: "its own write missing on the new log",
+        ViolationCase {
+            name: "a read on the new branch that lacks the session's own write",
             rule: Rule::ReadYourWrites,
             subject: "l",
             change: |history| request(history, "l").answer = value("l", at(1, 1_119)),
         },
-        Breach {
-            name: "older than an earlier read",
+        ViolationCase {
+            name: "a read of data older than that of an earlier read",
             rule: Rule::MonotonicReads,
             subject: "b",
             change: |history| {
@@ -238,10 +242,10 @@
 }
 
 #[test]
-fn breaches_about_losses_are_reported() {
+fn wrong_handling_of_lost_data_is_reported() {
     assert_each_is_reported(&[
-        Breach {
-            name: "a write after what was lost",
+        ViolationCase {
+            name: "a write on a branch that lacks observed data",
             rule: Rule::WritesFollowReads,
             subject: "l",
             change: |history| {
@@ -251,13 +255,13 @@
                 history.executions.push(execution("l", at(1, 1_120)));
             },
         },
-        Breach {
-            name: "a loss reported where nothing was lost",
+        ViolationCase {
+            name: "the error for lost data without lost data",
             rule: Rule::LossReported,
             subject: "l",
             change: |history| {
                 history.forks.insert(1, vec![0, 1_010]);
-                let lost = first_execution(history, "t");
+                let lost = first_execution_index(history, "t");
                 history.executions.remove(lost);
             },
         },
@@ -265,34 +269,34 @@
 }
 
 #[test]
-fn breaches_in_fates_are_reported() {
+fn wrong_fates_are_reported() {
     assert_each_is_reported(&[
-        Breach {
-            name: "never, and it was executed",
+        ViolationCase {
+            name: "reported as never executed, but was executed",
             rule: Rule::FateCorrect,
             subject: "x",
             change: |history| set_fate(history, "x", Answer::Value("never".into())),
         },
-        Breach {
-            name: "never, and it was executed later",
+        ViolationCase {
+            name: "reported as never executed, but was executed later",
             rule: Rule::FateCorrect,
             subject: "p",
             change: |history| history.executions.push(execution("p", at(1, 5_000))),
         },
-        Breach {
-            name: "ran, and it was not executed",
+        ViolationCase {
+            name: "reported as executed, but was not executed",
             rule: Rule::FateCorrect,
             subject: "p",
             change: |history| set_fate(history, "p", Answer::Value("ran 1050".into())),
         },
-        Breach {
-            name: "another commit time",
+        ViolationCase {
+            name: "reported with a wrong commit position",
             rule: Rule::FateCorrect,
             subject: "x",
             change: |history| set_fate(history, "x", Answer::Value("ran 1004".into())),
         },
-        Breach {
-            name: "an unknown error code",
+        ViolationCase {
+            name: "answered with an error other than an unknown fate",
             rule: Rule::FateCorrect,
             subject: "t",
             change: |history| set_fate(history, "t", Answer::Error("42601".into())),
