--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,158 +1,174 @@
-//! Hosts many instances of the routing policy behind the simulator's wire: reads its messages, one batch at a time, and
-//! collects the replies.
+//! Hosts many instances of the routing policy: handles the simulator's messages, one batch at a time, and collects the
+//! replies.
 
 use crate::error::HostError;
 use crate::instance::Instance;
-use crate::messages::{append, AttemptEnd, How, In, Inbound, Out, Record, RequestRef};
+use crate::messages::{
+    append, AttemptEnded, InputMessage, ListKind, ListRecord, OutputMessage, RequestArrived, RequestRef,
+};
 use routing::time::Timestamp;
-use routing::Event;
+use routing::{Event, RequestId};
 use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
 
-/// All instances, and the open batch.
+/// All instances and the current batch.
 #[derive(Default)]
 pub struct Host {
+    /// Time of the current batch.
     now: Timestamp,
-    serial: u64,
-    in_frame: bool,
-    lists: HashMap<usize, Vec<Record>>,
+    batch_serial: u64,
+    batch_open: bool,
+    /// Defined endpoint lists by their number.
+    lists: HashMap<usize, Vec<ListRecord>>,
     instances: BTreeMap<u32, Instance>,
+    /// Replies to the current batch, as lines.
     replies: Vec<u8>,
 }
 
 impl Host {
-    /// Handles one line. Returns true if it closed a batch, whose replies were written to `output`.
+    /// Handles one line. Returns true if it ended a batch, whose replies have then been written to `output`.
     ///
     /// # Errors
     /// The line is not a valid message, or the replies cannot be written.
-    pub fn take(&mut self, line: &[u8], output: &mut impl Write) -> Result<bool, HostError> {
-        let message: In = serde_json::from_slice(line).map_err(|error| malformed(line, &error))?;
+    pub fn handle_line(&mut self, line: &[u8], output: &mut impl Write) -> Result<bool, HostError> {
+        let message: InputMessage = serde_json::from_slice(line).map_err(|error| malformed(line, &error))?;
         match message {
-            In::Frame { now_ns, serial } => self.begin_frame(now_ns, serial)?,
-            _ if !self.in_frame => return Err(HostError::OutsideFrame),
-            In::Go {} => {
-                self.end_frame(output)?;
+            InputMessage::BeginBatch { now_ns, serial } => self.begin_batch(now_ns, serial)?,
+            _ if !self.batch_open => return Err(HostError::NoOpenBatch),
+            InputMessage::EndBatch {} => {
+                self.end_batch(output)?;
                 return Ok(true);
             }
-            message => self.handle_frame(message)?,
+            message => self.handle_message(message)?,
         }
         Ok(false)
     }
 
-    fn begin_frame(&mut self, now_ns: i64, serial: u64) -> Result<(), HostError> {
-        if self.in_frame {
-            return Err(HostError::NestedFrame);
+    fn begin_batch(&mut self, now_ns: i64, serial: u64) -> Result<(), HostError> {
+        if self.batch_open {
+            return Err(HostError::BatchOpen);
         }
         self.now = Timestamp(now_ns);
-        self.serial = serial;
-        self.in_frame = true;
+        self.batch_serial = serial;
+        self.batch_open = true;
         Ok(())
     }
 
-    fn end_frame(&mut self, output: &mut impl Write) -> Result<(), HostError> {
-        self.in_frame = false;
-        append(&mut self.replies, &Out::Yield { serial: self.serial });
+    fn end_batch(&mut self, output: &mut impl Write) -> Result<(), HostError> {
+        self.batch_open = false;
+        append(&mut self.replies, &OutputMessage::EndReplies { serial: self.batch_serial });
         output.write_all(&self.replies)?;
         self.replies.clear();
         Ok(())
     }
 
-    fn handle_frame(&mut self, message: In) -> Result<(), HostError> {
+    /// Handles a message inside a batch. Messages for unknown instances or requests are ignored.
+    fn handle_message(&mut self, message: InputMessage) -> Result<(), HostError> {
         match message {
-            In::Frame { .. } | In::Go {} => {}
-            In::DefineList { page, records } => {
-                self.lists.insert(page, records);
+            InputMessage::BeginBatch { .. } | InputMessage::EndBatch {} => {}
+            InputMessage::DefineList { list, records } => {
+                self.lists.insert(list, records);
             }
-            In::Start { front, rng_seed, boot_info } => {
-                let instance = Instance::start(front, rng_seed, &boot_info, self.now)?;
-                self.instances.insert(front, instance);
-                self.perform_actions(front);
+            InputMessage::Start { instance, seed, config } => {
+                self.instances.insert(instance, Instance::start(instance, seed, &config, self.now)?);
+                self.write_actions(instance);
             }
-            In::Detach { front } => {
-                self.instances.remove(&front);
+            InputMessage::Remove { instance } => {
+                self.instances.remove(&instance);
             }
-            In::Discovery { front, how, page } => self.take_list(front, how, page)?,
-            In::Inbound(inbound) => self.take_request(inbound)?,
-            In::Flowing(RequestRef { front, request_id }) => {
-                if let Some(request) = self.instances.get(&front).and_then(|it| it.request(&request_id)) {
-                    self.report(front, Event::ResponseStarted { request });
-                }
-            }
-            In::AttemptEnd(end) => self.end_attempt(&end),
-            In::Gone(RequestRef { front, request_id }) => {
-                if let Some(request) = self.instances.get(&front).and_then(|it| it.request(&request_id)) {
-                    self.report(front, Event::ClientGone { request });
-                    if let Some(instance) = self.instances.get_mut(&front) {
-                        instance.close(request);
-                    }
-                }
+            InputMessage::EndpointList { instance, kind, list } => {
+                self.report_endpoint_list(instance, kind, list)?;
             }
-            In::Fired { front, nonce } => self.report(front, Event::TimerFired { tag: nonce }),
-            In::ProbeResult { front, store, status, wait_time_ns, pressure } => {
-                let instance = self.instances.get(&front);
-                let event = instance
-                    .and_then(|it| it.health_check_ended(&store, status, wait_time_ns, pressure.as_deref()));
+            InputMessage::RequestArrived(arrived) => self.report_request(arrived)?,
+            InputMessage::ResponseStarted(request) => self.report_response_start(&request),
+            InputMessage::AttemptEnded(ended) => self.report_attempt_end(&ended),
+            InputMessage::ClientGone(request) => self.report_client_gone(&request),
+            InputMessage::TimerFired { instance, tag } => self.report(instance, Event::TimerFired { tag }),
+            InputMessage::HealthCheckEnded { instance, endpoint, status, elapsed_ns, report } => {
+                let event = self
+                    .instances
+                    .get(&instance)
+                    .and_then(|it| it.health_check_ended(&endpoint, status, elapsed_ns, report.as_deref()));
                 if let Some(event) = event {
-                    self.report(front, event);
+                    self.report(instance, event);
                 }
             }
-            In::Inbox { front, src, bytes } => {
-                let bytes = decode_hex(&bytes).ok_or(HostError::BadBytes)?;
-                self.report(front, Event::PeerMessage { from: src, bytes });
+            InputMessage::PeerMessage { instance, from, bytes } => {
+                let bytes = decode_hex(&bytes).ok_or(HostError::InvalidPeerMessage)?;
+                self.report(instance, Event::PeerMessage { from, bytes });
             }
         }
         Ok(())
     }
 
-    fn take_list(&mut self, front: u32, how: How, page: usize) -> Result<(), HostError> {
-        if how == How::Error {
-            self.report(front, Event::EndpointListFailed);
+    fn report_endpoint_list(&mut self, number: u32, kind: ListKind, list: usize) -> Result<(), HostError> {
+        if kind == ListKind::Error {
+            self.report(number, Event::EndpointListFailed);
             return Ok(());
         }
-        let records = self.lists.get(&page).ok_or(HostError::UnknownList(page))?;
-        let Some(instance) = self.instances.get_mut(&front) else { return Ok(()) };
+        let records = self.lists.get(&list).ok_or(HostError::UnknownList(list))?;
+        let Some(instance) = self.instances.get_mut(&number) else { return Ok(()) };
         let records = instance.endpoint_records(records);
-        self.report(front, Event::EndpointList { complete: how != How::Partial, records });
+        self.report(number, Event::EndpointList { complete: kind != ListKind::Partial, records });
         Ok(())
     }
 
-    fn take_request(&mut self, inbound: Inbound) -> Result<(), HostError> {
-        let front = inbound.front;
-        let Some(instance) = self.instances.get_mut(&front) else { return Ok(()) };
-        let arrival = instance.request_arrived(inbound, self.now)?;
-        self.report(front, Event::RequestArrived(arrival));
+    fn report_request(&mut self, arrived: RequestArrived) -> Result<(), HostError> {
+        let number = arrived.instance;
+        let Some(instance) = self.instances.get_mut(&number) else { return Ok(()) };
+        let arrival = instance.request_arrived(arrived, self.now)?;
+        self.report(number, Event::RequestArrived(arrival));
         Ok(())
     }
 
-    fn end_attempt(&mut self, end: &AttemptEnd) {
-        let instance = self.instances.get(&end.front);
-        let Some(ended) = instance.and_then(|instance| instance.attempt_ended(end)) else { return };
-        let request = ended.attempt.request;
-        self.report(end.front, Event::AttemptEnded(ended));
-        if let Some(instance) = self.instances.get_mut(&end.front) {
-            instance.end_attempt(request, end.done_flag);
+    fn report_response_start(&mut self, request: &RequestRef) {
+        if let Some(id) = self.request_id(request) {
+            self.report(request.instance, Event::ResponseStarted { request: id });
+        }
+    }
+
+    fn report_client_gone(&mut self, request: &RequestRef) {
+        let Some(id) = self.request_id(request) else { return };
+        self.report(request.instance, Event::ClientGone { request: id });
+        if let Some(instance) = self.instances.get_mut(&request.instance) {
+            instance.close_request(id);
         }
     }
 
-    /// Reports an event to the policy of an instance and writes the actions that it requests.
-    fn report(&mut self, front: u32, event: Event) {
-        if let Some(instance) = self.instances.get_mut(&front) {
+    fn report_attempt_end(&mut self, message: &AttemptEnded) {
+        let instance = self.instances.get(&message.instance);
+        let Some(end) = instance.and_then(|instance| instance.attempt_ended(message)) else { return };
+        let request = end.attempt.request;
+        self.report(message.instance, Event::AttemptEnded(end));
+        if let Some(instance) = self.instances.get_mut(&message.instance) {
+            instance.end_attempt(request, message.request_closed);
+        }
+    }
+
+    /// The policy's id of an open request.
+    fn request_id(&self, request: &RequestRef) -> Option<RequestId> {
+        self.instances.get(&request.instance)?.request_id(&request.request_id)
+    }
+
+    /// Reports an event to the policy of an instance, and adds the resulting actions to the replies.
+    fn report(&mut self, number: u32, event: Event) {
+        if let Some(instance) = self.instances.get_mut(&number) {
             instance.on_event(self.now, event);
-            self.perform_actions(front);
+            self.write_actions(number);
         }
     }
 
-    fn perform_actions(&mut self, front: u32) {
-        if let Some(instance) = self.instances.get_mut(&front) {
+    fn write_actions(&mut self, number: u32) {
+        if let Some(instance) = self.instances.get_mut(&number) {
             instance.write_actions(&mut self.replies);
         }
     }
 }
 
-/// Parses an invalid line again to find the path of the invalid field.
+/// Parses an invalid line again, to find the path of the invalid field for the error.
 fn malformed(line: &[u8], error: &serde_json::Error) -> HostError {
     let mut deserializer = serde_json::Deserializer::from_slice(line);
-    let with_path = serde_path_to_error::deserialize::<_, In>(&mut deserializer).err();
+    let with_path = serde_path_to_error::deserialize::<_, InputMessage>(&mut deserializer).err();
     HostError::Malformed(with_path.map_or_else(|| error.to_string(), |error| error.to_string()))
 }
 
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -1,7 +1,9 @@
-//! One instance of the routing policy, and the maps between the wire's identifiers and the policy's indices.
+//! An instance of the routing policy, and the maps between the identifiers on the wire and the policy's indices.
 
 use crate::error::HostError;
-use crate::messages::{self, append, Availability, Inbound, Out, Record, Status};
+use crate::messages::{
+    append, AttemptEnded, Availability, ListRecord, OutputMessage, RequestArrived, Status,
+};
 use host_support::bootstrap_config::BootstrapConfig;
 use host_support::id_interner::IdInterner;
 use host_support::request_registry::RequestRegistry;
@@ -13,13 +15,17 @@
 };
 use std::collections::HashMap;
 
-/// Positions count ticks of a quarter of a millisecond; the two lowest bits hold the role.
-const TICKS_PER_MILLI: i64 = 4;
+/// Number of role codes. An attempt's `progress` is the endpoint's position in milliseconds times this, plus the code of
+/// its role.
+const ROLE_CODES: i64 = 4;
+const PRIMARY_CODE: i64 = 1;
+const REPLICA_CODE: i64 = 2;
 
 /// State of an open request.
 struct OpenRequest {
+    /// Id of the request on the wire.
     wire_id: String,
-    /// Session of the request, if it is a write.
+    /// Session of the request if it is a write.
     write_session: Option<u64>,
 }
 
@@ -27,21 +33,24 @@
 pub struct Instance {
     number: u32,
     policy: RoutingPolicy,
-    /// The origin of positions.
+    /// Time that is position 0.
     position_origin: Timestamp,
+    /// Names of the values in load reports, in their order.
     report_fields: Vec<String>,
     endpoints: IdInterner<String>,
     groups: IdInterner<i64>,
+    /// The policy's ids of open requests, by the ids on the wire.
     request_ids: HashMap<String, RequestId>,
     requests: RequestRegistry<OpenRequest>,
-    /// Whether requests of a method are writes, by method.
+    /// Whether the requests of a method are writes, by the method's index.
     is_write: Vec<bool>,
     next_request: RequestId,
+    /// Actions that the policy requested and that were not written yet.
     actions: Vec<Action>,
 }
 
 impl Instance {
-    /// Starts an instance.
+    /// Starts an instance. `number` identifies it on the wire.
     ///
     /// # Errors
     /// The configuration is invalid.
@@ -74,96 +83,104 @@
         self.policy.on_event(now, event, &mut self.actions);
     }
 
-    /// The number of an open request.
-    pub fn request(&self, wire_id: &str) -> Option<RequestId> {
+    /// The policy's id of an open request.
+    pub fn request_id(&self, wire_id: &str) -> Option<RequestId> {
         self.request_ids.get(wire_id).copied()
     }
 
-    /// The records of an endpoint list.
-    pub fn endpoint_records(&mut self, records: &[Record]) -> Vec<EndpointRecord> {
+    /// Converts the records of an endpoint list.
+    pub fn endpoint_records(&mut self, records: &[ListRecord]) -> Vec<EndpointRecord> {
         records.iter().map(|record| self.endpoint_record(record)).collect()
     }
 
-    fn endpoint_record(&mut self, record: &Record) -> EndpointRecord {
+    fn endpoint_record(&mut self, record: &ListRecord) -> EndpointRecord {
         EndpointRecord {
-            endpoint: self.endpoints.intern(record.store.clone()),
-            group: self.groups.intern(record.set),
-            zone: record.failure_domain,
+            endpoint: self.endpoints.intern(record.endpoint.clone()),
+            group: self.groups.intern(record.group),
+            zone: record.zone,
             status: match record.availability {
-                Availability::Healthy => EndpointStatus::Serving,
-                Availability::Cordoned => EndpointStatus::Draining,
-                Availability::Deregistered => EndpointStatus::Removed,
+                Availability::Serving => EndpointStatus::Serving,
+                Availability::Draining => EndpointStatus::Draining,
+                Availability::Removed => EndpointStatus::Removed,
             },
             primary: record.is_primary == 1.0,
-            started_at: (record.launched_ns > 0).then_some(Timestamp(record.launched_ns)),
+            started_at: (record.started_ns > 0).then_some(Timestamp(record.started_ns)),
             start_is_upper_bound: false,
         }
     }
 
-    /// Registers a new request.
+    /// Registers a new request and converts it to the policy's event.
     ///
     /// # Errors
-    /// The session key is not in hexadecimal digits.
-    pub fn request_arrived(&mut self, inbound: Inbound, now: Timestamp) -> Result<RequestArrival, HostError> {
-        let session = inbound.conn_key.as_deref().map(session_number).transpose()?;
+    /// The session key is not a hexadecimal number of 64 bits.
+    pub fn request_arrived(
+        &mut self,
+        arrived: RequestArrived,
+        now: Timestamp,
+    ) -> Result<RequestArrival, HostError> {
+        let session = arrived.session_key.as_deref().map(parse_session_key).transpose()?;
         let request = self.next_request;
         self.next_request += 1;
-        let is_write = self.is_write.get(inbound.profile) == Some(&true);
+        let is_write = self.is_write.get(arrived.method) == Some(&true);
         let write_session = session.filter(|_| is_write);
-        self.request_ids.insert(inbound.request_id.to_string(), request);
-        let open = OpenRequest { wire_id: inbound.request_id.into_owned(), write_session };
+        self.request_ids.insert(arrived.request_id.to_string(), request);
+        let open = OpenRequest { wire_id: arrived.request_id.into_owned(), write_session };
         self.requests.insert(request, open);
-        let last_write_ns = (inbound.last_write_ms * 1e6) as i64;
+        let last_write_ns = (arrived.last_write_ms * 1e6) as i64;
         Ok(RequestArrival {
             request,
-            method: inbound.profile,
-            group: self.groups.intern(inbound.db_no),
+            method: arrived.method,
+            group: self.groups.intern(arrived.group),
             session,
-            last_write: (inbound.last_write_ms > 0.0).then_some(TimeDelta(last_write_ns)),
+            last_write: (arrived.last_write_ms > 0.0).then_some(TimeDelta(last_write_ns)),
             seen_position: None,
             received_at: now,
-            deadline: Timestamp(inbound.drop_dead_ns),
-            client_retry: inbound.is_retry,
+            deadline: Timestamp(arrived.deadline_ns),
+            client_retry: arrived.is_retry,
         })
     }
 
-    /// The end of an attempt, if its request and its endpoint are known.
-    pub fn attempt_ended(&self, end: &messages::AttemptEnd) -> Option<AttemptEnd> {
-        let request = self.request(&end.request_id)?;
+    /// Converts the end of an attempt to the policy's event. `None` if its request or its endpoint is not known.
+    pub fn attempt_ended(&self, ended: &AttemptEnded) -> Option<AttemptEnd> {
+        let request = self.request_id(&ended.request_id)?;
         Some(AttemptEnd {
-            attempt: AttemptId { request, number: end.hop, endpoint: self.endpoints.get(&*end.store)? },
-            outcome: outcome(end.status),
-            elapsed: TimeDelta(end.wait_time_ns),
-            request_closed: end.done_flag,
+            attempt: AttemptId {
+                request,
+                number: ended.attempt,
+                endpoint: self.endpoints.get(&*ended.endpoint)?,
+            },
+            outcome: attempt_outcome(ended.status),
+            elapsed: TimeDelta(ended.elapsed_ns),
+            request_closed: ended.request_closed,
             write_session: self.requests.get(request).and_then(|open| open.write_session),
-            answer_report: self.answer_report(end.progress),
-            load_report: self.load_report(end.pressure.as_deref()),
+            answer_report: self.answer_report(ended.position_and_role),
+            load_report: self.load_report(ended.report.as_deref()),
         })
     }
 
-    /// The end of a health check, if its endpoint is known.
+    /// Converts the end of a health check to the policy's event. `None` if its endpoint is not known.
     pub fn health_check_ended(
         &self,
         endpoint: &str,
         status: Status,
-        wait_time_ns: i64,
-        pressure: Option<&[Option<f64>]>,
+        elapsed_ns: i64,
+        report: Option<&[Option<f64>]>,
     ) -> Option<Event> {
         Some(Event::HealthCheckEnded {
             endpoint: self.endpoints.get(endpoint)?,
-            outcome: outcome(status),
-            elapsed: TimeDelta(wait_time_ns),
-            report: self.load_report(pressure),
+            outcome: attempt_outcome(status),
+            elapsed: TimeDelta(elapsed_ns),
+            report: self.load_report(report),
         })
     }
 
-    fn answer_report(&self, progress: i64) -> EndpointReport {
-        let millis = progress / TICKS_PER_MILLI;
+    fn answer_report(&self, position_and_role: i64) -> EndpointReport {
+        let millis = position_and_role / ROLE_CODES;
         EndpointReport {
             position: (millis > 0).then(|| self.position_origin + TimeDelta::from_millis(millis)),
-            role: match progress % TICKS_PER_MILLI {
-                1 => Some(Role::Primary),
-                2 => Some(Role::Replica),
+            role: match position_and_role % ROLE_CODES {
+                PRIMARY_CODE => Some(Role::Primary),
+                REPLICA_CODE => Some(Role::Replica),
                 _ => None,
             },
             load: None,
@@ -174,11 +191,13 @@
         let mut report = EndpointReport::default();
         for (name, value) in self.report_fields.iter().zip(values.unwrap_or_default()) {
             match (name.as_str(), value) {
+                // The position in seconds.
                 ("x0", Some(secs)) => {
                     let since_origin = TimeDelta((secs * 1e9).floor() as i64);
                     report.position = Some(self.position_origin + since_origin);
                 }
                 ("load_share", Some(share)) => report.load = Some(*share),
+                // The role: 1 for a primary.
                 ("x1", Some(role)) => {
                     report.role = Some(if *role == 1.0 { Role::Primary } else { Role::Replica });
                 }
@@ -188,40 +207,43 @@
         report
     }
 
-    /// Removes an attempt that has ended.
-    pub fn end_attempt(&mut self, request: RequestId, closed: bool) {
-        let removed = self.requests.end_attempt(request, closed);
-        self.forget(removed);
+    /// Removes an attempt that has ended, and closes its request if `close` is set.
+    pub fn end_attempt(&mut self, request: RequestId, close: bool) {
+        let removed = self.requests.end_attempt(request, close);
+        self.remove_wire_id(removed);
     }
 
-    /// Closes a request that was answered or whose client has left.
-    pub fn close(&mut self, request: RequestId) {
+    /// Closes a request that was answered or whose client has closed its connection.
+    pub fn close_request(&mut self, request: RequestId) {
         let removed = self.requests.close(request);
-        self.forget(removed);
+        self.remove_wire_id(removed);
     }
 
-    fn forget(&mut self, removed: Option<OpenRequest>) {
+    fn remove_wire_id(&mut self, removed: Option<OpenRequest>) {
         if let Some(OpenRequest { wire_id, .. }) = removed {
             self.request_ids.remove(&wire_id);
         }
     }
 
-    /// Writes the actions that the policy requested, in order.
+    /// Appends the actions that the policy requested to the replies, in their order.
     pub fn write_actions(&mut self, replies: &mut Vec<u8>) {
         for action in std::mem::take(&mut self.actions) {
-            if let Some(message) = self.message(&action) {
+            if let Some(message) = self.action_message(&action) {
                 append(replies, &message);
             }
-            self.register(&action);
+            self.update_requests(&action);
         }
     }
 
-    fn register(&mut self, action: &Action) {
+    /// Updates the open requests for an action that was written.
+    fn update_requests(&mut self, action: &Action) {
         match action {
             Action::StartAttempt { request, .. } => {
                 self.requests.start_attempt(*request);
             }
-            Action::Reject { request, .. } | Action::Abort { request } => self.close(*request),
+            Action::Reject { request, .. } | Action::Abort { request } => {
+                self.close_request(*request);
+            }
             _ => {}
         }
     }
@@ -230,40 +252,45 @@
         self.requests.get(request).map(|open| open.wire_id.as_str())
     }
 
-    fn message<'a>(&'a self, action: &'a Action) -> Option<Out<'a>> {
-        let front = self.number;
+    /// The message for an action. `None` if the action's request is not open.
+    fn action_message<'a>(&'a self, action: &'a Action) -> Option<OutputMessage<'a>> {
+        let instance = self.number;
         Some(match action {
-            Action::StartAttempt { request, endpoint, timeout } => Out::Forward {
-                front,
+            Action::StartAttempt { request, endpoint, timeout } => OutputMessage::StartAttempt {
+                instance,
                 request_id: self.wire_id(*request)?,
-                store: self.endpoints.id(*endpoint),
-                limit_ns: timeout.0,
+                endpoint: self.endpoints.id(*endpoint),
+                timeout_ns: timeout.0,
             },
-            Action::Reject { request, retry_after } => Out::Shed {
-                front,
+            Action::Reject { request, retry_after } => OutputMessage::Reject {
+                instance,
                 request_id: self.wire_id(*request)?,
                 retry_after_ns: retry_after.map_or(0, |wait| wait.0),
             },
-            Action::Abort { request } => Out::RespondError { front, request_id: self.wire_id(*request)? },
-            Action::CancelAttempt { request, attempt } => {
-                Out::Withdraw { front, request_id: self.wire_id(*request)?, hop: *attempt }
+            Action::Abort { request } => {
+                OutputMessage::Abort { instance, request_id: self.wire_id(*request)? }
             }
-            Action::SetTimer { tag, at } => Out::Remind { front, nonce: *tag, time_ns: at.0 },
+            Action::CancelAttempt { request, attempt } => OutputMessage::CancelAttempt {
+                instance,
+                request_id: self.wire_id(*request)?,
+                attempt: *attempt,
+            },
+            Action::SetTimer { tag, at } => OutputMessage::SetTimer { instance, tag: *tag, at_ns: at.0 },
             Action::CheckHealth { endpoint } => {
-                Out::HealthCheck { front, store: self.endpoints.id(*endpoint) }
+                OutputMessage::CheckHealth { instance, endpoint: self.endpoints.id(*endpoint) }
             }
-            Action::WatchEndpointList => Out::Watch { front, enable: true },
-            Action::FetchEndpointList => Out::ListAll { front },
-            Action::Log(message) => Out::Remark { front, message },
+            Action::WatchEndpointList => OutputMessage::WatchEndpointList { instance, enable: true },
+            Action::FetchEndpointList => OutputMessage::FetchEndpointList { instance },
+            Action::Log(message) => OutputMessage::Log { instance, message },
         })
     }
 }
 
-fn session_number(key: &str) -> Result<u64, HostError> {
-    u64::from_str_radix(key, 16).map_err(|_| HostError::BadSessionKey(key.to_string()))
+fn parse_session_key(key: &str) -> Result<u64, HostError> {
+    u64::from_str_radix(key, 16).map_err(|_| HostError::InvalidSessionKey(key.to_string()))
 }
 
-fn outcome(status: Status) -> AttemptOutcome {
+fn attempt_outcome(status: Status) -> AttemptOutcome {
     match status {
         Status::Ok => AttemptOutcome::Succeeded,
         Status::Internal => AttemptOutcome::Failed,
--- a/simulator-adapter/src/messages.rs
+++ b/simulator-adapter/src/messages.rs
@@ -1,124 +1,175 @@
-//! The messages of the simulator's wire, under its own names (WIRE page). Times are nanoseconds.
+//! The messages between the simulator and the adapter, one JSON object a line. Identifiers use the terms of the routing
+//! policy; a `rename` attribute gives the name on the wire where that is another. Times are in nanoseconds unless the
+//! name says otherwise.
 
 use host_support::bootstrap_config::BootstrapConfig;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
+/// A message from the simulator. `instance` is the number of the instance that it concerns.
 #[derive(Deserialize)]
-pub enum In<'a> {
-    #[serde(rename_all = "camelCase")]
-    Frame {
+pub enum InputMessage<'a> {
+    /// Begins a batch of messages, which all happen at the same time.
+    #[serde(rename = "Frame")]
+    BeginBatch {
+        #[serde(rename = "nowNs")]
         now_ns: i64,
+        /// Returned in the reply that ends the batch's replies.
         serial: u64,
     },
-    Go {},
-    #[serde(rename_all = "camelCase")]
+    /// Ends the batch and requests the replies to it.
+    #[serde(rename = "Go")]
+    EndBatch {},
+    /// Starts an instance.
     Start {
-        front: u32,
-        rng_seed: u64,
-        boot_info: Box<BootstrapConfig>,
+        #[serde(rename = "front")]
+        instance: u32,
+        #[serde(rename = "rngSeed")]
+        seed: u64,
+        #[serde(rename = "bootInfo")]
+        config: Box<BootstrapConfig>,
     },
-    Detach {
-        front: u32,
+    /// Removes an instance with all of its state.
+    #[serde(rename = "Detach")]
+    Remove {
+        #[serde(rename = "front")]
+        instance: u32,
     },
+    /// Defines the content of an endpoint list, which [`Self::EndpointList`] messages then name by its number.
     DefineList {
-        page: usize,
-        records: Vec<Record>,
-    },
-    Discovery {
-        front: u32,
-        how: How,
-        #[serde(default)]
-        page: usize,
-    },
-    #[serde(borrow)]
-    Inbound(Inbound<'a>),
-    #[serde(borrow)]
-    Flowing(RequestRef<'a>),
-    #[serde(borrow)]
-    AttemptEnd(AttemptEnd<'a>),
-    #[serde(borrow)]
-    Gone(RequestRef<'a>),
-    Fired {
-        front: u32,
-        nonce: u64,
-    },
-    #[serde(rename_all = "camelCase")]
-    ProbeResult {
-        front: u32,
-        #[serde(borrow)]
-        store: Cow<'a, str>,
+        #[serde(rename = "page")]
+        list: usize,
+        records: Vec<ListRecord>,
+    },
+    /// Discovery delivered an endpoint list, or failed to.
+    #[serde(rename = "Discovery")]
+    EndpointList {
+        #[serde(rename = "front")]
+        instance: u32,
+        #[serde(rename = "how")]
+        kind: ListKind,
+        #[serde(default, rename = "page")]
+        list: usize,
+    },
+    #[serde(borrow, rename = "Inbound")]
+    RequestArrived(RequestArrived<'a>),
+    /// An endpoint began to send the response to a request.
+    #[serde(borrow, rename = "Flowing")]
+    ResponseStarted(RequestRef<'a>),
+    #[serde(borrow, rename = "AttemptEnd")]
+    AttemptEnded(AttemptEnded<'a>),
+    /// The client of a request has closed its connection.
+    #[serde(borrow, rename = "Gone")]
+    ClientGone(RequestRef<'a>),
+    /// The time of a timer has come.
+    #[serde(rename = "Fired")]
+    TimerFired {
+        #[serde(rename = "front")]
+        instance: u32,
+        #[serde(rename = "nonce")]
+        tag: u64,
+    },
+    /// A health check has ended.
+    #[serde(rename = "ProbeResult")]
+    HealthCheckEnded {
+        #[serde(rename = "front")]
+        instance: u32,
+        #[serde(borrow, rename = "store")]
+        endpoint: Cow<'a, str>,
         status: Status,
-        #[serde(default)]
-        wait_time_ns: i64,
-        #[serde(default)]
-        pressure: Option<Vec<Option<f64>>>,
-    },
-    Inbox {
-        front: u32,
-        src: u32,
+        #[serde(default, rename = "waitTimeNs")]
+        elapsed_ns: i64,
+        /// Values of the report fields that the instance's configuration names, in the same order.
+        #[serde(default, rename = "pressure")]
+        report: Option<Vec<Option<f64>>>,
+    },
+    /// Another instance sent a message.
+    #[serde(rename = "Inbox")]
+    PeerMessage {
+        #[serde(rename = "front")]
+        instance: u32,
+        #[serde(rename = "src")]
+        from: u32,
+        /// The content in hexadecimal digits.
         #[serde(borrow)]
         bytes: Cow<'a, str>,
     },
 }
 
-/// A request of an instance.
+/// An open request of an instance.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub struct RequestRef<'a> {
-    pub front: u32,
-    #[serde(borrow)]
+    #[serde(rename = "front")]
+    pub instance: u32,
+    #[serde(borrow, rename = "requestId")]
     pub request_id: Cow<'a, str>,
 }
 
+/// A client sent a request to an instance.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Inbound<'a> {
-    pub front: u32,
-    #[serde(borrow)]
+pub struct RequestArrived<'a> {
+    #[serde(rename = "front")]
+    pub instance: u32,
+    #[serde(borrow, rename = "requestId")]
     pub request_id: Cow<'a, str>,
-    #[serde(default)]
-    pub db_no: i64,
-    #[serde(default, borrow)]
-    pub conn_key: Option<Cow<'a, str>>,
-    pub drop_dead_ns: i64,
+    #[serde(default, rename = "dbNo")]
+    pub group: i64,
+    /// Key of the session in hexadecimal digits. `None` for a request without a session.
+    #[serde(default, borrow, rename = "connKey")]
+    pub session_key: Option<Cow<'a, str>>,
+    #[serde(rename = "dropDeadNs")]
+    pub deadline_ns: i64,
+    /// The client retries a request.
     #[serde(default, rename = "repeat")]
     pub is_retry: bool,
-    #[serde(default)]
-    pub profile: usize,
-    #[serde(default)]
+    /// Index of the method in the instance's configuration.
+    #[serde(default, rename = "profile")]
+    pub method: usize,
+    /// Time from the commit of the session's last write to the request's arrival, in milliseconds. 0 if it is not known.
+    #[serde(default, rename = "lastWriteMs")]
     pub last_write_ms: f64,
 }
 
+/// An attempt has ended.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct AttemptEnd<'a> {
-    pub front: u32,
-    #[serde(borrow)]
+pub struct AttemptEnded<'a> {
+    #[serde(rename = "front")]
+    pub instance: u32,
+    #[serde(borrow, rename = "requestId")]
     pub request_id: Cow<'a, str>,
-    #[serde(default)]
-    pub hop: u32,
-    #[serde(default)]
-    pub done_flag: bool,
-    #[serde(borrow)]
-    pub store: Cow<'a, str>,
-    #[serde(default)]
-    pub wait_time_ns: i64,
+    /// Number of the attempt among those of its request.
+    #[serde(default, rename = "hop")]
+    pub attempt: u32,
+    /// The request needs no further answer.
+    #[serde(default, rename = "doneFlag")]
+    pub request_closed: bool,
+    #[serde(borrow, rename = "store")]
+    pub endpoint: Cow<'a, str>,
+    #[serde(default, rename = "waitTimeNs")]
+    pub elapsed_ns: i64,
     pub status: Status,
-    #[serde(default)]
-    pub progress: i64,
-    #[serde(default)]
-    pub pressure: Option<Vec<Option<f64>>>,
+    /// The endpoint's position in milliseconds, times 4, plus the code of its role. 0 if neither is known.
+    #[serde(default, rename = "progress")]
+    pub position_and_role: i64,
+    /// Values of the report fields that the instance's configuration names, in the same order.
+    #[serde(default, rename = "pressure")]
+    pub report: Option<Vec<Option<f64>>>,
 }
 
+/// What discovery delivered.
 #[derive(Clone, Copy, Deserialize, PartialEq)]
-pub enum How {
+pub enum ListKind {
+    /// Only some of the endpoints.
     Partial,
+    /// All endpoints.
     Complete,
+    /// All endpoints, from a stored list. Handled like [`Self::Complete`].
     Persisted,
+    /// No list, since discovery failed.
     Error,
 }
 
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Status {
@@ -133,82 +184,115 @@
     NotFound,
 }
 
+/// An endpoint in an endpoint list.
 #[derive(Clone, Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Record {
-    #[serde(default)]
-    pub set: i64,
-    #[serde(default)]
+pub struct ListRecord {
+    #[serde(default, rename = "set")]
+    pub group: i64,
+    /// 1 for a primary.
+    #[serde(default, rename = "isPrimary")]
     pub is_primary: f64,
-    pub store: String,
-    #[serde(default)]
-    pub launched_ns: i64,
+    #[serde(rename = "store")]
+    pub endpoint: String,
+    /// Start time of the endpoint. 0 if it is not known.
+    #[serde(default, rename = "launchedNs")]
+    pub started_ns: i64,
     pub availability: Availability,
-    #[serde(default)]
-    pub failure_domain: usize,
+    #[serde(default, rename = "failureDomain")]
+    pub zone: usize,
 }
 
+/// Status of an endpoint in an endpoint list.
 #[derive(Clone, Copy, Deserialize)]
-#[serde(rename_all = "lowercase")]
 pub enum Availability {
-    Healthy,
-    Cordoned,
-    Deregistered,
+    #[serde(rename = "healthy")]
+    Serving,
+    #[serde(rename = "cordoned")]
+    Draining,
+    #[serde(rename = "deregistered")]
+    Removed,
 }
 
+/// A message to the simulator: an action of an instance's policy, or the end of a batch's replies.
 #[derive(Serialize)]
-#[allow(clippy::enum_variant_names)] // The wire's names.
-#[serde(rename_all_fields = "camelCase")]
-pub enum Out<'a> {
-    Forward {
-        front: u32,
+pub enum OutputMessage<'a> {
+    #[serde(rename = "Forward")]
+    StartAttempt {
+        #[serde(rename = "front")]
+        instance: u32,
+        #[serde(rename = "requestId")]
         request_id: &'a str,
-        store: &'a str,
-        limit_ns: i64,
+        #[serde(rename = "store")]
+        endpoint: &'a str,
+        #[serde(rename = "limitNs")]
+        timeout_ns: i64,
     },
-    Shed {
-        front: u32,
+    #[serde(rename = "Shed")]
+    Reject {
+        #[serde(rename = "front")]
+        instance: u32,
+        #[serde(rename = "requestId")]
         request_id: &'a str,
+        /// Retry-After time. 0 if there is none.
         #[serde(rename = "comeBackNs")]
         retry_after_ns: i64,
     },
-    RespondError {
-        front: u32,
+    #[serde(rename = "RespondError")]
+    Abort {
+        #[serde(rename = "front")]
+        instance: u32,
+        #[serde(rename = "requestId")]
         request_id: &'a str,
     },
-    Withdraw {
-        front: u32,
+    #[serde(rename = "Withdraw")]
+    CancelAttempt {
+        #[serde(rename = "front")]
+        instance: u32,
+        #[serde(rename = "requestId")]
         request_id: &'a str,
-        hop: u32,
+        #[serde(rename = "hop")]
+        attempt: u32,
     },
-    Remind {
-        front: u32,
-        nonce: u64,
-        time_ns: i64,
+    #[serde(rename = "Remind")]
+    SetTimer {
+        #[serde(rename = "front")]
+        instance: u32,
+        #[serde(rename = "nonce")]
+        tag: u64,
+        #[serde(rename = "timeNs")]
+        at_ns: i64,
     },
     #[serde(rename = "SoundOut")]
-    HealthCheck {
-        front: u32,
-        store: &'a str,
+    CheckHealth {
+        #[serde(rename = "front")]
+        instance: u32,
+        #[serde(rename = "store")]
+        endpoint: &'a str,
     },
-    Watch {
-        front: u32,
+    #[serde(rename = "Watch")]
+    WatchEndpointList {
+        #[serde(rename = "front")]
+        instance: u32,
         enable: bool,
     },
-    ListAll {
-        front: u32,
+    #[serde(rename = "ListAll")]
+    FetchEndpointList {
+        #[serde(rename = "front")]
+        instance: u32,
     },
-    Remark {
-        front: u32,
+    #[serde(rename = "Remark")]
+    Log {
+        #[serde(rename = "front")]
+        instance: u32,
         message: &'a str,
     },
-    Yield {
-        serial: u64,
-    },
+    /// Ends the replies to the batch with this serial number.
+    #[serde(rename = "Yield")]
+    EndReplies { serial: u64 },
 }
 
 /// Appends a message as one line.
-pub fn append(replies: &mut Vec<u8>, message: &Out) {
+pub fn append(replies: &mut Vec<u8>, message: &OutputMessage) {
     serde_json::to_writer(&mut *replies, message).expect("plain values always serialise");
     replies.push(b'\n');
 }
