--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What is done by hand most often. `make run CONFIG=FILE` starts the daemon on the bootstrap file FILE.
+# Shortcuts for common commands. `make run CONFIG=FILE` starts the daemon with the bootstrap file FILE.
 .PHONY: all build test lint run ci
 
 all: build
