--- a/history-checker/src/verdict.rs
+++ b/history-checker/src/verdict.rs
@@ -11,7 +11,7 @@
     InTime,
     /// A write is executed at most once, and an executed write is not rejected.
     AtMostOnce,
-    /// The data of a read is not older than the bound on staleness.
+    /// The data of a read is not older than the staleness bound.
     BoundedStaleness,
     /// Writes are executed only by the primary of their group.
     WritesAtPrimary,
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -15,8 +15,8 @@
 };
 use std::collections::HashMap;
 
-/// Number of role codes. An attempt's `progress` is the endpoint's position in milliseconds times this, plus the code of
-/// its role.
+/// Number of role codes. The end of an attempt states the endpoint's position in milliseconds times this number, plus the
+/// code of its role.
 const ROLE_CODES: i64 = 4;
 const PRIMARY_CODE: i64 = 1;
 const REPLICA_CODE: i64 = 2;
@@ -33,7 +33,7 @@
 pub struct Instance {
     number: u32,
     policy: RoutingPolicy,
-    /// Time that is position 0.
+    /// Time that corresponds to position 0.
     position_origin: Timestamp,
     /// Names of the values in load reports, in their order.
     report_fields: Vec<String>,
--- a/simulator-adapter/src/messages.rs
+++ b/simulator-adapter/src/messages.rs
@@ -96,7 +96,7 @@
     },
 }
 
-/// An open request of an instance.
+/// Identifies an open request of an instance.
 #[derive(Deserialize)]
 pub struct RequestRef<'a> {
     #[serde(rename = "front")]
