--- a/server/tests/client_protocol.rs
+++ b/server/tests/client_protocol.rs
@@ -1,4 +1,4 @@
-//! Decoding of messages and statements from clients, without a socket, and the SQLSTATEs of rejections.
+//! Tests without a socket: decoding of messages and statements from clients, and the SQLSTATEs of rejected ones.
 
 mod common {
     pub mod message;
@@ -13,10 +13,11 @@
 use server::protocol::sqlstate::{ClientError, SqlState};
 use server::protocol::statement::{self, Statement};
 
-const GET: &str = "/* id=9b1f03aa5c7e2d41,c=basket,d=480,cluster=2,after=1767225600123,r=1 */ \
+/// A valid statement with all keys of a request, without its final zero byte.
+const READ_STATEMENT: &str = "/* id=9b1f03aa5c7e2d41,c=basket,d=480,cluster=2,after=1767225600123,r=1 */ \
                    SELECT content FROM kv WHERE name = '7f3a9c21e0b4d655'";
 
-/// Decodes all messages of bytes that arrive in the given parts.
+/// Decodes all messages in a stream whose bytes arrive in the given parts.
 fn decode(parts: &[&[u8]]) -> Vec<FrontendMessage> {
     let mut codec = FrontendCodec::default();
     let mut messages = Vec::new();
@@ -27,8 +28,8 @@
     messages
 }
 
-/// The decoded form of `protocol::encode::startup_message`.
-fn startup() -> FrontendMessage {
+/// What `protocol::encode::startup_message` is decoded to.
+fn decoded_startup() -> FrontendMessage {
     let parameters =
         StartupParameters { audience: "7:backend/store".into(), user: "backend".into(), session: None };
     FrontendMessage::Startup { minor_version: 0, parameters }
@@ -39,6 +40,7 @@
     matches!(message, Invalid(_) | Terminate | CancelRequest)
 }
 
+/// The SQLSTATE of an invalid message, or `None` for other messages.
 fn invalid_code(message: &FrontendMessage) -> Option<&'static str> {
     match message {
         FrontendMessage::Invalid(error) => Some(error.code.as_str()),
@@ -46,18 +48,18 @@
     }
 }
 
-/// Generates messages, most of them well-formed, and short random bytes.
+/// Generates messages with a valid length, and in one of nine cases short random bytes.
 fn any_message() -> impl Strategy<Value = Vec<u8>> {
     let tag = prop::sample::select(b"QQQQSPBDEHCFdcfX?".to_vec());
     let body = prop_oneof![
-        Just(GET.as_bytes().to_vec()),
+        Just(READ_STATEMENT.as_bytes().to_vec()),
         Just(Vec::new()),
         prop::collection::vec(any::<u8>(), 0..40),
         prop::collection::vec(prop::sample::select(b"/* c=d,=9;'".to_vec()), 0..40),
     ];
     prop_oneof![
-        8 => (tag, body, any::<bool>()).prop_map(|(tag, mut body, zero)| {
-            body.extend(zero.then_some(0));
+        8 => (tag, body, any::<bool>()).prop_map(|(tag, mut body, zero_terminated)| {
+            body.extend(zero_terminated.then_some(0));
             message(tag, &body)
         }),
         1 => prop::collection::vec(any::<u8>(), 0..12),
@@ -76,9 +78,9 @@
         bytes.extend(messages.concat());
         let (mut parts, mut rest) = (Vec::new(), &bytes[..]);
         for cut in cuts {
-            let (part, behind) = rest.split_at(cut.min(rest.len()));
+            let (part, remaining) = rest.split_at(cut.min(rest.len()));
             parts.push(part);
-            rest = behind;
+            rest = remaining;
         }
         parts.push(rest);
         let decoded = decode(&[&bytes]);
@@ -89,19 +91,20 @@
             }
         }
         let before_last = decoded.iter().rev().skip(1);
-        prop_assert!(before_last.into_iter().all(|message| !ends_connection(message)), "a message was decoded after one that ends the connection");
+        let ends_only_last = before_last.into_iter().all(|message| !ends_connection(message));
+        prop_assert!(ends_only_last, "a message was decoded after one that ends the connection");
     }
 
     #[test]
-    fn random_bytes_of_a_client_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn random_bytes_from_a_client_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         decode(&[&bytes]);
         statement::parse(&bytes);
     }
 }
 
 #[test]
-fn a_header_is_parsed_and_reports_where_its_timeout_digits_are() {
-    let body = [GET.as_bytes(), b"\0"].concat();
+fn a_parsed_header_has_its_values_and_the_range_of_timeout_digits() {
+    let body = [READ_STATEMENT.as_bytes(), b"\0"].concat();
     let Statement::Request(header) = statement::parse(&body) else {
         panic!("the statement is not recognised as a request")
     };
@@ -112,7 +115,7 @@
 }
 
 #[test]
-fn invalid_statements_are_rejected_with_the_matching_sqlstate() {
+fn invalid_statements_are_rejected_with_their_sqlstate() {
     for (text, code) in [
         ("SELECT 1", "42601"),
         ("/* id=1,c=a,d=1 SELECT", "42601"),
@@ -130,10 +133,12 @@
         ("a\0b", "08P01"),
     ] {
         let body = [text.as_bytes(), b"\0"].concat();
-        let Statement::Invalid(error) = statement::parse(&body) else { panic!("{text}") };
+        let Statement::Invalid(error) = statement::parse(&body) else { panic!("{text:?} was accepted") };
         assert_eq!(error.code.as_str(), code, "{text}");
     }
-    let Statement::Invalid(error) = statement::parse(b"\xff\0") else { panic!("not UTF-8") };
+    let Statement::Invalid(error) = statement::parse(b"\xff\0") else {
+        panic!("a statement that is not UTF-8 was accepted")
+    };
     assert_eq!(error.code.as_str(), "22021");
     assert_eq!(statement::parse(b" ; \0"), Statement::Empty);
     assert_eq!(statement::parse(b"reset all\0"), Statement::NoEffect("RESET"));
@@ -141,24 +146,24 @@
 
 #[test]
 fn startup_cancel_and_unsupported_messages_are_recognised() {
-    let long = [startup_message(), message(b'Q', &vec![b'a'; MAX_QUERY_BYTES])].concat();
+    let over_limit = [startup_message(), message(b'Q', &vec![b'a'; MAX_QUERY_BYTES])].concat();
     let too_long = ClientError::new(SqlState::PROGRAM_LIMIT_EXCEEDED, "message too long");
     assert_eq!(too_long.code.as_str(), "54000");
-    let expected = [startup(), FrontendMessage::Invalid(too_long)];
-    assert_eq!(decode(&[&long[..200]]), expected, "recognised by its header alone");
+    let expected = [decoded_startup(), FrontendMessage::Invalid(too_long)];
+    assert_eq!(decode(&[&over_limit[..200]]), expected, "not rejected by the header alone");
 
-    let opened = b"\0\0\0\x3c\0\x03\0\0user\0ann\0gingerwick.session\0new\0database\0x\0odd\0yes\0\0";
+    let with_session = b"\0\0\0\x3c\0\x03\0\0user\0ann\0gingerwick.session\0new\0database\0x\0odd\0yes\0\0";
     let parameters =
         StartupParameters { audience: "3:ann/x".into(), user: "ann".into(), session: Some("new".into()) };
-    assert_eq!(decode(&[opened]), [FrontendMessage::Startup { minor_version: 0, parameters }]);
+    assert_eq!(decode(&[with_session]), [FrontendMessage::Startup { minor_version: 0, parameters }]);
 
     let version_2 = decode(&[&[0, 0, 0, 8, 0, 2, 0, 0]]);
     assert_eq!(version_2.iter().map(invalid_code).collect::<Vec<_>>(), [Some("0A000")]);
     let cancel = [0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 1, 0, 0, 0, 0];
     assert_eq!(decode(&[&cancel]), [FrontendMessage::CancelRequest]);
 
-    let extended =
+    let extended_query =
         [startup_message(), message(b'P', b"\0\0\0\0"), message(b'E', b"\0\0\0\0\0"), message(b'S', b"")];
     let unsupported = FrontendMessage::Unsupported { is_function_call: false };
-    assert_eq!(decode(&[&extended.concat()]), [startup(), unsupported, FrontendMessage::Sync]);
+    assert_eq!(decode(&[&extended_query.concat()]), [decoded_startup(), unsupported, FrontendMessage::Sync]);
 }
--- a/server/tests/common/endpoint_group.rs
+++ b/server/tests/common/endpoint_group.rs
@@ -1,4 +1,4 @@
-//! A group of endpoints on loopback.
+//! Starts a group of endpoints on loopback and describes them for discovery.
 
 use std::sync::Arc;
 use test_servers::cluster::{Branch, Cluster, EndpointModel};
@@ -10,7 +10,7 @@
 const GROUP: i64 = 1;
 
 /// Starts one group of endpoints on loopback, named `s-0`, `s-1` and so on, without slow start. `s-0` is the primary,
-/// the others are its replicas. `lags_ms` has the replication lag of each endpoint in milliseconds.
+/// and the others are its replicas. `lags_ms` gives the replication lag of each endpoint in milliseconds.
 pub fn start_endpoint_group(lags_ms: &[i64]) -> (Arc<Cluster>, Vec<ServedEndpoint>) {
     let cluster = Arc::new(Cluster::new(NO_SLOW_START, DRAIN_GRACE_MS));
     let endpoint = |index: usize| {
@@ -22,8 +22,8 @@
     (cluster, served)
 }
 
-/// The entry of endpoint `s-{index}` of [`start_endpoint_group`] in an endpoint list. It is serving, and the primary if `index`
-/// equals `primary`.
+/// The entry of endpoint `s-{index}` of [`start_endpoint_group`] in an endpoint list. The endpoint is serving, and is
+/// the primary if `index` equals `primary`.
 pub fn group_entry(served: &[ServedEndpoint], index: usize, primary: usize) -> serde_json::Value {
     list_entry(&format!("s-{index}"), &served[index].addr, GROUP, index == primary, "SERVING", 0)
 }
--- a/server/tests/common/router_program.rs
+++ b/server/tests/common/router_program.rs
@@ -1,4 +1,4 @@
-//! Path of the router's executable.
+//! The path of the router's executable.
 
-/// The router's executable, as Cargo built it for these tests.
+/// Path of the executable that Cargo built for the tests.
 pub const ROUTER: &str = env!("CARGO_BIN_EXE_query-router");
--- a/server/tests/common/start_router.rs
+++ b/server/tests/common/start_router.rs
@@ -1,4 +1,4 @@
-//! Start of an instance of the router.
+//! Starts an instance of the router.
 
 use super::router_program::ROUTER;
 use std::net::SocketAddr;
@@ -6,12 +6,11 @@
 use test_servers::daemon::{Daemon, DaemonOptions};
 use test_servers::settings::settings;
 
-/// Starts an instance of the router with the test settings and `seed`. Its bootstrap file and its operators' file,
-/// whose content is `operator_file`, are written to `folder`. It listens on `listen` and watches discovery at
-/// `discovery`.
+/// Starts an instance of the router with the test settings and `seed`. It listens on `listen` and watches discovery at
+/// `discovery`. The bootstrap file and the operators' file, whose content is `operator_file`, are written to `folder`.
 ///
 /// # Panics
-/// The process cannot be started.
+/// Panics if the process cannot be started.
 pub fn start_router(
     seed: usize,
     operator_file: &str,
@@ -28,5 +27,5 @@
         listen,
         discovery,
     };
-    Daemon::start(&options).expect("it starts")
+    Daemon::start(&options).expect("the router did not start")
 }
--- a/server/tests/common/use_tree.rs
+++ b/server/tests/common/use_tree.rs
@@ -1,14 +1,16 @@
-//! The paths that a source file imports, by `use` or in place.
+//! Finds the paths that a source file imports by a `use` declaration or names directly in an expression or a type.
 
 use std::iter::Peekable;
 use std::str::Chars;
 
-/// The names of a path in their order: `crate::a::B`.
+/// The segments of a path in order, such as `crate`, `a` and `B` for `crate::a::B`.
 pub type ItemPath = Vec<String>;
 
+/// What may stand before `use`.
 const VISIBILITIES: [&str; 4] = ["pub ", "pub(crate) ", "pub(super) ", ""];
 
-/// All paths behind a `use`, and all that begin with `crate::` or `super::` elsewhere. Comments are left out.
+/// Returns the paths in all `use` declarations, and those that begin with `crate::` or `super::` elsewhere. It ignores
+/// comments.
 pub fn imported_paths(text: &str) -> Vec<ItemPath> {
     let code = without_comments(text);
     let mut paths = Vec::new();
@@ -23,7 +25,7 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Where the trees of `use` declarations begin.
+/// The offsets at which the trees of `use` declarations begin.
 fn use_starts(code: &str) -> Vec<usize> {
     let mut starts = Vec::new();
     let mut line_start = 0;
@@ -38,26 +40,26 @@
     starts
 }
 
-/// Where a path from the package's root or from the parent begins.
+/// The offsets at which paths from the crate root or from the parent module begin.
 fn path_starts(code: &str) -> Vec<usize> {
-    let found = ["crate::", "super::"].into_iter().flat_map(|prefix| code.match_indices(prefix));
-    let is_start = |at: usize| {
+    let matches = ["crate::", "super::"].into_iter().flat_map(|prefix| code.match_indices(prefix));
+    let is_path_start = |at: usize| {
         let before = code[..at].chars().next_back();
         !before.is_some_and(|char| is_name_char(char) || char == ':')
     };
-    found.map(|(at, _)| at).filter(|at| is_start(*at)).collect()
+    matches.map(|(at, _)| at).filter(|at| is_path_start(*at)).collect()
 }
 
-/// Reads one tree, as `a::{b, c::d}`: it names `a::b` and `a::c::d`.
+/// Reads one tree below `prefix` and adds its paths. The tree `a::{b, c::d}` has the paths `a::b` and `a::c::d`.
 fn read_tree(prefix: &[String], chars: &mut Peekable<Chars>, paths: &mut Vec<ItemPath>) {
     let mut path = prefix.to_vec();
     loop {
-        skip(chars, char::is_whitespace);
+        skip_while(chars, char::is_whitespace);
         if chars.next_if_eq(&'{').is_some() {
             return read_group(&path, chars, paths);
         }
         let name = read_name(chars);
-        // `a::{self}` names `a`.
+        // The path of `a::{self}` is `a`.
         if !name.is_empty() && (path.is_empty() || name != "self") {
             path.push(name);
         }
@@ -68,16 +70,16 @@
     paths.push(path);
 }
 
-/// Reads the trees of a group behind its opening brace.
+/// Reads the trees of a group, whose opening brace has been read already.
 fn read_group(prefix: &[String], chars: &mut Peekable<Chars>, paths: &mut Vec<ItemPath>) {
     loop {
-        skip(chars, |char| char.is_whitespace() || char == ',');
+        skip_while(chars, |char| char.is_whitespace() || char == ',');
         if chars.peek().is_none() || chars.next_if_eq(&'}').is_some() {
             return;
         }
         read_tree(prefix, chars, paths);
-        // A glob, or a name that the item gets here.
-        skip(chars, |char| char != ',' && char != '}');
+        // Skips a glob, or the new name after `as`.
+        skip_while(chars, |char| char != ',' && char != '}');
     }
 }
 
@@ -89,7 +91,7 @@
     name
 }
 
-fn skip(chars: &mut Peekable<Chars>, is_skipped: impl Fn(char) -> bool) {
+fn skip_while(chars: &mut Peekable<Chars>, is_skipped: impl Fn(char) -> bool) {
     while chars.next_if(|char| is_skipped(*char)).is_some() {}
 }
 
--- a/server/tests/import_cycles.rs
+++ b/server/tests/import_cycles.rs
@@ -1,5 +1,5 @@
 //! Checks that no package of the workspace has an import cycle between its files, so that each file can be read after
-//! those that it imports. An item imported through a re-export counts as an import of the file that re-exports it.
+//! the files that it imports. An import through a re-export counts as an import of the file that re-exports the item.
 
 #[path = "common/source_files.rs"]
 mod source_files;
@@ -12,20 +12,21 @@
 use std::path::{Path, PathBuf};
 use use_tree::{imported_paths, ItemPath};
 
-/// The text of each module by its path from the root of its package. The path of `lib.rs` or `main.rs` is empty.
+/// The text of each module, by its path from the package root. The path of `lib.rs` or `main.rs` is empty.
 type Modules = BTreeMap<ItemPath, String>;
 /// The modules that each module imports.
 type Imports = BTreeMap<ItemPath, BTreeSet<ItemPath>>;
 
 /// The directories of the workspace's packages.
 fn package_directories() -> Vec<PathBuf> {
-    let workspace = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the workspace");
-    let entries = fs::read_dir(workspace).expect("the workspace").flatten();
+    let workspace =
+        Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the workspace directory cannot be read");
+    let entries = fs::read_dir(workspace).expect("the workspace directory cannot be read").flatten();
     let directories = entries.map(|entry| entry.path());
     directories.filter(|path| path.join("Cargo.toml").is_file() && path.join("src").is_dir()).collect()
 }
 
-/// The path of the module in a file: `control/mod.rs` is `control`, `control/actions.rs` is `control::actions`.
+/// The path of the module in a file: `control` for `control/mod.rs`, `control::actions` for `control/actions.rs`.
 fn module_path(file: &Path) -> ItemPath {
     let without_extension = file.with_extension("");
     let names = without_extension.iter().map(|name| name.to_string_lossy().into_owned());
@@ -36,26 +37,27 @@
     path
 }
 
-/// The modules below a package's `src`. Where there are both, `lib.rs` is the root: `main.rs` is a crate of its own.
+/// Reads the modules below a package's `src`. If it has `lib.rs`, then `lib.rs` is the root and `main.rs` is left out,
+/// because that is a crate of its own.
 fn read_modules(src: &Path) -> Modules {
     let files = source_files(src);
     let has_library = files.contains(&src.join("lib.rs"));
     let files = files.iter().filter(|file| !has_library || **file != src.join("main.rs"));
     let modules = files.map(|file| {
-        let path = module_path(file.strip_prefix(src).expect("below src"));
-        (path, fs::read_to_string(file).expect("text"))
+        let path = module_path(file.strip_prefix(src).expect("the file is outside src"));
+        (path, fs::read_to_string(file).expect("the file cannot be read as text"))
     });
     modules.collect()
 }
 
-/// Returns an import as a path from the root of the package, or `None` if it is from another package.
+/// Returns an import as a path from the package root, or `None` if it is from another package.
 fn absolute_path(modules: &Modules, importer: &[String], import: &[String]) -> Option<ItemPath> {
     let first = import.first()?;
     let parent = || importer.split_last().map_or(&[][..], |(_, parent)| parent);
     match first.as_str() {
         "crate" => Some(import[1..].to_vec()),
         "self" => Some([importer, &import[1..]].concat()),
-        // Of several `super` in a row the first is resolved here, the others by recursion.
+        // The first of several `super` in a row is resolved here, the others by recursion.
         "super" if import.get(1).is_some_and(|next| next == "super") => {
             absolute_path(modules, parent(), &import[1..])
         }
@@ -67,26 +69,27 @@
     }
 }
 
-/// The module that an item is imported from: the longest prefix of its path that is a module.
-fn module_of(modules: &Modules, item: &[String]) -> ItemPath {
+/// The module that contains an item: the longest prefix of the item's path that is a module.
+fn containing_module(modules: &Modules, item: &[String]) -> ItemPath {
     let lengths = (0..=item.len()).rev();
     let mut candidates = lengths.map(|length| item[..length].to_vec());
     candidates.find(|path| modules.contains_key(path)).unwrap_or_default()
 }
 
-/// The imports of all modules.
-fn imports(modules: &Modules) -> Imports {
+/// Finds the imports of all modules.
+fn find_imports(modules: &Modules) -> Imports {
     let imports_of = |importer: &ItemPath, text: &str| {
         let paths = imported_paths(text);
         let items = paths.iter().filter_map(|path| absolute_path(modules, importer, path));
-        let imported = items.map(|item| module_of(modules, &item));
+        let imported = items.map(|item| containing_module(modules, &item));
         imported.filter(|module| module != importer).collect()
     };
     modules.iter().map(|(importer, text)| (importer.clone(), imports_of(importer, text))).collect()
 }
 
-/// Searches depth-first from the last module of `path` and returns the first cycle found.
-fn cycle_from(
+/// Searches depth-first from the last module of `path` and returns the first cycle that it finds. `finished` has the
+/// modules that lead to no cycle.
+fn find_cycle_from(
     imports: &Imports,
     path: &mut Vec<ItemPath>,
     finished: &mut BTreeSet<ItemPath>,
@@ -100,7 +103,7 @@
             continue;
         }
         path.push(imported.clone());
-        let cycle = cycle_from(imports, path, finished);
+        let cycle = find_cycle_from(imports, path, finished);
         if cycle.is_some() {
             return cycle;
         }
@@ -110,15 +113,15 @@
     None
 }
 
-/// Returns the modules of a cycle, each imported by the one before it and the first by the last, or `None` if there is
-/// no cycle.
+/// Returns the modules of a cycle, or `None` if there is no cycle. Each module imports the next one, and the last
+/// imports the first.
 fn find_cycle(imports: &Imports) -> Option<Vec<ItemPath>> {
     let mut finished = BTreeSet::new();
-    imports.keys().find_map(|module| cycle_from(imports, &mut vec![module.clone()], &mut finished))
+    imports.keys().find_map(|module| find_cycle_from(imports, &mut vec![module.clone()], &mut finished))
 }
 
 /// Formats a cycle as `crate::a -> crate::b -> crate::a`.
-fn describe(cycle: &[ItemPath]) -> String {
+fn format_cycle(cycle: &[ItemPath]) -> String {
     let names = cycle.iter().chain(cycle.first());
     let names: Vec<String> = names
         .map(|path| {
@@ -128,14 +131,15 @@
     names.join(" -> ")
 }
 
-/// The modules of a package, from their files and texts.
-fn modules_of(texts: &[(&str, &str)]) -> Modules {
+/// The modules of a package with these files. Each file is given by its path below `src` and its text.
+fn modules_from(texts: &[(&str, &str)]) -> Modules {
     let modules = texts.iter().map(|(file, text)| (module_path(Path::new(file)), text.to_string()));
     modules.collect()
 }
 
+/// Finds a cycle in a package with these files, see [`modules_from`], and formats it.
 fn cycle_in(texts: &[(&str, &str)]) -> Option<String> {
-    find_cycle(&imports(&modules_of(texts))).map(|cycle| describe(&cycle))
+    find_cycle(&find_imports(&modules_from(texts))).map(|cycle| format_cycle(&cycle))
 }
 
 #[test]
@@ -143,26 +147,28 @@
     let mut import_count = 0;
     let mut cycles = Vec::new();
     for directory in package_directories() {
-        let imports = imports(&read_modules(&directory.join("src")));
+        let imports = find_imports(&read_modules(&directory.join("src")));
         import_count += imports.values().map(BTreeSet::len).sum::<usize>();
         let cycle = find_cycle(&imports);
-        cycles.extend(cycle.map(|cycle| format!("{}: {}", directory.display(), describe(&cycle))));
+        cycles.extend(cycle.map(|cycle| format!("{}: {}", directory.display(), format_cycle(&cycle))));
     }
-    assert!(cycles.is_empty(), "files that import each other:\n{}", cycles.join("\n"));
-    assert!(import_count > 300, "{import_count} imports were found");
+    assert!(cycles.is_empty(), "some files import each other:\n{}", cycles.join("\n"));
+    assert!(import_count > 300, "only {import_count} imports were found");
 }
 
 #[test]
 fn a_cycle_is_found_for_every_form_of_import() {
-    let by_crate = [("a.rs", "use crate::b::B;"), ("b.rs", "use crate::a::A;"), ("c.rs", "use crate::a::A;")];
-    assert_eq!(cycle_in(&by_crate).as_deref(), Some("crate::a -> crate::b -> crate::a"));
-    let by_super = [("a/b.rs", "use super::c::{C, D};"), ("a/c.rs", "fn f() { super::super::a::b::g(); }")];
-    assert_eq!(cycle_in(&by_super).as_deref(), Some("crate::a::b -> crate::a::c -> crate::a::b"));
-    let by_re_export = [("lib.rs", "mod a;\npub use a::A;"), ("a.rs", "use crate::A;")];
-    assert_eq!(cycle_in(&by_re_export).as_deref(), Some("crate -> crate::a -> crate"));
-    let in_a_group =
+    let crate_paths =
+        [("a.rs", "use crate::b::B;"), ("b.rs", "use crate::a::A;"), ("c.rs", "use crate::a::A;")];
+    assert_eq!(cycle_in(&crate_paths).as_deref(), Some("crate::a -> crate::b -> crate::a"));
+    let super_paths =
+        [("a/b.rs", "use super::c::{C, D};"), ("a/c.rs", "fn f() { super::super::a::b::g(); }")];
+    assert_eq!(cycle_in(&super_paths).as_deref(), Some("crate::a::b -> crate::a::c -> crate::a::b"));
+    let re_export = [("lib.rs", "mod a;\npub use a::A;"), ("a.rs", "use crate::A;")];
+    assert_eq!(cycle_in(&re_export).as_deref(), Some("crate -> crate::a -> crate"));
+    let grouped =
         [("a.rs", "use crate::{\n    b::{self, B as Other},\n    c,\n};"), ("c.rs", "use crate::a::*;")];
-    assert_eq!(cycle_in(&in_a_group).as_deref(), Some("crate::a -> crate::c -> crate::a"));
+    assert_eq!(cycle_in(&grouped).as_deref(), Some("crate::a -> crate::c -> crate::a"));
 }
 
 #[test]
--- a/server/tests/layers.rs
+++ b/server/tests/layers.rs
@@ -1,4 +1,4 @@
-//! Checks the layers of the server: a module uses only modules of its own layer and of lower layers.
+//! Checks the layers of the server: a module may use only modules of its own layer and of lower layers.
 
 #[path = "common/source_files.rs"]
 mod source_files;
@@ -7,7 +7,7 @@
 use std::fs;
 use std::path::Path;
 
-/// From the bottom up, as the crate's documentation lists them.
+/// The layers from the bottom up, as the crate's documentation lists them.
 const LAYERS: [&str; 13] = [
     "runtime",
     "protocol",
@@ -24,40 +24,44 @@
     "cli",
 ];
 
-/// The layer of a file: its first directory below the root, or its own name without extension.
+/// The layer of a file: its first directory below the root, or the file's name without extension if it is in the root.
 fn layer_of(file: &Path, root: &Path) -> String {
-    let first = file.strip_prefix(root).expect("below the root").components().next();
-    let name = first.expect("a name").as_os_str().to_string_lossy().into_owned();
+    let first_component = file.strip_prefix(root).expect("the file is outside the root").components().next();
+    let name = first_component.expect("the path has no name").as_os_str().to_string_lossy().into_owned();
     name.trim_end_matches(".rs").to_string()
 }
 
-/// The position of a layer, counted from the bottom.
-fn rank(layer: &str) -> usize {
+/// The position of a layer in [`LAYERS`], 0 for the bottom.
+fn layer_position(layer: &str) -> usize {
     LAYERS
         .iter()
-        .position(|known| *known == layer)
-        .unwrap_or_else(|| panic!("{layer} is not in the list of layers"))
+        .position(|listed| *listed == layer)
+        .unwrap_or_else(|| panic!("the layer {layer} is not in LAYERS"))
 }
 
 #[test]
-fn no_layer_uses_one_above_it() {
+fn no_layer_uses_a_layer_above_it() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let mut uses = 0;
+    let mut use_count = 0;
     for file in source_files(&root) {
         let layer = layer_of(&file, &root);
         if layer == "lib" || layer == "main" {
             continue;
         }
-        let text = fs::read_to_string(&file).expect("text");
+        let text = fs::read_to_string(&file).expect("the file cannot be read as text");
         for used in text.split("crate::").skip(1) {
             let name: String =
                 used.chars().take_while(|char| char.is_ascii_lowercase() || *char == '_').collect();
             if name == "log" || name.is_empty() {
-                continue; // `log` is a macro exported at the root.
+                continue; // `log` is a macro that is exported at the crate root.
             }
-            uses += 1;
-            assert!(rank(&name) <= rank(&layer), "{} uses {name}", file.display());
+            use_count += 1;
+            assert!(
+                layer_position(&name) <= layer_position(&layer),
+                "{} uses the layer {name}, which is above its layer {layer}",
+                file.display()
+            );
         }
     }
-    assert!(uses > 100, "{uses} uses were found");
+    assert!(use_count > 100, "only {use_count} uses were found");
 }
--- a/server/tests/loopback/disconnects.rs
+++ b/server/tests/loopback/disconnects.rs
@@ -93,11 +93,7 @@
     for client in &mut busy {
         assert_eq!(client.read_response(), default_value());
     }
-    assert_eq!(
-        busy[0].request("order", "good", 3000),
-        default_value(),
-        "a request after the burst was not served"
-    );
+    assert_eq!(busy[0].request("order", "good", 3000), default_value(), "not served after the burst");
     let statements = router.primary.statements.lock().expect("a stub thread panicked").clone();
     assert_eq!(
         statements.iter().filter(|text| text.contains("gone")).count(),
@@ -110,7 +106,7 @@
     while open_descriptors(&router) >= before + 10 {
         assert!(
             Instant::now() < until,
-            "{} descriptors are open, {before} were open before the burst",
+            "{} descriptors, {before} before the burst",
             open_descriptors(&router)
         );
         thread::sleep(Duration::from_millis(5));
@@ -186,14 +182,8 @@
         sent += usize::from(client.0.write_all(&out).is_ok());
     }
     assert!(router.wait_for_exit().success());
-    let forwarded = router
-        .primary
-        .statements
-        .lock()
-        .expect("a stub thread panicked")
-        .iter()
-        .filter(|text| text.contains("slow"))
-        .count();
+    let statements = router.primary.statements.lock().expect("a stub thread panicked").clone();
+    let forwarded = statements.iter().filter(|text| text.contains("slow")).count();
     assert!(
         answered >= 2 && answered < sent,
         "{answered} of {sent} queries were answered: at least 2 and not all are expected"
@@ -283,10 +273,8 @@
     );
     assert!(router.wait_for_exit().success());
     let statements = router.primary.statements.lock().expect("a stub thread panicked").clone();
-    assert_eq!(
-        statements.iter().filter(|text| text.contains("silent") && text.contains("c=order")).count(),
-        2
-    );
+    let writes = statements.iter().filter(|text| text.contains("silent") && text.contains("c=order"));
+    assert_eq!(writes.count(), 2, "the two writes were not forwarded once each");
 }
 
 #[test]
--- a/server/tests/loopback/main.rs
+++ b/server/tests/loopback/main.rs
@@ -70,7 +70,8 @@
         [client.read_response(), client.read_response(), client.read_response(), client.read_response()];
     assert_eq!(responses, [default_value(), error_response("42704"), default_value(), ClientResponse::Empty]);
     drop(client);
-    assert!(router.replica.statements.lock().expect("a stub thread panicked").len() <= 1);
+    let replica_statements = router.replica.statements.lock().expect("a stub thread panicked").len();
+    assert!(replica_statements <= 1, "the replica got {replica_statements} statements");
 }
 
 #[test]
@@ -87,7 +88,8 @@
         panic!("the attempt was sent to a draining endpoint")
     };
     assert_eq!(code, "53300", "not rejected, although it never ran");
-    assert!(router.primary.statements.lock().expect("a stub thread panicked").is_empty());
+    let statements = router.primary.statements.lock().expect("a stub thread panicked");
+    assert!(statements.is_empty(), "the attempt was sent to a draining endpoint");
 }
 
 #[test]
@@ -103,7 +105,8 @@
     router.publish_list(5, &list_entry(&router.primary, "p", "SERVING").replace('{', r#"{"born_ms":1000,"#));
     router.publish_list(3, &list_entry(&router.primary, "p", "DRAINING"));
     assert_eq!(client.request("order", "good", 3000), default_value());
-    assert_eq!(router.primary.connections.load(Ordering::Acquire), 2);
+    let connections = router.primary.connections.load(Ordering::Acquire);
+    assert_eq!(connections, 2, "not exactly the restart of the endpoint closed the old connection");
 }
 
 #[test]
@@ -281,11 +284,7 @@
     );
     thread::sleep(Duration::from_millis(2100));
     clients.extend((0..20).map(|_| Client::connect(router.listen)));
-    assert_eq!(
-        clients[0].read_response(),
-        ClientResponse::Closed,
-        "the client that was idle longest was not closed first"
-    );
+    assert_eq!(clients[0].read_response(), ClientResponse::Closed, "the longest idle client was not closed");
     let last_client = clients.last_mut().expect("no clients");
     while last_client.request("order", "good", 1000) != default_value() {}
     // Clients with a request in flight keep their connections. Further clients are rejected with an error.
--- a/server/tests/operator_pages/fixture.rs
+++ b/server/tests/operator_pages/fixture.rs
@@ -1,6 +1,6 @@
-//! An admin socket with a control loop that always returns the same snapshot.
+//! An admin socket with a stub control loop that always returns the same snapshot.
 
-use crate::events::count_events;
+use crate::events::record_events;
 use admission::concurrency_limiter::{
     ClassRequests, ClientKey, ClientRequests, ConcurrencyLimits, RequestCounts, ShedCount, ShedReason,
 };
@@ -25,84 +25,93 @@
 use std::sync::{Arc, OnceLock};
 use std::thread;
 
-/// Descriptors of the instance.
-const DESCRIPTORS: usize = 64;
-/// Memory of the instance, in bytes.
-const MEMORY: usize = 1 << 20;
+/// The descriptor limit of the instance.
+const MAX_DESCRIPTORS: usize = 64;
+/// The memory limit of the instance. Buffers may use a third of it.
+const MEMORY_BYTES: usize = 1 << 20;
 /// The time of every snapshot.
 const NOW: Timestamp = Timestamp(10_000_000_000);
-/// The address of the only client that is connected.
-const CLIENT: [u8; 4] = [10, 20, 0, 1];
+/// The IPv4 address of the only connected client.
+const CLIENT_ADDRESS: [u8; 4] = [10, 20, 0, 1];
 
-/// An instance's admin socket.
+/// An admin socket that serves the pages of one instance.
 pub struct Fixture {
     folder: tempfile::TempDir,
     _permit: ConnectionPermit,
 }
 
 impl Fixture {
-    /// The fixture of this process. There is only one, because a process has one recorder.
+    /// The only fixture of the test process, because a process can install only one metrics recorder.
     pub fn shared() -> &'static Fixture {
         static FIXTURE: OnceLock<Fixture> = OnceLock::new();
         FIXTURE.get_or_init(Fixture::start)
     }
 
-    /// Starts serving the pages. One of two client connections was rejected.
+    /// Starts to serve the pages. One of two client connections has been rejected.
     fn start() -> Fixture {
         may::config().set_workers(1);
-        let recorder = install_recorder().expect("the only one");
-        let resources = ResourceLimits::new(DESCRIPTORS, MEMORY, true);
+        let recorder = install_recorder().expect("a recorder is installed already");
+        let resources = ResourceLimits::new(MAX_DESCRIPTORS, MEMORY_BYTES, true);
         let admission = admission_control(&resources);
-        let permit = admission.admit_or_enqueue(IpAddr::from(CLIENT)).expect("admitted");
-        assert!(admission.admit_or_enqueue(IpAddr::from(CLIENT)).is_err(), "its class is full");
-        count_events(&permit.client().expect("it is known by its address"), &resources);
+        let permit = admission
+            .admit_or_enqueue(IpAddr::from(CLIENT_ADDRESS))
+            .expect("the first connection was rejected");
+        assert!(
+            admission.admit_or_enqueue(IpAddr::from(CLIENT_ADDRESS)).is_err(),
+            "a connection above the class limit was admitted"
+        );
+        record_events(&permit.client().expect("the client has no class"), &resources);
         let view = AdminView {
             name: "front-7".into(),
-            control: control_loop(),
+            control: start_control_loop(),
             resources,
             admission: Some(admission),
             shutdown: GracefulShutdown::new(|| ()),
             methods: vec!["view".into()],
         };
-        let fixture = Fixture { folder: tempfile::tempdir().expect("a folder"), _permit: permit };
-        serve(&fixture.socket(), recorder, view).expect("it serves");
+        let fixture =
+            Fixture { folder: tempfile::tempdir().expect("no temporary directory"), _permit: permit };
+        serve(&fixture.socket_path(), recorder, view).expect("the admin socket is not served");
         fixture
     }
 
-    fn socket(&self) -> PathBuf {
+    fn socket_path(&self) -> PathBuf {
         self.folder.path().join("admin.socket")
     }
 
-    /// A page by its name.
+    /// Requests the page with this name.
     pub fn page(&self, name: &str) -> String {
-        request_page(&self.socket(), name).expect("a page")
+        request_page(&self.socket_path(), name).expect("the page was not returned")
     }
 
-    /// The error message for a page that does not exist.
+    /// Requests a page that does not exist and returns the error message.
     pub fn page_error(&self, name: &str) -> String {
-        request_page(&self.socket(), name).expect_err("no page").to_string()
+        request_page(&self.socket_path(), name)
+            .expect_err("a page was returned for an unknown name")
+            .to_string()
     }
 }
 
 fn admission_control(resources: &Arc<ResourceLimits>) -> Arc<AdmissionControl> {
-    let desk = ClientClass {
-        networks: vec!["10.20.0.0/16".parse().expect("a network")],
+    let desk_class = ClientClass {
+        networks: vec!["10.20.0.0/16".parse().expect("the network is invalid")],
         reserved: 1,
         max_connections: Some(1),
         ..ClientClass::named("desk")
     };
-    let settings = ClassSettings { classes: vec![desk], prefixes: AddressPrefixes::default() };
+    let settings = ClassSettings { classes: vec![desk_class], prefixes: AddressPrefixes::default() };
     let timers = Arc::new(Timers::start(Clock::start()));
-    AdmissionControl::new(settings, TimeDelta::ZERO, 1, timers, resources.clone()).expect("valid classes")
+    AdmissionControl::new(settings, TimeDelta::ZERO, 1, timers, resources.clone())
+        .expect("the class settings are invalid")
 }
 
 /// Starts a control loop that answers every snapshot request with the same snapshot.
-fn control_loop() -> Sender<ControlMessage> {
+fn start_control_loop() -> Sender<ControlMessage> {
     let (control, messages) = channel();
     thread::spawn(move || {
         while let Ok(message) = messages.recv() {
             if let ControlMessage::Snapshot { reply } = message {
-                reply.send(server_snapshot()).expect("the requester waits for the snapshot");
+                reply.send(server_snapshot()).expect("the requester did not wait for the snapshot");
             }
         }
     });
@@ -114,7 +123,7 @@
         now: NOW,
         open_requests: 3,
         requests: request_snapshots(),
-        endpoints: endpoint_rows(),
+        endpoints: endpoint_snapshots(),
         groups: 1,
         queue: Some(queue_snapshot()),
     }
@@ -136,34 +145,39 @@
     ]
 }
 
-fn endpoint_rows() -> Vec<ListedEndpointSnapshot> {
-    let endpoint = EndpointSnapshot {
+fn endpoint_snapshots() -> Vec<ListedEndpointSnapshot> {
+    let primary = EndpointSnapshot {
         serving: true,
         primary: true,
         ejected_for: None,
         capacity: CapacitySnapshot { in_flight: 2, concurrency_limit: 3.5, slow_start_fraction: None },
         report: ReportSnapshot { lag: None, age: Some(TimeDelta::from_millis(40)), load: Some(0.25) },
     };
-    let cold = EndpointSnapshot {
+    let starting_replica = EndpointSnapshot {
         primary: false,
         ejected_for: Some(TimeDelta::from_millis(500)),
-        capacity: CapacitySnapshot { slow_start_fraction: Some(0.4), ..endpoint.capacity },
-        report: ReportSnapshot { lag: Some(TimeDelta::from_millis(20)), ..endpoint.report },
-        ..endpoint
+        capacity: CapacitySnapshot { slow_start_fraction: Some(0.4), ..primary.capacity },
+        report: ReportSnapshot { lag: Some(TimeDelta::from_millis(20)), ..primary.report },
+        ..primary
     };
-    let closed = EndpointSnapshot { serving: false, ..cold };
-    let rows = [("s-0", Some(endpoint)), ("s-1", Some(cold)), ("s-2", Some(closed)), ("s-3", None)];
-    let row = |(name, state): (&str, _)| ListedEndpointSnapshot {
+    let draining_replica = EndpointSnapshot { serving: false, ..starting_replica };
+    let endpoints = [
+        ("s-0", Some(primary)),
+        ("s-1", Some(starting_replica)),
+        ("s-2", Some(draining_replica)),
+        ("s-3", None),
+    ];
+    let snapshot = |(name, state): (&str, _)| ListedEndpointSnapshot {
         name: name.into(),
         addr: Some(([127, 0, 0, 1], 5432).into()),
         state,
     };
-    rows.map(row).into()
+    endpoints.map(snapshot).into()
 }
 
 fn queue_snapshot() -> QueueSnapshot {
     let requests = RequestCounts { in_flight: 2, waiting: 1 };
-    let address = ClientAddress::new(IpAddr::from(CLIENT), AddressPrefixes::default());
+    let address = ClientAddress::new(IpAddr::from(CLIENT_ADDRESS), AddressPrefixes::default());
     let client = ClientKey { class: "desk".into(), address };
     QueueSnapshot {
         limits: ConcurrencyLimits {
--- a/server/tests/resource_limits.rs
+++ b/server/tests/resource_limits.rs
@@ -1,5 +1,5 @@
-//! Limits on file descriptors and buffer memory under random operations: each descriptor and byte is released exactly
-//! once, and no limit is exceeded.
+//! Checks the limits on file descriptors and buffer memory with random operations: each descriptor and each byte is
+//! released exactly once, and no limit is exceeded.
 
 use proptest::prelude::*;
 use routing::time::Timestamp;
@@ -7,8 +7,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-const DESCRIPTORS: usize = 64;
-const MEMORY: usize = 3 << 10;
+/// The descriptor limit of the process.
+const MAX_DESCRIPTORS: usize = 64;
+/// The memory limit of the process. Buffers may use a third of it.
+const MEMORY_BYTES: usize = 3 << 10;
+/// The classes of descriptors, in the order of the counts that the test compares.
 const CLASSES: [DescriptorClass; 4] = [
     DescriptorClass::Clients,
     DescriptorClass::Endpoints,
@@ -17,7 +20,7 @@
 ];
 
 #[derive(Clone, Copy, Debug)]
-enum Step {
+enum Operation {
     AcquireForEndpoint(u16),
     AcquireForClient,
     AcquireForDiscovery,
@@ -27,66 +30,69 @@
     ReleaseCharge,
 }
 
-fn any_step() -> impl Strategy<Value = Step> {
+fn any_operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        (0u16..3).prop_map(Step::AcquireForEndpoint),
-        Just(Step::AcquireForClient),
-        Just(Step::AcquireForDiscovery),
-        Just(Step::AcquireForRejected),
-        any::<usize>().prop_map(Step::ReleaseDescriptor),
-        (0usize..1 << 16).prop_map(Step::Charge),
-        Just(Step::ReleaseCharge),
+        (0u16..3).prop_map(Operation::AcquireForEndpoint),
+        Just(Operation::AcquireForClient),
+        Just(Operation::AcquireForDiscovery),
+        Just(Operation::AcquireForRejected),
+        any::<usize>().prop_map(Operation::ReleaseDescriptor),
+        (0usize..1 << 16).prop_map(Operation::Charge),
+        Just(Operation::ReleaseCharge),
     ]
 }
 
-/// The descriptors and charges that the test has acquired.
-struct Held {
+/// The descriptors and buffer charges that the test holds.
+struct HeldResources {
     limits: Arc<ResourceLimits>,
     descriptors: Vec<(DescriptorClass, Descriptor)>,
     charges: Vec<(usize, BufferCharge)>,
 }
 
-impl Held {
-    fn apply(&mut self, step: Step) {
-        match step {
-            Step::AcquireForEndpoint(port) => {
+impl HeldResources {
+    fn apply(&mut self, operation: Operation) {
+        match operation {
+            Operation::AcquireForEndpoint(port) => {
                 let addr = SocketAddr::from(([127, 0, 0, 1], port));
                 let descriptor = self.limits.acquire_for_endpoint(addr);
-                self.keep(DescriptorClass::Endpoints, descriptor);
+                self.hold(DescriptorClass::Endpoints, descriptor);
             }
-            Step::AcquireForClient => {
+            Operation::AcquireForClient => {
                 let client = self.limits.acquire_for_client(Timestamp(0));
-                self.keep(DescriptorClass::Clients, client.map(|client| client.descriptor));
+                self.hold(DescriptorClass::Clients, client.map(|client| client.descriptor));
             }
-            Step::AcquireForDiscovery => self.acquire(DescriptorClass::Discovery),
-            Step::AcquireForRejected => self.acquire(DescriptorClass::RejectedClients),
-            Step::ReleaseDescriptor(index) if !self.descriptors.is_empty() => {
+            Operation::AcquireForDiscovery => self.acquire(DescriptorClass::Discovery),
+            Operation::AcquireForRejected => self.acquire(DescriptorClass::RejectedClients),
+            Operation::ReleaseDescriptor(index) if !self.descriptors.is_empty() => {
                 let index = index % self.descriptors.len();
                 drop(self.descriptors.swap_remove(index));
             }
-            Step::ReleaseDescriptor(_) => {}
-            Step::Charge(bytes) => {
+            Operation::ReleaseDescriptor(_) => {}
+            Operation::Charge(bytes) => {
                 let mut charge = self.limits.buffer_charge();
                 charge.set(bytes);
                 self.charges.push((bytes, charge));
             }
-            Step::ReleaseCharge => _ = self.charges.pop(),
+            Operation::ReleaseCharge => _ = self.charges.pop(),
         }
     }
 
+    /// Acquires a descriptor of a class and holds it if there is one.
     fn acquire(&mut self, class: DescriptorClass) {
         let descriptor = self.limits.acquire(class);
-        self.keep(class, descriptor);
+        self.hold(class, descriptor);
     }
 
-    fn keep(&mut self, class: DescriptorClass, descriptor: Option<Descriptor>) {
+    fn hold(&mut self, class: DescriptorClass, descriptor: Option<Descriptor>) {
         self.descriptors.extend(descriptor.map(|descriptor| (class, descriptor)));
     }
 
+    /// The number of descriptors of a class that the test holds.
     fn count(&self, class: DescriptorClass) -> usize {
         self.descriptors.iter().filter(|(held, _)| *held == class).count()
     }
 
+    /// The number of bytes that the held charges account for.
     fn bytes(&self) -> usize {
         self.charges.iter().map(|(bytes, _)| bytes).sum()
     }
@@ -95,26 +101,35 @@
 proptest! {
     #[test]
     fn each_descriptor_and_each_byte_is_released_once(
-        steps in prop::collection::vec(any_step(), 1..200),
+        operations in prop::collection::vec(any_operation(), 1..200),
         rejects_clients: bool,
     ) {
-        let limits = ResourceLimits::new(DESCRIPTORS, MEMORY, rejects_clients);
-        let mut held = Held { limits: limits.clone(), descriptors: Vec::new(), charges: Vec::new() };
-        for step in steps {
-            let before = held.descriptors.len();
-            held.apply(step);
+        let limits = ResourceLimits::new(MAX_DESCRIPTORS, MEMORY_BYTES, rejects_clients);
+        let mut held = HeldResources { limits: limits.clone(), descriptors: Vec::new(), charges: Vec::new() };
+        for operation in operations {
+            let count_before = held.descriptors.len();
+            held.apply(operation);
             let counts = CLASSES.map(|class| held.count(class));
-            prop_assert_eq!(CLASSES.map(|class| limits.in_use(class)), counts);
-            prop_assert!(counts.iter().sum::<usize>() < DESCRIPTORS, "all descriptors are in use");
-            prop_assert!(rejects_clients || counts[3] == 0, "a descriptor was acquired for a rejection although none is reserved");
+            let in_use = CLASSES.map(|class| limits.in_use(class));
+            prop_assert_eq!(in_use, counts, "wrong number of descriptors in use");
+            prop_assert!(counts.iter().sum::<usize>() < MAX_DESCRIPTORS, "no descriptor is left");
+            prop_assert!(
+                rejects_clients || counts[3] == 0,
+                "a descriptor was acquired for a rejection although none is reserved"
+            );
             let below_limit = counts[0] <= limits.limit(DescriptorClass::Clients);
-            if matches!(step, Step::AcquireForClient) && below_limit {
-                prop_assert_eq!(held.descriptors.len(), before + 1, "descriptors of rejected clients kept a client from being admitted");
+            if matches!(operation, Operation::AcquireForClient) && below_limit {
+                prop_assert_eq!(
+                    held.descriptors.len(),
+                    count_before + 1,
+                    "descriptors of rejected clients kept a client from being admitted"
+                );
             }
-            prop_assert_eq!(limits.is_memory_short(), held.bytes() > MEMORY / 3);
+            let exceeds_memory = held.bytes() > MEMORY_BYTES / 3;
+            prop_assert_eq!(limits.is_memory_short(), exceeds_memory, "wrong number of bytes in use");
         }
         drop(held);
-        prop_assert_eq!(CLASSES.map(|class| limits.in_use(class)), [0; 4]);
-        prop_assert!(!limits.is_memory_short());
+        prop_assert_eq!(CLASSES.map(|class| limits.in_use(class)), [0; 4], "a descriptor was not released");
+        prop_assert!(!limits.is_memory_short(), "a charge was not released");
     }
 }
