--- a/server/tests/endpoint_responses.rs
+++ b/server/tests/endpoint_responses.rs
@@ -85,7 +85,7 @@
         let (outcome, end) = parse_in_parts(&mut parser, &bytes, cuts);
         prop_assert_eq!(outcome, Some(AttemptOutcome::Succeeded));
         prop_assert_eq!(end, bytes.len(), "the outcome was known before the last byte");
-        prop_assert!(parser.leaves_connection_reusable(&bytes));
+        prop_assert!(parser.leaves_connection_reusable(&bytes), "the connection was not reusable");
         let with_surplus = [&bytes[..], &surplus].concat();
         prop_assert_eq!(parser.leaves_connection_reusable(&with_surplus), surplus.is_empty());
         prop_assert_eq!(&parser.value(bytes.clone()), &forwarded, "the forwarded value was changed");
@@ -115,7 +115,8 @@
             prop_assert!(is_complete, "the value is not one complete row of one column");
         }
         if outcome == Some(AttemptOutcome::Failed) && !parser.leaves_connection_reusable(&bytes) {
-            prop_assert!(parser.metadata().answer_report.position.is_none(), "a corrupted answer reported a position");
+            let position = parser.metadata().answer_report.position;
+            prop_assert!(position.is_none(), "a corrupted answer reported a position");
         }
     }
 }
@@ -175,13 +176,18 @@
         (&[description, row, &error_message("53300"), ready], Failed, true, "an error after a row"),
         (&[&message(b'T', &ONE_COLUMN[..9]), row], Failed, false, "half a row description"),
         (&[description, &message(b'D', &[0, 1, 0, 0, 0, 2, 7])], Failed, false, "a truncated column"),
-        (&[description, &message(b'D', &[0, 2, 0, 0, 0, 1, 7])], Failed, false, "a row of two columns"),
+        (
+            &[description, &message(b'D', &[0, 2, 0, 0, 0, 1, 7])],
+            Failed,
+            false,
+            "a row that declares two columns",
+        ),
         (&[description, &message(b'D', &[0, 1, 255, 255, 255, 255])], Failed, false, "a null value"),
         (&[description, too_long], Failed, false, "a value over the limit"),
         (&[&message(b'A', b"x\0")], Failed, false, "an unexpected tag"),
         (&[&message(b'E', b"SERROR\0C53300\0")], Failed, false, "an error without its final zero byte"),
         (&[&message(b'E', b"SERROR\0\0")], Failed, false, "an error without a code"),
-        (&[&message(b'S', &vec![b'x'; 9000])], Failed, false, "a parameter without a zero byte"),
+        (&[&message(b'S', &vec![b'x'; 9000])], Failed, false, "parameters over the size limit"),
         (&[ready], Failed, false, "only ReadyForQuery"),
     ];
     for (messages, outcome, is_reusable, case) in cases {
--- a/server/tests/loopback/discovery_watch.rs
+++ b/server/tests/loopback/discovery_watch.rs
@@ -8,6 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// The head of a response without a Content-Length.
 const HEAD: &str = "HTTP/1.1 200 OK\r\n\r\n";
 
 /// Starts a discovery service that handles the n-th watch request with the n-th script, and further requests with the
@@ -20,8 +21,8 @@
     let (addr, (request, requests)) =
         (listener.local_addr().expect("the listener has no address"), channel());
     thread::spawn(move || {
-        let index = (0..).map(|index: usize| scripts[index.min(scripts.len() - 1)]);
-        for (mut stream, script) in listener.incoming().flatten().zip(index) {
+        let script_per_request = (0..).map(|index: usize| scripts[index.min(scripts.len() - 1)]);
+        for (mut stream, script) in listener.incoming().flatten().zip(script_per_request) {
             let (request, list) = (request.clone(), list.clone());
             thread::spawn(move || {
                 if stream.read(&mut [0; 1024]).is_ok_and(|read| read > 0) {
--- a/server/tests/loopback/fixture.rs
+++ b/server/tests/loopback/fixture.rs
@@ -102,8 +102,9 @@
         .expect("failed to start the router")
 }
 
-/// Returns a different loopback address on each call. The address is not bound to check that it is free: a process that
-/// another thread starts meanwhile would inherit the listener and accept connections until it executes its program.
+/// Returns a different loopback address on each call. It does not bind the address to check that it is free, because a
+/// process that another thread starts meanwhile would inherit the listener and accept connections until it executes its
+/// program.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(2);
     let (pid, next) = (std::process::id(), NEXT.fetch_add(1, Ordering::AcqRel));
@@ -165,7 +166,7 @@
         RouterProcess { child, listen, watch_lines, primary, replica, arrivals, next_marker }
     }
 
-    /// Sends a signal, given as an option of the `kill` program (`-TERM`).
+    /// Sends a signal to the instance, given as an option of the `kill` program (`-TERM`).
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args([name, &self.child.id().to_string()]).status();
         assert!(status.expect("failed to run kill").success(), "the signal {name} was not sent");
--- a/server/tests/loopback/main.rs
+++ b/server/tests/loopback/main.rs
@@ -28,7 +28,8 @@
     let ClientResponse::Error(code, Some(retry_after_ms)) = client.request("order", "full", 400) else {
         panic!("not rejected with a Retry-After")
     };
-    assert!(code == "53300" && retry_after_ms.parse::<u32>().expect("Retry-After is not a number") <= 2000);
+    let retry_after_ms: u32 = retry_after_ms.parse().expect("Retry-After is not a number");
+    assert!(code == "53300" && retry_after_ms <= 2000, "error {code}, Retry-After {retry_after_ms} ms");
     // A rejection ejects the endpoint from the routing, and a health check ends the ejection.
     let until = Instant::now() + WAIT_TIMEOUT;
     client.request_until_served("order", "good", 1000, until, "the ejection of the endpoint did not end");
--- a/server/tests/resource_limits.rs
+++ b/server/tests/resource_limits.rs
@@ -11,7 +11,7 @@
 const MAX_DESCRIPTORS: usize = 64;
 /// The memory limit of the process. Buffers may use a third of it.
 const MEMORY_BYTES: usize = 3 << 10;
-/// The classes of descriptors, in the order of the counts that the test compares.
+/// The classes of descriptors, in the order of `counts` in the test.
 const CLASSES: [DescriptorClass; 4] = [
     DescriptorClass::Clients,
     DescriptorClass::Endpoints,
