--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -1,7 +1,8 @@
 //! The check of a history: rules for single requests, executions and reported fates of writes.
 
 use crate::history::{
-    includes, Answer, Execution, FateAnswer, History, Kind, LogPoint, RequestRecord, ShownValue, FATE_UNKNOWN,
+    log_includes, Answer, AnswerValue, Execution, FateAnswer, History, Kind, LogPoint, RequestRecord,
+    FATE_UNKNOWN,
 };
 use crate::verdict::{Rule, Verdict};
 use std::collections::{HashMap, HashSet};
@@ -45,7 +46,7 @@
     fn live_execution_count(&self, id: &str) -> usize {
         let is_live = |execution: &&&Execution| {
             let forks = self.history.forks_of(execution.group);
-            includes(forks, LogPoint::newest(forks), execution.point)
+            log_includes(forks, LogPoint::current_end(forks), execution.point)
         };
         self.executions.get(id).into_iter().flatten().filter(is_live).count()
     }
@@ -82,12 +83,12 @@
 
     fn check_one_answer_in_time(&mut self, record: &RequestRecord) {
         let RequestRecord { id, answer, timeout_ms, .. } = record;
-        if record.surplus || (*answer == Answer::Missing && !record.cut_off) {
+        if record.has_extra_answer || (*answer == Answer::Missing && !record.router_killed) {
             let detail = format!("has no answer, or more than one ({answer:?})");
             self.verdict.report(Rule::OneAnswer, id, detail);
         }
         let took_ms = record.answered_ms - record.sent_ms;
-        if took_ms > timeout_ms + self.history.scheduling_slack_ms && !record.cut_off {
+        if took_ms > timeout_ms + self.history.scheduling_slack_ms && !record.router_killed {
             let detail = format!("was answered after {took_ms} ms, wanted within {timeout_ms}");
             self.verdict.report(Rule::InTime, id, detail);
         }
@@ -115,12 +116,12 @@
     fn check_value(&mut self, record: &RequestRecord, value: &str) {
         let RequestRecord { id, kind, sent_ms, .. } = record;
         let is_read = *kind == Kind::Read;
-        let shown = ShownValue::parse(value).filter(|shown| shown.id == id);
+        let shown = AnswerValue::parse(value).filter(|shown| shown.id == id);
         if shown.is_none() || (!is_read && self.execution_count(id) == 0) {
             let detail = format!("got a value that was not made for it: {value}");
             self.verdict.report(Rule::OneAnswer, id, detail);
         }
-        let oldest = sent_ms - self.history.bound_ms - self.history.network_slack_ms;
+        let oldest = sent_ms - self.history.staleness_bound_ms - self.history.network_slack_ms;
         if let Some(shown) = shown.filter(|shown| is_read && shown.consistent_until_ms < oldest) {
             let age_ms = sent_ms - shown.consistent_until_ms;
             self.verdict.report(Rule::BoundedStaleness, id, format!("got data {age_ms} ms old"));
@@ -150,5 +151,5 @@
 /// Whether a reported fate of an executed write, with its commit position if present, is true for an execution.
 fn matches_execution(reported: &str, point: LogPoint, answered_ms: i64) -> bool {
     let Some(commit) = reported.strip_prefix(FATE_RAN).map(str::trim) else { return false };
-    point.at_ms <= answered_ms && (commit.is_empty() || commit.parse() == Ok(point.at_ms))
+    point.position_ms <= answered_ms && (commit.is_empty() || commit.parse() == Ok(point.position_ms))
 }
--- a/test-servers/src/client.rs
+++ b/test-servers/src/client.rs
@@ -162,8 +162,8 @@
                 answered_ms: unix_ms(),
                 timeout_ms,
                 answer: received.answer,
-                surplus: received.surplus,
-                cut_off: false,
+                has_extra_answer: received.surplus,
+                router_killed: false,
             }
         };
         ids.iter().map(record).collect()
