--- a/server/tests/attempts.rs
+++ b/server/tests/attempts.rs
@@ -1,5 +1,6 @@
-//! Attempts on real connections, without a control loop: events between the last check of a pooled connection and the
-//! sending of a request on it.
+//! Attempts on real connections, without a control loop. The tests guard against faults in the time between the last
+//! check of a pooled connection and the sending of a request on it: bytes that arrive in that time must not be taken
+//! for the request's answer, and a connection that the endpoint closes in that time must be replaced.
 
 mod common {
     pub mod message;
@@ -27,51 +28,54 @@
 use std::time::Duration;
 
 const SECOND: TimeDelta = TimeDelta::from_millis(1000);
-/// Time after which bytes sent on loopback have arrived.
+/// Time within which bytes sent on loopback arrive.
 const LOOPBACK_DELAY: Duration = Duration::from_millis(50);
-/// Length of the body of the empty query, which checks whether a connection is alive: its terminating zero.
+/// Length of the body of the empty query, which is only a terminating zero. The router sends the empty query to check
+/// whether a connection is alive.
 const EMPTY_QUERY_BYTES: usize = 1;
 
-/// A complete answer with a value.
-fn answer(value: &[u8]) -> Vec<u8> {
+/// Encodes a complete answer with a value.
+fn complete_answer(value: &[u8]) -> Vec<u8> {
     [value_messages(value), message(b'Z', b"I")].concat()
 }
 
-/// An endpoint that answers each statement with the number of statements so far, and that gives the test access to its
-/// first connection.
-struct Endpoint {
+/// An endpoint that answers each statement with the number of statements so far, and gives the test access to the first
+/// connection that it accepted.
+struct CountingEndpoint {
     addr: SocketAddr,
     first_connection: Arc<Mutex<Option<TcpStream>>>,
-    /// The index of the connection on which each statement arrived.
+    /// For each statement, the index of the connection on which it was executed.
     executed_on: Arc<Mutex<Vec<usize>>>,
 }
 
-impl Endpoint {
-    fn start() -> Endpoint {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let addr = listener.local_addr().expect("its address");
-        let endpoint = Endpoint { addr, first_connection: Arc::default(), executed_on: Arc::default() };
+impl CountingEndpoint {
+    fn start() -> CountingEndpoint {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("failed to listen on loopback");
+        let addr = listener.local_addr().expect("failed to read the listener's address");
+        let endpoint =
+            CountingEndpoint { addr, first_connection: Arc::default(), executed_on: Arc::default() };
         let first_connection = endpoint.first_connection.clone();
         let executed_on = endpoint.executed_on.clone();
         thread::spawn(move || {
             for (index, stream) in listener.incoming().flatten().enumerate() {
                 if index == 0 {
-                    *first_connection.lock().expect("no panic") = stream.try_clone().ok();
+                    *first_connection.lock().expect("an endpoint thread panicked") = stream.try_clone().ok();
                 }
                 let executed_on = executed_on.clone();
-                thread::spawn(move || serve(stream, index, &executed_on));
+                thread::spawn(move || serve_connection(stream, index, &executed_on));
             }
         });
         endpoint
     }
 
-    fn has_connection(&self) -> bool {
-        self.first_connection.lock().expect("no panic").is_some()
+    /// Whether the endpoint has accepted a connection.
+    fn was_connected_to(&self) -> bool {
+        self.first_connection.lock().expect("an endpoint thread panicked").is_some()
     }
 }
 
-/// Serves a connection until it ends.
-fn serve(mut stream: TcpStream, index: usize, executed_on: &Mutex<Vec<usize>>) -> Option<()> {
+/// Answers the statements of a connection until it ends.
+fn serve_connection(mut stream: TcpStream, index: usize, executed_on: &Mutex<Vec<usize>>) -> Option<()> {
     read_body(&mut stream)?;
     stream.write_all(&[message(b'R', &[0; 4]), message(b'Z', b"I")].concat()).ok()?;
     loop {
@@ -81,9 +85,9 @@
         let response = if body.len() == EMPTY_QUERY_BYTES {
             [message(b'I', b""), message(b'Z', b"I")].concat()
         } else {
-            let mut executed_on = executed_on.lock().expect("no panic");
+            let mut executed_on = executed_on.lock().expect("an endpoint thread panicked");
             executed_on.push(index);
-            answer(&[executed_on.len() as u8])
+            complete_answer(&[executed_on.len() as u8])
         };
         stream.write_all(&response).ok()?;
     }
@@ -98,7 +102,7 @@
     Some(body)
 }
 
-/// A connection pool, and a channel to a control loop that the test plays.
+/// A connection pool, and the channel on which the test receives an attempt's messages in place of a control loop.
 struct Fixture {
     pool: Arc<ConnectionPool>,
     control: Sender<ControlMessage>,
@@ -115,45 +119,47 @@
         Fixture { pool, control, messages }
     }
 
-    /// Makes one attempt and calls `before_sending` when it asks for confirmation.
-    fn attempt(&self, endpoint: &Endpoint, before_sending: impl Fn()) -> AttemptResult {
-        self.cancellable_attempt(Arc::default(), endpoint, before_sending)
+    /// Runs one attempt and returns its result. Calls `before_sending` when the attempt first asks for confirmation,
+    /// and confirms it after that.
+    fn run_attempt(&self, endpoint: &CountingEndpoint, before_sending: impl Fn()) -> AttemptResult {
+        self.run_cancellable_attempt(Arc::default(), endpoint, before_sending)
     }
 
-    fn cancellable_attempt(
+    /// Runs one attempt as [`Fixture::run_attempt`], with a cancellation token.
+    fn run_cancellable_attempt(
         &self,
         cancellation: Arc<CancellationToken>,
-        endpoint: &Endpoint,
+        endpoint: &CountingEndpoint,
         before_sending: impl Fn(),
     ) -> AttemptResult {
-        let job = self.job(cancellation, endpoint);
+        let job = self.attempt_job(cancellation, endpoint);
         let (pool, control) = (self.pool.clone(), self.control.clone());
-        let (done, is_done) = std::sync::mpsc::channel();
+        let (done, finished) = std::sync::mpsc::channel();
         spawn(move || {
             run_attempt(&pool, None, control, &job);
             let _ = done.send(());
         });
-        let mut is_first = true;
+        let mut is_first_confirmation = true;
         loop {
-            match self.messages.recv().expect("the attempt is still running") {
-                ControlMessage::ConfirmAttempt(question) => {
-                    if std::mem::take(&mut is_first) {
+            match self.messages.recv().expect("the attempt ended without a result") {
+                ControlMessage::ConfirmAttempt(confirmation) => {
+                    if std::mem::take(&mut is_first_confirmation) {
                         before_sending();
                     }
-                    question.reply.send(true).expect("the attempt waits");
+                    confirmation.reply.send(true).expect("the attempt does not wait for confirmation");
                 }
                 ControlMessage::AttemptEnded(result) => {
-                    is_done
-                        .recv_timeout(Duration::from_secs(5))
-                        .expect("the connection is returned to the pool");
+                    // The connection returns to the pool after the result was sent, and before the attempt finishes.
+                    finished.recv_timeout(Duration::from_secs(5)).expect("the attempt did not finish");
                     return *result;
                 }
-                _ => panic!("an attempt sends no other message"),
+                _ => panic!("the attempt sent a message other than a confirmation or its result"),
             }
         }
     }
 
-    fn job(&self, cancellation: Arc<CancellationToken>, endpoint: &Endpoint) -> AttemptJob {
+    /// An attempt of a read with a timeout of five seconds.
+    fn attempt_job(&self, cancellation: Arc<CancellationToken>, endpoint: &CountingEndpoint) -> AttemptJob {
         let body = b"SELECT d=5\0".to_vec();
         let charge = ResourceLimits::new(1, 1 << 20, false).buffer_charge();
         let started_at = self.pool.timers.now();
@@ -173,68 +179,97 @@
 
 /// Result of the second of two attempts.
 #[derive(Debug, PartialEq, Eq)]
-struct SecondAttempt {
+struct SecondAttemptResult {
     outcome: AttemptOutcome,
     value: Vec<u8>,
-    /// Indexes of the connections on which statements were executed.
+    /// For each statement of both attempts, the index of the connection on which it was executed.
     executed_on: Vec<usize>,
 }
 
-impl SecondAttempt {
-    /// It received its own answer, on the connection with this index.
-    fn succeeded_on(connection: usize) -> SecondAttempt {
-        SecondAttempt { outcome: AttemptOutcome::Succeeded, value: vec![2], executed_on: vec![0, connection] }
+impl SecondAttemptResult {
+    /// The second attempt received its own answer, on the connection with this index.
+    fn succeeded_on(connection: usize) -> SecondAttemptResult {
+        SecondAttemptResult {
+            outcome: AttemptOutcome::Succeeded,
+            value: vec![2],
+            executed_on: vec![0, connection],
+        }
     }
 }
 
-/// Makes two attempts and calls `before_second` on the endpoint's side of the first connection right before the second
-/// is sent.
-fn second_attempt(before_second: fn(&mut TcpStream)) -> SecondAttempt {
-    let (fixture, endpoint) = (Fixture::new(), Endpoint::start());
-    let first = fixture.attempt(&endpoint, || {});
+/// Runs two attempts. Calls `before_second` with the endpoint's side of the first connection right before the request of
+/// the second attempt is sent.
+fn run_second_attempt(before_second: fn(&mut TcpStream)) -> SecondAttemptResult {
+    let (fixture, endpoint) = (Fixture::new(), CountingEndpoint::start());
+    let first = fixture.run_attempt(&endpoint, || {});
     assert_eq!((first.outcome, first_row_value(&first.value)), (AttemptOutcome::Succeeded, Some(&[1][..])));
-    // Waits for the answer to the empty query.
+    // The router sends the empty query on the connection; its answer must arrive before the second attempt.
     thread::sleep(LOOPBACK_DELAY);
-    let result = fixture.attempt(&endpoint, || {
-        before_second(endpoint.first_connection.lock().expect("no panic").as_mut().expect("a connection"));
+    let result = fixture.run_attempt(&endpoint, || {
+        before_second(
+            endpoint
+                .first_connection
+                .lock()
+                .expect("an endpoint thread panicked")
+                .as_mut()
+                .expect("the endpoint accepted no connection"),
+        );
         thread::sleep(LOOPBACK_DELAY);
     });
-    let executed_on = endpoint.executed_on.lock().expect("no panic").clone();
+    let executed_on = endpoint.executed_on.lock().expect("an endpoint thread panicked").clone();
     let value = first_row_value(&result.value).unwrap_or_default().to_vec();
-    SecondAttempt { outcome: result.outcome, value, executed_on }
+    SecondAttemptResult { outcome: result.outcome, value, executed_on }
 }
 
 #[test]
 fn bytes_received_before_a_request_is_sent_are_not_part_of_its_answer() {
-    let complete = |stream: &mut TcpStream| stream.write_all(&answer(b"another's")).expect("sent");
-    assert_eq!(second_attempt(complete), SecondAttempt::succeeded_on(1), "a complete answer");
-    let half = |stream: &mut TcpStream| stream.write_all(&answer(b"another's")[..40]).expect("sent");
-    assert_eq!(second_attempt(half), SecondAttempt::succeeded_on(1), "half of one");
-    let parameter = |stream: &mut TcpStream| {
-        stream.write_all(&message(b'S', b"lsn_ms\x001790000000000\0")).expect("sent");
+    let send_complete_answer = |stream: &mut TcpStream| {
+        stream.write_all(&complete_answer(b"another's")).expect("failed to send");
+    };
+    assert_eq!(
+        run_second_attempt(send_complete_answer),
+        SecondAttemptResult::succeeded_on(1),
+        "the result is wrong after a complete answer arrived early"
+    );
+    let send_partial_answer = |stream: &mut TcpStream| {
+        stream.write_all(&complete_answer(b"another's")[..40]).expect("failed to send");
+    };
+    assert_eq!(
+        run_second_attempt(send_partial_answer),
+        SecondAttemptResult::succeeded_on(1),
+        "the result is wrong after a part of an answer arrived early"
+    );
+    let send_position = |stream: &mut TcpStream| {
+        stream.write_all(&message(b'S', b"lsn_ms\x001790000000000\0")).expect("failed to send");
     };
-    assert_eq!(second_attempt(parameter), SecondAttempt::succeeded_on(1), "a position");
+    assert_eq!(
+        run_second_attempt(send_position),
+        SecondAttemptResult::succeeded_on(1),
+        "the result is wrong after a position arrived early"
+    );
 }
 
 #[test]
 fn a_request_uses_a_new_connection_if_the_pooled_one_was_closed() {
-    let close = |stream: &mut TcpStream| stream.shutdown(Shutdown::Both).expect("open until then");
-    assert_eq!(second_attempt(close), SecondAttempt::succeeded_on(1));
+    let close =
+        |stream: &mut TcpStream| stream.shutdown(Shutdown::Both).expect("the connection was closed before");
+    assert_eq!(run_second_attempt(close), SecondAttemptResult::succeeded_on(1));
     assert_eq!(
-        second_attempt(|_| {}),
-        SecondAttempt::succeeded_on(0),
-        "a connection that stays open is reused"
+        run_second_attempt(|_| {}),
+        SecondAttemptResult::succeeded_on(0),
+        "a pooled connection that stays open is not reused"
     );
 }
 
 #[test]
-fn an_attempt_that_is_cancelled_before_it_has_a_connection_opens_none() {
-    let (fixture, endpoint) = (Fixture::new(), Endpoint::start());
+fn an_attempt_cancelled_before_connecting_opens_no_connection() {
+    let (fixture, endpoint) = (Fixture::new(), CountingEndpoint::start());
     let cancellation = Arc::new(CancellationToken::default());
     cancellation.cancel();
-    let result = fixture
-        .cancellable_attempt(cancellation, &endpoint, || panic!("a cancelled attempt asks for confirmation"));
+    let result = fixture.run_cancellable_attempt(cancellation, &endpoint, || {
+        panic!("a cancelled attempt asked for confirmation")
+    });
     assert_eq!(result.outcome, AttemptOutcome::NotSent);
     thread::sleep(LOOPBACK_DELAY);
-    assert!(!endpoint.has_connection(), "a connection was opened for a cancelled attempt");
+    assert!(!endpoint.was_connected_to(), "a connection was opened for a cancelled attempt");
 }
--- a/server/tests/control_loop.rs
+++ b/server/tests/control_loop.rs
@@ -1,4 +1,5 @@
-//! The control loop without client sockets: its responses, and recovery from a panic of the routing policy.
+//! The responses of the control loop, without client sockets: after a panic of the routing policy, above the limit of
+//! open requests, at timeouts during long batches, and for ids that are in use.
 
 use host_support::bootstrap_config::BootstrapConfig;
 use host_support::routing_settings::routing_settings;
@@ -31,13 +32,13 @@
     "allowed":{"maxAttempts":6,"retryAfter":true,"maxRetryAfterNs":2000000000}}"#;
 const WRITE: MethodIndex = 0;
 const READ: MethodIndex = 1;
-/// The group of the primary in every test.
+/// The group that has a primary in every test.
 const GROUP: GroupNumber = 3;
 const SECOND: TimeDelta = TimeDelta::from_millis(1000);
-/// How long a test waits for the control loop before it fails.
+/// How long a test waits for a response before it fails.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A running control loop and the channel of its responses.
+/// A running control loop, and the channel on which it sends its responses.
 struct Fixture {
     control: Sender<ControlMessage>,
     timers: Arc<Timers>,
@@ -46,16 +47,17 @@
     _stream: TcpStream,
 }
 
-/// A listener whose connections are never answered.
-fn silent_endpoint() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a free port")
+/// Starts an endpoint that accepts connections and never answers.
+fn start_silent_endpoint() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").expect("failed to listen on loopback")
 }
 
-/// Starts a control loop that knows one endpoint: a primary that accepts connections and never answers.
+/// Starts a control loop whose endpoint list has one entry: the endpoint `silent`, as the primary of [`GROUP`].
 fn start_control_loop(silent: &TcpListener, max_open_requests: usize) -> Fixture {
     may::config().set_workers(1).set_stack_size(16 << 10);
-    let config: BootstrapConfig = serde_json::from_str(SETTINGS).expect("a bootstrap configuration");
-    let settings = routing_settings(&config).expect("valid settings");
+    let config: BootstrapConfig =
+        serde_json::from_str(SETTINGS).expect("the bootstrap settings cannot be parsed");
+    let settings = routing_settings(&config).expect("the bootstrap settings are invalid");
     let timers = Arc::new(Timers::start(Clock::start()));
     let resources = ResourceLimits::new(64, 1 << 20, false);
     let pool = Arc::new(ConnectionPool::new(timers.clone(), resources.clone(), SECOND, SECOND * 30));
@@ -75,7 +77,8 @@
     };
     let control_loop = ControlLoop::new(setup);
     spawn(move || control_loop.run());
-    let stream = TcpStream::connect(silent.local_addr().expect("its address")).expect("a connection");
+    let stream = TcpStream::connect(silent.local_addr().expect("failed to read the listener's address"))
+        .expect("failed to connect to the endpoint");
     let fixture = Fixture {
         control,
         timers,
@@ -83,14 +86,16 @@
         channel: ResponseChannel::new(stream.waker()),
         _stream: stream,
     };
-    fixture.send(ControlMessage::EndpointList { complete: true, endpoints: vec![primary("s", silent)] });
+    fixture
+        .send(ControlMessage::EndpointList { complete: true, endpoints: vec![primary_entry("s", silent)] });
     fixture
 }
 
-fn primary(name: &str, at: &TcpListener) -> ListedEndpoint {
+/// The entry of a primary of [`GROUP`] in an endpoint list.
+fn primary_entry(name: &str, listener: &TcpListener) -> ListedEndpoint {
     ListedEndpoint {
         name: name.to_string(),
-        address: at.local_addr().expect("its address").to_string(),
+        address: listener.local_addr().expect("failed to read the listener's address").to_string(),
         zone: String::new(),
         group: GROUP,
         health: ListedHealth::Serving,
@@ -100,30 +105,30 @@
 }
 
 /// An update of the endpoint list with 2,000 replicas of `group`.
-fn replicas(group: GroupNumber, at: &TcpListener) -> ControlMessage {
-    let replica = |index: usize| ListedEndpoint {
+fn list_of_replicas(group: GroupNumber, listener: &TcpListener) -> ControlMessage {
+    let replica_entry = |index: usize| ListedEndpoint {
         group,
         recovery: "on".to_string(),
-        ..primary(&format!("r-{index}"), at)
+        ..primary_entry(&format!("r-{index}"), listener)
     };
-    ControlMessage::EndpointList { complete: false, endpoints: (0..2_000).map(replica).collect() }
+    ControlMessage::EndpointList { complete: false, endpoints: (0..2_000).map(replica_entry).collect() }
 }
 
 impl Fixture {
     fn send(&self, message: ControlMessage) {
-        self.control.send(message).expect("a control loop");
+        self.control.send(message).expect("the control loop has ended");
     }
 
-    /// Sends a write that times out after so many milliseconds.
-    fn write(&self, request: RequestId, timeout_ms: i64) {
-        self.write_as(request, &request.to_string(), timeout_ms);
+    /// Sends a write whose id is the number of its request.
+    fn send_write(&self, request: RequestId, timeout_ms: i64) {
+        self.send_write_with_id(request, &request.to_string(), timeout_ms);
     }
 
-    fn write_as(&self, request: RequestId, id: &str, timeout_ms: i64) {
-        self.request(WRITE, GROUP, request, id, timeout_ms);
+    fn send_write_with_id(&self, request: RequestId, id: &str, timeout_ms: i64) {
+        self.send_request(WRITE, GROUP, request, id, timeout_ms);
     }
 
-    fn request(
+    fn send_request(
         &self,
         method: MethodIndex,
         group: GroupNumber,
@@ -144,104 +149,109 @@
         self.send(ControlMessage::Request(Box::new(IncomingRequest { header, text, ticket })));
     }
 
-    /// Waits for `count` responses and returns them ordered by request.
-    fn responses(&self, count: usize) -> Vec<RequestResponse> {
-        let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    /// Waits until at least `count` responses have arrived. Returns them ordered by request.
+    fn wait_for_responses(&self, count: usize) -> Vec<RequestResponse> {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let mut responses = Vec::new();
         while responses.len() < count {
             responses.extend(self.channel.take_responses());
-            assert!(Instant::now() < give_up_at, "a request is lost: {responses:?}");
+            assert!(Instant::now() < deadline, "a request got no response; received: {responses:?}");
             std::thread::sleep(Duration::from_millis(1));
         }
-        responses.sort_by_key(|answered: &RequestResponse| answered.request);
+        responses.sort_by_key(|response: &RequestResponse| response.request);
         responses
     }
 
-    /// The response to the only request that is open.
-    fn response_to(&self, request: RequestId) -> Response {
-        let mut responses = self.responses(1);
-        assert_eq!(responses.len(), 1, "a request whose client has disconnected got a response");
-        let answered = responses.remove(0);
-        assert_eq!(answered.request, request);
-        answered.response
+    /// Waits for the response to `request`. No other request may get one, in particular none whose client disconnected.
+    fn wait_for_response_to(&self, request: RequestId) -> Response {
+        let mut responses = self.wait_for_responses(1);
+        assert_eq!(responses.len(), 1, "another request got a response too: {responses:?}");
+        let response = responses.remove(0);
+        assert_eq!(response.request, request, "another request got a response instead");
+        response.response
     }
 }
 
-fn is_id_in_use(response: &Response) -> bool {
+/// Whether a response says that another request with the same id is open.
+fn is_duplicate_id_error(response: &Response) -> bool {
     matches!(response, Response::Error(error) if error.code == SqlState::DUPLICATE_OBJECT)
 }
 
 #[test]
-fn a_panic_of_the_routing_policy_aborts_open_requests_and_a_new_policy_takes_over() {
-    let silent = silent_endpoint();
+fn after_a_policy_panic_open_requests_are_aborted_and_new_ones_handled() {
+    let silent = start_silent_endpoint();
     let fixture = start_control_loop(&silent, 100);
-    fixture.write(1, 60_000);
-    fixture.write(2, 60_000);
-    // The policy panics on an endpoint that it does not know: its table has no such row.
+    fixture.send_write(1, 60_000);
+    fixture.send_write(2, 60_000);
+    // The policy panics when it looks up endpoint 99, which is not in its table.
     let attempt = AttemptId { request: 1, number: 0, endpoint: 99 };
-    let (reply, _confirmed) = channel();
+    let (reply, _reply_receiver) = channel();
     fixture.send(ControlMessage::ConfirmAttempt(AttemptConfirmation { attempt, reply }));
     let aborted = [1, 2].map(|request| RequestResponse { request, response: Response::Aborted });
-    assert_eq!(fixture.responses(2), aborted);
-    fixture.write(3, 200);
-    let response = fixture.response_to(3);
-    let is_given_up = matches!(response, Response::Rejected { .. } | Response::Aborted);
-    assert!(is_given_up, "its endpoint is silent: {response:?}");
-    assert!(!fixture.resources.is_memory_short());
+    assert_eq!(fixture.wait_for_responses(2), aborted);
+    fixture.send_write(3, 200);
+    let response = fixture.wait_for_response_to(3);
+    let is_rejected_or_aborted = matches!(response, Response::Rejected { .. } | Response::Aborted);
+    assert!(is_rejected_or_aborted, "a write whose endpoint never answers got {response:?}");
+    assert!(!fixture.resources.is_memory_short(), "memory is short after the panic");
 }
 
 #[test]
-fn requests_above_the_limit_of_open_requests_are_rejected_until_others_end() {
-    let silent = silent_endpoint();
+fn requests_above_the_open_request_limit_are_rejected_until_others_end() {
+    let silent = start_silent_endpoint();
     let fixture = start_control_loop(&silent, 2);
-    (1..=3).for_each(|request| fixture.write(request, 60_000));
+    (1..=3).for_each(|request| fixture.send_write(request, 60_000));
     let rejected = Response::Rejected { retry_after: Some(TimeDelta::from_millis(2000)) };
-    assert_eq!(fixture.response_to(3), rejected, "rejected with a Retry-After");
+    assert_eq!(
+        fixture.wait_for_response_to(3),
+        rejected,
+        "the request above the limit was not rejected as expected"
+    );
     (1..=2).for_each(|request| fixture.send(ControlMessage::ClientGone { request }));
-    // The requests are removed once their attempts have ended, which takes a second with the silent endpoint.
-    let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    // The requests are removed when their attempts end, which takes a second because the endpoint never answers.
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     for request in 4.. {
-        fixture.write(request, 200);
-        if fixture.response_to(request) != rejected {
+        fixture.send_write(request, 200);
+        if fixture.wait_for_response_to(request) != rejected {
             break;
         }
-        assert!(Instant::now() < give_up_at, "requests of disconnected clients are never removed");
+        assert!(Instant::now() < deadline, "requests of disconnected clients are never removed");
     }
 }
 
 #[test]
 fn a_timer_that_fires_while_a_batch_is_handled_is_not_lost() {
     const OTHER_GROUP: GroupNumber = 4;
-    let silent = silent_endpoint();
+    let silent = start_silent_endpoint();
     let fixture = start_control_loop(&silent, 100);
-    // No primary of the group is known, so only a timer can end a read that needs the latest data.
-    fixture.send(replicas(OTHER_GROUP, &silent));
+    // No primary of the group is known, so a read of the latest data is open until its timer fires.
+    fixture.send(list_of_replicas(OTHER_GROUP, &silent));
     for request in 1..=3 {
-        fixture.request(READ, OTHER_GROUP, request, &request.to_string(), 300);
-        // Handling this list takes far longer than the interval between timers of this control loop.
-        fixture.send(replicas(OTHER_GROUP, &silent));
-        let response = fixture.response_to(request);
-        assert!(matches!(response, Response::Rejected { .. }), "{response:?}");
+        fixture.send_request(READ, OTHER_GROUP, request, &request.to_string(), 300);
+        // The control loop takes much longer to handle this list than the interval between its timers.
+        fixture.send(list_of_replicas(OTHER_GROUP, &silent));
+        let response = fixture.wait_for_response_to(request);
+        assert!(matches!(response, Response::Rejected { .. }), "a read that timed out got {response:?}");
     }
 }
 
 #[test]
 fn an_id_stays_in_use_until_its_last_attempt_has_ended() {
-    let silent = silent_endpoint();
+    let silent = start_silent_endpoint();
     let fixture = start_control_loop(&silent, 100);
-    fixture.write_as(1, "same", 60_000);
-    fixture.write_as(2, "same", 60_000);
+    fixture.send_write_with_id(1, "same", 60_000);
+    fixture.send_write_with_id(2, "same", 60_000);
     assert_eq!(SqlState::DUPLICATE_OBJECT.as_str(), "42710");
-    let second = fixture.response_to(2);
-    assert!(is_id_in_use(&second), "{second:?}");
+    let second = fixture.wait_for_response_to(2);
+    assert!(is_duplicate_id_error(&second), "the second request with the same id got {second:?}");
     fixture.send(ControlMessage::ClientGone { request: 1 });
-    // Its attempt waits for the silent endpoint for at most a second. The id is in use until the attempt has ended.
-    let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    // The attempt of request 1 waits for the endpoint for at most a second. The id is in use until the attempt ends.
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     for request in 4.. {
-        fixture.write_as(request, "same", 400);
-        if !is_id_in_use(&fixture.response_to(request)) {
+        fixture.send_write_with_id(request, "same", 400);
+        if !is_duplicate_id_error(&fixture.wait_for_response_to(request)) {
             break;
         }
-        assert!(Instant::now() < give_up_at, "the id is still in use after its attempt has ended");
+        assert!(Instant::now() < deadline, "the id is still in use after its attempt has ended");
     }
 }
--- a/server/tests/sessions.rs
+++ b/server/tests/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions with client-held tokens: two instances, replication lag, restarts, and a failover that loses the end of a
-//! log.
+//! Sessions whose tokens are held by their clients. Clients move between two instances that are restarted, replicas lag,
+//! and a failover loses the end of a log.
 
 mod common {
     pub mod connect;
@@ -21,12 +21,19 @@
 use test_servers::discovery::{Discovery, DiscoveryMode};
 use test_servers::endpoint::{free_address, ServedEndpoint};
 
-/// Contents of the session key file: the first key, and the first key with a newer one.
-const KEYS: [&str; 2] = [
+/// Contents of the session key file: at first one key, later the same key and a newer one.
+const KEY_FILES: [&str; 2] = [
     "1 000102030405060708090a0b0c0d0e0f\n",
     "1 000102030405060708090a0b0c0d0e0f\n2 ffeeddccbbaa99887766554433221100\n",
 ];
 
+/// SQLSTATE of a request whose session has observed data that a failover lost.
+const SESSION_LOST: &str = "ZG001";
+/// SQLSTATE of a connection whose session token is invalid, or was issued to another user.
+const TOKEN_REJECTED: &str = "ZG002";
+/// SQLSTATE of a connection whose session token has expired.
+const TOKEN_EXPIRED: &str = "ZG003";
+
 /// One group of a primary and two replicas, and two instances.
 struct Fixture {
     folder: tempfile::TempDir,
@@ -37,11 +44,11 @@
 }
 
 impl Fixture {
-    /// Starts the group. `lags` has the replication lag of each replica in milliseconds.
-    fn new(lags: [i64; 2]) -> Fixture {
-        let (cluster, served) = one_group(&[0, lags[0], lags[1]]);
-        let folder = tempfile::tempdir().expect("a folder");
-        std::fs::write(folder.path().join("keys"), KEYS[0]).expect("written");
+    /// Starts the group without its instances. `lags_ms` has the replication lag of each replica in milliseconds.
+    fn new(lags_ms: [i64; 2]) -> Fixture {
+        let (cluster, served) = one_group(&[0, lags_ms[0], lags_ms[1]]);
+        let folder = tempfile::tempdir().expect("failed to create a temporary directory");
+        std::fs::write(folder.path().join("keys"), KEY_FILES[0]).expect("failed to write the key file");
         let discovery = Discovery::start(DiscoveryMode::Up, 1, Vec::new());
         let fixture =
             Fixture { folder, listen: [free_address(), free_address()], discovery, cluster, served };
@@ -49,16 +56,16 @@
         fixture
     }
 
-    /// Publishes a list in which `s-{primary}` is the primary.
+    /// Publishes an endpoint list in which `s-{primary}` is the primary.
     fn publish_list(&self, version: i64, primary: usize) {
         let entry = |index: usize| group_entry(&self.served, index, primary);
         self.discovery.set_list(version, (0..3).map(entry).collect());
     }
 
-    /// Starts an instance and waits until it accepts a client.
+    /// Starts an instance and waits until it accepts a connection.
     fn start(&self, index: usize) -> Daemon {
         let folder = self.folder.path().join(format!("instance-{index}"));
-        std::fs::create_dir_all(&folder).expect("made");
+        std::fs::create_dir_all(&folder).expect("failed to create the instance's directory");
         let operator_file =
             format!("session-keys {}\nsession-lasts 10s\n", self.folder.path().join("keys").display());
         let daemon = start_router(index, &operator_file, &folder, self.listen[index], self.discovery.addr);
@@ -66,19 +73,20 @@
         daemon
     }
 
-    /// Creates a session that both instances have in their cache, by a write served by each of them. Returns its token.
-    fn session_on_both(&self, name: &str) -> String {
+    /// Creates a session and sends a write of it to each instance, so that both have the session in their cache. Returns
+    /// the session's token.
+    fn create_session_on_both(&self, name: &str) -> String {
         let mut token = "new".to_string();
         for index in 0..2 {
             let mut client = self.client(index, Some(&token));
             request_until_served(&mut client, Kind::Write, &format!("{name}{index}"));
-            token = client.token.expect("a token");
+            token = client.token.expect("the instance sent no session token");
         }
         token
     }
 
-    /// Promotes replica `s-1`, which loses the end of the log that it had not replicated, including the sessions'
-    /// writes. The old primary stops answering, and discovery lists the new one.
+    /// Promotes the replica `s-1`. The end of the log that it has not replicated is lost, including the sessions' writes.
+    /// The old primary stops answering, and discovery lists the new one.
     fn fail_over_to_replica_1(&self) {
         {
             let mut state = self.cluster.lock();
@@ -89,17 +97,19 @@
         self.publish_list(3, 1);
     }
 
-    /// Connects a client to an instance.
+    /// Connects a client to an instance. `session` is a session token, or `Some("new")` to request a new session.
     fn client(&self, index: usize, session: Option<&str>) -> Client {
-        self.client_of(index, "backend", session)
+        self.client_of_user(index, "backend", session)
     }
 
-    fn client_of(&self, index: usize, user: &str, session: Option<&str>) -> Client {
+    /// Connects a client of the user `user`, otherwise as [`Fixture::client`].
+    fn client_of_user(&self, index: usize, user: &str, session: Option<&str>) -> Client {
         connect(&self.listen[index], user, session)
     }
 }
 
-/// The position up to which the data of an answer is that of the live log, in Unix milliseconds.
+/// The position in Unix milliseconds up to which the data of an answer is that of the log's live branch; `None` if the
+/// answer has no value.
 fn consistent_until_ms(record: &RequestRecord) -> Option<i64> {
     match &record.answer {
         Answer::Value(value) => value.split(' ').nth(1).and_then(|field| field.parse().ok()),
@@ -116,7 +126,7 @@
         }
         thread::sleep(Duration::from_millis(10));
     }
-    panic!("{name} was rejected 200 times");
+    panic!("request {name} was rejected 200 times");
 }
 
 /// Sends requests until one is served, and returns its record.
@@ -127,15 +137,15 @@
             return record;
         }
     }
-    panic!("{name} is not served");
+    panic!("request {name} was not served in 200 attempts");
 }
 
 #[test]
 fn a_session_keeps_monotonic_reads_across_instances_and_restarts() {
     let fixture = Fixture::new([15, 700]);
     let mut daemons = [fixture.start(0), fixture.start(1)].map(Some);
-    let mut token = fixture.client(0, Some("new")).token.expect("a token is given");
-    let (mut seen, mut seen_without_session, mut steps_back) = (0, 0, 0);
+    let mut token = fixture.client(0, Some("new")).token.expect("the instance sent no session token");
+    let (mut observed_ms, mut observed_without_session_ms, mut older_reads) = (0, 0, 0);
     for round in 0..60 {
         let index = round % 2;
         if round % 20 == 19 {
@@ -143,98 +153,119 @@
             daemons[index] = Some(fixture.start(index));
         }
         let mut client = fixture.client(index, Some(&token));
-        assert_eq!(client.rejected_with, None);
+        assert_eq!(client.rejected_with, None, "a valid session token was rejected");
         let kind = if round % 5 == 0 { Kind::Write } else { Kind::Read };
         let record = request_until_served(&mut client, kind, &format!("r{round}"));
         if kind == Kind::Read {
-            let shows = consistent_until_ms(&record).expect("a value");
-            assert!(shows >= seen, "round {round}: read data up to {shows} after data up to {seen}");
-            seen = shows;
+            let read_ms = consistent_until_ms(&record).expect("the read returned no position");
+            assert!(
+                read_ms >= observed_ms,
+                "round {round}: the session read data up to {read_ms} after data up to {observed_ms}"
+            );
+            observed_ms = read_ms;
         } else {
-            seen = seen.max(record.sent_ms);
+            observed_ms = observed_ms.max(record.sent_ms);
         }
-        token = client.token.clone().expect("each answer comes with a token");
-        // Reads without a session must go back in time at least once, or the test proves nothing about sessions.
+        token = client.token.clone().expect("the instance sent no session token");
+        // For comparison, a client without a session reads at the same instance.
         let mut plain = fixture.client(index, None);
-        assert_eq!(plain.token, None);
-        let shows = consistent_until_ms(&request_until_served(&mut plain, Kind::Read, &format!("p{round}")))
-            .expect("a value");
-        steps_back += usize::from(shows < seen_without_session);
-        seen_without_session = shows;
+        assert_eq!(plain.token, None, "a token was sent to a client without a session");
+        let record = request_until_served(&mut plain, Kind::Read, &format!("p{round}"));
+        let read_ms = consistent_until_ms(&record).expect("the read returned no position");
+        older_reads += usize::from(read_ms < observed_without_session_ms);
+        observed_without_session_ms = read_ms;
     }
-    assert!(steps_back > 0, "no read without a session went back in time, so the test proves nothing");
-    println!("{steps_back} of 60 reads without a session showed less than the one before");
+    assert!(older_reads > 0, "no read without a session returned older data, so the test proves nothing");
+    println!("{older_reads} of 60 reads without a session returned older data than the one before");
 }
 
 #[test]
 fn a_failover_that_loses_data_seen_by_a_session_is_reported_to_it_once() {
     let fixture = Fixture::new([400, 400]);
     let mut daemons = [fixture.start(0), fixture.start(1)].map(Some);
-    let [token, read, write] = ["a", "b", "c"].map(|name| fixture.session_on_both(name));
+    let [first_token, read_token, write_token] =
+        ["a", "b", "c"].map(|name| fixture.create_session_on_both(name));
     fixture.fail_over_to_replica_1();
-    // An instance that has just started knows no epoch, and its first request is a write.
+    // An instance that has just started does not know the new epoch. Its first request is a write.
     daemons[0].take().map(Daemon::kill);
     daemons[0] = Some(fixture.start(0));
-    let reported = request_until_not_rejected(&mut fixture.client(0, Some(&token)), Kind::Write, "first");
-    assert_eq!(reported.answer, Answer::Error("ZG001".into()));
+    let write_record =
+        request_until_not_rejected(&mut fixture.client(0, Some(&first_token)), Kind::Write, "first");
+    assert_eq!(write_record.answer, Answer::Error(SESSION_LOST.into()));
     assert!(
-        !fixture.cluster.lock().executions.contains_key(&reported.id),
-        "the write ran although the loss was reported"
+        !fixture.cluster.lock().executions.contains_key(&write_record.id),
+        "the write was executed although the loss was reported"
     );
-    // Both instances learn of the new epoch by the requests of other clients.
+    // Both instances learn the new epoch by the requests of other clients.
     for index in 0..2 {
         let mut other = fixture.client(index, None);
         request_until_served(&mut other, Kind::Write, &format!("o{index}"));
     }
-    for (kind, token) in [(Kind::Read, read), (Kind::Write, write)] {
+    for (kind, token) in [(Kind::Read, read_token), (Kind::Write, write_token)] {
         let mut moved = fixture.client(0, Some(&token));
-        let reported = moved.request(&format!("t-{kind:?}"), 1, kind, 800);
-        assert_eq!(reported.answer, Answer::Error("ZG001".into()), "{kind:?}");
-        let next = moved.token.clone().expect("a token without the lost positions");
-        // Reported once: the instance that has the lost positions in its cache does not report the loss again.
+        let record = moved.request(&format!("t-{kind:?}"), 1, kind, 800);
+        assert_eq!(
+            record.answer,
+            Answer::Error(SESSION_LOST.into()),
+            "the loss was not reported to a {kind:?}"
+        );
+        let next_token = moved.token.clone().expect("the instance sent no token after the loss");
+        // The next token no longer contains the lost positions. An instance whose cache still has them must not report
+        // the loss a second time.
         for index in 0..2 {
-            let mut again = fixture.client(index, Some(&next));
-            let record = request_until_not_rejected(&mut again, Kind::Read, &format!("a-{kind:?}-{index}"));
-            assert!(matches!(record.answer, Answer::Value(_)), "{record:?}");
+            let mut later = fixture.client(index, Some(&next_token));
+            let record = request_until_not_rejected(&mut later, Kind::Read, &format!("a-{kind:?}-{index}"));
+            assert!(
+                matches!(record.answer, Answer::Value(_)),
+                "the loss was reported again, or the read failed: {record:?}"
+            );
         }
     }
-    // A session that saw none of the lost data gets no error.
-    let mut fresh = fixture.client(1, Some("new"));
-    request_until_served(&mut fresh, Kind::Read, "f");
+    // A session that has observed none of the lost data gets no error.
+    let mut unaffected = fixture.client(1, Some("new"));
+    request_until_served(&mut unaffected, Kind::Read, "f");
     drop(daemons);
 }
 
 #[test]
-fn a_session_token_is_valid_for_its_user_until_it_expires_even_if_keys_change() {
+fn a_token_stays_valid_for_its_user_across_key_changes_until_it_expires() {
     let fixture = Fixture::new([15, 15]);
     let daemons = [fixture.start(0), fixture.start(1)];
     let mut client = fixture.client(0, Some("new"));
     request_until_served(&mut client, Kind::Write, "w");
-    let token = client.token.clone().expect("a token");
-    println!("{} characters: {token}", token.len());
+    let token = client.token.clone().expect("the instance sent no session token");
+    println!("token of {} characters: {token}", token.len());
     for (user, token, code) in [
-        ("backend", "forged", "ZG002"),
-        ("backend", &token[..token.len() - 2], "ZG002"),
-        ("another", token.as_str(), "ZG002"),
-        ("backend", &token.replace(&token[40..41], if &token[40..41] == "A" { "B" } else { "A" }), "ZG002"),
+        ("backend", "forged", TOKEN_REJECTED),
+        ("backend", &token[..token.len() - 2], TOKEN_REJECTED),
+        ("another", token.as_str(), TOKEN_REJECTED),
+        (
+            "backend",
+            &token.replace(&token[40..41], if &token[40..41] == "A" { "B" } else { "A" }),
+            TOKEN_REJECTED,
+        ),
     ] {
-        let client = fixture.client_of(1, user, Some(token));
-        assert_eq!(client.rejected_with.as_deref(), Some(code), "{token}");
+        let client = fixture.client_of_user(1, user, Some(token));
+        assert_eq!(client.rejected_with.as_deref(), Some(code), "user {user}, token {token}");
     }
-    // After a key was added to the running instances, tokens sealed with the old key are still valid at both.
-    std::fs::write(fixture.folder.path().join("keys"), KEYS[1]).expect("written");
+    // A token issued with the old key stays valid after a newer key was added to the running instances.
+    std::fs::write(fixture.folder.path().join("keys"), KEY_FILES[1]).expect("failed to write the key file");
     daemons.iter().for_each(|daemon| daemon.signal("HUP"));
     thread::sleep(Duration::from_millis(200));
     let mut later = fixture.client(1, Some(&token));
-    assert_eq!(later.rejected_with, None);
+    assert_eq!(later.rejected_with, None, "a token issued with the old key was rejected");
     request_until_served(&mut later, Kind::Read, "r");
-    let newer = later.token.clone().expect("sealed with the new key");
-    // An invalid key file changes nothing.
-    std::fs::write(fixture.folder.path().join("keys"), "1 00\n").expect("written");
+    let newer_token = later.token.clone().expect("the instance sent no session token");
+    // An invalid key file does not change the keys in use.
+    std::fs::write(fixture.folder.path().join("keys"), "1 00\n").expect("failed to write the key file");
     daemons[0].signal("HUP");
     thread::sleep(Duration::from_millis(200));
-    assert_eq!(fixture.client(0, Some(&newer)).rejected_with, None);
+    assert_eq!(
+        fixture.client(0, Some(&newer_token)).rejected_with,
+        None,
+        "a token was rejected after a reload of an invalid key file"
+    );
     thread::sleep(Duration::from_millis(10_500));
-    assert_eq!(fixture.client(0, Some(&token)).rejected_with.as_deref(), Some("ZG003"));
+    assert_eq!(fixture.client(0, Some(&token)).rejected_with.as_deref(), Some(TOKEN_EXPIRED));
     drop(daemons);
 }
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -1,5 +1,5 @@
-//! Starts of instances with and without discovery: randomized faults, a state directory during kills, the command
-//! line, and the log.
+//! Starts of instances with and without discovery, during randomized faults and repeated kills. Also the command line,
+//! and the log.
 
 mod common {
     pub mod endpoint_group;
@@ -26,25 +26,38 @@
 use test_servers::settings::settings;
 use test_servers::{each_seed, Build};
 
+/// Exit status of a command whose arguments are invalid: `EX_USAGE` of `sysexits.h`.
+const EX_USAGE: i32 = 64;
+/// Exit status of a command whose input is invalid.
+const EX_DATAERR: i32 = 65;
+/// Exit status of a command whose input does not exist.
+const EX_NOINPUT: i32 = 66;
+/// Exit status of a command or a start whose configuration is invalid.
+const EX_CONFIG: i32 = 78;
+
 #[test]
-fn starts_from_an_outdated_list_violate_no_rule_and_writes_are_served_after_discovery_returns() {
+fn starts_from_an_outdated_list_violate_no_rule_and_writes_resume() {
     let phases =
         Phases { discovery_down: Duration::from_millis(1_500), discovery_back: Duration::from_millis(6_000) };
     let build = Build { program: Path::new(ROUTER), has_operator_file: true };
-    // Daemons, endpoints and clients of one plan use one or two cores. With fewer cores answers would be late.
+    // The daemons, endpoints and clients of one run use one or two cores. With fewer cores their answers would be late.
     let cores = thread::available_parallelism().map_or(2, usize::from);
-    let failed = each_seed(0..18, (cores / 2).clamp(1, 6), |seed| {
+    let failures = each_seed(0..18, (cores / 2).clamp(1, 6), |seed| {
         let plan = Plan::draw(seed);
         println!("seed {seed}: {plan:?}");
         let outcome = run_plan(&plan, &build, phases).expect("the run could not be set up");
         let lacks_writes = outcome.groups_writing < outcome.groups_with_primary;
         (!outcome.verdict.violations.is_empty() || lacks_writes).then(|| format!("{plan:?}\n{outcome:#?}"))
     });
-    let failed: Vec<String> = failed.into_iter().flatten().collect();
-    assert!(failed.is_empty(), "{}", failed.join("\n"));
+    let failures: Vec<String> = failures.into_iter().flatten().collect();
+    assert!(
+        failures.is_empty(),
+        "runs violated a rule, or served no write in a group with a primary after discovery returned:\n{}",
+        failures.join("\n")
+    );
 }
 
-/// A group of a primary and a replica, a discovery service, and a temporary directory for an instance.
+/// A group of a primary and a replica, a discovery service that lists them, and a temporary directory for an instance.
 struct Fixture {
     folder: tempfile::TempDir,
     listen: SocketAddr,
@@ -58,13 +71,13 @@
         let (cluster, served) = one_group(&[20, 20]);
         let discovery =
             Discovery::start(mode, 7, vec![group_entry(&served, 0, 0), group_entry(&served, 1, 0)]);
-        let folder = tempfile::tempdir().expect("a folder");
-        std::fs::create_dir(folder.path().join("state")).expect("made");
+        let folder = tempfile::tempdir().expect("failed to create a temporary directory");
+        std::fs::create_dir(folder.path().join("state")).expect("failed to create the state directory");
         Fixture { folder, listen: free_address(), discovery, cluster, _served: served }
     }
 
     /// Path of the state directory.
-    fn state(&self) -> PathBuf {
+    fn state_dir(&self) -> PathBuf {
         self.folder.path().join("state")
     }
 
@@ -72,36 +85,39 @@
         start_router(1, operator_file, self.folder.path(), self.listen, self.discovery.addr)
     }
 
-    /// Content of an operators' file with the state directory.
+    /// Content of an operators' file that configures the state directory.
     fn operator_file(&self) -> String {
-        format!("state-dir {}\nstore-identity postgres\nsave-gap 100ms\n", self.state().display())
+        format!("state-dir {}\nstore-identity postgres\nsave-gap 100ms\n", self.state_dir().display())
     }
 
-    /// Sends requests until one is served, for ten seconds at most. Returns the time that it took.
-    fn time_until_served(&self, kind: Kind, name: &str) -> Duration {
-        let (began, mut index) = (Instant::now(), 0);
-        while began.elapsed() < Duration::from_secs(10) {
+    /// Sends requests until one is served, for ten seconds at most. Returns the time until then.
+    fn wait_until_served(&self, kind: Kind, name: &str) -> Duration {
+        let (started, mut index) = (Instant::now(), 0);
+        while started.elapsed() < Duration::from_secs(10) {
             if let Ok(mut client) = Client::open(&self.listen) {
                 index += 1;
                 let record = client.request(&format!("{name}{index}"), 1, kind, 500);
                 if matches!(record.answer, Answer::Value(_)) {
-                    return began.elapsed();
+                    return started.elapsed();
                 }
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("{kind:?} {name} is not served");
+        panic!("no {kind:?} with the id prefix {name} was served within ten seconds");
     }
 
-    /// Waits until the cached list satisfies `wanted`, for ten seconds at most. Returns the list.
-    fn wait_for_cached(&self, wanted: impl Fn(&CachedEndpointList) -> bool) -> CachedEndpointList {
-        let began = Instant::now();
+    /// Waits until the cached list satisfies `condition`, for ten seconds at most. Returns the list.
+    fn wait_for_cached_list(&self, condition: impl Fn(&CachedEndpointList) -> bool) -> CachedEndpointList {
+        let started = Instant::now();
         loop {
-            let loaded = CacheDirectory::read(&self.state());
-            assert!(loaded.errors.is_empty(), "{:?}", loaded.errors);
+            let loaded = CacheDirectory::read(&self.state_dir());
+            assert!(loaded.errors.is_empty(), "the cached list is invalid: {:?}", loaded.errors);
             match loaded.list {
-                Some(loaded) if wanted(&loaded.list) => return loaded.list,
-                found => assert!(began.elapsed() < Duration::from_secs(10), "{found:?}"),
+                Some(loaded) if condition(&loaded.list) => return loaded.list,
+                other => assert!(
+                    started.elapsed() < Duration::from_secs(10),
+                    "the cached list is not as expected after ten seconds: {other:?}"
+                ),
             }
             thread::sleep(Duration::from_millis(5));
         }
@@ -112,85 +128,113 @@
 fn an_instance_starts_from_its_cached_list_without_discovery_after_kills() {
     let fixture = Fixture::new(DiscoveryMode::Up);
     let daemon = fixture.start(&fixture.operator_file());
-    fixture.time_until_served(Kind::Write, "a");
+    fixture.wait_until_served(Kind::Write, "a");
     let is_verified = |cached: &CachedEndpointList| {
         cached.version == 7
             && cached.endpoints.iter().filter_map(|endpoint| endpoint.report).any(|report| report.primary)
     };
-    let cached = fixture.wait_for_cached(is_verified);
+    let cached = fixture.wait_for_cached_list(is_verified);
     assert_eq!(cached.endpoints.len(), 2);
     daemon.kill();
     fixture.discovery.set_mode(DiscoveryMode::Down);
-    // The instance is killed repeatedly while it starts and saves: the list stays complete, and requests are served
-    // each time.
+    // The instance is killed repeatedly while it starts and saves the list. The list must stay complete, and requests
+    // must be served each time.
     for round in 0..6 {
         let daemon = fixture.start(&fixture.operator_file());
-        fixture.time_until_served(Kind::Write, &format!("b{round}"));
-        fixture.time_until_served(Kind::Read, &format!("c{round}"));
-        assert!(daemon.has_logged("starting from the cached endpoint list"), "{}", daemon.kill());
+        fixture.wait_until_served(Kind::Write, &format!("b{round}"));
+        fixture.wait_until_served(Kind::Read, &format!("c{round}"));
+        assert!(
+            daemon.has_logged("starting from the cached endpoint list"),
+            "the cached list was not used:\n{}",
+            daemon.kill()
+        );
         daemon.kill();
-        fixture.wait_for_cached(is_verified);
+        fixture.wait_for_cached_list(is_verified);
     }
-    // The endpoint list of a new incarnation of discovery is accepted, and cached.
+    // The endpoint list of a new incarnation of discovery must be accepted and cached.
     let daemon = fixture.start(&fixture.operator_file());
-    let entries = fixture.wait_for_cached(is_verified).endpoints;
-    let hosts = entries.iter().enumerate().map(|(index, endpoint)| {
-        let address = endpoint.address.parse().expect("an address");
+    let endpoints = fixture.wait_for_cached_list(is_verified).endpoints;
+    let entries = endpoints.iter().enumerate().map(|(index, endpoint)| {
+        let address = endpoint.address.parse().expect("an endpoint has an invalid address");
         list_entry(&endpoint.name, &address, 1, index == 0, "SERVING", 0)
     });
-    fixture.discovery.set_list(2, hosts.collect());
+    fixture.discovery.set_list(2, entries.collect());
     fixture.discovery.set_mode(DiscoveryMode::Up);
-    fixture.wait_for_cached(|cached| cached.version == 2);
-    assert!(daemon.has_logged("endpoint list of a new discovery incarnation accepted"), "{}", daemon.kill());
-    assert!(fixture.cluster.lock().executions.values().flatten().all(|run| run.at_primary));
+    fixture.wait_for_cached_list(|cached| cached.version == 2);
+    assert!(
+        daemon.has_logged("endpoint list of a new discovery incarnation accepted"),
+        "the list of the new incarnation was not accepted:\n{}",
+        daemon.kill()
+    );
+    assert!(
+        fixture.cluster.lock().executions.values().flatten().all(|execution| execution.at_primary),
+        "a write was executed by a replica"
+    );
 }
 
 #[test]
 fn an_unusable_state_directory_is_logged_once_and_requests_are_served() {
     let fixture = Fixture::new(DiscoveryMode::Up);
-    let missing = fixture.start(&fixture.operator_file().replace("/state", "/nowhere"));
-    fixture.time_until_served(Kind::Write, "a");
-    missing.has_logged("endpoint list not cached");
-    // A second log line would appear with the next saves.
+    let without_directory = fixture.start(&fixture.operator_file().replace("/state", "/nowhere"));
+    fixture.wait_until_served(Kind::Write, "a");
+    without_directory.has_logged("endpoint list not cached");
+    // If the failure were logged again, a second line would appear with the next saves.
     thread::sleep(Duration::from_millis(300));
-    let log = missing.kill();
-    assert_eq!(log.matches("endpoint list not cached").count(), 1, "{log}");
+    let log = without_directory.kill();
+    assert_eq!(
+        log.matches("endpoint list not cached").count(),
+        1,
+        "the missing directory was not logged exactly once:\n{log}"
+    );
 
+    // The second instance is configured with the state directory that the first one has locked.
     let first = fixture.start(&fixture.operator_file());
-    fixture.time_until_served(Kind::Write, "b");
-    let second = Fixture { listen: free_address(), ..Fixture::new(DiscoveryMode::Up) };
-    let other = second.start(&fixture.operator_file());
-    second.time_until_served(Kind::Write, "c");
-    assert!(other.has_logged("another process uses it"), "{}", other.kill());
-    // A directory in place of the temporary file makes all saves fail from now on, which is logged once.
-    let entries = fixture.wait_for_cached(|cached| cached.version == 7).endpoints;
-    let blocked = fixture.state().join("list.new");
-    // A save may be in progress.
-    while std::fs::create_dir(&blocked).is_err() {
+    fixture.wait_until_served(Kind::Write, "b");
+    let second_fixture = Fixture { listen: free_address(), ..Fixture::new(DiscoveryMode::Up) };
+    let second = second_fixture.start(&fixture.operator_file());
+    second_fixture.wait_until_served(Kind::Write, "c");
+    assert!(
+        second.has_logged("another process uses it"),
+        "the locked directory was not logged:\n{}",
+        second.kill()
+    );
+    // A directory in place of the temporary file makes all later saves fail. The failure must be logged once.
+    let endpoints = fixture.wait_for_cached_list(|cached| cached.version == 7).endpoints;
+    let temporary_file = fixture.state_dir().join("list.new");
+    // The temporary file exists while a save is in progress.
+    while std::fs::create_dir(&temporary_file).is_err() {
         thread::sleep(Duration::from_millis(1));
     }
-    let only = replica_entries(&entries);
-    for seq in 8..12 {
-        fixture.discovery.set_list(seq, only.clone());
+    let entries = replica_entries(&endpoints);
+    for version in 8..12 {
+        fixture.discovery.set_list(version, entries.clone());
         thread::sleep(Duration::from_millis(150));
-        fixture.time_until_served(Kind::Read, &format!("d{seq}"));
+        fixture.wait_until_served(Kind::Read, &format!("d{version}"));
     }
     first.has_logged("endpoint list not cached");
-    std::fs::remove_dir(&blocked).expect("gone");
-    fixture.wait_for_cached(|cached| cached.version == 11);
+    std::fs::remove_dir(&temporary_file).expect("failed to remove the directory");
+    fixture.wait_for_cached_list(|cached| cached.version == 11);
     first.has_logged("endpoint list cached again");
     let log = first.kill();
-    assert_eq!(log.matches("endpoint list not cached").count(), 1, "{log}");
-    assert_eq!(log.matches("endpoint list cached again").count(), 1, "{log}");
+    assert_eq!(
+        log.matches("endpoint list not cached").count(),
+        1,
+        "the failing saves were not logged exactly once:\n{log}"
+    );
+    assert_eq!(
+        log.matches("endpoint list cached again").count(),
+        1,
+        "the next successful save was not logged exactly once:\n{log}"
+    );
 }
 
 #[test]
-fn a_cached_list_of_ten_thousand_mostly_unreachable_endpoints_does_not_delay_the_first_write() {
+fn unreachable_endpoints_in_a_large_cached_list_do_not_delay_a_write() {
     let fixture = Fixture::new(DiscoveryMode::Up);
     let daemon = fixture.start(&fixture.operator_file());
-    fixture.time_until_served(Kind::Write, "a");
-    let mut cached =
-        fixture.wait_for_cached(|cached| cached.endpoints.iter().any(|endpoint| endpoint.report.is_some()));
+    fixture.wait_until_served(Kind::Write, "a");
+    let mut cached = fixture
+        .wait_for_cached_list(|cached| cached.endpoints.iter().any(|endpoint| endpoint.report.is_some()));
     daemon.kill();
     fixture.discovery.set_mode(DiscoveryMode::Down);
     let unused_address = free_address().to_string();
@@ -202,40 +246,50 @@
         ..CachedEndpoint::default()
     }));
     cached.confirmed_ms = unix_ms() - 600_000;
-    CacheDirectory::open(&fixture.state()).expect("free again").0.save(&mut cached).expect("saved");
+    CacheDirectory::open(&fixture.state_dir())
+        .expect("failed to open the state directory")
+        .0
+        .save(&mut cached)
+        .expect("failed to save the list");
     let daemon = fixture.start(&fixture.operator_file());
-    let took = fixture.time_until_served(Kind::Write, "b");
-    assert!(took < Duration::from_secs(5), "{took:?}");
+    let took = fixture.wait_until_served(Kind::Write, "b");
+    assert!(took < Duration::from_secs(5), "the first write was served only after {took:?}");
     let status = std::fs::read_to_string(format!("/proc/{}/status", daemon.pid())).unwrap_or_default();
-    let resident = status.lines().find_map(|line| line.strip_prefix("VmHWM:")?.split_whitespace().next());
-    println!("first write after {took:?}, {} kB at most", resident.unwrap_or("?"));
+    let peak_kb = status.lines().find_map(|line| line.strip_prefix("VmHWM:")?.split_whitespace().next());
+    println!("first write after {took:?}, peak resident memory {} kB", peak_kb.unwrap_or("?"));
 }
 
-/// Creates list entries of cached endpoints, all as serving replicas.
+/// Entries of an endpoint list that lists the cached endpoints `endpoints` as serving replicas.
 fn replica_entries(endpoints: &[CachedEndpoint]) -> Vec<serde_json::Value> {
     let entry = |endpoint: &CachedEndpoint| {
-        list_entry(&endpoint.name, &endpoint.address.parse().expect("one"), 1, false, "SERVING", 0)
+        let address = endpoint.address.parse().expect("an endpoint has an invalid address");
+        list_entry(&endpoint.name, &address, 1, false, "SERVING", 0)
     };
     endpoints.iter().map(entry).collect()
 }
 
-/// Runs the router's command line with `args` and the bootstrap file `bootstrap`. Returns its exit code, stdout and
-/// stderr.
-fn run(args: &[&str], bootstrap: &Path) -> (Option<i32>, String, String) {
+/// Runs the router's program with the arguments `args` and the bootstrap file `bootstrap`. Returns its exit status, and
+/// its output on stdout and stderr.
+fn run_program(args: &[&str], bootstrap: &Path) -> (Option<i32>, String, String) {
     let mut command = Command::new(ROUTER);
     command.env_clear().env("ROUTER_CONFIG", bootstrap).env("ROUTER_LISTEN", "127.0.0.1:1");
-    let output = command.env("ROUTER_DISCOVERY", "127.0.0.1:2").args(args).output().expect("it runs");
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
+    let output = command
+        .env("ROUTER_DISCOVERY", "127.0.0.1:2")
+        .args(args)
+        .output()
+        .expect("failed to run the program");
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("the output is not UTF-8");
     (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
 fn write_file(path: &Path, text: &str) {
-    std::fs::write(path, text).expect("written");
+    std::fs::write(path, text).expect("failed to write the file");
 }
 
-/// Saves an endpoint list with version 41 and one endpoint in the state directory `state`, confirmed two hours ago.
-fn save_old_list(state: &Path) {
-    let (mut dir, _) = CacheDirectory::open(state).expect("it opens");
+/// Saves an endpoint list in the state directory `state_dir`. The list has version 41 and one endpoint, and was confirmed
+/// two hours ago.
+fn save_old_list(state_dir: &Path) {
+    let (mut directory, _) = CacheDirectory::open(state_dir).expect("failed to open the state directory");
     let endpoints = vec![CachedEndpoint { name: "s-1".into(), group: 4, ..CachedEndpoint::default() }];
     let mut cached = CachedEndpointList {
         version: 41,
@@ -244,84 +298,97 @@
         endpoints,
         ..CachedEndpointList::default()
     };
-    dir.save(&mut cached).expect("saved");
+    directory.save(&mut cached).expect("failed to save the list");
 }
 
 #[test]
 fn the_command_line_reports_all_errors_and_exits_with_sysexits_statuses() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("failed to create a temporary directory");
     let [bootstrap, conf] = ["config.json", "gingerwick.conf"].map(|name| folder.path().join(name));
-    let good = format!("{{\"seed\":\"1\",\n\"settings\":{}}}", settings());
-    write_file(&bootstrap, &good);
+    let valid_bootstrap = format!("{{\"seed\":\"1\",\n\"settings\":{}}}", settings());
+    write_file(&bootstrap, &valid_bootstrap);
     write_file(&conf, "log-format json\n");
-    let with = conf.to_str().expect("text");
-    assert_eq!(run(&["check", "--conf", with], &bootstrap).0, Some(0));
+    let conf_path = conf.to_str().expect("the path is not UTF-8");
+    assert_eq!(run_program(&["check", "--conf", conf_path], &bootstrap).0, Some(0));
 
-    write_file(&bootstrap, &good.replace("\"seed\":\"1\"", "\"listen\":\"here\",\n\"seed\":\"xyz\""));
+    write_file(
+        &bootstrap,
+        &valid_bootstrap.replace("\"seed\":\"1\"", "\"listen\":\"here\",\n\"seed\":\"xyz\""),
+    );
     write_file(&conf, "log-fromat json\n\nstate-dir there\n");
-    let (code, _, stderr) = run(&["check", "--conf", with], &bootstrap);
-    assert_eq!(code, Some(78));
+    let (status, _, stderr) = run_program(&["check", "--conf", conf_path], &bootstrap);
+    assert_eq!(status, Some(EX_CONFIG));
     for expected in [
         format!(
             "ROUTER_CONFIG: {}: 2: seed: \"xyz\" is not a hexadecimal number of up to 64 bits",
             bootstrap.display()
         ),
-        format!("{with}:1: log-fromat: unknown keyword; did you mean log-format?"),
-        format!("{with}:3: state-dir: \"there\" is not an absolute path"),
+        format!("{conf_path}:1: log-fromat: unknown keyword; did you mean log-format?"),
+        format!("{conf_path}:3: state-dir: \"there\" is not an absolute path"),
     ] {
-        assert!(stderr.contains(&expected), "{expected} in {stderr}");
+        assert!(stderr.contains(&expected), "{expected:?} is missing in:\n{stderr}");
     }
-    let (code, _, stderr) = run(&["--conf", with], &bootstrap);
-    assert!(code == Some(78) && stderr.lines().count() == 3, "{stderr}");
+    let (status, _, stderr) = run_program(&["--conf", conf_path], &bootstrap);
+    assert!(status == Some(EX_CONFIG) && stderr.lines().count() == 3, "status {status:?}, stderr:\n{stderr}");
 
-    assert_eq!(run(&["frobnicate"], &bootstrap).0, Some(64));
-    assert_eq!(run(&["--help"], &bootstrap).0, Some(0));
-    assert!(run(&["completions", "bash"], &bootstrap).1.contains("query-router"));
-    let state = folder.path().to_str().expect("text");
-    assert_eq!(run(&["list", "show", "/nowhere/at/all"], &bootstrap).0, Some(66));
-    assert_eq!(run(&["list", "verify", state], &bootstrap).0, Some(65));
+    assert_eq!(run_program(&["frobnicate"], &bootstrap).0, Some(EX_USAGE));
+    assert_eq!(run_program(&["--help"], &bootstrap).0, Some(0));
+    assert!(run_program(&["completions", "bash"], &bootstrap).1.contains("query-router"));
+    let state_dir = folder.path().to_str().expect("the path is not UTF-8");
+    assert_eq!(run_program(&["list", "show", "/nowhere/at/all"], &bootstrap).0, Some(EX_NOINPUT));
+    assert_eq!(run_program(&["list", "verify", state_dir], &bootstrap).0, Some(EX_DATAERR));
     save_old_list(folder.path());
-    let (code, shown, _) = run(&["list", "show", state], &bootstrap);
-    assert!(code == Some(0) && shown.contains("version     41") && shown.contains("old"), "{shown}");
-    assert_eq!(run(&["list", "verify", state], &bootstrap).0, Some(0));
-    std::fs::write(folder.path().join("list"), "gingerwick-list 1 9").expect("written");
-    let (code, _, stderr) = run(&["list", "verify", state], &bootstrap);
-    assert!(code == Some(65) && stderr.contains("torn"), "{stderr}");
+    let (status, stdout, _) = run_program(&["list", "show", state_dir], &bootstrap);
+    assert!(
+        status == Some(0) && stdout.contains("version     41") && stdout.contains("old"),
+        "status {status:?}, stdout:\n{stdout}"
+    );
+    assert_eq!(run_program(&["list", "verify", state_dir], &bootstrap).0, Some(0));
+    write_file(&folder.path().join("list"), "gingerwick-list 1 9");
+    let (status, _, stderr) = run_program(&["list", "verify", state_dir], &bootstrap);
+    assert!(status == Some(EX_DATAERR) && stderr.contains("torn"), "status {status:?}, stderr:\n{stderr}");
 }
 
 #[test]
-fn the_log_is_json_if_configured_and_a_reload_reports_settings_that_need_a_restart() {
+fn the_json_log_reports_reloaded_settings_that_need_a_restart() {
     let fixture = Fixture::new(DiscoveryMode::Up);
     let conf = fixture.operator_file() + "log-format json\nlog-level debug\n";
     let daemon = fixture.start(&conf);
-    fixture.time_until_served(Kind::Write, "a");
-    let file = fixture.folder.path().join("gingerwick.conf");
-    std::fs::write(&file, conf.replace("postgres", "none").replace("100ms", "2s")).expect("written");
+    fixture.wait_until_served(Kind::Write, "a");
+    let conf_path = fixture.folder.path().join("gingerwick.conf");
+    write_file(&conf_path, &conf.replace("postgres", "none").replace("100ms", "2s"));
     daemon.signal("HUP");
     daemon.has_logged("changed setting takes effect at the next start");
-    std::fs::write(&file, "save-gap never\n").expect("written");
+    write_file(&conf_path, "save-gap never\n");
     daemon.signal("HUP");
     daemon.has_logged("cannot be used, its settings are unchanged");
-    fixture.time_until_served(Kind::Write, "b");
+    fixture.wait_until_served(Kind::Write, "b");
     daemon.signal("TERM");
     let mut daemon = daemon;
     assert_eq!(daemon.exit_status_within(Duration::from_secs(5)), Some(0));
     let log = daemon.kill();
-    let lines: Vec<serde_json::Value> =
-        log.lines().map(|line| serde_json::from_str(line).unwrap_or_else(|_| panic!("{line}"))).collect();
-    let logged =
-        |text: &str| lines.iter().any(|line| line["message"].as_str().is_some_and(|m| m.contains(text)));
+    let lines: Vec<serde_json::Value> = log
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap_or_else(|_| panic!("a log line is not JSON: {line}")))
+        .collect();
+    let has_message = |text: &str| {
+        lines.iter().any(|line| line["message"].as_str().is_some_and(|message| message.contains(text)))
+    };
     let needs_restart = lines.iter().find(|line| line["setting"] == "store-identity");
-    let needs_restart = needs_restart.unwrap_or_else(|| panic!("{log}"));
+    let needs_restart = needs_restart.unwrap_or_else(|| panic!("store-identity is not logged:\n{log}"));
     assert_eq!(needs_restart["message"], "reload: changed setting takes effect at the next start");
-    assert!(logged("reload: operators' file cannot be used, its settings are unchanged"), "{log}");
-    let reason =
-        |line: &serde_json::Value| line["reason"].as_str().is_some_and(|it| it.contains("1: save-gap: "));
-    assert!(lines.iter().any(reason), "{log}");
-    // The fields of a log line identify its attempt.
-    let ended = lines.iter().find(|line| line["message"] == "attempt ended");
-    let ended = ended.unwrap_or_else(|| panic!("{log}"));
+    assert!(
+        has_message("reload: operators' file cannot be used, its settings are unchanged"),
+        "the invalid operators' file is not logged:\n{log}"
+    );
+    let has_reason = |line: &serde_json::Value| {
+        line["reason"].as_str().is_some_and(|reason| reason.contains("1: save-gap: "))
+    };
+    assert!(lines.iter().any(has_reason), "the reason of the failed reload is not logged:\n{log}");
+    // The fields of the log line of an attempt identify the attempt.
+    let attempt_ended = lines.iter().find(|line| line["message"] == "attempt ended");
+    let attempt_ended = attempt_ended.unwrap_or_else(|| panic!("no attempt is logged:\n{log}"));
     for field in ["request", "attempt", "endpoint", "group", "outcome"] {
-        assert!(!ended[field].is_null(), "{field} in {ended}");
+        assert!(!attempt_ended[field].is_null(), "field {field} is missing in {attempt_ended}");
     }
 }
