--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -28,9 +28,9 @@
 
 /// Exit status of a command whose arguments are invalid: `EX_USAGE` of `sysexits.h`.
 const EX_USAGE: i32 = 64;
-/// Exit status of a command whose input is invalid.
+/// Exit status of `list verify` if a file is damaged or there is no list.
 const EX_DATAERR: i32 = 65;
-/// Exit status of a command whose input does not exist.
+/// Exit status of `list show` if the directory cannot be read.
 const EX_NOINPUT: i32 = 66;
 /// Exit status of a command or a start whose configuration is invalid.
 const EX_CONFIG: i32 = 78;
