--- a/server/tests/admission.rs
+++ b/server/tests/admission.rs
@@ -204,11 +204,11 @@
     );
     // If one setting of the file is invalid, none of the file's settings is applied.
     fixture.reload(&daemon, "admit desk from 127.9.0.0/16 keep 5 most 4\n");
-    assert!(daemon.has_logged("reload: operators' file cannot be used, its settings are unchanged"));
+    assert!(daemon.wait_for_log("reload: operators' file cannot be used, its settings are unchanged"));
     assert!(daemon
-        .has_logged("1: admit: class desk reserves more connections (keep 5) than its maximum (most 4)"));
+        .wait_for_log("1: admit: class desk reserves more connections (keep 5) than its maximum (most 4)"));
     fixture.reload(&daemon, "admit desk from 127.9.0.0/16 keep 5000\n");
-    assert!(daemon.has_logged("the classes reserve 5000 connections (keep), more than the capacity of "));
+    assert!(daemon.wait_for_log("the classes reserve 5000 connections (keep), more than the capacity of "));
     assert_eq!(
         connect().rejected_with.as_deref(),
         Some(TOO_MANY_CONNECTIONS),
@@ -216,7 +216,7 @@
     );
     // When the limit is lowered below the number of open connections, new ones are rejected and open ones are kept.
     fixture.reload(&daemon, &format!("{desk_line}admit others each 1\n"));
-    assert!(daemon.has_logged("others 4; rejected since the start: others 2"));
+    assert!(daemon.wait_for_log("others 4; rejected since the start: others 2"));
     for (index, client) in admitted.iter_mut().enumerate() {
         let answer = client.request(&format!("h{index}"), 1, Kind::Write, 800).answer;
         assert!(matches!(answer, Answer::Value(_)), "an admitted client was not served: {answer:?}");
@@ -298,7 +298,7 @@
     fixture.program = write_limiting_script(&fixture, 100);
     let daemon = fixture.start("admit desk from 127.9.0.0/16 keep 8\nadmit others each 3\n");
     assert!(daemon
-        .has_logged("descriptor limit of the process is lower than configured allowed=100 configured=200"));
+        .wait_for_log("descriptor limit of the process is lower than configured allowed=100 configured=200"));
     let result = run_flood(&fixture);
     let log = daemon.kill();
     assert_eq!(
@@ -318,8 +318,8 @@
     let daemon = fixture.start("admit desk from 127.9.0.0/16 keep 8\n");
     let connect = || Client::from_address(&fixture.listen, Ipv4Addr::new(127, 9, 0, 1));
     let mut first = connect().expect("the instance did not answer");
-    // After this request the instance has a connection to its endpoint. The limit then leaves it a few more descriptors,
-    // and it can use those of connections that close meanwhile, such as the connection of the warm-up.
+    // After this request the instance has a connection to its endpoint. The limit then leaves it a few more
+    // descriptors, and it can use those of connections that close meanwhile, such as the connection of the warm-up.
     assert!(matches!(first.request("before", 1, Kind::Write, 800).answer, Answer::Value(_)));
     let used = std::fs::read_dir(format!("/proc/{}/fd", daemon.pid()))
         .expect("failed to list the instance's descriptors")
@@ -364,7 +364,7 @@
             "no client is admitted although descriptors are available again"
         );
     }
-    assert!(daemon.has_logged("connection not accepted reason="));
+    assert!(daemon.wait_for_log("connection not accepted reason="));
 }
 
 #[test]
@@ -373,6 +373,6 @@
     let mut daemon = fixture.start_without_waiting("admit desk from 127.9.0.0/16 keep 5000\n");
     assert_eq!(daemon.exit_status_within(Duration::from_secs(5)), Some(EX_CONFIG));
     assert!(
-        daemon.has_logged("admit: the classes reserve 5000 connections (keep), more than the capacity of ")
+        daemon.wait_for_log("admit: the classes reserve 5000 connections (keep), more than the capacity of ")
     );
 }
--- a/server/tests/attempts.rs
+++ b/server/tests/attempts.rs
@@ -39,8 +39,8 @@
     [value_messages(value), message(b'Z', b"I")].concat()
 }
 
-/// An endpoint that answers each statement with the number of statements so far, and gives the test access to the first
-/// connection that it accepted.
+/// An endpoint that answers each statement with the number of statements so far, and gives the test access to the
+/// first connection that it accepted.
 struct CountingEndpoint {
     addr: SocketAddr,
     first_connection: Arc<Mutex<Option<TcpStream>>>,
@@ -197,8 +197,8 @@
     }
 }
 
-/// Runs two attempts. Calls `before_second` with the endpoint's side of the first connection right before the request of
-/// the second attempt is sent.
+/// Runs two attempts. Calls `before_second` with the endpoint's side of the first connection right before the request
+/// of the second attempt is sent.
 fn run_second_attempt(before_second: fn(&mut TcpStream)) -> SecondAttemptResult {
     let (fixture, endpoint) = (Fixture::new(), CountingEndpoint::start());
     let first = fixture.run_attempt(&endpoint, || {});
--- a/server/tests/fates.rs
+++ b/server/tests/fates.rs
@@ -1,5 +1,5 @@
-//! The fates that instances report to clients for their writes, also after a kill of the instance that received a write.
-//! A reported fate must match the executions at the endpoint.
+//! The fates that instances report to clients for their writes, also after a kill of the instance that received a
+//! write. A reported fate must match the executions at the endpoint.
 
 mod common {
     pub mod connect;
@@ -62,7 +62,7 @@
         // The first write after a start waits until the instance knows the primary. Later writes are sent at once.
         self.wait_until_served("warm");
         // Holds back the endpoint's answers until the instance is killed, however long that takes on this machine.
-        self.single_endpoint.cluster.answers.close();
+        self.single_endpoint.cluster.answer_gate.close();
         let requests = writes.map(|(id, kind)| {
             let mut client = self.client(0);
             thread::spawn(move || client.request(id, 1, kind, 900).answer)
@@ -80,11 +80,11 @@
         for request in requests {
             assert_eq!(request.join().expect("a client panicked"), Answer::Missing);
         }
-        self.single_endpoint.cluster.answers.open();
+        self.single_endpoint.cluster.answer_gate.open();
         executed_by
     }
 
-    /// Sends the write `id` with an idempotency key to instance 0 until it is served. Each attempt uses a new connection.
+    /// Sends the write `id` with an idempotency key to instance 0, each time on a new connection, until it is served.
     fn wait_until_served(&self, id: &str) {
         while !matches!(self.client(0).request(id, 1, Kind::KeyedWrite, 900).answer, Answer::Value(_)) {}
     }
@@ -111,8 +111,8 @@
     not_known: usize,
 }
 
-/// Starts six clients of instance 0 that send writes until `is_over` is set or their connection is lost. Each client adds
-/// its writes and their answers to `sent`.
+/// Starts six clients of instance 0 that send writes until `is_over` is set or their connection is lost. Each client
+/// adds its writes and their answers to `sent`.
 fn spawn_writers(
     fixture: &Fixture,
     round: usize,
@@ -279,8 +279,8 @@
         executed_by.elapsed() < Duration::from_millis(DEDUP_WINDOW_MS as u64),
         "the machine is too slow: the deduplication window ended before the retry was answered"
     );
-    // The answer to the retry proves that the write ran. The fate has no position, because no endpoint has reported the
-    // position of the commit.
+    // The answer to the retry proves that the write ran. The fate has no position, because no endpoint has reported
+    // the position of the commit.
     assert_eq!(client.fate("early", &origin), Answer::Value("ran".into()));
     let id_in_use = Answer::Error(DUPLICATE_OBJECT.into());
     assert_eq!(
--- a/server/tests/sessions.rs
+++ b/server/tests/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions whose tokens are held by their clients. Clients move between two instances that are restarted, replicas lag,
-//! and a failover loses the end of a log.
+//! Sessions whose tokens are held by their clients. Clients move between two instances that are restarted, replicas
+//! lag, and a failover loses the end of a log.
 
 mod common {
     pub mod connect;
@@ -9,7 +9,7 @@
 }
 
 use common::connect::connect;
-use common::endpoint_group::{group_entry, one_group};
+use common::endpoint_group::{group_entry, start_endpoint_group};
 use common::start_router::start_router;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
 impl Fixture {
     /// Starts the group without its instances. `lags_ms` has the replication lag of each replica in milliseconds.
     fn new(lags_ms: [i64; 2]) -> Fixture {
-        let (cluster, served) = one_group(&[0, lags_ms[0], lags_ms[1]]);
+        let (cluster, served) = start_endpoint_group(&[0, lags_ms[0], lags_ms[1]]);
         let folder = tempfile::tempdir().expect("failed to create a temporary directory");
         std::fs::write(folder.path().join("keys"), KEY_FILES[0]).expect("failed to write the key file");
         let discovery = Discovery::start(DiscoveryMode::Up, 1, Vec::new());
@@ -73,8 +73,8 @@
         daemon
     }
 
-    /// Creates a session and sends a write of it to each instance, so that both have the session in their cache. Returns
-    /// the session's token.
+    /// Creates a session and sends a write of it to each instance, so that both have the session in their cache.
+    /// Returns the session's token.
     fn create_session_on_both(&self, name: &str) -> String {
         let mut token = "new".to_string();
         for index in 0..2 {
@@ -85,8 +85,8 @@
         token
     }
 
-    /// Promotes the replica `s-1`. The end of the log that it has not replicated is lost, including the sessions' writes.
-    /// The old primary stops answering, and discovery lists the new one.
+    /// Promotes the replica `s-1`. The end of the log that it has not replicated is lost, including the sessions'
+    /// writes. The old primary stops answering, and discovery lists the new one.
     fn fail_over_to_replica_1(&self) {
         {
             let mut state = self.cluster.lock();
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -7,7 +7,7 @@
     pub mod start_router;
 }
 
-use common::endpoint_group::{group_entry, one_group};
+use common::endpoint_group::{group_entry, start_endpoint_group};
 use common::router_program::ROUTER;
 use common::start_router::start_router;
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList};
@@ -43,7 +43,7 @@
     // The daemons, endpoints and clients of one run use one or two cores. With fewer cores their answers would be late.
     let cores = thread::available_parallelism().map_or(2, usize::from);
     let failures = each_seed(0..18, (cores / 2).clamp(1, 6), |seed| {
-        let plan = Plan::draw(seed);
+        let plan = Plan::random(seed);
         println!("seed {seed}: {plan:?}");
         let outcome = run_plan(&plan, &build, phases).expect("the run could not be set up");
         let lacks_writes = outcome.groups_writing < outcome.groups_with_primary;
@@ -68,7 +68,7 @@
 
 impl Fixture {
     fn new(mode: DiscoveryMode) -> Fixture {
-        let (cluster, served) = one_group(&[20, 20]);
+        let (cluster, served) = start_endpoint_group(&[20, 20]);
         let discovery =
             Discovery::start(mode, 7, vec![group_entry(&served, 0, 0), group_entry(&served, 1, 0)]);
         let folder = tempfile::tempdir().expect("failed to create a temporary directory");
@@ -144,7 +144,7 @@
         fixture.wait_until_served(Kind::Write, &format!("b{round}"));
         fixture.wait_until_served(Kind::Read, &format!("c{round}"));
         assert!(
-            daemon.has_logged("starting from the cached endpoint list"),
+            daemon.wait_for_log("starting from the cached endpoint list"),
             "the cached list was not used:\n{}",
             daemon.kill()
         );
@@ -162,7 +162,7 @@
     fixture.discovery.set_mode(DiscoveryMode::Up);
     fixture.wait_for_cached_list(|cached| cached.version == 2);
     assert!(
-        daemon.has_logged("endpoint list of a new discovery incarnation accepted"),
+        daemon.wait_for_log("endpoint list of a new discovery incarnation accepted"),
         "the list of the new incarnation was not accepted:\n{}",
         daemon.kill()
     );
@@ -177,7 +177,7 @@
     let fixture = Fixture::new(DiscoveryMode::Up);
     let without_directory = fixture.start(&fixture.operator_file().replace("/state", "/nowhere"));
     fixture.wait_until_served(Kind::Write, "a");
-    without_directory.has_logged("endpoint list not cached");
+    without_directory.wait_for_log("endpoint list not cached");
     // If the failure were logged again, a second line would appear with the next saves.
     thread::sleep(Duration::from_millis(300));
     let log = without_directory.kill();
@@ -194,7 +194,7 @@
     let second = second_fixture.start(&fixture.operator_file());
     second_fixture.wait_until_served(Kind::Write, "c");
     assert!(
-        second.has_logged("another process uses it"),
+        second.wait_for_log("another process uses it"),
         "the locked directory was not logged:\n{}",
         second.kill()
     );
@@ -211,10 +211,10 @@
         thread::sleep(Duration::from_millis(150));
         fixture.wait_until_served(Kind::Read, &format!("d{version}"));
     }
-    first.has_logged("endpoint list not cached");
+    first.wait_for_log("endpoint list not cached");
     std::fs::remove_dir(&temporary_file).expect("failed to remove the directory");
     fixture.wait_for_cached_list(|cached| cached.version == 11);
-    first.has_logged("endpoint list cached again");
+    first.wait_for_log("endpoint list cached again");
     let log = first.kill();
     assert_eq!(
         log.matches("endpoint list not cached").count(),
@@ -286,8 +286,8 @@
     std::fs::write(path, text).expect("failed to write the file");
 }
 
-/// Saves an endpoint list in the state directory `state_dir`. The list has version 41 and one endpoint, and was confirmed
-/// two hours ago.
+/// Saves an endpoint list in the state directory `state_dir`. The list has version 41 and one endpoint, and was
+/// confirmed two hours ago.
 fn save_old_list(state_dir: &Path) {
     let (mut directory, _) = CacheDirectory::open(state_dir).expect("failed to open the state directory");
     let endpoints = vec![CachedEndpoint { name: "s-1".into(), group: 4, ..CachedEndpoint::default() }];
@@ -358,10 +358,10 @@
     let conf_path = fixture.folder.path().join("gingerwick.conf");
     write_file(&conf_path, &conf.replace("postgres", "none").replace("100ms", "2s"));
     daemon.signal("HUP");
-    daemon.has_logged("changed setting takes effect at the next start");
+    daemon.wait_for_log("changed setting takes effect at the next start");
     write_file(&conf_path, "save-gap never\n");
     daemon.signal("HUP");
-    daemon.has_logged("cannot be used, its settings are unchanged");
+    daemon.wait_for_log("cannot be used, its settings are unchanged");
     fixture.wait_until_served(Kind::Write, "b");
     daemon.signal("TERM");
     let mut daemon = daemon;
--- a/test-servers/src/bin/starts/faults.rs
+++ b/test-servers/src/bin/starts/faults.rs
@@ -25,7 +25,7 @@
     for NamedBuild { name, build } in builds(arguments) {
         let seeds = arguments.first..arguments.first + arguments.seeds;
         let runs = each_seed(seeds, arguments.at_once, |seed| {
-            let plan = Plan::draw(seed);
+            let plan = Plan::random(seed);
             let outcome = run_plan(&plan, &build, phases).expect("a plan can be run here");
             Run { plan, outcome }
         });
@@ -61,7 +61,7 @@
     let count = |matches: fn(&Outcome) -> bool| runs.iter().filter(|run| matches(&run.outcome)).count();
     let total = |value: fn(&Outcome) -> usize| runs.iter().map(|run| value(&run.outcome)).sum::<usize>();
     let (plans, broke) = (runs.len(), count(|run| !run.verdict.violations.is_empty()));
-    let broken_rules = sum.broken_rules();
+    let broken_rules = sum.violation_counts();
     let (requests, succeeded) = (sum.requests, sum.succeeded);
     println!(
         "{name}: {broke} of {plans} plans broke a rule {broken_rules:?}; of {requests} requests {succeeded} ok"
