--- a/server/src/clients/acceptor.rs
+++ b/server/src/clients/acceptor.rs
@@ -119,7 +119,7 @@
                 }
             }
             Err(error) => {
-                log!(WARN, reason = error; "connection not accepted");
+                log!(WARN, reason = error; "client connection not accepted");
                 back_off(queue, backoff.failed(classify_accept_error(&error)));
             }
         }
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -89,7 +89,7 @@
     pub fn run(mut self) {
         loop {
             if catch_unwind(AssertUnwindSafe(|| self.handle_batch())).is_err() {
-                log!(WARN; "routing policy panicked; starting a new one from the endpoint list");
+                log!(WARN; "routing policy panicked; open requests aborted, starting a new policy from the endpoint list");
                 self.replace_state();
             }
         }
