--- a/server/src/admin/metric_names.rs
+++ b/server/src/admin/metric_names.rs
@@ -1,6 +1,6 @@
 //! The standard names of metrics and labels. Metrics are recorded only under their earlier names. When the page is
-//! rendered, each sample is repeated under its standard name. So both names always have the same value, and requests
-//! bear no extra cost.
+//! rendered, each sample is repeated under its standard name. So both names always show the same value, and
+//! handling a request costs nothing extra.
 
 use crate::admin::reasons::shed_term;
 use crate::admin::view::DESCRIPTOR_CLASSES;
@@ -19,7 +19,7 @@
 /// A label whose key or values differ between earlier and standard terms.
 struct LabelNames {
     key: Term,
-    /// The values that are translated; other values are the same in both.
+    /// The values that are translated; other values are the same in both vocabularies.
     values: Vec<Term>,
 }
 
@@ -83,7 +83,7 @@
     LabelNames { key: Term::new("share", "use"), values: values.collect() }
 }
 
-/// Appends to a page in the text format of Prometheus each metric of `names`, under its standard name.
+/// Returns a page in the text format of Prometheus, followed by each metric of `names` under its standard name.
 pub(super) fn with_standard_names(page: &str, names: &[MetricNames]) -> String {
     let mut text = page.to_string();
     for family in page.split_terminator(FAMILY_SEPARATOR) {
@@ -159,7 +159,7 @@
     }
 }
 
-/// The length of a label's value, which ends before the first unescaped quote; `None` without one.
+/// The length of a label's value, which ends before the first unescaped quote; `None` if there is no such quote.
 fn value_length(quoted: &str) -> Option<usize> {
     let mut escaped = false;
     quoted.bytes().position(|byte| {
--- a/server/src/admin/request_page.rs
+++ b/server/src/admin/request_page.rs
@@ -1,4 +1,4 @@
-//! The page `requests` (`rpcs` in earlier terms): the requests in the admission queue, then the other open requests,
+//! The page `requests` (`rpcs` in earlier terms): the requests in the request queue, then the other open requests,
 //! oldest first.
 
 use crate::admin::table::{format_delta, Table, EMPTY_CELL};
--- a/server/src/admin/socket.rs
+++ b/server/src/admin/socket.rs
@@ -19,8 +19,8 @@
 const MAX_REQUEST_BYTES: usize = 1 << 10;
 /// The maximum number of characters of an unknown page's name that the error message repeats.
 const MAX_NAME_SHOWN: usize = 40;
-/// The interval at which the recorder aggregates the samples of histograms. Without this, they would accumulate in
-/// memory if the page is never requested.
+/// The interval at which the recorder aggregates the samples of histograms. Without the aggregation, the samples
+/// would accumulate in memory while the metrics page is not requested.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 /// The pause after a failed accept(2).
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -29,7 +29,8 @@
 /// The start of a response that is an error message instead of a page.
 const ERROR_PREFIX: &str = "error: ";
 const HTTP_NOT_FOUND: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-/// The name of the metrics page, which is the same in earlier and standard terms. It is also served over HTTP.
+/// The name of the metrics page, which is the same in earlier and standard terms. The page is also served over
+/// HTTP.
 const METRICS_PAGE: &str = "metrics";
 /// The maximum number of descriptors in use, for the listener, the client that is being served, and the next client.
 pub const DESCRIPTORS: usize = 4;
@@ -84,7 +85,7 @@
         /// The error of the operating system.
         error: io::Error,
     },
-    /// The server's error message: it does not know the page, or cannot render it now.
+    /// The server's error message: the server does not know the page, or cannot render the page now.
     #[error("{0}")]
     Page(String),
 }
@@ -192,7 +193,8 @@
     format!("{ERROR_PREFIX}unknown page {name:?}; the pages are {known}, {METRICS_PAGE}\n")
 }
 
-/// Reads the line that a client sends. Without a line feed, it ends where the client shuts down its sending side.
+/// Reads the line that a client sends. Without a line feed, the line ends where the client shuts down its sending
+/// side.
 ///
 /// # Errors
 /// The line is not complete within [`PAGE_TIMEOUT`], is too long, or cannot be read.
@@ -225,6 +227,7 @@
 /// No server is listening there, it does not answer in time, or it answers with an error.
 pub fn request_page(path: &Path, name: &str) -> Result<String, AdminSocketError> {
     let mut stream = UnixStream::connect(path).map_err(io_error(path))?;
+    // The server serves a page in three steps, each with this timeout.
     stream.set_read_timeout(Some(PAGE_TIMEOUT * 3)).map_err(io_error(path))?;
     stream.write_all(format!("{name}\n").as_bytes()).map_err(io_error(path))?;
     let mut text = String::new();
--- a/server/src/admin/view.rs
+++ b/server/src/admin/view.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The timeout of each step in serving a page: reading its name, getting the control loop's snapshot, writing the
-/// page.
+/// The timeout of each of the three steps in serving a page: reading the page's name, getting the control loop's
+/// snapshot, writing the page.
 pub const PAGE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The classes of descriptors, and their names on the pages and in metrics.
@@ -31,7 +31,7 @@
     pub control: Sender<ControlMessage>,
     /// The use and the limits of descriptors and buffer memory.
     pub resources: Arc<ResourceLimits>,
-    /// `None` if no client classes are configured.
+    /// The counts of connections by class and address; `None` if no client classes are configured.
     pub admission: Option<Arc<AdmissionControl>>,
     /// The graceful shutdown, which counts the open connections.
     pub shutdown: Arc<GracefulShutdown>,
--- a/server/src/cli/check.rs
+++ b/server/src/cli/check.rs
@@ -11,7 +11,11 @@
 /// The output if no error was found.
 const VALID: &str = "the configuration is valid";
 
-/// Checks the bootstrap file, the operators' file, and the state directory and session keys that the latter names.
+/// Checks the bootstrap file, the operators' file, and the state directory and session keys that the operators'
+/// file names.
+///
+/// # Errors
+/// All problems that were found.
 pub fn run(operator_file: Option<&Path>) -> Result<(), Failure> {
     let bootstrap = read_bootstrap(ReadAt::Start);
     let mut problems: Vec<String> = Vec::new();
--- a/server/src/cli/run.rs
+++ b/server/src/cli/run.rs
@@ -16,7 +16,8 @@
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
         Err(error) => {
-            // If the message cannot be written, the exit status still shows the failure.
+            // The texts of `--help` and `--version` are returned as errors too, which are written to standard
+            // output. If the text cannot be written, the exit status still shows the failure.
             let _ = error.print();
             return if error.use_stderr() { ExitStatus::Usage } else { ExitStatus::Success };
         }
--- a/server/src/cli/show.rs
+++ b/server/src/cli/show.rs
@@ -11,6 +11,9 @@
     "no admin socket: pass --socket PATH, or pass --conf FILE with a file that sets operators-socket";
 
 /// Requests a page and prints it. Without `socket`, the path is taken from the operators' file.
+///
+/// # Errors
+/// The path of the socket is not known, the operators' file is invalid, or the server does not send the page.
 pub fn run(operator_file: Option<&Path>, socket: Option<PathBuf>, page: &str) -> Result<(), Failure> {
     let path = match socket {
         Some(path) => path,
--- a/server/src/clients/acceptor.rs
+++ b/server/src/clients/acceptor.rs
@@ -1,6 +1,6 @@
 //! The accept loop. While accept(2) fails, the loop backs off instead of occupying the worker thread, and rejects
-//! clients so that they do not stay in the listen queue. After a stop request it still drains the listen queue,
-//! because the clients in it are connected already and may have sent a query.
+//! clients so that they do not stay in the listen queue. After a stop request the loop still drains the listen
+//! queue, because the clients in it are connected already and may have sent a query.
 
 use crate::clients::connection;
 use crate::clients::context::{AdmissionDecision, ClientContext, NewConnection};
@@ -47,7 +47,7 @@
     fn accept(&mut self) -> Result<Option<AcceptedConnection>>;
     /// Accepts one client and rejects it for lack of a descriptor; returns false if none could be accepted.
     fn reject_one(&mut self) -> bool;
-    /// Suspends the calling coroutine.
+    /// Suspends the calling coroutine for the duration `time`.
     fn pause(&self, time: TimeDelta);
 }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// Registers an accepted connection with the coroutine runtime.
+/// Registers an accepted connection with the coroutine runtime, so that a coroutine can wait for its events.
 fn register_with_runtime(stream: std::net::TcpStream) -> Result<TcpStream> {
     let descriptor = stream.into_raw_fd();
     // SAFETY: `into_raw_fd` has transferred ownership of the descriptor, so nothing else closes it.
--- a/server/src/clients/admission_control.rs
+++ b/server/src/clients/admission_control.rs
@@ -22,7 +22,7 @@
 struct State {
     limiter: ConnectionLimiter,
     handshakes: HandshakeQueue,
-    /// The channels of the connections in the handshake queue, by which a displaced one is asked to close.
+    /// The channels of the connections in the handshake queue, by which a displaced connection is asked to close.
     channels: HashMap<HandshakeId, Arc<ResponseChannel>>,
 }
 
@@ -127,15 +127,15 @@
 pub struct AdmissionSnapshot {
     /// The client classes in the operators' file.
     pub classes: Vec<ClientClass>,
-    /// Open connections by class.
+    /// The number of open connections of each class.
     pub connections: Vec<ClassConnections>,
-    /// Connections in the handshake queue.
+    /// The number of connections in the handshake queue.
     pub handshakes: usize,
-    /// Connections rejected since the start, by class and reason.
+    /// The number of connections rejected since the start, for each class and reason.
     pub rejections: Vec<RejectionCount>,
     /// The addresses with the most connections.
     pub top_addresses: Vec<AddressConnections>,
-    /// Addresses for which the limiter holds state.
+    /// The number of addresses for which the limiter holds state.
     pub remembered_addresses: usize,
 }
 
@@ -172,8 +172,8 @@
         self.lock().limiter.set_limits(limits(settings, capacity))
     }
 
-    /// Admits a new connection. If classes depend on the user, it is placed in the handshake queue instead, until its
-    /// startup message names the user.
+    /// Admits a new connection. If classes depend on the user, the connection is placed in the handshake queue
+    /// instead, until its startup message names the user.
     ///
     /// # Errors
     /// The client's class or the handshake queue is at its limit.
@@ -259,8 +259,8 @@
     metrics::counter!("gingerwick_connections_refused_total", "class" => class, "why" => reason).increment(1);
 }
 
-/// The limits of the connection limiter. If a class is defined by its users, the handshake queue is in use, and its
-/// descriptors are deducted from the capacity that the classes share.
+/// The limits of the connection limiter. If a class is defined by its users, the handshake queue is in use, and the
+/// queue's descriptors are deducted from the capacity that the classes share.
 fn limits(settings: ClassSettings, capacity: usize) -> ConnectionLimits {
     let ClassSettings { classes, prefixes } = settings;
     let needs_users = classes.iter().any(|class| !class.users.is_empty());
--- a/server/src/clients/closing.rs
+++ b/server/src/clients/closing.rs
@@ -34,9 +34,10 @@
 impl ClientConnection {
     /// Shuts down the sending side and waits for the client to close its own, without reading.
     ///
-    /// A query that arrives during the close stays unread, so it is never executed. But closing a socket with unread
-    /// bytes resets the connection, which discards response bytes that the client has not acknowledged. So if there
-    /// are both, the wait goes on after the timeout, for as long as the client keeps acknowledging bytes.
+    /// A query that arrives during the close stays unread, so it is never executed. But closing a socket with
+    /// unread bytes resets the connection, which discards response bytes that the client has not acknowledged. So
+    /// if there are both unread and unacknowledged bytes, the wait goes on after the timeout, for as long as the
+    /// client keeps acknowledging bytes.
     pub fn close_gracefully(&mut self) {
         if self.socket.shutdown_write().is_err() {
             return;
--- a/server/src/clients/connection.rs
+++ b/server/src/clients/connection.rs
@@ -1,6 +1,6 @@
-//! A client connection: one coroutine that owns the socket, reads the client's messages, and writes the responses in
-//! the order of the queries. It keeps reading while requests are open, to notice when the client closes the
-//! connection. When it must not read more, it polls the socket for a close instead.
+//! A client connection: one coroutine that owns the socket, reads the client's messages, and writes the responses
+//! in the order of the queries. The coroutine keeps reading while requests are open, to notice when the client
+//! closes the connection. When it must not read more, it polls the socket for a close instead.
 
 use crate::clients::admission_control::ConnectionPermit;
 use crate::clients::context::{AdmissionDecision, ClientContext, NewConnection};
@@ -66,16 +66,21 @@
     has_served: bool,
     /// Whether the client has sent at least one query, possibly an empty one.
     pub has_queried: bool,
-    /// Since when the client's next message, or the rest of one, has been awaited.
+    /// Since when the client's next message, or the rest of one, has been awaited; `None` while no timeout runs.
     pub message_due_since: Option<Timestamp>,
-    /// Since when the socket's send buffer has been full, because the client does not read its responses.
+    /// Since when the socket's send buffer has been full, because the client does not read its responses; `None`
+    /// while all of them are written.
     pub stalled_since: Option<Timestamp>,
     /// Bytes read since the coroutine last waited.
     burst_bytes: usize,
+    /// The registration as an idle client; `None` while the connection is in use.
     pub idle: Option<IdleRegistration>,
+    /// Counts the connection's buffers towards the limit on buffer memory.
     pub charge: BufferCharge,
-    /// The session that the client carries by a token, if it asked for one.
+    /// The client's session; `None` if the client asked for none, or no session keys are configured.
     pub session: Option<ClientSession>,
+    /// The slot in the handshake queue or in the client's class; `None` without admission control or after a
+    /// rejection.
     pub permit: Option<ConnectionPermit>,
     /// The client to which requests are attributed; `None` without an operators' file.
     pub client: Option<ClientKey>,
@@ -85,7 +90,7 @@
 
 /// Runs a connection from accept to close.
 pub fn run(context: Arc<ClientContext>, connection: NewConnection, decision: AdmissionDecision) {
-    // Released when this function returns, after the socket has been closed.
+    // `_descriptor` is released when this function returns, after the socket has been closed.
     let NewConnection { stream, channel, guard, client_address, descriptor: _descriptor } = connection;
     let connected_at = context.timers.now();
     let client = context.client_prefixes.map(|prefixes| ClientKey::unclassified(client_address, prefixes));
@@ -302,9 +307,9 @@
         let tokens = self.context.session_tokens.clone();
         for RequestResponse { request, response } in self.channel.take_responses() {
             let session = self.session.as_mut();
-            // Responses may arrive in another order than that of the queries, and each token is issued on arrival. So
-            // a token may also cover responses that the client reads later, but always covers the one that carries
-            // it.
+            // Responses may arrive in another order than that of the queries, and each token is issued when its
+            // response arrives. So a token may also cover responses that the client reads later, but always covers
+            // the response that carries the token.
             let completed = self.responses.complete(request, |group| {
                 let session_and_tokens = tokens.as_ref().zip(session);
                 let token = session_and_tokens
@@ -329,8 +334,8 @@
         }
     }
 
-    /// Queues a fatal error and stops processing messages. Pending requests are aborted, because responses are sent
-    /// in order, and the error would have to wait for them.
+    /// Queues a fatal error and stops processing messages. Pending requests are aborted: responses are sent in the
+    /// order of the queries, so the error would otherwise wait for the pending responses.
     pub fn fail(&mut self, code: SqlState, reason: &str) {
         let aborted = encode_response(Response::Aborted, None);
         for pending in self.responses.complete_all(&aborted) {
--- a/server/src/clients/connection_limits.rs
+++ b/server/src/clients/connection_limits.rs
@@ -63,8 +63,8 @@
         is_overdue
     }
 
-    /// Whether [`CLIENT_TIMEOUT`] has passed since `since`. If that is `None`, the timeout starts now, and a wake-up
-    /// is scheduled for its end.
+    /// Whether [`CLIENT_TIMEOUT`] has passed since `since`. If `since` is `None`, the timeout starts now, and a
+    /// wake-up is scheduled for its end.
     fn is_overdue(&self, since: Option<Timestamp>, now: Timestamp) -> bool {
         if since.is_none() {
             self.wake_at(now + CLIENT_TIMEOUT);
--- a/server/src/clients/context.rs
+++ b/server/src/clients/context.rs
@@ -34,14 +34,14 @@
     pub shutdown: Arc<GracefulShutdown>,
     /// Opens and issues session tokens; `None` if no session keys are configured.
     pub session_tokens: Option<Arc<SessionTokens>>,
-    /// `None` if no client classes are configured.
+    /// Admits and rejects connections; `None` if no client classes are configured.
     pub admission: Option<Arc<AdmissionControl>>,
-    /// The address prefixes that identify a client without a class, to which its requests are attributed; `None`
-    /// without an operators' file.
+    /// The lengths of the address prefixes by which clients are distinguished, so that requests of clients without
+    /// a class can be attributed; `None` without an operators' file.
     pub client_prefixes: Option<AddressPrefixes>,
-    /// `None` if writes are not recorded.
+    /// The write journal, whose origin clients receive; `None` if writes are not recorded.
     pub journal: Option<Arc<WriteJournal>>,
-    /// The id of the next request, unique within the process.
+    /// The process-internal id of the next request.
     pub next_request: AtomicU64,
     /// The id of the next connection, which BackendKeyData carries as the process id.
     pub next_connection: AtomicU64,
@@ -72,9 +72,9 @@
 
 /// Whether a new connection is served or rejected.
 pub enum AdmissionDecision {
-    /// It is served, with its permit if admission control is in use.
+    /// The connection is served. The permit is `None` if admission control is not in use.
     Admitted(Option<ConnectionPermit>),
-    /// It is sent an error and closed.
+    /// The client is sent an error, and the connection is closed.
     Rejected {
         /// The message of the error.
         reason: &'static str,
--- a/server/src/clients/graceful_shutdown.rs
+++ b/server/src/clients/graceful_shutdown.rs
@@ -10,7 +10,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// How long connections are accepted after the signal. Clients keep connecting to the instance for up to 0.4 s.
+/// How long connections are accepted after the signal. Clients keep connecting to the instance for up to 0.4 s
+/// after the signal.
 const ACCEPT_GRACE_PERIOD: TimeDelta = TimeDelta::from_millis(500);
 
 /// The registered connections.
@@ -30,7 +31,7 @@
     on_end: Box<dyn Fn() + Send + Sync>,
 }
 
-/// The registration of a connection; the shutdown waits until it is dropped.
+/// The registration of a connection; the shutdown waits until the guard is dropped.
 pub struct ConnectionGuard {
     shutdown: Arc<GracefulShutdown>,
     connection_id: u64,
@@ -41,9 +42,10 @@
 impl ConnectionGuard {
     /// Whether the connection should be closed now that it has no open request.
     ///
-    /// Once the server is closed, always. During the grace period, only if a request was answered (`has_served`), or
-    /// if the connection is from before the shutdown and its client has sent any query (`has_queried`). So a client
-    /// that has just connected, before or during the shutdown, can still send one request.
+    /// Once the server is closed, the result is always true. During the grace period, it is true only if a request
+    /// was answered (`has_served`), or if the connection was accepted before the shutdown and its client has sent
+    /// any query (`has_queried`). So a client that has just connected, before or during the shutdown, can still
+    /// send one request.
     pub fn should_close(&self, has_queried: bool, has_served: bool) -> bool {
         let finished = has_served || (has_queried && self.accepted_before_shutdown);
         self.shutdown.is_closed() || (self.shutdown.has_begun() && finished)
--- a/server/src/clients/requests.rs
+++ b/server/src/clients/requests.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Queues an error for a message of the extended protocol or a function call. Only the latter gets a
-    /// ReadyForQuery here; in the extended protocol it answers the client's Sync.
+    /// Queues an error for a message of the extended protocol or a function call. Only a function call gets a
+    /// ReadyForQuery here; in the extended protocol, ReadyForQuery answers the client's Sync.
     fn reject_unsupported(&mut self, is_function_call: bool) {
         self.push(|out| {
             let code = SqlState::FEATURE_NOT_SUPPORTED;
--- a/server/src/clients/response_queue.rs
+++ b/server/src/clients/response_queue.rs
@@ -7,7 +7,7 @@
 /// A request that is waiting for its response.
 #[derive(Clone, Copy)]
 pub struct PendingRequest {
-    /// The request's id within the process.
+    /// The process-internal id of the request.
     pub request: RequestId,
     /// The group to which the request is addressed.
     pub group: GroupNumber,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The bytes of the ready responses in the queue.
+    /// The size of the ready responses in the queue, in bytes.
     pub fn ready_bytes(&self) -> usize {
         let bytes = |slot: &Slot| match slot {
             Slot::Ready(response) => response.len(),
--- a/server/src/clients/session_tokens.rs
+++ b/server/src/clients/session_tokens.rs
@@ -18,7 +18,7 @@
 /// The number of values of a byte.
 const BYTE_VALUES: usize = 1 << u8::BITS;
 
-/// The session of one connection, opened from the client's token or new.
+/// The session of one connection: resumed from the client's token, or new.
 pub struct ClientSession {
     session: SessionId,
     audience: String,
@@ -69,7 +69,8 @@
     keys: Mutex<TokenKeys>,
     lifetime: TimeDelta,
     cache: Mutex<SessionCache>,
-    ids: Mutex<Mwc>,
+    /// The random numbers from which session ids are generated.
+    id_rng: Mutex<Mwc>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -88,7 +89,7 @@
             keys: Mutex::new(keys),
             lifetime,
             cache: Mutex::new(SessionCache::new(MAX_SESSIONS, lifetime)),
-            ids: Mutex::new(Mwc::new(seed)),
+            id_rng: Mutex::new(Mwc::new(seed)),
         }
     }
 
@@ -114,14 +115,15 @@
     /// Generates a random session id.
     fn new_session_id(&self) -> SessionId {
         let mut id = SessionId::default();
-        let mut rng = lock(&self.ids);
+        let mut rng = lock(&self.id_rng);
         for byte in &mut id {
             *byte = rng.below(BYTE_VALUES) as u8;
         }
         id
     }
 
-    /// The position in a group's log that the session has seen, according to its token and to this instance's cache.
+    /// The position in a group's log that the session has seen, according to its token and to this instance's
+    /// cache; `None` if it has seen none.
     pub fn seen_position(
         &self,
         now: Timestamp,
--- a/server/src/clients/socket.rs
+++ b/server/src/clients/socket.rs
@@ -35,7 +35,7 @@
 pub struct ClientSocket {
     stream: TcpStream,
     outbox: VecDeque<Vec<u8>>,
-    /// The bytes of the outbox's first response that have been written.
+    /// The number of bytes of the outbox's first response that have been written.
     written: usize,
 }
 
@@ -90,7 +90,7 @@
         self.outbox.iter().map(Vec::len).sum()
     }
 
-    /// Frees the memory of an empty outbox.
+    /// Frees the memory of the outbox, which must be empty.
     pub fn free_outbox(&mut self) {
         self.outbox = VecDeque::new();
     }
--- a/server/src/config/bootstrap.rs
+++ b/server/src/config/bootstrap.rs
@@ -20,11 +20,11 @@
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 /// The radix of the seed, which is a hexadecimal number.
 const SEED_RADIX: u32 = 16;
-/// The top-level keys whose changes a reload does not report as needing a restart: it applies `discovery`, and `known`
-/// and `seed` are of use only at a start.
+/// The top-level keys whose changes a reload does not report as needing a restart. The reload itself applies
+/// `discovery`; `known` and `seed` are used only at a start.
 const KEYS_WITHOUT_RESTART_NOTICE: [&str; 3] = ["discovery", "known", "seed"];
 
-/// The file as it is written.
+/// The content of the bootstrap file before its values are validated.
 #[derive(Deserialize)]
 struct BootstrapFile {
     #[serde(default)]
@@ -137,7 +137,7 @@
         path: String,
         /// The line and the key, each followed by `: `; empty if the file as a whole is invalid.
         location: String,
-        /// Why it is invalid.
+        /// Why the file or the key is invalid.
         problem: String,
     },
 }
@@ -164,7 +164,8 @@
         LocatedProblem { source, problem: problem.into() }
     }
 
-    /// Converts the problem to an error with the path of the file and, if a key is known, its line.
+    /// Converts the problem to an error with the path of the file and, if the problem is in a key, the line of the
+    /// key.
     fn locate(self, path: &str, text: &[u8]) -> BootstrapError {
         let problem = self.problem.to_string();
         let key = match self.source {
@@ -204,12 +205,12 @@
         at: ReadAt,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Bootstrap, Vec<LocatedProblem>> {
-        let whole_file = |problem: Problem| vec![LocatedProblem::new(Source::File, problem)];
+        let file_problem = |problem: Problem| vec![LocatedProblem::new(Source::File, problem)];
         let mut restart_keys: Map<String, Value> =
-            serde_json::from_slice(text).map_err(|error| whole_file(error.into()))?;
+            serde_json::from_slice(text).map_err(|error| file_problem(error.into()))?;
         let file: BootstrapFile =
             serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))
-                .map_err(|error| whole_file(error.into()))?;
+                .map_err(|error| file_problem(error.into()))?;
         let listen = parse_address(variable(LISTEN_VARIABLE), LISTEN_VARIABLE, "listen", file.listen);
         let discovery = variable(DISCOVERY_VARIABLE).filter(|_| at == ReadAt::Start);
         let discovery = parse_address(discovery, DISCOVERY_VARIABLE, "discovery", file.discovery);
@@ -260,7 +261,7 @@
     text.parse().map_err(|_| LocatedProblem::new(source, Problem::NotAnAddress(text)))
 }
 
-/// The line of the first occurrence of a key, counted from 1.
+/// The line of the first occurrence of a key, counted from 1; `None` if the text does not contain the key.
 fn line_of(text: &[u8], key: &str) -> Option<usize> {
     let quoted = format!("\"{key}\"");
     let start = text.windows(quoted.len()).position(|window| window == quoted.as_bytes())?;
--- a/server/src/config/operator_file.rs
+++ b/server/src/config/operator_file.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The maximum length of an operators' file.
+/// The maximum length of an operators' file, in bytes.
 const MAX_BYTES: u64 = 1 << 20;
 
 /// Why an operators' file cannot be used.
@@ -57,7 +57,7 @@
     std::fs::read_to_string(path).map_err(io_error)
 }
 
-/// The options of the log; the level is `info` if it cannot be parsed.
+/// The options of the log; the level is `info` if the configured level cannot be parsed.
 pub fn log_options(settings: &OperatorSettings) -> LogOptions {
     LogOptions {
         json: settings.log.format == LogFormat::Json,
--- a/server/src/control/active_request.rs
+++ b/server/src/control/active_request.rs
@@ -1,4 +1,4 @@
-//! The state that the control loop keeps for one request until it is answered and its attempt has ended.
+//! The state that the control loop keeps for one request until the request is answered and its attempt has ended.
 
 use crate::messages::control::OutgoingRequest;
 use crate::messages::journal_entry::JournalEntry;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Where the latest attempt is in flight; `None` if no attempt is.
+    /// Where the latest attempt is in flight; `None` if the attempt has ended or none was started.
     pub fn in_flight(&self) -> Option<&AttemptLocation> {
         self.attempt.as_ref()?.in_flight.as_ref()
     }
--- a/server/src/control/control_loop.rs
+++ b/server/src/control/control_loop.rs
@@ -84,8 +84,9 @@
 
     /// Runs for the life of the process.
     ///
-    /// If a batch panics, the router state is dropped. That drops the tickets of the open requests, which aborts
-    /// them. A new router state is then created from the endpoint list, as after a restart of the process.
+    /// If a batch panics, the router state is dropped. The tickets of the open requests are dropped with it, which
+    /// aborts the requests. A new router state is then created from the endpoint list, as after a restart of the
+    /// process.
     pub fn run(mut self) {
         loop {
             if catch_unwind(AssertUnwindSafe(|| self.handle_batch())).is_err() {
@@ -151,7 +152,6 @@
         }
     }
 
-    /// Handles one message.
     fn handle_message(&mut self, now: Timestamp, message: ControlMessage) {
         match message {
             ControlMessage::Request(incoming) => {
@@ -203,8 +203,8 @@
     /// Schedules a wake-up for the next deadline, unless an earlier one is pending.
     ///
     /// A wake-up is pending until its message is handled. The message may be handled in a batch that read the clock
-    /// before the wake-up's time, so that the batch does not handle the deadline. If a wake-up were pending until its
-    /// time instead, no other would be scheduled then, and the deadline might never be handled.
+    /// before the wake-up's time, so that the batch does not handle the deadline. If the wake-up stayed pending
+    /// until its time instead, that batch would schedule no other, and the deadline might never be handled.
     fn schedule_wake_up(&mut self, now: Timestamp) {
         let state = &self.state;
         let discovery_due =
--- a/server/src/control/primary_discovery.rs
+++ b/server/src/control/primary_discovery.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Performs the pending actions of primary discovery, in the order in which it requested them.
+    /// Performs the pending actions of primary discovery, in the order in which primary discovery requested them.
     pub(super) fn perform_primary_discovery_actions(&mut self, now: Timestamp) {
         for action in std::mem::take(&mut self.state.primary_discovery_actions) {
             match action {
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Makes an endpoint of a cached list known to the routing policy. It is unknown when the endpoint was started,
-    /// so the current time is reported as an upper bound of its start time.
+    /// Makes an endpoint of a cached list known to the routing policy. The endpoint's start time is unknown, so the
+    /// current time is reported as its upper bound.
     fn admit_endpoint(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         let Some(listed) = self.state.not_admitted.remove(&endpoint) else { return };
         let record = self.state.endpoint_record(&listed, &self.config.zones);
@@ -235,18 +235,18 @@
         zones: &[String],
         now: Timestamp,
     ) -> Vec<SocketAddr> {
-        let (mut records, mut outdated) = (Vec::with_capacity(endpoints.len()), Vec::new());
+        let (mut records, mut outdated_addrs) = (Vec::with_capacity(endpoints.len()), Vec::new());
         for listed in endpoints {
             let endpoint = self.register_endpoint(listed).endpoint;
             let started_at = &mut self.listed_states[endpoint].started_at;
             if listed.status() != EndpointStatus::Serving || *started_at != listed.started_at() {
-                outdated.extend(listed.socket_addr());
+                outdated_addrs.extend(listed.socket_addr());
             }
             *started_at = listed.started_at();
             records.push(self.endpoint_record(listed, zones));
         }
         self.report_to_policy(now, Event::EndpointList { complete, records });
-        outdated
+        outdated_addrs
     }
 }
 
@@ -283,8 +283,9 @@
     }
 }
 
-/// The minimum position that the primary of each group must have, by the reports of the group's endpoints that were
-/// saved with the cached list. The keys are group numbers.
+/// The minimum position that the primary of each group must have, according to the reports of the group's endpoints
+/// that were saved with the cached list. Only reports from the group's highest timeline count. The keys are group
+/// numbers.
 fn minimum_positions(list: &CachedEndpointList) -> BTreeMap<i64, MinimumPosition> {
     let mut minimums: BTreeMap<i64, MinimumPosition> = BTreeMap::new();
     for endpoint in &list.endpoints {
--- a/server/src/control/request_handling.rs
+++ b/server/src/control/request_handling.rs
@@ -35,8 +35,8 @@
         self.admit(now, admitted);
     }
 
-    /// Passes admitted requests to the routing policy, as well as those that are admitted because others have
-    /// finished.
+    /// Passes admitted requests to the routing policy. Then releases the slots of finished requests, and passes on
+    /// the requests that are admitted to these slots.
     pub(super) fn admit(&mut self, now: Timestamp, mut admitted: Vec<QueuedRequest>) {
         loop {
             for queued in admitted.drain(..) {
--- a/server/src/control/request_queue.rs
+++ b/server/src/control/request_queue.rs
@@ -29,7 +29,7 @@
 }
 
 impl QueuedRequest {
-    /// The number by which the process identifies the request.
+    /// The process-internal id of the request.
     pub fn request(&self) -> RequestId {
         self.incoming.ticket.request
     }
@@ -39,15 +39,15 @@
 pub struct RequestQueue {
     limiter: ConcurrencyLimiter,
     waiting: HashMap<RequestId, QueuedRequest>,
-    /// Rejections carry a Retry-After.
+    /// Whether rejections carry a Retry-After.
     sends_retry_after: bool,
     /// Decisions of the limiter that have not been applied yet.
     decisions: Vec<Decision>,
 }
 
 impl RequestQueue {
-    /// Creates an empty queue. Rejections carry a Retry-After of at most `max_retry_after`; if it is `None`, they
-    /// carry no Retry-After. `seed` is for the limiter's random numbers.
+    /// Creates an empty queue. Rejections carry a Retry-After of at most `max_retry_after`, and none if that is
+    /// `None`. `seed` is for the limiter's random numbers.
     pub fn new(limits: QueueLimits, max_retry_after: Option<TimeDelta>, seed: u64) -> RequestQueue {
         let limiter_max_retry_after = max_retry_after.unwrap_or(TimeDelta::ZERO);
         RequestQueue {
--- a/server/src/control/router_state.rs
+++ b/server/src/control/router_state.rs
@@ -45,7 +45,7 @@
     pub deadlines: Deadlines,
     /// The requests that are open or have an attempt in flight.
     pub requests: RequestRegistry<ActiveRequest>,
-    /// The clients' ids of `requests`.
+    /// The ids that clients have given to the requests in `requests`.
     pub ids: HashSet<Arc<str>>,
     /// Assigns an index to each endpoint name.
     pub endpoints: IdInterner<String>,
@@ -118,12 +118,13 @@
         }
     }
 
-    /// Reports an event to the routing policy.
+    /// Reports an event to the routing policy. The actions that the policy requests are appended to `actions`.
     pub fn report_to_policy(&mut self, now: Timestamp, event: Event) {
         self.policy.on_event(now, event, &mut self.actions);
     }
 
-    /// Reports an event to primary discovery.
+    /// Reports an event to primary discovery, if there is one. The actions that it requests are appended to
+    /// `primary_discovery_actions`.
     pub fn report_to_primary_discovery(&mut self, now: Timestamp, event: primary_discovery::Event) {
         if let Some(discovery) = &mut self.primary_discovery {
             discovery.on_event(now, event, &mut self.primary_discovery_actions);
@@ -249,7 +250,6 @@
         }
     }
 
-    /// Takes a snapshot of one request.
     fn request_snapshot(&self, request: RequestId, active: &ActiveRequest) -> RequestSnapshot {
         let in_flight = active.in_flight().map(|location| AttemptSnapshot {
             endpoint: self.endpoints.id(location.endpoint).clone(),
--- a/server/src/discovery/stream.rs
+++ b/server/src/discovery/stream.rs
@@ -17,7 +17,7 @@
 pub enum WatchEvent {
     /// A heartbeat, which is an empty line: the list has not changed.
     Unchanged,
-    /// A list: the text of one JSON object, with the white space in it.
+    /// A list: the text of one JSON object, including the white space inside the object.
     List(Vec<u8>),
 }
 
@@ -72,8 +72,8 @@
     scanner: Scanner,
     head_complete: bool,
     chunked: bool,
-    /// The number of bytes of the current chunk that have not been decoded yet. If the body is not chunked, the number
-    /// of bytes of the body that have not been decoded yet, starting from `usize::MAX` if its length is unknown.
+    /// The number of bytes of the current chunk that have not been decoded yet. If the body is not chunked, the
+    /// number counts the whole body instead, and starts at `usize::MAX` if the length of the body is unknown.
     remaining: usize,
     /// The line end after the current chunk has not arrived yet.
     expects_chunk_end: bool,
@@ -96,6 +96,8 @@
         let result = self.decode_body(&mut decoded);
         self.raw.drain(..decoded);
         result?;
+        // While `remaining` is 0, `raw` contains an incomplete chunk size, or bytes after the end of the response.
+        // Their number is limited too.
         if self.body.len() > MAX_LIST_BYTES || (self.remaining == 0 && self.raw.len() > MAX_LIST_BYTES) {
             return Err(StreamError::ListTooLong);
         }
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Copies the available part of the current chunk to `body`.
+    /// Copies the available part of the current chunk, or of a body that is not chunked, to `body`.
     fn decode_body_part(&mut self, decoded: &mut usize) {
         let available = self.remaining.min(self.raw.len() - *decoded);
         self.body.extend_from_slice(&self.raw[*decoded..*decoded + available]);
@@ -205,7 +207,7 @@
         Ok(None)
     }
 
-    /// Scans one byte, and returns the event that it ends, if it ends one.
+    /// Scans one byte. If the byte completes an event, returns the event.
     fn scan(&mut self, byte: u8) -> Result<Option<WatchEvent>, StreamError> {
         if self.scanner.depth > 0 {
             let object_ended = self.scanner.scan_object(byte);
--- a/server/src/discovery/watch.rs
+++ b/server/src/discovery/watch.rs
@@ -83,7 +83,8 @@
     pub incarnation: IncarnationTracker,
     /// Decides when the watch is reopened.
     pub schedule: WatchSchedule,
-    /// No complete list has been received since the start, so one is requested before changes are watched.
+    /// Whether a complete list is requested before changes are watched: the list is cached, and discovery has sent
+    /// no complete one since the start.
     pub needs_complete_list: bool,
 }
 
@@ -163,9 +164,8 @@
         Ok(connection)
     }
 
-    /// The HTTP request. It asks for a complete list if none has been received since the start. The list with which
-    /// the process was started may be from another incarnation of discovery, and changes since its version would not
-    /// apply.
+    /// The HTTP request. If a complete list is needed, the request asks for one: the cached list may be from
+    /// another incarnation of discovery, and changes since the version of that list would not apply to it.
     fn request(&self, addr: SocketAddr) -> String {
         let query = if self.progress.needs_complete_list {
             String::new()
--- a/server/src/endpoints/answer.rs
+++ b/server/src/endpoints/answer.rs
@@ -1,4 +1,4 @@
-//! Reading of an endpoint's answer to one query.
+//! Reads an endpoint's answer to one query.
 
 use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::endpoints::response_parser::ResponseParser;
@@ -7,7 +7,7 @@
 
 /// The answer to one query, and the connection on which it was received.
 pub struct Answer {
-    /// The outcome of the attempt.
+    /// How the query ended.
     pub outcome: AttemptOutcome,
     /// The encoded messages of the value; empty unless the attempt succeeded.
     pub value: Vec<u8>,
@@ -18,7 +18,7 @@
 }
 
 impl Answer {
-    /// The result of an attempt that received no answer.
+    /// Creates the result of a query to which no answer was received.
     pub fn not_received(outcome: AttemptOutcome) -> Answer {
         Answer { outcome, value: Vec::new(), metadata: AnswerMetadata::default(), connection: None }
     }
--- a/server/src/endpoints/attempt.rs
+++ b/server/src/endpoints/attempt.rs
@@ -126,8 +126,8 @@
         connection.write(&parts, self.limits())
     }
 
-    /// Records the attempt in the write journal, if it must be recorded. It is recorded only once, even if it uses
-    /// several connections. Returns whether the attempt may be sent.
+    /// Records the attempt in the write journal, if it must be recorded. The attempt is recorded only once, even if
+    /// it uses several connections. Returns whether the attempt may be sent.
     fn record(&mut self) -> bool {
         let (Some(entry), Some(journal)) = (&self.job.outgoing.journal_entry, self.journal) else {
             return true;
@@ -146,7 +146,8 @@
         asked.is_ok() && confirmed.recv().unwrap_or(false)
     }
 
-    /// Queries the endpoint's epoch and reports it to the control loop, which checks it when it confirms the attempt.
+    /// Queries the endpoint's epoch and reports it to the control loop, which checks the epoch when it confirms the
+    /// attempt.
     ///
     /// An endpoint that reports no epoch is used as well, although the loss of a position cannot be detected there.
     ///
--- a/server/src/endpoints/completion_guard.rs
+++ b/server/src/endpoints/completion_guard.rs
@@ -25,12 +25,12 @@
         CompletionGuard { control, result: Some(after_panic), to_message }
     }
 
-    /// The channel to the control loop.
+    /// The channel to the control loop, for other messages of the same coroutine.
     pub fn control(&self) -> &Sender<ControlMessage> {
         &self.control
     }
 
-    /// Reports the result.
+    /// Reports `result` instead of the result after a panic.
     pub fn complete(mut self, result: T) {
         self.result = Some(result);
     }
--- a/server/src/endpoints/connection.rs
+++ b/server/src/endpoints/connection.rs
@@ -22,8 +22,7 @@
 const READ_BYTES: u64 = 64 << 10;
 /// The size up to which a buffer may grow even when buffer memory runs short.
 pub const SMALL_BUFFER_BYTES: usize = 16 << 10;
-/// The maximum number of bytes that are accepted on an idle connection. It is more than the answer to an empty query
-/// takes.
+/// The maximum number of bytes that are accepted on an idle connection. The answer to an empty query is shorter.
 const MAX_IDLE_BYTES: usize = 4 << 10;
 /// The size of the buffer for reads on an idle connection. It is small because the buffer is on the coroutine's stack.
 const IDLE_READ_BYTES: usize = 512;
@@ -140,7 +139,8 @@
         }
     }
 
-    /// Counts the bytes that were read towards the limit on buffer memory, and pauses after [`MAX_BURST_BYTES`].
+    /// Counts bytes that were read, both as buffer memory and as part of the current burst. Pauses when the burst
+    /// has reached [`MAX_BURST_BYTES`].
     ///
     /// # Errors
     /// Buffer memory is used up, and the buffer is larger than [`SMALL_BUFFER_BYTES`].
@@ -159,8 +159,8 @@
         Ok(())
     }
 
-    /// Takes the buffer out of the connection. Its bytes no longer count towards the limit on buffer memory; the
-    /// caller counts them if they must be.
+    /// Takes the buffer out of the connection. Its bytes no longer count towards the limit on buffer memory; if
+    /// they must still be counted, the caller does so.
     pub fn take_buffer(&mut self) -> Vec<u8> {
         self.charge.set(0);
         std::mem::take(&mut self.buffer)
--- a/server/src/endpoints/dispatcher.rs
+++ b/server/src/endpoints/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The start of attempts, health checks and role queries, each in its own coroutine.
+//! Starts attempts, health checks and role queries, each in its own coroutine.
 
 use crate::endpoints::attempt::run_attempt;
 use crate::endpoints::health_check::{check_health, query_role, RoleQuery};
@@ -35,19 +35,19 @@
         &self.pool.timers
     }
 
-    /// Starts an attempt.
+    /// Starts an attempt. Its result is sent as [`ControlMessage::AttemptEnded`].
     pub fn start_attempt(&self, job: AttemptJob) {
         let this = self.clone();
         spawn(move || run_attempt(&this.pool, this.journal.as_deref(), this.control, &job));
     }
 
-    /// Starts a health check.
+    /// Starts a health check. Its result is sent as [`ControlMessage::HealthCheckEnded`].
     pub fn check_health(&self, endpoint: EndpointIndex, addr: SocketAddr) {
         let this = self.clone();
         spawn(move || check_health(&this.pool, this.control, endpoint, addr, this.health_check_timeout));
     }
 
-    /// Starts a role query.
+    /// Starts a role query. Its result is sent as [`ControlMessage::RoleQueryEnded`].
     pub fn query_role(&self, query: RoleQuery) {
         let this = self.clone();
         spawn(move || query_role(&this.pool, this.control, &query, this.health_check_timeout));
--- a/server/src/endpoints/load_report.rs
+++ b/server/src/endpoints/load_report.rs
@@ -1,4 +1,4 @@
-//! Parsing of the load reports that endpoints send in answers and in response to `SHOW health`.
+//! Parses the load reports that endpoints send in answers and in response to `SHOW health`.
 
 use crate::runtime::clock;
 use routing::{EndpointReport, Role};
--- a/server/src/endpoints/pool.rs
+++ b/server/src/endpoints/pool.rs
@@ -1,10 +1,10 @@
 //! The pool of connections to endpoints. The connection that was used last is reused first. A new connection is opened
 //! only if none is idle.
 //!
-//! An endpoint may send extra bytes after an answer, or close the connection right after it. So every connection that
-//! is returned after an answer is verified: the pool sends an empty query, which the endpoint answers at once and
-//! without effect. The connection is reused only if exactly the answer to the empty query has arrived. Extra bytes
-//! after the previous answer would precede it.
+//! An endpoint may send extra bytes after an answer, or close the connection right after it. So every connection
+//! that is returned after an answer is verified: the pool sends an empty query, which the endpoint answers at once
+//! and without effect. The connection is reused only if exactly the answer to the empty query has arrived. Extra
+//! bytes after the previous answer would precede the answer to the empty query.
 
 use crate::endpoints::connection::{IoError, IoLimits, PeerConnection};
 use crate::endpoints::response_parser::ResponseParser;
@@ -110,8 +110,8 @@
 
     /// Takes a reusable idle connection out of the pool; `None` if there is none.
     ///
-    /// If all idle connections are being verified, waits for a verification. It takes the rest of one round trip,
-    /// while a new connection takes several round trips and work at the endpoint.
+    /// If all idle connections are being verified, waits for a verification. A verification takes the rest of one
+    /// round trip, while a new connection takes several round trips and work at the endpoint.
     pub fn reuse(&self, addr: &SocketAddr, limits: IoLimits) -> Option<PeerConnection> {
         loop {
             let idle = self.take_idle(addr)?;
@@ -155,6 +155,7 @@
                 Reusability::Verifying => unverified = Some(index),
                 Reusability::Unusable => {
                     drop(connections.remove(index));
+                    // The removal has moved the connections behind `index` one place forward.
                     unverified = unverified.map(|later| later - 1);
                 }
             }
@@ -223,7 +224,6 @@
         }
     }
 
-    /// Adds an idle connection to the pool.
     fn add_idle(&self, addr: SocketAddr, connection: PeerConnection, verification: Option<ResponseParser>) {
         let idle_since = self.timers.now();
         let idle = IdleConnection { connection, idle_since, verification };
@@ -243,6 +243,7 @@
     /// Closes all idle connections to an address whose endpoint was restarted, is draining or was removed.
     pub fn close_idle(&self, addr: &SocketAddr) {
         let connections = self.lock().remove(addr);
+        // The connections are closed after the lock was released.
         drop(connections);
     }
 
--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -1,6 +1,6 @@
-//! Parsing of an endpoint's answer before any of it is forwarded to the client. The parser does not rely on the
-//! endpoint to follow the protocol: a message that the grammar does not allow at its position makes the whole answer
-//! invalid.
+//! Parses an endpoint's answer before any of it is forwarded to the client. The parser does not rely on the
+//! endpoint to follow the protocol: a message that the grammar does not allow at its position makes the whole
+//! answer invalid.
 
 use crate::endpoints::load_report::{self, parse_unsigned_decimal};
 use crate::messages::control::AnswerMetadata;
@@ -229,8 +229,8 @@
         Some(self.state)
     }
 
-    /// The outcome of the answer as far as it was read, or `incomplete` if it does not determine an outcome yet. An
-    /// error or a complete value determines the outcome, even if the connection is lost after it.
+    /// The outcome of the part of the answer that was read, or `incomplete` if that part does not determine an
+    /// outcome yet. An error or a complete value determines the outcome, even if the connection is lost after it.
     pub fn outcome(&self, incomplete: AttemptOutcome) -> AttemptOutcome {
         match (self.state, self.error_outcome) {
             (State::Invalid, _) => AttemptOutcome::Failed,
@@ -277,8 +277,8 @@
     }
 }
 
-/// Parses an epoch such as `3@1790000000123`: its number, and its start position in Unix milliseconds. The
-/// position may be missing, as in `3`; the start position is then unknown.
+/// Parses an epoch such as `3@1790000000123`: its number, and its start position in Unix milliseconds. In the form
+/// `3`, the start position is unknown. Returns `None` if the text is malformed.
 fn parse_epoch(text: &str) -> Option<Epoch> {
     let (number, start_position) = match text.split_once('@') {
         Some((number, millis)) => {
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -1,12 +1,13 @@
 //! The query router's server: client connections, endpoint connections and discovery around the routing policy.
 //!
-//! The modules in layers, from the lowest to the highest; each uses only modules above it in this list:
+//! The modules form layers, listed here from the lowest to the highest. Each module uses only modules that are
+//! listed before it:
 //!
-//! - [`runtime`]: clock, coroutines, cancellation, resource limits, log, metrics, earlier and standard terms
+//! - [`runtime`]: clock, coroutines, cancellation, resource limits, log, metrics, vocabularies
 //! - [`protocol`]: the wire protocol, without I/O
 //! - [`messages`]: the messages between the components
 //! - [`storage`]: the threads that write to disk
-//! - [`endpoints`]: connections to endpoints, attempts, health checks
+//! - [`endpoints`]: connections to endpoints, attempts, health checks, role queries
 //! - [`discovery`]: the watch on the endpoint list
 //! - [`control`]: the control loop around the routing policy
 //! - [`clients`]: client connections
--- a/server/src/messages/control.rs
+++ b/server/src/messages/control.rs
@@ -80,9 +80,10 @@
 pub enum ControlMessage {
     /// A client has sent a request.
     Request(Box<IncomingRequest>),
-    /// A client has disconnected.
+    /// A request needs no response any more: its client has disconnected, or its connection is being closed after
+    /// an error. One message is sent for each such request.
     ClientGone {
-        /// A pending request of the client.
+        /// The request, which had not been answered.
         request: RequestId,
     },
     /// An attempt is about to be sent and waits for confirmation.
@@ -168,8 +169,8 @@
     pub text: Arc<RequestText>,
     /// The entry that must be recorded in the write journal first; `None` if the request is not journaled.
     pub journal_entry: Option<JournalEntry>,
-    /// The endpoint's epoch must be known first, to check that the endpoint's log contains the position that the
-    /// session has seen.
+    /// Whether the endpoint's epoch must be known before the request is sent, to check that the endpoint's log
+    /// contains the position that the session has seen.
     pub needs_epoch: bool,
 }
 
@@ -181,7 +182,7 @@
     pub addr: SocketAddr,
     /// The start time and the deadline of the attempt.
     pub times: AttemptTimes,
-    /// The request to send, and what must be done before.
+    /// The request to send, and what must be done before it is sent.
     pub outgoing: OutgoingRequest,
     /// Lets the control loop cancel the attempt.
     pub cancellation: Arc<CancellationToken>,
--- a/server/src/messages/request.rs
+++ b/server/src/messages/request.rs
@@ -12,9 +12,9 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// The exclusive maximum of a position, in Unix milliseconds: a time in the year 2255.
+/// The exclusive upper bound of a position, in Unix milliseconds: a time in the year 2255.
 const MAX_POSITION_MS: i64 = 9_000_000_000_000;
-/// The maximum timeout of a request, in milliseconds: a day. Longer timeouts are reduced to it.
+/// The maximum timeout of a request, in milliseconds: a day. Longer timeouts are reduced to this one.
 const MAX_TIMEOUT_MS: i64 = 86_400_000;
 /// The error for a request whose method, the value of `c`, is not in the configuration.
 const UNKNOWN_METHOD: ClientError = ClientError::new(SqlState::UNDEFINED_OBJECT, "c names no known class");
@@ -121,7 +121,8 @@
     }
 }
 
-/// The time since the session's last write, whose position is `after_ms` in Unix milliseconds.
+/// The time since the session's last write, whose position is `after_ms` in Unix milliseconds; `None` if the client
+/// has specified no position, or 0.
 ///
 /// Positions are in whole milliseconds, so only a position in the next millisecond is sure to include the write.
 ///
@@ -138,7 +139,8 @@
     }
 }
 
-/// The number of the session with this key: the key as a hexadecimal number, or its FNV-1a hash if it is not one.
+/// The number of the session with this key: the key as a hexadecimal number or, if the key is not such a number,
+/// its FNV-1a hash.
 fn session_number(key: &str) -> u64 {
     const HEXADECIMAL: u32 = 16;
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
--- a/server/src/messages/response.rs
+++ b/server/src/messages/response.rs
@@ -53,14 +53,14 @@
 /// A response together with the id of the request that it answers.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RequestResponse {
-    /// The number by which the process identifies the request.
+    /// The process-internal id of the request.
     pub request: RequestId,
     /// The response to the request.
     pub response: Response,
 }
 
-/// The channel to the coroutine of a client's connection, for responses and for requests to close the connection. It
-/// is the only part of the connection that other parts of the server hold.
+/// The channel to the coroutine of a client's connection, for responses and for requests to close the connection.
+/// The channel is the only part of the connection that other parts of the server hold.
 pub struct ResponseChannel {
     responses: Mutex<Vec<RequestResponse>>,
     close_requested: AtomicBool,
@@ -92,17 +92,17 @@
         self.wake();
     }
 
-    /// Whether the connection was requested to close.
+    /// Whether the connection has been asked to close.
     pub fn is_close_requested(&self) -> bool {
         self.close_requested.load(Ordering::Acquire)
     }
 
-    /// Whether the connection was requested to close since the last call of this function.
+    /// Returns whether the connection has been asked to close, and clears the request.
     pub fn take_close_request(&self) -> bool {
         self.close_requested.swap(false, Ordering::AcqRel)
     }
 
-    /// Wakes the connection's coroutine.
+    /// Wakes the connection's coroutine, so that it handles new responses, a request to close, or the shutdown.
     pub fn wake(&self) {
         self.waker.wakeup();
     }
@@ -118,7 +118,7 @@
 /// Answers one request. If the ticket is dropped without an answer, because of a panic or a lost message, the request
 /// is aborted.
 pub struct ResponseTicket {
-    /// The number by which the process identifies the request.
+    /// The process-internal id of the request.
     pub request: RequestId,
     channel: Option<Arc<ResponseChannel>>,
 }
@@ -129,7 +129,7 @@
         ResponseTicket { request, channel: Some(channel) }
     }
 
-    /// Answers the request.
+    /// Sends the response to the client's connection.
     pub fn answer(mut self, response: Response) {
         if let Some(channel) = self.channel.take() {
             channel.send(self.request, response);
--- a/server/src/messages/snapshot.rs
+++ b/server/src/messages/snapshot.rs
@@ -36,7 +36,7 @@
     pub is_closed: bool,
 }
 
-/// The state of one endpoint of the endpoint list.
+/// The state of an endpoint that is or was in the endpoint list.
 #[derive(Debug)]
 pub struct ListedEndpointSnapshot {
     /// The endpoint's name in the list.
--- a/server/src/protocol/decode.rs
+++ b/server/src/protocol/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding and validation of the bodies of messages.
+//! Decodes and validates the bodies of messages.
 
 use crate::protocol::encode::SESSION_PARAMETER;
 use crate::protocol::framing::{parse_frame, MAX_VALUE_BYTES};
--- a/server/src/protocol/encode.rs
+++ b/server/src/protocol/encode.rs
@@ -1,9 +1,10 @@
-//! Encoding of messages: to clients, to endpoints, and those that both protocols share.
+//! Encodes the messages to clients and to endpoints.
 
 use crate::protocol::framing::{LENGTH_BYTES, VERSION_3};
 use crate::protocol::sqlstate::SqlState;
 
-/// The parameter that carries a session token: from the client in its startup message, and to it in ParameterStatus.
+/// The parameter that carries a session token: from the client in its startup message, and to the client in
+/// ParameterStatus.
 pub const SESSION_PARAMETER: &str = "gingerwick.session";
 /// The parameter that tells a client the origin of its writes, which identifies the journal that records them.
 const ORIGIN_PARAMETER: &str = "gingerwick.origin";
@@ -89,6 +90,7 @@
 /// AuthenticationOk, ParameterStatus, BackendKeyData and ReadyForQuery.
 pub fn greeting(out: &mut Vec<u8>, greeting: &Greeting) {
     if greeting.minor_version > 0 {
+        // The newest supported minor version is 0, and the list of options that are not recognized is empty.
         append_message(out, b'v', |out| out.extend_from_slice(&[0; 8]));
     }
     append_message(out, b'R', |out| out.extend_from_slice(&[0; 4]));
--- a/server/src/protocol/framing.rs
+++ b/server/src/protocol/framing.rs
@@ -3,9 +3,9 @@
 use std::ops::Range;
 use thiserror::Error;
 
-/// The maximum length of a client's message. Values are specified as up to 64 KiB, but values six times as large were
-/// observed, and a statement may contain a value in hexadecimal digits, which doubles it. The total of all buffers is
-/// limited by [`ResourceLimits`](crate::runtime::resource_limits::ResourceLimits).
+/// The maximum length of a client's message. Values are specified as up to 64 KiB, but values six times as large
+/// were observed, and a statement may contain a value in hexadecimal digits, which doubles the length. The total of
+/// all buffers is limited by [`ResourceLimits`](crate::runtime::resource_limits::ResourceLimits).
 pub const MAX_QUERY_BYTES: usize = 1 << 20;
 /// The maximum length of an endpoint's message.
 pub const MAX_VALUE_BYTES: usize = 4 << 20;
@@ -110,7 +110,9 @@
 /// # Errors
 /// The length is below its minimum, or greater than `MAX_STARTUP_BYTES`.
 pub fn parse_startup_packet(bytes: &[u8]) -> Result<Option<StartupPacket>, FrameError> {
-    let (Some(length), Some(kind)) = (read_u32(bytes), bytes.get(LENGTH_BYTES..).and_then(read_u32)) else {
+    let (Some(length), Some(version_or_code)) =
+        (read_u32(bytes), bytes.get(LENGTH_BYTES..).and_then(read_u32))
+    else {
         return Ok(None);
     };
     let length = length as usize;
@@ -123,7 +125,7 @@
     if bytes.len() < length {
         return Ok(None);
     }
-    let kind = match kind {
+    let kind = match version_or_code {
         SSL_REQUEST | GSSENC_REQUEST => StartupKind::Encryption,
         CANCEL_REQUEST => StartupKind::Cancel,
         version if version >> MINOR_VERSION_BITS == MAJOR_VERSION => {
--- a/server/src/protocol/frontend_codec.rs
+++ b/server/src/protocol/frontend_codec.rs
@@ -33,7 +33,8 @@
     Sync,
     /// A message of the extended query protocol, or a function call.
     Unsupported {
-        /// Whether the message is a function call. It gets its own ReadyForQuery, because no Sync follows it.
+        /// Whether the message is a function call. A function call gets its own ReadyForQuery, because no Sync
+        /// follows it.
         is_function_call: bool,
     },
     /// Terminate.
@@ -61,7 +62,7 @@
 pub struct FrontendCodec {
     bytes: Vec<u8>,
     /// The offset of the next message.
-    at: usize,
+    offset: usize,
     phase: Phase,
 }
 
@@ -86,7 +87,7 @@
                 FrontendMessage::CancelRequest | FrontendMessage::Terminate | FrontendMessage::Invalid(_),
             ) => {
                 self.phase = Phase::Closed;
-                self.at = self.bytes.len();
+                self.offset = self.bytes.len();
             }
             Some(_) => {}
             None => self.compact(),
@@ -96,8 +97,8 @@
 
     /// Removes the decoded bytes, and shrinks a large buffer to [`RETAINED_BUFFER_BYTES`].
     fn compact(&mut self) {
-        self.bytes.drain(..self.at);
-        self.at = 0;
+        self.bytes.drain(..self.offset);
+        self.offset = 0;
         self.bytes.shrink_to(self.bytes.len().max(RETAINED_BUFFER_BYTES));
     }
 
@@ -106,9 +107,9 @@
     /// # Errors
     /// The packet's length is invalid or too great.
     fn next_startup_message(&mut self) -> Result<Option<FrontendMessage>, FrameError> {
-        let Some(packet) = parse_startup_packet(&self.bytes[self.at..])? else { return Ok(None) };
-        let body = self.at + STARTUP_HEADER_BYTES..self.at + packet.length;
-        self.at += packet.length;
+        let Some(packet) = parse_startup_packet(&self.bytes[self.offset..])? else { return Ok(None) };
+        let body = self.offset + STARTUP_HEADER_BYTES..self.offset + packet.length;
+        self.offset += packet.length;
         Ok(Some(match packet.kind {
             StartupKind::Encryption => FrontendMessage::EncryptionRequest,
             StartupKind::Cancel => FrontendMessage::CancelRequest,
@@ -127,10 +128,10 @@
     /// Decodes the next message of a session, without those that are to be skipped.
     ///
     /// # Errors
-    /// The message's length or tag is invalid, or it is too long.
+    /// The message's length or tag is invalid, or the message is too long.
     fn next_tagged_message(&mut self) -> Result<Option<FrontendMessage>, FrameError> {
-        while let Some(frame) = parse_frame(&self.bytes, self.at, MAX_QUERY_BYTES)? {
-            self.at = frame.body.end;
+        while let Some(frame) = parse_frame(&self.bytes, self.offset, MAX_QUERY_BYTES)? {
+            self.offset = frame.body.end;
             let skipping = self.phase == Phase::SkippingToSync;
             let message = match frame.tag {
                 b'X' => FrontendMessage::Terminate,
@@ -155,7 +156,7 @@
 
     /// The minimum number of bytes by which a partial message is incomplete; 0 if there is no partial message.
     pub fn missing_bytes(&self) -> usize {
-        let rest = &self.bytes[self.at..];
+        let rest = &self.bytes[self.offset..];
         // The tag and the length; startup packets have no tag.
         let header_bytes = if self.phase == Phase::Startup { LENGTH_BYTES } else { HEADER_BYTES };
         if rest.is_empty() || self.phase == Phase::Closed {
@@ -172,7 +173,7 @@
 
     /// Whether there are no undecoded bytes.
     pub fn is_empty(&self) -> bool {
-        self.bytes.len() == self.at
+        self.bytes.len() == self.offset
     }
 
     /// The allocated size of the buffer in bytes.
@@ -184,7 +185,7 @@
     pub fn free_buffer(&mut self) {
         if self.is_empty() {
             self.bytes = Vec::new();
-            self.at = 0;
+            self.offset = 0;
         }
     }
 }
--- a/server/src/protocol/statement.rs
+++ b/server/src/protocol/statement.rs
@@ -6,7 +6,7 @@
 
 /// The maximum length of an id; ids are kept in memory while their requests are open.
 const MAX_ID_BYTES: usize = 64;
-/// The group of a comment without `cluster`; it does not exist, so the request is rejected.
+/// The group number of a comment without `cluster`. No group has this number, so the request is rejected.
 const NO_GROUP: i64 = -1;
 /// The commands that are acknowledged but not executed.
 const COMMANDS_WITHOUT_EFFECT: [&str; 3] = ["SET", "RESET", "DISCARD"];
@@ -61,14 +61,14 @@
     pub after_ms: Option<i64>,
     /// `r`: the request is a retry by the client.
     pub is_retry: bool,
-    /// The first string in single quotes after the comment.
+    /// The first string in single quotes after the comment, which may identify a session; `None` without one.
     pub key: Option<&'a str>,
 }
 
 /// A client's statement, parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement<'a> {
-    /// A statement without any text but spaces and semicolons.
+    /// A statement that consists only of white space and semicolons.
     Empty,
     /// A command without effect. The response has this command tag.
     NoEffect(&'static str),
@@ -194,7 +194,8 @@
 }
 
 impl<'a> RequestHeader<'a> {
-    /// Sets the field of the key `name`; unknown keys are ignored. `value_at` is the value's offset in the statement.
+    /// Sets the field of the key `name`; unknown keys are ignored. `value_at` is the value's offset in the
+    /// statement.
     ///
     /// # Errors
     /// The message for the client: the value is invalid.
@@ -218,7 +219,7 @@
     /// Checks that the required keys are present and valid.
     ///
     /// # Errors
-    /// The message for the client: the first key that is not.
+    /// The message for the client, about the first key that is missing or invalid.
     fn check_required_keys(&self) -> Result<(), &'static str> {
         if !is_valid_id(self.id) {
             return Err(INVALID_ID);
@@ -233,7 +234,8 @@
     }
 }
 
-/// Parses a number of decimal digits without a sign; `None` if it is not one, or out of range.
+/// Parses a number of decimal digits without a sign; `None` if the text is no such number, or the number is too
+/// large.
 fn parse_number(text: &str) -> Option<i64> {
     text.parse().ok().filter(|_| text.bytes().all(|byte| byte.is_ascii_digit()))
 }
--- a/server/src/runtime/cancellation.rs
+++ b/server/src/runtime/cancellation.rs
@@ -1,5 +1,5 @@
-//! The cancellation of a coroutine's work by another coroutine or thread, which needs no access to the socket that
-//! the coroutine waits for.
+//! Cancels a coroutine's work from another coroutine or thread, which needs no access to the socket for which the
+//! cancelled coroutine waits.
 
 use may::coroutine::Coroutine;
 use may::io::WaitIoWaker;
@@ -15,9 +15,9 @@
 
 /// The coroutine to wake when the token is cancelled.
 enum Waiter {
-    /// It waits for a socket.
+    /// The coroutine waits for an event of a socket.
     Socket(WaitIoWaker),
-    /// It is parked.
+    /// The coroutine is parked.
     Coroutine(Coroutine),
 }
 
--- a/server/src/runtime/clock.rs
+++ b/server/src/runtime/clock.rs
@@ -19,14 +19,16 @@
 /// The exclusive upper bound of valid times in Unix milliseconds, near the largest time in nanoseconds that an `i64`
 /// can represent.
 const MAX_UNIX_MS: f64 = 9.0e12;
-/// The timer thread's wait while no timer is set; a new timer ends it.
+/// The timer thread's wait while no timer is set; a new timer ends the wait.
 const IDLE_WAIT: Duration = Duration::from_secs(3600);
 
 /// The clock of the process. Its timestamps are Unix time in nanoseconds, and are not affected when the wall clock is
 /// set after the start.
 #[derive(Clone, Copy)]
 pub struct Clock {
+    /// The wall clock's time when the clock was started.
     started_at: Timestamp,
+    /// The monotonic clock's time at the same moment.
     started: Instant,
 }
 
@@ -37,26 +39,27 @@
         Clock { started_at: Timestamp(unix.as_nanos() as i64), started: Instant::now() }
     }
 
-    /// The current time.
+    /// The current time in nanoseconds since the Unix epoch. It never decreases.
     pub fn now(&self) -> Timestamp {
         self.started_at + TimeDelta(self.started.elapsed().as_nanos() as i64)
     }
 }
 
-/// The current time of the wall clock in Unix milliseconds. Unlike [`Clock::now`], it follows changes of the wall
-/// clock.
+/// The current time of the wall clock in Unix milliseconds. Unlike [`Clock::now`], this time follows changes of the
+/// wall clock.
 pub fn unix_time_ms() -> i64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64
 }
 
-/// Converts a time in Unix milliseconds, the unit of positions on the wire; `None` if it is out of range.
+/// Converts a time in Unix milliseconds, the unit of positions on the wire; `None` if the time is not above 0 or
+/// not below `MAX_UNIX_MS`.
 pub fn timestamp_from_unix_ms(millis: f64) -> Option<Timestamp> {
     let is_time = millis.is_finite() && millis > 0.0 && millis < MAX_UNIX_MS;
     is_time.then(|| Timestamp((millis as i64) * NANOS_PER_MILLI))
 }
 
-/// Converts a time in Unix seconds, the unit of load reports, and rounds it to milliseconds; `None` if it is out of
-/// range.
+/// Converts a time in Unix seconds, the unit of load reports, and rounds the time to milliseconds; `None` as for
+/// [`timestamp_from_unix_ms`].
 pub fn timestamp_from_unix_s(secs: f64) -> Option<Timestamp> {
     timestamp_from_unix_ms((secs * MILLIS_PER_SECOND).round())
 }
@@ -89,12 +92,13 @@
         Timers { clock, requests: Mutex::new(requests) }
     }
 
-    /// The current time of the clock.
+    /// The current time, as [`Clock::now`] returns it.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Runs a callback on the timer thread at the time `at`. The callback must not block.
+    /// Runs a callback on the timer thread at the time `at`. The callback must not block, because it would delay
+    /// all other timers.
     pub fn call_at(&self, at: Timestamp, callback: impl FnOnce() + Send + 'static) {
         let requests = self.requests.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let _ = requests.send(TimerRequest { at, callback: Box::new(callback) });
@@ -120,20 +124,20 @@
 /// The timer thread: runs callbacks in the order of their times, and those of the same time in the order in which
 /// they were set, until the [`Timers`] are dropped.
 fn run_timers(clock: Clock, requests: &Receiver<TimerRequest>) {
-    let mut due: BTreeMap<(Timestamp, u64), Callback> = BTreeMap::new();
+    let mut pending: BTreeMap<(Timestamp, u64), Callback> = BTreeMap::new();
     let mut serial = 0;
     loop {
-        let wait = due.keys().next().map(|(at, _)| to_duration(*at - clock.now()));
+        let wait = pending.keys().next().map(|(at, _)| to_duration(*at - clock.now()));
         match requests.recv_timeout(wait.unwrap_or(IDLE_WAIT)) {
             Ok(TimerRequest { at, callback }) => {
                 serial += 1;
-                due.insert((at, serial), callback);
+                pending.insert((at, serial), callback);
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
         let now = clock.now();
-        while let Some(first) = due.first_entry().filter(|first| first.key().0 <= now) {
+        while let Some(first) = pending.first_entry().filter(|first| first.key().0 <= now) {
             // A panic in a callback must not end the thread, because all other timers depend on it.
             let _ = catch_unwind(AssertUnwindSafe(first.remove()));
         }
--- a/server/src/runtime/descriptors.rs
+++ b/server/src/runtime/descriptors.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// A descriptor in reserve; the default has none. When the process is out of descriptors, the reserve is released to
-/// accept and reject a client, which would otherwise stay in the listen queue.
+/// A descriptor that is kept in reserve; the default value holds none. When the process is out of descriptors, the
+/// reserve is released to accept and reject a client, which would otherwise stay in the listen queue.
 #[derive(Default)]
 pub struct ReserveDescriptor(Option<File>);
 
--- a/server/src/runtime/idle_clients.rs
+++ b/server/src/runtime/idle_clients.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// The key of an idle client in the registry, in the order in which clients are closed.
+/// The key of an idle client in the registry. The keys are ordered as the clients are asked to close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleRegistration {
     rank: IdleRank,
@@ -46,7 +46,7 @@
 
 /// An idle client in the registry.
 struct IdleClient {
-    since: Timestamp,
+    idle_since: Timestamp,
     connection: Arc<dyn RequestClose>,
     /// The name of the client's class; `None` if no classes are configured.
     class: Option<Arc<str>>,
@@ -68,13 +68,13 @@
     pub fn register(
         &mut self,
         rank: IdleRank,
-        since: Timestamp,
+        idle_since: Timestamp,
         connection: Arc<dyn RequestClose>,
         class: Option<Arc<str>>,
     ) -> IdleRegistration {
         self.last_serial += 1;
         let registration = IdleRegistration { rank, serial: self.last_serial };
-        self.clients.insert(registration, IdleClient { since, connection, class });
+        self.clients.insert(registration, IdleClient { idle_since, connection, class });
         registration
     }
 
@@ -89,23 +89,23 @@
         self.request_first_close(now, |rank, _| rank == IdleRank::Closing);
     }
 
-    /// Asks the first client to close that is not being closed already.
+    /// Of the clients that are not being closed already, asks the first one to close.
     pub fn reclaim(&mut self, now: Timestamp) {
         self.request_first_close(now, |rank, _| rank != IdleRank::Closing);
     }
 
-    /// Asks the first client of a class to close that is not being closed already.
+    /// Of the clients of a class that are not being closed already, asks the first one to close.
     pub fn reclaim_of_class(&mut self, now: Timestamp, class: &str) {
         let is_of_class = |client: &IdleClient| client.class.as_deref() == Some(class);
         self.request_first_close(now, |rank, client| rank != IdleRank::Closing && is_of_class(client));
     }
 
-    /// Asks the first client to close that satisfies `may_close`, whose grace period has ended, and that has not yet
-    /// been asked.
+    /// Finds the first client that satisfies `may_close`, whose grace period has ended, and that has not been asked
+    /// yet. Asks that client to close.
     fn request_first_close(&mut self, now: Timestamp, may_close: impl Fn(IdleRank, &IdleClient) -> bool) {
         let candidate = self.clients.iter().find(|(registration, client)| {
             may_close(registration.rank, client)
-                && now - client.since >= registration.rank.grace()
+                && now - client.idle_since >= registration.rank.grace()
                 && !self.close_requested.contains(&registration.serial)
         });
         if let Some((registration, client)) = candidate {
--- a/server/src/runtime/log.rs
+++ b/server/src/runtime/log.rs
@@ -14,8 +14,8 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields, MakeWriter};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The maximum number of lines from one call site in a [`RATE_WINDOW`]. Without it, logging a frequent failure would
-/// take much of the worker thread's time.
+/// The maximum number of lines from one call site in a [`RATE_WINDOW`]. Without the limit, logging a frequent
+/// failure would take much of the worker thread's time.
 const MAX_LINES_PER_WINDOW: u32 = 5;
 /// The window of the rate limit, which starts with the first line after the previous window.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
@@ -127,7 +127,7 @@
     }
 }
 
-/// The line of one event. It is queued for the writer thread when it is dropped.
+/// The line of one event, which is queued for the writer thread when the `Line` is dropped.
 pub struct Line(Vec<u8>);
 
 impl Write for Line {
@@ -180,6 +180,7 @@
         }
     }
 
+    // The default method would write strings in quotes.
     fn record_str(&mut self, field: &Field, value: &str) {
         self.record_debug(field, &format_args!("{value}"));
     }
@@ -212,7 +213,7 @@
     QUEUE.get_or_init(|| Queue::start(options.max_queued_bytes));
     let fmt =
         tracing_subscriber::fmt().with_max_level(options.level).with_writer(QueueWriter).with_ansi(false);
-    // This fails on a second call, and the first subscriber stays in place.
+    // Setting the subscriber fails on a second call, and the first subscriber stays in place.
     let _ = if options.json {
         tracing::subscriber::set_global_default(fmt.json().flatten_event(true).finish())
     } else {
--- a/server/src/runtime/metrics.rs
+++ b/server/src/runtime/metrics.rs
@@ -10,15 +10,15 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// It was answered with a value.
+    /// The request was answered with a value.
     Value,
-    /// It was not executed, or can safely be retried.
+    /// The request was not executed, or can safely be retried.
     Rejected,
-    /// It may have been executed.
+    /// The request may have been executed.
     Aborted,
-    /// It is invalid.
+    /// The request is invalid, or the position that its session has seen is lost.
     Error,
-    /// Its client disconnected before the response.
+    /// The client disconnected before the response.
     ClientGone,
 }
 
@@ -73,8 +73,8 @@
 }
 
 impl Metrics {
-    /// Creates the metrics, for methods of these names. They are recorded only if the recorder has been installed
-    /// before.
+    /// Creates the metrics for methods with these names. The metrics are recorded only if the recorder was
+    /// installed before.
     pub fn new(methods: &[String]) -> Metrics {
         Metrics {
             methods: methods.iter().map(|name| MethodMetrics::new(name)).collect(),
@@ -114,7 +114,7 @@
     }
 }
 
-/// Installs the recorder of all metrics that are created from now on. The handle renders them.
+/// Installs the recorder of all metrics that are created from now on. The returned handle renders the metrics.
 ///
 /// # Errors
 /// A recorder is installed already.
--- a/server/src/runtime/mod.rs
+++ b/server/src/runtime/mod.rs
@@ -1,4 +1,5 @@
-//! The runtime that all other layers use: time, coroutines, cancellation, resource limits, log, metrics and terms.
+//! The runtime that all other layers use: time, coroutines, cancellation, resource limits, log, metrics, and the
+//! two vocabularies for operators.
 
 pub mod cancellation;
 pub mod clock;
--- a/server/src/runtime/resource_limits.rs
+++ b/server/src/runtime/resource_limits.rs
@@ -36,12 +36,13 @@
 /// The minimum number of descriptors for clients and endpoints together: one for each.
 const MIN_SHARED: usize = 2;
 /// The numerator of the endpoints' share of the descriptors that clients and endpoints share: two fifths. A request
-/// in flight uses one descriptor of each, but waiting requests and idle clients use only a client's.
+/// in flight uses one descriptor of each class, but a waiting request or an idle client uses only one of the
+/// clients' class.
 const ENDPOINT_SHARE_NUMERATOR: usize = 2;
 /// The denominator of the endpoints' share.
 const ENDPOINT_SHARE_DENOMINATOR: usize = 5;
-/// The endpoints' descriptors are divided by this for the maximum of one endpoint, so that an endpoint that does not
-/// respond cannot use up all of them.
+/// The maximum for one endpoint is the number of descriptors for endpoints divided by this, so that an endpoint
+/// that does not respond cannot use up all of them.
 const PER_ENDPOINT_DIVISOR: usize = 2;
 /// Memory is short once buffers use more than the process's memory divided by this. The rest is for stacks and all
 /// other allocations.
@@ -61,7 +62,7 @@
 
 /// The limits on descriptors and buffer memory, and their use.
 pub struct ResourceLimits {
-    /// The limits on descriptors, by class.
+    /// The limits on descriptors, in the order of the variants of [`DescriptorClass`].
     limits: [usize; DESCRIPTOR_CLASS_COUNT],
     /// The number of overflow descriptors: those for clients beyond the limit of their class. A client that gets one
     /// either replaces a client that was asked to close, or is rejected.
@@ -76,6 +77,7 @@
 pub struct Descriptor {
     limits: Arc<ResourceLimits>,
     class: DescriptorClass,
+    /// The endpoint against whose maximum the descriptor counts; `None` for other connections.
     endpoint: Option<SocketAddr>,
 }
 
--- a/server/src/runtime/tasks.rs
+++ b/server/src/runtime/tasks.rs
@@ -1,4 +1,4 @@
-//! The spawning of coroutines, and the sizes of their stacks.
+//! Spawns coroutines, and sets the sizes of their stacks.
 
 /// The stack size of a coroutine for one connection, attempt or health check; `docs/design.md` has the measurements.
 pub const STACK_BYTES: usize = 64 << 10;
@@ -13,8 +13,8 @@
 /// Spawns a coroutine for one connection, attempt or health check.
 pub fn spawn(task: impl FnOnce() + Send + 'static) {
     // SAFETY: `may` requires that coroutines do not keep references to thread-local data while they are suspended,
-    // and that they do not overflow their stacks. None keeps such references, and the stack size is based on
-    // measurements.
+    // and that they do not overflow their stacks. No coroutine of the server keeps such references, and the stack
+    // size is based on measurements.
     unsafe { may::coroutine::spawn(task) };
 }
 
--- a/server/src/runtime/terms.rs
+++ b/server/src/runtime/terms.rs
@@ -1,5 +1,6 @@
-//! The two vocabularies of the pages, metrics and command outputs that operators' programs read. Under its earlier
-//! name each of them keeps the terms of the first releases; under a second name it is available in standard terms.
+//! The two vocabularies of the pages, metrics and command outputs that operators' programs read. Each of these
+//! outputs has two names: under the earlier name it keeps the terms of the first releases, and under the standard
+//! name it uses the standard terms of the field.
 
 /// The vocabulary in which a text is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/server/src/startup/configuration.rs
+++ b/server/src/startup/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration of a start: the bootstrap file, the operators' file and the session keys, read and validated
-//! together.
+//! The configuration with which the process starts: the bootstrap file, the operators' file and the session keys,
+//! read and validated together.
 
 use crate::clients::session_tokens::read_keys;
 use crate::config::bootstrap::{Bootstrap, BootstrapError, ReadAt};
@@ -21,7 +21,7 @@
     pub session_keys: Option<TokenKeys>,
 }
 
-/// Reads the bootstrap file, with the environment variables of the process.
+/// Reads the bootstrap file and the environment variables that override its settings.
 ///
 /// # Errors
 /// All problems of the file and of the variables.
@@ -41,7 +41,7 @@
     /// Reads all configuration files.
     ///
     /// # Errors
-    /// All problems of the bootstrap file and the operators' file; if there are none, that of the key file.
+    /// All problems of the bootstrap file and the operators' file; if there are none, the problem of the key file.
     pub fn read(operator_file: Option<PathBuf>) -> Result<Configuration, Failure> {
         let bootstrap = read_bootstrap(ReadAt::Start);
         let operators = operator_file::read(operator_file.as_deref());
--- a/server/src/startup/initial_list.rs
+++ b/server/src/startup/initial_list.rs
@@ -28,8 +28,8 @@
 }
 
 impl InitialList {
-    /// When discovery last confirmed the list, and when it was saved; `None` if that is unknown, or without a list to
-    /// verify.
+    /// When discovery last confirmed the list, and when it was saved; `None` if the times are unknown or there is
+    /// no list to verify.
     pub fn cache_times(&self) -> Option<CacheTimes> {
         match self {
             InitialList::ToVerify { times, .. } => *times,
@@ -61,7 +61,8 @@
 /// The endpoint cache after it was opened at the start.
 pub struct EndpointCache {
     list: Option<CachedEndpointList>,
-    /// Saves new lists; `None` if the directory cannot be written or another process has locked it.
+    /// Saves new lists; `None` if the directory cannot be written, another process has locked the directory, or the
+    /// writer's thread cannot be started.
     pub writer: Option<Arc<EndpointCacheWriter>>,
 }
 
@@ -82,8 +83,9 @@
         EndpointCache { list, writer }
     }
 
-    /// Returns the list with the higher version, of the cached list and that of the bootstrap file, whose age is
-    /// unknown.
+    /// Returns the cached list or the list of the bootstrap file, whichever has the higher version; if the versions
+    /// are equal, the cached list. An empty list of the bootstrap file is ignored. The age of the bootstrap file's
+    /// list is unknown.
     pub fn initial_list(&mut self, bootstrap: Option<EndpointListUpdate>, clock: Clock) -> InitialList {
         let cached = self.list.take();
         let cached_version = cached.as_ref().map(|list| list.version);
--- a/server/src/startup/reload.rs
+++ b/server/src/startup/reload.rs
@@ -1,5 +1,5 @@
-//! Reload on SIGHUP: both configuration files are read again. An invalid file is logged, and its settings stay as
-//! they are.
+//! Reload on SIGHUP: both configuration files are read again. If a file is invalid, its errors are logged, and the
+//! settings that were read from it earlier stay in effect.
 
 use crate::clients::session_tokens::read_keys;
 use crate::config::bootstrap::{Bootstrap, BootstrapError, ReadAt};
@@ -57,7 +57,8 @@
         self.apply_session_keys();
     }
 
-    /// Replaces the client classes, if classes were configured at the start and still are.
+    /// Replaces the client classes. Has no effect if no classes were configured at the start, because admission
+    /// control is created only then, or if the newer file configures none.
     ///
     /// # Errors
     /// All problems of the classes.
@@ -102,7 +103,7 @@
     }
 }
 
-/// Joins errors in one line, separated by semicolons.
+/// Joins the texts of errors into one line, separated by semicolons.
 fn join(errors: &[impl Display]) -> String {
     let errors: Vec<String> = errors.iter().map(|error| error.to_string()).collect();
     errors.join("; ")
--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -41,12 +41,13 @@
 
 /// The interval at which expired idle connections to endpoints are closed.
 const POOL_CLEANUP_INTERVAL: TimeDelta = TimeDelta::from_millis(1_000);
-/// The timeout of the last save of the endpoint list, when the shutdown begins. Clients are still served during it.
+/// How long the shutdown waits at its beginning for the last save of the endpoint list. Clients are still served
+/// during the wait.
 const LAST_SAVE_TIMEOUT: Duration = Duration::from_millis(50);
 /// The subdirectory of the state directory in which the write journal is stored.
 const JOURNAL_DIRECTORY: &str = "writes";
-/// The value of `membershipMode` in the bootstrap file with which a local agent sends each change of the endpoint
-/// list.
+/// The value of `membershipMode` in the bootstrap file if an agent on the same machine sends each change of the
+/// endpoint list.
 const LOCAL_AGENT_MODE: &str = "push";
 /// The process-internal id of the first request.
 const FIRST_REQUEST: u64 = 0;
@@ -56,17 +57,19 @@
 /// A handle that stops the accept loop.
 struct AcceptLoopHandle {
     stopping: Arc<AtomicBool>,
-    listener: WaitIoWaker,
+    /// Wakes the accept loop while it waits for a connection.
+    listener_waker: WaitIoWaker,
 }
 
 impl AcceptLoopHandle {
     fn stop(self) {
         self.stopping.store(true, Ordering::Release);
-        self.listener.wakeup();
+        self.listener_waker.wakeup();
     }
 }
 
-/// A running server, as the thread that handles signals holds it.
+/// A running server. The thread that handles signals owns it, to reload the configuration and to begin the
+/// shutdown.
 pub struct Server {
     pub(super) configuration: Configuration,
     pub(super) discovery_address: Arc<DiscoveryAddress>,
@@ -260,7 +263,8 @@
         socket::serve(path, recorder, view).map_err(admin_socket_failure)
     }
 
-    /// Starts the accept loop. When it has stopped, it closes the server: no further queries are read.
+    /// Starts the accept loop. When the loop has ended, its coroutine closes the server, so that no further queries
+    /// are read.
     fn accept_connections(
         &self,
         listener: TcpListener,
@@ -269,7 +273,7 @@
     ) -> AcceptLoopHandle {
         let context = Arc::new(self.client_context(shutdown, session_tokens));
         let accept_loop =
-            AcceptLoopHandle { stopping: Arc::new(AtomicBool::new(false)), listener: listener.waker() };
+            AcceptLoopHandle { stopping: Arc::new(AtomicBool::new(false)), listener_waker: listener.waker() };
         let has_operator_file = self.configuration.has_operator_file();
         let reserve =
             if has_operator_file { ReserveDescriptor::open() } else { ReserveDescriptor::default() };
@@ -309,7 +313,6 @@
     }
 }
 
-/// Binds the listener for clients.
 fn bind_listener(listen: SocketAddr) -> Result<TcpListener, Failure> {
     TcpListener::bind(listen).map_err(|error| {
         Failure::new(ExitStatus::OsError, format!("ROUTER_LISTEN: cannot listen on {listen}: {error}"))
@@ -338,8 +341,8 @@
     std::process::exit(ExitStatus::Success as i32);
 }
 
-/// Opens the write journal, if one is configured. If it cannot be opened, the start fails, because the guarantees for
-/// writes depend on it.
+/// Opens the write journal, if one is configured. If the journal cannot be opened, the start fails, because the
+/// guarantees for writes depend on the journal.
 fn open_journal(settings: &StorageSettings) -> Result<Option<Arc<WriteJournal>>, Failure> {
     let durability = match settings.journal.mode {
         JournalMode::Off => return Ok(None),
--- a/server/src/startup/shared_services.rs
+++ b/server/src/startup/shared_services.rs
@@ -19,7 +19,7 @@
 
 /// The maximum number of finished coroutines whose stacks are kept for reuse.
 const POOLED_COROUTINES: usize = 64;
-/// The worker threads of the coroutine runtime. With only one, coroutines never run in parallel.
+/// The worker threads of the coroutine runtime. With a single worker, coroutines never run in parallel.
 const WORKERS: usize = 1;
 /// The base-2 logarithm of the bytes in a MiB.
 const BYTES_PER_MIB_SHIFT: u32 = 20;
@@ -34,7 +34,7 @@
     pub metrics: Arc<Metrics>,
     /// Renders the metrics page of the admin socket; `None` without an admin socket.
     pub recorder: Option<PrometheusHandle>,
-    /// `None` if no client classes are configured.
+    /// Admits and rejects connections; `None` if no client classes are configured.
     pub admission: Option<Arc<AdmissionControl>>,
     /// The name of each method, at the method's index.
     pub methods: Vec<String>,
@@ -50,7 +50,7 @@
         let timers = Arc::new(Timers::start(clock));
         let resources = resource_limits(configuration);
         let admission = admission_control(configuration, &timers, &resources)?;
-        // The recorder is installed first, because it does not record counters that were created before it.
+        // The recorder is installed before the metrics are created, because it does not record earlier ones.
         let recorder = configuration.operators.admin_socket.as_ref().map(|_| install_recorder()).transpose();
         let recorder = recorder.map_err(admin_socket_failure)?;
         let methods = method_names(configuration);
@@ -64,7 +64,8 @@
     Failure::new(ExitStatus::OsError, format!("operators-socket: {error}"))
 }
 
-/// A random seed, independent of the configured one, for ids that must differ between starts and between instances.
+/// A random seed, independent of the configured one, for ids and jitter that must differ between starts and between
+/// instances.
 pub fn unpredictable_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
@@ -95,14 +96,14 @@
     } else {
         limits.sockets
     };
-    let descriptors = descriptors.saturating_sub(descriptors_for_operators(operators));
+    let descriptors = descriptors.saturating_sub(operator_feature_descriptors(operators));
     let memory_bytes = limits.memory_mb << BYTES_PER_MIB_SHIFT;
     ResourceLimits::new(descriptors, memory_bytes, !operators.admission.clients.classes.is_empty())
 }
 
-/// The number of descriptors that features of the operators' file use: the endpoint cache, the write journal and the
-/// admin socket.
-fn descriptors_for_operators(operators: &OperatorSettings) -> usize {
+/// The number of descriptors that the features in the operators' file use: the endpoint cache, the write journal
+/// and the admin socket.
+fn operator_feature_descriptors(operators: &OperatorSettings) -> usize {
     let cache = if operators.storage.state_dir.is_some() { endpoint_cache::MAX_DESCRIPTORS } else { 0 };
     let has_journal = operators.storage.journal.mode != JournalMode::Off;
     let journal = if has_journal { write_journal::journal::MAX_DESCRIPTORS } else { 0 };
--- a/server/src/startup/signals.rs
+++ b/server/src/startup/signals.rs
@@ -17,7 +17,8 @@
 /// The server could not be started, or signals cannot be received.
 pub fn run(operator_file: Option<PathBuf>) -> Result<(), Failure> {
     let clock = Clock::start();
-    // Registered before the start, so that a signal that arrives during the start is handled after it.
+    // The handlers are registered before the server is started, so that a signal that arrives during the start is
+    // handled afterwards.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|error| {
         Failure::new(ExitStatus::OsError, format!("cannot register the signal handlers: {error}"))
     })?;
--- a/server/src/storage/endpoint_cache_writer.rs
+++ b/server/src/storage/endpoint_cache_writer.rs
@@ -39,7 +39,9 @@
 pub struct EndpointCacheWriter {
     clock: Clock,
     state: Mutex<State>,
+    /// Wakes the thread after a change of the state.
     changed: Condvar,
+    /// Notified when the thread has ended.
     stopped: Condvar,
 }
 
@@ -85,8 +87,8 @@
         self.lock().schedule.set_min_interval(to_time_delta(min_interval));
     }
 
-    /// Records a list from discovery. If it is not `complete`, `endpoints` contains only those that have changed. A
-    /// complete list without endpoints is ignored, because the next start could not use it.
+    /// Records a list from discovery. If the list is not `complete`, `endpoints` contains only the endpoints that
+    /// have changed. A complete list without endpoints is ignored, because the next start could not use it.
     pub fn record_list(&self, version: i64, complete: bool, endpoints: &[ListedEndpoint]) {
         if complete && endpoints.is_empty() {
             return;
@@ -206,7 +208,6 @@
 }
 
 impl State {
-    /// Takes a snapshot of the list.
     fn snapshot(&self) -> ListSnapshot {
         ListSnapshot {
             version: self.version,
--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -35,7 +35,7 @@
     Thread(#[from] std::io::Error),
 }
 
-/// Is called with the reply to an operation, or with `None` if the journal has failed to apply the operation.
+/// Called with the reply to an operation, or with `None` if the journal has failed to apply the operation.
 type Callback = Box<dyn FnOnce(Option<Reply>) + Send>;
 
 /// An operation for the journal's thread.
@@ -47,7 +47,7 @@
 /// The handle by which coroutines use the write journal.
 pub struct WriteJournal {
     jobs: Mutex<mpsc::Sender<Job>>,
-    /// The origin of the records that the journal makes now.
+    /// The journal's current origin, as of the last batch of operations.
     origin: Mutex<Origin>,
 }
 
@@ -107,6 +107,7 @@
             {
                 JournalVerdict::GrantedAsDuplicate
             }
+            // The id is recorded for another write, or the deduplication window has ended.
             Some(_) => JournalVerdict::IdInUse,
             None => JournalVerdict::NotRecorded,
         }
@@ -118,8 +119,8 @@
         self.submit(operation, |_| ());
     }
 
-    /// Queries the fate of a write, and passes it to `callback` on the journal's thread. `request_open` states
-    /// whether a request with the id is open.
+    /// Queries the fate of a write, and passes the fate to `callback` on the journal's thread. `request_open`
+    /// states whether a request with the id is open.
     pub fn query_fate(
         &self,
         id: String,
@@ -134,8 +135,8 @@
         });
     }
 
-    /// The origin of the records that the journal makes now. A client receives the origin when its session starts, so
-    /// that it can state which journal has recorded its writes.
+    /// The journal's current origin: the journal's name and next serial. A client receives the origin when its
+    /// session starts, so that it can state which journal has recorded its writes.
     pub fn origin(&self) -> String {
         lock(&self.origin).to_string()
     }
