--- a/server/src/endpoints/response_parser.rs
+++ b/server/src/endpoints/response_parser.rs
@@ -122,8 +122,8 @@
     decode::single_column_value(body).is_some()
 }
 
-/// The maximum number of bytes of asynchronous messages (ParameterStatus and NoticeResponse) in one answer. They are
-/// allowed at any position.
+/// The maximum number of bytes of asynchronous messages (ParameterStatus and NoticeResponse) in one answer.
+/// Asynchronous messages are allowed at any position.
 const MAX_ASYNCHRONOUS_BYTES: usize = 8 << 10;
 
 /// The tags of a value's messages, in order: RowDescription, DataRow and CommandComplete.
--- a/server/src/storage/journal.rs
+++ b/server/src/storage/journal.rs
@@ -20,7 +20,7 @@
 const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
 /// The kernel's file whose first field is the uptime in seconds.
 const UPTIME_PATH: &str = "/proc/uptime";
-/// The number of hexadecimal digits of the boot id that are used. They fill a `u64`.
+/// The number of hexadecimal digits of the boot id that are used. This many digits fill a `u64`.
 const BOOT_ID_DIGITS: usize = 16;
 const MILLIS_PER_SECOND: f64 = 1e3;
 
@@ -87,7 +87,8 @@
 
     /// Queues an operation for the journal's thread.
     fn submit(&self, operation: Operation, callback: impl FnOnce(Option<Reply>) + Send + 'static) {
-        // If the thread has ended, the callback is dropped. That closes the channel on which the caller waits.
+        // If the thread has ended, the callback is dropped. Dropping the callback closes the channel on which the
+        // caller waits.
         let _ = lock(&self.jobs).send(Job { operation, callback: Box::new(callback) });
     }
 
