--- a/server/src/protocol/sqlstate.rs
+++ b/server/src/protocol/sqlstate.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// SQLSTATEs in responses of endpoints, each of which proves that the request was not executed.
+/// SQLSTATEs in answers of endpoints, each of which proves that the request was not executed.
 pub mod endpoint {
     /// The endpoint is not the primary.
     pub const READ_ONLY_SQL_TRANSACTION: &str = "25006";
