--- a/server/src/clients/acceptor.rs
+++ b/server/src/clients/acceptor.rs
@@ -119,7 +119,7 @@
                 }
             }
             Err(error) => {
-                log!(WARN, reason = error; "connection not accepted");
+                log!(WARN, reason = error; "client connection not accepted");
                 back_off(queue, backoff.failed(classify_accept_error(&error)));
             }
         }
@@ -193,7 +193,7 @@
         if let Some(descriptor) = context.resources.acquire_for_client(context.timers.now()) {
             return descriptor;
         }
-        log!(WARN, reason = "all client descriptors in use, including overflow"; "accept loop waits for a descriptor");
+        log!(WARN, reason = "all descriptors for clients are in use, including the overflow"; "accept loop waits for a descriptor");
         context.timers.sleep(DESCRIPTOR_RETRY_INTERVAL);
     }
 }
