--- a/endpoint-cache/src/cached_list.rs
+++ b/endpoint-cache/src/cached_list.rs
@@ -8,7 +8,7 @@
     /// Number of the save that wrote the list. It increases by one with each save, so that files can be ordered
     /// independently of the clock.
     pub generation: u64,
-    /// Discovery's version of the list.
+    /// Version that discovery gave the list.
     #[serde(rename = "seq")]
     pub version: i64,
     /// When discovery last confirmed the list.
@@ -20,7 +20,7 @@
     pub endpoints: Vec<CachedEndpoint>,
 }
 
-/// A cached endpoint. The file has its fields under the names of discovery's format.
+/// A cached endpoint. In the file, the fields have the names that discovery's format uses.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CachedEndpoint {
     /// Name of the endpoint.
@@ -51,7 +51,7 @@
 /// The last report from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CachedReport {
-    /// Whether the endpoint reported that it is primary.
+    /// Whether the endpoint reported that it was the primary.
     pub primary: bool,
     /// Reported position, as a commit time in Unix milliseconds.
     #[serde(default)]
--- a/endpoint-cache/src/directory.rs
+++ b/endpoint-cache/src/directory.rs
@@ -99,7 +99,7 @@
     /// Reads the cache without locking the directory.
     pub fn read(path: &Path) -> LoadedCache {
         let mut loaded = LoadedCache::default();
-        // A complete file that was not renamed yet is as valid as a file in place.
+        // A complete file that has not been renamed yet is as valid as a renamed one.
         for name in [CURRENT_FILE, NEXT_FILE, PREVIOUS_FILE] {
             let file = path.join(name);
             match CacheDirectory::read_file(&file) {
@@ -118,7 +118,7 @@
         loaded
     }
 
-    /// Reads one file. Returns `None` if it does not exist.
+    /// Reads one file. Returns `None` if the file does not exist.
     ///
     /// # Errors
     /// The file cannot be read, or it is invalid.
@@ -151,6 +151,7 @@
         drop(file);
         if self.current_is_valid {
             std::fs::rename(&current, &previous).map_err(io_error("can't be renamed", &current))?;
+            // There is no current file until the next rename.
             self.current_is_valid = false;
         }
         std::fs::rename(&next, &current).map_err(io_error("can't be renamed", &next))?;
--- a/recovery/src/discovery_incarnation.rs
+++ b/recovery/src/discovery_incarnation.rs
@@ -11,8 +11,8 @@
 /// Minimum time between the two lists that confirm a new incarnation. An outdated copy, in flight or in a cache that
 /// is being refreshed, is no longer provided after this time.
 pub const CONFIRMATION_INTERVAL: TimeDelta = TimeDelta::from_millis(2_000);
-/// Longest pause between two watches until discovery has provided the first list since the instance started. Recovery
-/// cannot complete without that list.
+/// Longest pause between two watches while discovery has not yet provided a list since the instance started. Recovery
+/// cannot complete without such a list.
 pub const MAX_PAUSE_WITHOUT_LIST: TimeDelta = TimeDelta::from_millis(500);
 
 /// Decision on a list received from discovery.
@@ -114,7 +114,7 @@
             ListDecision::Accept => *self = IncarnationTracker::new(list.version, false),
             ListDecision::AwaitConfirmation => {
                 // The interval starts with the first list of the candidate. A list of an even lower version restarts
-                // it.
+                // the interval.
                 let earlier = self.candidate.filter(|candidate| list.version >= candidate.version);
                 let first = CandidateIncarnation { version: list.version, first_seen: now };
                 self.candidate = earlier.or(Some(first));
--- a/recovery/src/endpoint_state.rs
+++ b/recovery/src/endpoint_state.rs
@@ -60,11 +60,12 @@
 pub struct Transition {
     /// The new state.
     pub state: EndpointState,
-    /// The notification that the routing policy requires.
+    /// The notification of the routing policy that the transition requires.
     pub effect: Effect,
 }
 
-/// A transition rule: in a state that `from` accepts, the event `on` leads to the state `to`, with this effect.
+/// A transition rule: in a state that `from` accepts, the event `on` leads to the state `to`, with the effect
+/// `effect`.
 struct Rule {
     from: fn(EndpointState) -> bool,
     on: EndpointEvent,
@@ -171,7 +172,7 @@
 }
 
 impl RoleReport {
-    /// Creates a report from an endpoint's report and its timeline, if known.
+    /// Creates a report from an endpoint's report and the timeline of the endpoint's log, if known.
     pub fn new(report: EndpointReport, timeline: Option<u32>) -> RoleReport {
         RoleReport { role: report.role, position: report.position, timeline }
     }
@@ -184,14 +185,14 @@
     pub group: GroupIndex,
     /// Current state of the endpoint.
     pub state: EndpointState,
-    /// Last report of the endpoint.
+    /// Last report of the endpoint. If it contained no role, the role is that of an earlier report.
     pub report: RoleReport,
     /// The first position that the endpoint reported as a primary on the current timeline. A member that has passed
     /// this position received that part of the log from the endpoint.
     pub first_primary_position: Option<Timestamp>,
     /// Number of consecutive answers in which the endpoint claimed to be primary.
     pub consecutive_claims: u32,
-    /// When the query or request was sent whose answer contained `report`.
+    /// When the query, request or health check was sent whose answer contained `report`.
     pub queried_at: Timestamp,
     /// When `report` was received.
     pub reported_at: Timestamp,
--- a/recovery/src/group_state.rs
+++ b/recovery/src/group_state.rs
@@ -15,8 +15,8 @@
     Contested,
     /// This member is verified to be the primary.
     Verified(EndpointIndex),
-    /// Discovery has confirmed the list, and no second member claims to be primary. The routing policy's ordinary
-    /// rule applies again.
+    /// Discovery has confirmed the list, and no second member claims to be primary. The routing policy again decides
+    /// by itself which member is the primary.
     Settled,
 }
 
@@ -25,12 +25,12 @@
 pub enum GroupEvent {
     /// The members' claims to be primary were evaluated, with this result.
     Verification(Verification),
-    /// One member is verified, discovery has confirmed the list, and no other member claims to be primary. A
-    /// disproved claim counts here as well.
+    /// One member is verified, discovery has confirmed the list, and no other member claims to be primary, not even
+    /// with a disproved claim.
     Undisputed,
     /// Discovery has confirmed the list, and this instance cannot query endpoints.
     Unverifiable,
-    /// The members changed by a list that is not from discovery, or the state was lost.
+    /// A list that is not from discovery changed the members, or the state was lost.
     Reset,
 }
 
--- a/recovery/src/primary_discovery/events.rs
+++ b/recovery/src/primary_discovery/events.rs
@@ -10,7 +10,7 @@
 pub struct Member {
     /// Index of the endpoint.
     pub endpoint: EndpointIndex,
-    /// Index of its group.
+    /// Index of the endpoint's group.
     pub group: GroupIndex,
 }
 
@@ -21,7 +21,7 @@
     Confirmed,
     /// The endpoint reported another identity.
     Mismatch,
-    /// The endpoint did not report an identity, or cannot be asked for it.
+    /// The endpoint did not report an identity, or cannot be queried for one.
     Unknown,
 }
 
--- a/recovery/src/primary_discovery/mod.rs
+++ b/recovery/src/primary_discovery/mod.rs
@@ -30,7 +30,7 @@
     state: GroupState,
     /// Whether a request is waiting for the group's primary.
     request_waiting: bool,
-    /// Number of queries so far without a verified primary. Determines the backoff.
+    /// Number of queries made so far while the group had no verified primary. The number determines the backoff.
     unverified_queries: u32,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl PrimaryDiscovery {
-    /// Creates a state without endpoints and groups.
+    /// Creates the state before a list is loaded: without endpoints and groups.
     pub fn new(settings: DiscoverySettings) -> PrimaryDiscovery {
         PrimaryDiscovery {
             endpoints: Vec::new(),
@@ -177,8 +177,8 @@
         if self.groups[group].members.contains(&index) {
             return;
         }
-        let group_before = self.endpoints[index].group;
-        self.groups[group_before].members.retain(|&member| member != index);
+        let previous_group = self.endpoints[index].group;
+        self.groups[previous_group].members.retain(|&member| member != index);
         self.groups[group].members.push(index);
         // An endpoint that has moved to another group is treated as a new endpoint, even though its name is the same.
         let query_in_flight = self.endpoints[index].query_in_flight;
@@ -204,14 +204,14 @@
             self.add_member(now, *member);
             let index = member.endpoint;
             if self.endpoints[index].state == EndpointState::Removed {
-                self.endpoint_event(index, EndpointEvent::Listed);
+                self.apply_endpoint_event(index, EndpointEvent::Listed);
                 self.schedule_query(index, now);
             }
             // Discovery itself lists the endpoint, so the routing policy's own health check before use is sufficient.
             self.endpoints[index].admitted = true;
         }
         for index in removed {
-            self.endpoint_event(index, EndpointEvent::Unlisted);
+            self.apply_endpoint_event(index, EndpointEvent::Unlisted);
         }
         for group in 0..self.groups.len() {
             self.verify_group(now, group);
@@ -251,7 +251,7 @@
             Identity::Unknown if identifies_by_address => EndpointEvent::Answered,
             Identity::Unknown => EndpointEvent::AnsweredAnonymously,
         };
-        self.endpoint_event(index, event);
+        self.apply_endpoint_event(index, event);
         self.verify_group(now, self.endpoints[index].group);
         self.schedule_next_query(index, now);
     }
@@ -267,8 +267,8 @@
         }
         endpoint.consecutive_failures = endpoint.consecutive_failures.saturating_add(1);
         match failure {
-            QueryFailure::Refused => self.endpoint_event(index, EndpointEvent::ConnectionRefused),
-            QueryFailure::NoAnswer => self.endpoint_event(index, EndpointEvent::NoAnswer),
+            QueryFailure::Refused => self.apply_endpoint_event(index, EndpointEvent::ConnectionRefused),
+            QueryFailure::NoAnswer => self.apply_endpoint_event(index, EndpointEvent::NoAnswer),
             QueryFailure::NotSent => {}
         }
         self.verify_group(now, self.endpoints[index].group);
@@ -302,11 +302,11 @@
     }
 
     fn on_request_waiting(&mut self, now: Timestamp, group: GroupIndex) {
-        let Some(waiting) = self.groups.get_mut(group) else { return };
-        if waiting.has_primary() || std::mem::replace(&mut waiting.request_waiting, true) {
+        let Some(group) = self.groups.get_mut(group) else { return };
+        if group.has_primary() || std::mem::replace(&mut group.request_waiting, true) {
             return;
         }
-        for index in waiting.members.clone() {
+        for index in group.members.clone() {
             if let Some(due) = self.unschedule_query(index) {
                 // Endpoints that have not answered yet are queried immediately.
                 let is_unanswered = self.endpoints[index].state == EndpointState::NotAnswered;
@@ -315,7 +315,7 @@
         }
     }
 
-    fn endpoint_event(&mut self, index: EndpointIndex, event: EndpointEvent) {
+    fn apply_endpoint_event(&mut self, index: EndpointIndex, event: EndpointEvent) {
         let Some(endpoint) = self.endpoints.get_mut(index) else { return };
         let Some(Transition { state, effect }) = endpoint_state::transition(endpoint.state, event) else {
             return;
@@ -351,16 +351,16 @@
             now,
         });
         let claims = group.members.iter().filter(|&&member| self.endpoints[member].claims_primary()).count();
-        self.group_event(index, GroupEvent::Verification(verification));
+        self.apply_group_event(index, GroupEvent::Verification(verification));
         let verified = matches!(verification, Verification::Verified(_));
         if self.list_confirmed && !self.may_query {
-            self.group_event(index, GroupEvent::Unverifiable);
+            self.apply_group_event(index, GroupEvent::Unverifiable);
         } else if self.list_confirmed && claims == 1 && verified {
-            self.group_event(index, GroupEvent::Undisputed);
+            self.apply_group_event(index, GroupEvent::Undisputed);
         }
     }
 
-    fn group_event(&mut self, index: GroupIndex, event: GroupEvent) {
+    fn apply_group_event(&mut self, index: GroupIndex, event: GroupEvent) {
         let group = &mut self.groups[index];
         let transition = group_state::transition(group.state, event);
         group.state = transition.state;
--- a/recovery/src/primary_verification.rs
+++ b/recovery/src/primary_verification.rs
@@ -11,7 +11,7 @@
 use routing::time::{TimeDelta, Timestamp};
 use routing::{EndpointIndex, GroupIndex, Role};
 
-/// The timeline and position that a group had reached before the instance started. The true primary is not below
+/// The timeline and position that a group had reached before the instance started. The true primary is at or above
 /// them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MinimumPosition {
@@ -118,8 +118,8 @@
     }
 
     /// Whether a majority of members, including the claimant, is on the claimant's timeline and has passed the first
-    /// position that the claimant reported as a primary. They can only have received that part of the log from the
-    /// claimant.
+    /// position that the claimant reported as a primary. The other members can only have received that part of the
+    /// log from the claimant.
     fn is_followed_by_majority(&self, claimant: EndpointIndex) -> bool {
         let followers =
             self.members.iter().filter(|&&member| member == claimant || self.follows(member, claimant));
@@ -158,7 +158,7 @@
 /// Whether a claimant is below the minimum timeline and position of its group.
 fn is_below(claimant: &RecoveringEndpoint, minimum: MinimumPosition) -> bool {
     match (claimant.report.timeline, minimum.timeline) {
-        (Some(claimed), Some(minimum)) if claimed != minimum => claimed < minimum,
+        (Some(claimed), Some(lowest)) if claimed != lowest => claimed < lowest,
         // A claim without a position counts as below any minimum position (`None` is less than `Some`).
         _ => claimant.report.position < minimum.position,
     }
@@ -168,7 +168,7 @@
 /// before the claimant was queried.
 fn disproves(other: &RecoveringEndpoint, claimant: &RecoveringEndpoint) -> bool {
     match (other.report.timeline, claimant.report.timeline) {
-        (Some(others), Some(claimed)) if others != claimed => others > claimed,
+        (Some(reported), Some(claimed)) if reported != claimed => reported > claimed,
         _ => {
             let was_ahead = other.report.position > claimant.report.position;
             was_ahead && other.reported_at <= claimant.queried_at
--- a/recovery/src/save_schedule.rs
+++ b/recovery/src/save_schedule.rs
@@ -11,7 +11,7 @@
 const CONFIRMATION_SAVE_INTERVAL: TimeDelta = TimeDelta::from_millis(10_000);
 /// Pause after the first failed save. It doubles with each further failure.
 const FIRST_RETRY_PAUSE: TimeDelta = TimeDelta::from_millis(1_000);
-/// Longest pause between two failed saves.
+/// Longest pause after a failed save.
 const MAX_RETRY_PAUSE: TimeDelta = TimeDelta::from_millis(60_000);
 /// Maximum exponent of the backoff, which prevents an overflow. The longest pause is reached with fewer doublings.
 const MAX_DOUBLINGS: u32 = 16;
--- a/recovery/src/staleness.rs
+++ b/recovery/src/staleness.rs
@@ -38,7 +38,7 @@
     pub max_age: TimeDelta,
     /// Maximum number of concurrent endpoint queries. It also bounds how many endpoints are admitted at a time.
     pub max_queries: usize,
-    /// Consecutive answers in which an endpoint must claim to be primary before writes are sent to it.
+    /// Number of consecutive answers in which an endpoint must claim to be primary before writes are sent to it.
     pub claims_required: u32,
     /// Whether an endpoint that does not report its identity is assumed to be the one listed at its address.
     pub identifies_by_address: bool,
@@ -101,8 +101,8 @@
 }
 
 /// Returns the level for a list at the wall-clock time `now`. `latest_report` is the latest position that any
-/// endpoint has reported since the instance started; it reveals the true age if the local clock is behind. Without
-/// `times`, the age is unknown.
+/// endpoint has reported since the instance started; this position reveals the true age if the local clock is
+/// behind. Without `times`, the age is unknown.
 pub fn verification_level(
     times: Option<CacheTimes>,
     now: Timestamp,
--- a/recovery/src/watch_schedule.rs
+++ b/recovery/src/watch_schedule.rs
@@ -19,7 +19,7 @@
 const HEALTHY_AFTER: TimeDelta = TimeDelta::from_millis(2_000);
 /// First pause before reconnecting.
 const MIN_PAUSE: TimeDelta = TimeDelta::from_millis(50);
-/// Longest pause before reconnecting. Backoff and jitter keep many instances from polling a service in lockstep.
+/// Longest pause before reconnecting. Backoff and jitter keep many instances from polling discovery at the same time.
 const MAX_PAUSE: TimeDelta = TimeDelta::from_millis(2_000);
 /// Exclusive upper bound of the jitter. With a jitter of `j`, a pause is half of its nominal length plus
 /// `j / JITTER_RANGE` of the other half.
@@ -33,14 +33,15 @@
     max_pause: TimeDelta,
     /// The next pause before reconnecting, without jitter.
     pause: TimeDelta,
+    /// When the current watch was requested.
     requested_at: Timestamp,
     /// When the last event of the current watch was received.
     last_event_at: Option<Timestamp>,
 }
 
 impl WatchSchedule {
-    /// Creates a schedule. `from_local_agent` means that lists are pushed by an agent on the same machine.
-    /// `drain_grace` is the time after which no attempts may be sent to a draining endpoint, if known.
+    /// Creates a schedule for the first watch. `from_local_agent` means that lists are pushed by an agent on the same
+    /// machine. `drain_grace` is the time after which no attempts may be sent to a draining endpoint, if known.
     pub fn new(from_local_agent: bool, drain_grace: Option<TimeDelta>) -> WatchSchedule {
         let within_grace =
             drain_grace.filter(|_| from_local_agent).map(|grace| (grace / 2).max(MIN_PAUSE).min(MAX_PAUSE));
--- a/routing/src/events.rs
+++ b/routing/src/events.rs
@@ -28,17 +28,17 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointRecord {
-    /// The endpoint that the entry is about.
+    /// The listed endpoint.
     pub endpoint: EndpointIndex,
-    /// Its replication group.
+    /// Replication group of the endpoint.
     pub group: GroupIndex,
-    /// Index of its zone among the zones that the host knows.
+    /// Zone of the endpoint, as an index among the zones that the host knows.
     pub zone: usize,
-    /// Whether it may get new attempts.
+    /// Whether the endpoint may get new attempts.
     pub status: EndpointStatus,
-    /// Whether the list names it as the primary of its group.
+    /// Whether the list names the endpoint as the primary of its group.
     pub primary: bool,
-    /// When its process last started; `None` if that is unknown or too long ago to matter.
+    /// When the endpoint's process last started; `None` if that is unknown or too long ago to matter.
     pub started_at: Option<Timestamp>,
     /// Whether `started_at` is only the latest possible start time. A later record replaces such a time.
     pub start_is_upper_bound: bool,
@@ -116,34 +116,36 @@
 /// A request that arrived at this instance.
 #[derive(Clone, Debug)]
 pub struct RequestArrival {
-    /// Number of the request.
+    /// Number that the host has given the request.
     pub request: RequestId,
-    /// Its method. A request of a method that the settings do not have is rejected.
+    /// Method of the request. A request of a method that the settings do not have is rejected.
     pub method: MethodIndex,
-    /// The group that holds its data.
+    /// The group that holds the data of the request.
     pub group: GroupIndex,
-    /// Session of its client; `None` if it has none.
+    /// Session of the client; `None` if the client has no session.
     pub session: Option<u64>,
-    /// Time from the commit of its session's last write to its arrival; `None` if its client has not sent that.
+    /// Time from the commit of the session's last write to the arrival of the request; `None` if the client has not
+    /// sent this time.
     pub last_write: Option<TimeDelta>,
-    /// Highest position that its session has seen. A read of any method must see at least this position.
+    /// Highest position that the session is known to have seen; `None` if there is none. A read of any method must
+    /// see at least this position.
     pub seen_position: Option<Timestamp>,
-    /// When the host received it. Its latency objective counts from this time.
+    /// When the host received the request. The latency objective counts from this time.
     pub received_at: Timestamp,
-    /// When its client stops waiting for the answer.
+    /// When the client stops waiting for the answer.
     pub deadline: Timestamp,
-    /// Whether it is its client's retry of an earlier request.
+    /// Whether the client has sent the request as a retry of an earlier one.
     pub client_retry: bool,
 }
 
 /// Identity of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// Its request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Index among the attempts of the request, from 0.
+    /// Index of the attempt among the attempts of the request, from 0.
     pub number: u32,
-    /// The endpoint to which it is sent.
+    /// The endpoint to which the attempt is sent.
     pub endpoint: EndpointIndex,
 }
 
@@ -152,15 +154,15 @@
 pub struct AttemptEnd {
     /// The attempt that has ended.
     pub attempt: AttemptId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Time since it started.
+    /// Time from the start to the end of the attempt.
     pub elapsed: TimeDelta,
     /// Whether the request needs no further answer from the policy.
     pub request_closed: bool,
-    /// Session of the request if it is a write and has one.
+    /// Session of the request if the request is a write and has a session.
     pub write_session: Option<u64>,
-    /// What the answer itself says of the endpoint at the time of the answer.
+    /// What the answer itself states about the endpoint, as of the time of the answer.
     pub answer_report: EndpointReport,
     /// Report that the endpoint sent along with the answer. It may be older than the answer.
     pub load_report: EndpointReport,
@@ -187,7 +189,7 @@
     EndpointListFailed,
     /// A client sent a request.
     RequestArrived(RequestArrival),
-    /// The response to the client has started, so the policy must not answer the request any more.
+    /// The response to the client has started, so the policy must no longer answer the request.
     ResponseStarted {
         /// The request that is being answered.
         request: RequestId,
@@ -210,7 +212,7 @@
         endpoint: EndpointIndex,
         /// How the health check ended.
         outcome: AttemptOutcome,
-        /// Time since the health check started.
+        /// Time from the start to the end of the health check.
         elapsed: TimeDelta,
         /// What the endpoint reported; empty if it did not answer.
         report: EndpointReport,
@@ -219,7 +221,7 @@
     PeerMessage {
         /// The instance that sent the message.
         from: u32,
-        /// The message.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
 }
@@ -233,7 +235,7 @@
         request: RequestId,
         /// The endpoint to send it to.
         endpoint: EndpointIndex,
-        /// Timeout of the attempt. The endpoint starts no work on it later than that.
+        /// Time from the start of the attempt after which the endpoint starts no work on the attempt.
         timeout: TimeDelta,
     },
     /// Answer the client that the request was not executed or may safely be retried.
--- a/routing/src/policy/attempts.rs
+++ b/routing/src/policy/attempts.rs
@@ -4,8 +4,8 @@
 use crate::time::{TimeDelta, Timestamp};
 use crate::{Action, AttemptEnd, AttemptOutcome, EndpointIndex, LagHandling, RequestId, RoutingPolicy};
 
-/// An attempt may wait at the endpoint for the tightest latency objective divided by this before its answer
-/// counts as late.
+/// The time that an attempt may wait in the endpoint's queue before its answer counts as late is the tightest
+/// latency objective divided by this.
 const QUEUEING_TIME_DIVISOR: i64 = 2;
 /// An answer that takes at least this many quarters of the attempt's timeout always counts as late.
 const LATE_TIMEOUT_QUARTERS: i64 = 3;
@@ -18,8 +18,8 @@
     pub(super) fn start_attempt(&mut self, id: RequestId, index: EndpointIndex) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let method = &self.settings.methods[request.method];
-        // An endpoint starts no work after the timeout. The timeout of a read therefore ends when its answer
-        // becomes worthless, so that the endpoint does no useless work.
+        // An endpoint starts no work after the timeout. The timeout of a read therefore ends when an answer to
+        // the read loses its value, so that the endpoint does no useless work.
         let ends_at =
             if method.is_write() { request.deadlines.answer_by } else { request.deadlines.useful_until };
         let timeout = (ends_at - self.now).max(TimeDelta(1));
@@ -46,7 +46,9 @@
     }
 
     /// Whether an attempt may still be sent. The host asks right before it writes the attempt's bytes. The
-    /// staleness of the endpoint's data is not checked again if the endpoint checks it itself.
+    /// position of a replica is not checked again if the endpoint itself checks the staleness of its data.
+    /// Endpoints do not check positions that a session has seen, so a read with such a position is always
+    /// checked again.
     pub fn may_send_attempt(
         &mut self,
         now: Timestamp,
@@ -66,17 +68,17 @@
             return true;
         }
         if self.settings.methods[request.method].is_write() {
-            let discovers_primary = group.primary.is_none() && !self.settings.settings.may_check_health;
-            return discovers_primary && group.is_eligible(index);
+            let may_try_candidates = group.primary.is_none() && !self.settings.settings.may_check_health;
+            return may_try_candidates && group.is_eligible(index);
         }
-        let endpoint_checks_bound = self.settings.settings.lag_handling != LagHandling::ServeStale;
+        let endpoint_checks_staleness = self.settings.settings.lag_handling != LagHandling::ServeStale;
         let position = endpoint.reported.position;
-        (endpoint_checks_bound && !request.session.includes_seen_position)
+        (endpoint_checks_staleness && !request.session.includes_seen_position)
             || position >= self.required_position(request)
     }
 
-    /// Applies the end of an attempt to its request, its session's writes and the latency estimate of its
-    /// method.
+    /// Applies the end of an attempt to the request, to the positions of the session's writes and to the
+    /// latency estimate of the method.
     pub(crate) fn finish_attempt(&mut self, end: &AttemptEnd) {
         self.record_session_write(end);
         let Some(request) = self.requests.get_mut(&end.attempt.request) else { return };
@@ -96,24 +98,27 @@
         self.apply_request_event(end.attempt.request, event);
     }
 
-    /// Records the position that later reads of a session must see after a write that may have been executed,
-    /// even if the client has disconnected. Endpoints report positions in whole milliseconds, so only the
-    /// millisecond after the reported one is certain to include the write.
+    /// Records the end of an attempt of a session's write, even if the client has disconnected. If the write
+    /// may have been executed, later reads of the session must see the position recorded here: the one that
+    /// the endpoint reported in its answer, or else the current time. Endpoints report positions in whole
+    /// milliseconds, so only the millisecond after the reported one is certain to include the write.
     fn record_session_write(&mut self, end: &AttemptEnd) {
         if let (false, Some(session)) = (self.settings.settings.clients_send_last_write, end.write_session) {
             let succeeded = end.outcome == AttemptOutcome::Succeeded;
-            let reported = end.answer_report.position.filter(|_| succeeded).unwrap_or(self.now).min(self.now);
+            let position = end.answer_report.position.filter(|_| succeeded).unwrap_or(self.now).min(self.now);
             let may_have_run = !end.outcome.proves_not_executed();
             self.session_writes
-                .write_ended(session, may_have_run.then_some(reported + TimeDelta::from_millis(1)));
+                .write_ended(session, may_have_run.then_some(position + TimeDelta::from_millis(1)));
         }
     }
 }
 
-/// The estimate of a method's p30 latency is multiplied by this after an answer that took longer. It rises by
-/// smaller steps than it falls, so it settles where about three in ten answers are faster.
+/// The estimate of a method's p30 latency is multiplied by this after an answer that took longer than the
+/// estimate. The estimate rises in smaller steps than it falls, so it settles where about three in ten answers
+/// are faster.
 const SLOWER_ANSWER_FACTOR: f64 = 1.02;
-/// The estimate of a method's p30 latency is multiplied by this after an answer that took no longer.
+/// The estimate of a method's p30 latency is multiplied by this after an answer that took no longer than the
+/// estimate.
 const FASTER_ANSWER_FACTOR: f64 = 0.95;
 
 /// Adapts the estimate of a method's p30 latency, in seconds, to the latency of an answer.
--- a/routing/src/policy/compiled_settings.rs
+++ b/routing/src/policy/compiled_settings.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// The tightest latency objective if the settings have no methods.
+/// Replaces the tightest latency objective if the settings have no methods.
 const DEFAULT_OBJECTIVE: TimeDelta = TimeDelta::from_millis(100);
 
 /// The shortest latency objective of all methods.
--- a/routing/src/policy/concurrency_limit.rs
+++ b/routing/src/policy/concurrency_limit.rs
@@ -11,7 +11,8 @@
 /// A warm endpoint whose limit is below 1, but not below the initial limit, accepts another attempt while its
 /// outstanding work is at most the tightest latency objective divided by this.
 const BURST_TOLERANCE_DIVISOR: f64 = 4.0;
-/// One answer raises a limit below 2 by at most the limit divided by this.
+/// A timely answer can raise a limit by 1 divided by the limit, but by at most the limit divided by this. The
+/// maximum applies to limits below 2.
 const MAX_RAISE_DIVISOR: f64 = 4.0;
 
 impl EndpointCapacity {
--- a/routing/src/policy/ejection.rs
+++ b/routing/src/policy/ejection.rs
@@ -23,8 +23,8 @@
         health.failed_at = now;
     }
 
-    /// Whether an endpoint may get an attempt as far as its failures are concerned. After an ejection it gets
-    /// only one attempt at a time until one succeeds. If health checks are allowed, the endpoint must first
+    /// Whether an endpoint's failures allow another attempt. After an ejection the endpoint gets only one
+    /// attempt at a time until an attempt succeeds. If health checks are allowed, the endpoint must first
     /// have answered since the failure.
     pub(super) fn is_healthy(&self, endpoint: &Endpoint) -> bool {
         let without_health_checks = !self.settings.settings.may_check_health;
--- a/routing/src/policy/endpoint_state.rs
+++ b/routing/src/policy/endpoint_state.rs
@@ -5,8 +5,8 @@
 use crate::{Action, EndpointIndex, EndpointRecord, EndpointReport, EndpointStatus};
 use crate::{GroupIndex, Role, RoutingPolicy};
 
-/// An open watch of the endpoint list is renewed after the poll interval times this, in case it broke without
-/// an error.
+/// An open watch of the endpoint list is renewed after the poll interval times this, in case the watch has broken
+/// without an error.
 const WATCH_RENEWAL_FACTOR: i64 = 4;
 /// A load report is ignored once it is older than `max_report_age` times this.
 const LOAD_REPORT_AGE_FACTOR: i64 = 4;
@@ -42,7 +42,7 @@
         let unlisted_stay_usable = self.settings.settings.unlisted_stay_usable;
         let unlisted = self.endpoints.iter_mut().filter(|_| complete);
         unlisted.for_each(|endpoint| endpoint.listing.serving &= unlisted_stay_usable);
-        // The watch of the list is open, so it is renewed only in case it breaks without an error.
+        // The watch of the list is open, so it is renewed only in case it has broken without an error.
         self.next_list_poll =
             self.settings.times.list_poll_interval.map(|interval| self.now + interval * WATCH_RENEWAL_FACTOR);
         for record in records {
@@ -91,7 +91,8 @@
     pub(crate) fn apply_report(&mut self, index: EndpointIndex, report: EndpointReport, is_answer: bool) {
         let now = self.now;
         let Some(endpoint) = self.endpoints.get_mut(index) else { return };
-        // A report with a position in the future is no evidence of anything, in particular not of fresh data.
+        // A report with a position in the future is ignored: it proves nothing, least of all that the endpoint's
+        // data is fresh.
         let from_future = report.position > Some(now + self.settings.times.answer_margin);
         let report = if from_future { EndpointReport::default() } else { report };
         if let Some(position) = report.position {
@@ -116,12 +117,12 @@
 
 impl RoleEvidence {
     /// Applies the role in a report. A claim to be primary counts only if it is later than the last answer in
-    /// which the endpoint denied it.
+    /// which the endpoint denied being the primary.
     fn apply(&mut self, report: EndpointReport, is_answer: bool, now: Timestamp) {
         match report.role {
             Some(Role::Primary) => {
-                let without_position = if is_answer { now } else { self.primary_denied_at };
-                let claimed_at = report.position.unwrap_or(without_position);
+                let time_without_position = if is_answer { now } else { self.primary_denied_at };
+                let claimed_at = report.position.unwrap_or(time_without_position);
                 if claimed_at > self.primary_denied_at {
                     self.primary_claim = self.primary_claim.max(Some(claimed_at));
                 }
--- a/routing/src/policy/health_checks.rs
+++ b/routing/src/policy/health_checks.rs
@@ -6,14 +6,14 @@
 use crate::state::endpoint::Endpoint;
 use crate::{Action, AttemptOutcome, EndpointIndex, GroupIndex, RoutingPolicy};
 
-/// Health checks that each tick adds to the credit of a group while its requests wait.
+/// Number of health checks that each tick adds to a group's credit while requests of the group wait.
 const CREDIT_PER_TICK: f64 = 0.25;
 /// The minimum interval between health checks of an endpoint is multiplied by this after more than one
 /// consecutive failure.
 const REPEATED_FAILURE_FACTOR: i64 = 2;
 /// While requests wait, a position is queried again once its age is `max_report_age` divided by this.
 const WAITING_REPORT_AGE_DIVISOR: i64 = 2;
-/// A replica needs no new report to count as fresh if its position is younger than `max_report_age` times this.
+/// A replica counts as fresh, without a new report, while its position is younger than `max_report_age` times this.
 const FRESH_REPORT_AGE_FACTOR: i64 = 4;
 
 impl RoutingPolicy {
@@ -36,8 +36,8 @@
         group.health_check_credit = credit.min(group.members.len() as f64);
     }
 
-    /// Adds the health checks of one tick to the credit of a group whose requests wait. With many instances it
-    /// does so only while the group has no healthy primary.
+    /// Adds the health checks of one tick to the credit of a group if requests of the group wait. With many
+    /// instances, the credit is added only while the group has no healthy primary.
     pub(crate) fn add_waiting_health_check_credit(&mut self, index: GroupIndex) {
         let group = &self.groups[index];
         let many_instances = self.settings.concurrency.initial_limit < 1.0;
@@ -47,9 +47,9 @@
         }
     }
 
-    /// Starts the health checks of a group that are due, as far as its credit allows. None is started unless a
-    /// read has just arrived (`for_read`) or requests wait, because its report would be outdated by the time
-    /// of the next read.
+    /// Starts the health checks of a group that are due, as far as its credit allows. A check is started only if a
+    /// read has just arrived (`for_read`) or requests wait. Otherwise the report from the check would be outdated by
+    /// the time of the next read.
     pub(crate) fn schedule_health_checks(&mut self, group: GroupIndex, for_read: bool) {
         while self.settings.settings.may_check_health && self.groups[group].health_check_credit >= 1.0 {
             if !for_read && !self.groups[group].has_waiting() {
@@ -69,11 +69,11 @@
     /// the group has no healthy primary.
     fn next_health_check(&mut self, index: GroupIndex) -> Option<EndpointIndex> {
         let group = &self.groups[index];
-        let (waiting, primary_lost) = (group.has_waiting(), !self.has_healthy_primary(group));
+        let (waiting, no_healthy_primary) = (group.has_waiting(), !self.has_healthy_primary(group));
         // Reads need no report from a healthy primary that has answered before.
         let is_primary = |member| group.primary == Some(member) && self.endpoints[member].has_answered();
         let mut members = group.members.clone();
-        members.retain(|&member| primary_lost || !is_primary(member));
+        members.retain(|&member| no_healthy_primary || !is_primary(member));
         // While no request waits, one fresh replica is enough, so the positions of the others are not queried.
         let fresh_from = self.now - self.settings.times.max_report_age * FRESH_REPORT_AGE_FACTOR;
         let is_fresh = |member: &EndpointIndex| self.endpoints[*member].is_fresh_since(fresh_from);
@@ -82,13 +82,13 @@
         let (endpoints, rng, max_age) = (&self.endpoints, &mut self.rng, self.settings.times.max_report_age);
         members.into_iter().min_by_key(|&member| {
             let lag = endpoints[member].reported.lag().unwrap_or(max_age);
-            let rank = if primary_lost { 0 } else { lag.0 / max_age.0.max(1) };
+            let rank = if no_healthy_primary { 0 } else { lag.0 / max_age.0.max(1) };
             (rank, rng.below(TIE_BREAK_RANGE))
         })
     }
 
-    /// Whether a health check of an endpoint is due: its ejection is over, or its position is outdated and no
-    /// fresh replica is known.
+    /// Whether a health check of an endpoint is due: its ejection is over, or its position is outdated and no fresh
+    /// replica is known. While requests wait, a position counts as outdated sooner.
     fn is_check_due(&self, index: EndpointIndex, waiting: bool, fresh_is_known: bool) -> bool {
         let Endpoint { listing, reported, health, .. } = &self.endpoints[index];
         let max_age =
--- a/routing/src/policy/replica_selection.rs
+++ b/routing/src/policy/replica_selection.rs
@@ -23,7 +23,8 @@
 type Candidates = Vec<EndpointIndex>;
 
 impl RoutingPolicy {
-    /// Selects the endpoint of a waiting request's next attempt. `None` means that it keeps waiting.
+    /// Selects the endpoint of a waiting request's next attempt. Returns the event for the request, or `None` if
+    /// the request has to keep waiting.
     pub(super) fn select_endpoint(&mut self, id: RequestId) -> Option<RequestEvent> {
         let request = &self.requests[&id];
         if self.cannot_succeed(request) {
@@ -40,7 +41,7 @@
         selected.map(RequestEvent::EndpointSelected)
     }
 
-    /// Selects the endpoint of a read; `primary` is its group's primary, if usable.
+    /// Selects the endpoint of a read; `primary` is the primary of the read's group, if usable.
     fn select_for_read(&mut self, id: RequestId, primary: Option<EndpointIndex>) -> Option<EndpointIndex> {
         let request = &self.requests[&id];
         let share = if request.client_retry { CLIENT_RETRY_SHARE } else { 1.0 };
@@ -147,12 +148,12 @@
         Some(replicas)
     }
 
-    /// Whether an endpoint can catch up to the position that a read must see within the time `within`, judging by
-    /// its last reported lag.
+    /// Whether an endpoint may reach the position that a read must see within the time `within`, according to the
+    /// endpoint's last reported lag.
     fn may_catch_up(&self, request: &Request, index: EndpointIndex, within: TimeDelta) -> bool {
         let required = self.required_position(request);
-        let allowed = required.map(|at| self.now - at + within + self.settings.times.max_report_age);
-        self.endpoints[index].reported.lag().is_some_and(|lag| allowed >= Some(lag))
+        let max_lag = required.map(|at| self.now - at + within + self.settings.times.max_report_age);
+        self.endpoints[index].reported.lag().is_some_and(|lag| max_lag >= Some(lag))
     }
 
     /// The replica for a read that has no staleness bound itself but may take longer than another method's bound.
--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -152,13 +152,14 @@
         let expected = estimate.min(objective / MAX_EXPECTED_LATENCY_DIVISOR);
         let too_late = self.now + expected >= request.deadlines.useful_until;
         let retry_over = request.attempts.retry_until.is_some_and(|until| self.now >= until);
-        // If the request has reached no endpoint in half of its time, its client should retry at another
+        // If the request has reached no endpoint within half of its time, the client should retry at another
         // instance.
         let is_unsent = !request.attempts.reached_endpoint && self.now >= request.deadlines.half_time();
         retry_over || too_late || is_unsent || request.attempts.started >= self.settings.settings.max_attempts
     }
 
-    /// Gives the final answer: a rejection if the client may safely retry, otherwise an abort.
+    /// Gives the final answer: a rejection if the client may safely retry, otherwise an abort. Cancels the attempt
+    /// in flight if the settings allow that.
     fn reject_or_abort(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let may_have_run = request.attempts.retry_until.is_some() || request.in_flight.is_some();
--- a/routing/src/policy/slow_start.rs
+++ b/routing/src/policy/slow_start.rs
@@ -12,8 +12,8 @@
 /// Work is light if it is at most the work that overloads an endpoint in slow start, divided by this. The
 /// divisor leaves a margin for a heavy tail of latencies.
 const LIGHT_WORK_DIVISOR: f64 = 4.0;
-/// Minimum load of a warm endpoint, in busy cores, from which the slow-start rate is derived. Each instance
-/// assumes at least its share of this load.
+/// For the slow-start rate, the average warm endpoint is assumed to have at least this load, in busy cores. Each
+/// instance assumes its share of this load.
 const MIN_BUSY_CORES: f64 = 0.5;
 
 impl RoutingPolicy {
@@ -26,8 +26,9 @@
         let Some(fraction) = self.slow_start_fraction(endpoint) else { return f64::INFINITY };
         let (settings, share) = (&self.settings.settings, self.settings.instance_share);
         let (multiple, window) = (settings.overload_multiple, settings.overload_window.as_secs_f64());
-        let light = self.p30_latency.iter().copied().filter(|&latency| self.is_light_work(latency, fraction));
-        let heaviest_work = light.fold(MIN_WORK_SECS, f64::max);
+        let light_work =
+            self.p30_latency.iter().copied().filter(|&latency| self.is_light_work(latency, fraction));
+        let heaviest_work = light_work.fold(MIN_WORK_SECS, f64::max);
         let attempts =
             fraction * (multiple - 1.0) * window * share / heaviest_work / SLOW_START_MARGIN_DIVISOR;
         if attempts >= 1.0 {
--- a/routing/src/routing_policy.rs
+++ b/routing/src/routing_policy.rs
@@ -16,6 +16,7 @@
 pub struct RoutingPolicy {
     pub(crate) settings: CompiledSettings,
     pub(crate) rng: Mwc,
+    /// The time that the host last passed.
     pub(crate) now: Timestamp,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) endpoints: Vec<Endpoint>,
@@ -23,13 +24,14 @@
     pub(crate) session_writes: SessionWrites,
     /// Estimate of the p30 latency (the 30th percentile: about three in ten answers are faster) by method, in seconds.
     pub(crate) p30_latency: Vec<f64>,
+    /// When the endpoint list is polled next; `None` if lists are pushed.
     pub(crate) next_list_poll: Option<Timestamp>,
     /// Actions requested by the event that is being handled.
     pub(crate) actions: Vec<Action>,
 }
 
 impl RoutingPolicy {
-    /// Creates a policy that knows no endpoints yet. The actions that it requests at its start are appended to
+    /// Creates a policy that knows no endpoints yet. The actions that the new policy requests at once are appended to
     /// `actions`.
     pub fn new(seed: u64, settings: &RoutingSettings, now: Timestamp, actions: &mut Vec<Action>) -> Self {
         let settings = CompiledSettings::new(settings);
@@ -171,7 +173,8 @@
         work.iter().sum::<f64>() / work.len().max(1) as f64
     }
 
-    /// Fraction of its full capacity that an endpoint in slow start has by the settings; `None` if it is warm.
+    /// Fraction of its full capacity that an endpoint in slow start has according to the settings; `None` if the
+    /// endpoint is warm.
     pub(crate) fn slow_start_fraction(&self, endpoint: &Endpoint) -> Option<f64> {
         let settings = &self.settings.settings;
         let age = self.now - endpoint.listing.started_at?;
--- a/routing/src/settings.rs
+++ b/routing/src/settings.rs
@@ -11,7 +11,7 @@
     StrongRead,
     /// A read that must see the writes of its own session.
     SessionRead,
-    /// A read whose data may be stale by at most this when the attempt starts.
+    /// A read whose data may be at most this stale when the attempt starts.
     BoundedRead(TimeDelta),
     /// A read that any member may serve, however stale its data.
     AnyRead,
@@ -20,26 +20,26 @@
 /// Whether a request may be retried after it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may always be retried, at any endpoint.
+    /// The request may always be retried, at any endpoint.
     Idempotent,
-    /// It has an idempotency key, by which endpoints drop duplicates. It may be retried within the deduplication
-    /// window, which starts with the first attempt that may have been executed.
+    /// The request has an idempotency key, by which endpoints drop duplicates. It may be retried within the
+    /// deduplication window, which starts with the first attempt that may have been executed.
     Keyed {
         /// Whether every group drops duplicates, not only the group that may have executed the request.
         all_groups: bool,
         /// Length of the deduplication window.
         dedup_window: TimeDelta,
     },
-    /// It may never be retried.
+    /// The request must not be retried once it may have been executed.
     NonIdempotent,
 }
 
 /// Settings of one method.
 #[derive(Clone, Debug)]
 pub struct MethodSettings {
-    /// Whether its requests write, or which consistency their reads need.
+    /// Whether requests of the method write, or which consistency its reads require.
     pub access: Access,
-    /// Whether its requests may be retried after they may have been executed.
+    /// Whether requests of the method may be retried after they may have been executed.
     pub idempotency: Idempotency,
     /// Maximum latency at which an answer has its full value.
     pub latency_objective: TimeDelta,
@@ -47,7 +47,7 @@
     pub deadline: TimeDelta,
     /// Value of an answer within the latency objective, relative to the other methods.
     pub priority_weight: f64,
-    /// Fraction of its value that an answer keeps after the latency objective, from 0 to 1.
+    /// Fraction of its value that an answer after the latency objective still has, from 0 to 1.
     pub late_value_fraction: f64,
 }
 
@@ -64,11 +64,11 @@
 /// What an endpoint does with a read for which its data is too stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LagHandling {
-    /// It serves the stale data, so the router must check the staleness before it sends the read.
+    /// The endpoint serves the stale data, so the router must check the staleness before it sends the read.
     ServeStale,
-    /// It rejects the read without executing it.
+    /// The endpoint rejects the read without executing it.
     Reject,
-    /// It lets the read wait for up to this long while it catches up, then rejects the read.
+    /// The endpoint lets the read wait for up to this long until its data is fresh enough, then rejects the read.
     Wait(TimeDelta),
 }
 
@@ -79,17 +79,17 @@
     pub methods: Vec<MethodSettings>,
     /// Number of instances that route to the same endpoints.
     pub instances: u32,
-    /// The zone of this instance.
+    /// Zone of this instance, as an index among the zones that the host knows.
     pub zone: usize,
     /// Resolution of the clocks and of the positions that endpoints report.
     pub clock_resolution: TimeDelta,
     /// What endpoints do with reads for which their data is too stale.
     pub lag_handling: LagHandling,
-    /// Whether clients send the time of their session's last write. If not, the policy keeps the positions of each
-    /// session's writes.
+    /// Whether clients send the time of their session's last write. If not, the policy itself keeps the position of
+    /// each session's last write.
     pub clients_send_last_write: bool,
-    /// Maximum time between two polls of the endpoint list: a change counts as known this long after the last poll.
-    /// `None` if lists are pushed.
+    /// Maximum time between two polls of the endpoint list. Once this time has passed since the last poll, an instance
+    /// is assumed to know the changes made in between. `None` if lists are pushed.
     pub max_list_poll_interval: Option<TimeDelta>,
     /// Maximum number of attempts of a request.
     pub max_attempts: u32,
--- a/routing/src/snapshot.rs
+++ b/routing/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The routing policy's state of an endpoint, as operators can query it. No decision is made here.
+//! Snapshots of the routing policy's state of an endpoint, for operators. No decision is made here.
 
 use crate::events::EndpointIndex;
 use crate::routing_policy::RoutingPolicy;
@@ -10,20 +10,21 @@
 pub struct CapacitySnapshot {
     /// Number of attempts of this instance in flight.
     pub in_flight: u32,
-    /// Maximum number of attempts of this instance in flight. Below 1 it is a rate, in seconds of work per second.
+    /// Maximum number of attempts of this instance in flight. A value below 1 is a rate, in seconds of work per
+    /// second.
     pub concurrency_limit: f64,
-    /// Fraction of its full capacity that the endpoint has in slow start; `None` if it is warm.
+    /// Fraction of its full capacity that the endpoint has in slow start; `None` if the endpoint is warm.
     pub slow_start_fraction: Option<f64>,
 }
 
 /// What an endpoint has last reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportSnapshot {
-    /// Replication lag by the last reported position; `None` if none was reported.
+    /// Replication lag according to the last reported position; `None` if no position was reported.
     pub lag: Option<TimeDelta>,
-    /// Time since a position was last reported; `None` if none was reported.
+    /// Time since a position was last reported; `None` if no position was reported.
     pub age: Option<TimeDelta>,
-    /// Last reported load as a fraction of the endpoint's cores; `None` if none was reported.
+    /// Last reported load as a fraction of the endpoint's cores; `None` if no load was reported.
     pub load: Option<f64>,
 }
 
@@ -32,13 +33,13 @@
 pub struct EndpointSnapshot {
     /// Whether the endpoint list allows new attempts.
     pub serving: bool,
-    /// Whether the policy assumes it to be the primary of its group.
+    /// Whether the policy assumes the endpoint to be the primary of its group.
     pub primary: bool,
-    /// Remaining time of its ejection; `None` if it is not ejected.
+    /// Remaining time of the endpoint's ejection; `None` if the endpoint is not ejected.
     pub ejected_for: Option<TimeDelta>,
-    /// Its attempts in flight and their limit.
+    /// Attempts in flight at the endpoint, and their limit.
     pub capacity: CapacitySnapshot,
-    /// Its last report.
+    /// The endpoint's last report.
     pub report: ReportSnapshot,
 }
 
@@ -69,7 +70,7 @@
         self.session_writes.len()
     }
 
-    /// Snapshot of an endpoint; `None` if no endpoint list has named it.
+    /// Snapshot of an endpoint; `None` if no endpoint list has named the endpoint.
     pub fn endpoint_snapshot(&self, now: Timestamp, index: EndpointIndex) -> Option<EndpointSnapshot> {
         let endpoint = self.endpoints.get(index)?;
         let group = self.groups.get(endpoint.listing.group);
--- a/routing/src/state/compiled_settings.rs
+++ b/routing/src/state/compiled_settings.rs
@@ -14,12 +14,13 @@
     pub latency_objective: TimeDelta,
     /// Whether an answer after the latency objective still has some value.
     pub useful_when_late: bool,
-    /// Whether its reads may keep a replica from applying the log for longer than another method's staleness bound.
+    /// Whether reads of the method may keep a replica from applying the log for longer than another method's
+    /// staleness bound.
     pub delays_replication: bool,
 }
 
 impl MethodPolicy {
-    /// Whether its requests are writes.
+    /// Whether requests of the method are writes.
     pub fn is_write(&self) -> bool {
         self.access == Access::Write
     }
@@ -29,7 +30,7 @@
 pub struct DerivedTimes {
     /// Time between two polls of the endpoint list; `None` if lists are pushed.
     pub list_poll_interval: Option<TimeDelta>,
-    /// A final answer is given this long before the request's deadline.
+    /// The final answer to a request is due this long before the request's deadline.
     pub answer_margin: TimeDelta,
     pub tick_interval: TimeDelta,
     /// Age at which a reported position is queried again.
@@ -38,9 +39,9 @@
     pub tightest_objective: TimeDelta,
 }
 
-/// Bounds of an endpoint's concurrency limit for this instance.
+/// Initial and smallest concurrency limit of an endpoint, for this instance.
 pub struct ConcurrencyBounds {
-    /// Limit of an endpoint before its answers adapt it.
+    /// Limit before the endpoint's answers adapt it.
     pub initial_limit: f64,
     /// The smallest value to which late answers reduce a limit.
     pub min_limit: f64,
@@ -53,7 +54,7 @@
     /// Methods in the order in which waiting requests are retried.
     pub retry_order: Vec<MethodIndex>,
     pub times: DerivedTimes,
-    /// The fraction of all instances' traffic that this instance is assumed to have.
+    /// The fraction of all instances' traffic that this instance is assumed to receive.
     pub instance_share: f64,
     pub concurrency: ConcurrencyBounds,
 }
--- a/routing/src/state/endpoint.rs
+++ b/routing/src/state/endpoint.rs
@@ -11,14 +11,14 @@
     pub received_at: Timestamp,
 }
 
-/// What the endpoint list says of an endpoint.
+/// What the endpoint list states about an endpoint.
 #[derive(Default)]
 pub struct EndpointListing {
     pub group: GroupIndex,
     pub zone: usize,
     /// Whether the endpoint may get new attempts.
     pub serving: bool,
-    /// When its process last started; `None` if that is unknown or too long ago to matter.
+    /// When the endpoint's process last started; `None` if that is unknown or too long ago to matter.
     pub started_at: Option<Timestamp>,
     /// Whether `started_at` is only the latest possible start time.
     pub start_is_upper_bound: bool,
@@ -41,7 +41,7 @@
         self.position_reported_at = now;
     }
 
-    /// Replication lag by the last reported position; `None` if none was reported.
+    /// Replication lag according to the last reported position; `None` if no position was reported.
     pub fn lag(&self) -> Option<TimeDelta> {
         self.position.map(|position| self.position_reported_at - position)
     }
@@ -63,15 +63,19 @@
     }
 }
 
-/// Health of an endpoint by its recent attempts and health checks.
+/// Health of an endpoint according to attempts and health checks.
 #[derive(Default)]
 pub struct EndpointHealth {
+    /// When the endpoint last answered an attempt or a health check.
     pub answered_at: Timestamp,
+    /// Number of ejections since the last answered attempt, counted up to a maximum.
     pub consecutive_failures: u32,
+    /// When the endpoint last failed, whether or not the failure caused an ejection.
     pub failed_at: Timestamp,
     /// The endpoint gets no attempts until this time.
     pub ejected_until: Timestamp,
     pub check_in_flight: bool,
+    /// When the last health check started.
     pub checked_at: Timestamp,
 }
 
@@ -91,13 +95,15 @@
 pub struct EndpointCapacity {
     /// Number of attempts of this instance in flight.
     pub in_flight: u32,
-    /// Maximum number of attempts of this instance in flight. Below 1 it is a rate, in seconds of work per second.
+    /// Maximum number of attempts of this instance in flight. A value below 1 is a rate, in seconds of work per
+    /// second.
     pub concurrency_limit: f64,
+    /// When a late answer last reduced the limit.
     pub limit_reduced_at: Timestamp,
     pub work: WorkEstimate,
 }
 
-/// Everything that the policy knows of an endpoint.
+/// Everything that the policy knows about an endpoint.
 #[derive(Default)]
 pub struct Endpoint {
     pub listing: EndpointListing,
@@ -113,7 +119,7 @@
         (self.outstanding_at_last_attempt - rate * (now - self.last_attempt_at).as_secs_f64()).max(0.0)
     }
 
-    /// Work completed for this instance until `now` in seconds, with exponential decay over `window`.
+    /// Work in seconds that was completed for this instance until `now`, with exponential decay over `window`.
     pub fn recent(&self, window: TimeDelta, now: Timestamp) -> f64 {
         let elapsed = (now - self.completed_at).as_secs_f64();
         self.completed * (-elapsed / window.as_secs_f64().max(1e-9)).exp()
--- a/routing/src/state/group.rs
+++ b/routing/src/state/group.rs
@@ -12,7 +12,8 @@
     /// The member that the policy assumes to be the primary.
     pub primary: Option<EndpointIndex>,
     pub eligibility: PrimaryEligibility,
-    /// Number of health checks that may be made for the group; its requests add to it.
+    /// Number of health checks that may still be made for the group. Requests of the group add to
+    /// this number.
     pub health_check_credit: f64,
 }
 
--- a/routing/src/state/request.rs
+++ b/routing/src/state/request.rs
@@ -11,7 +11,7 @@
     Waiting,
     /// An attempt of the request is in flight.
     InFlight,
-    /// The request was answered or needs no answer any more.
+    /// The request was answered or no longer needs an answer.
     Done,
 }
 
@@ -26,7 +26,7 @@
     CannotSucceed,
     /// The attempt in flight ended without an answer for the client.
     AttemptFailed,
-    /// The request needs no answer any more.
+    /// The request no longer needs an answer.
     Closed,
     /// The final answer must be given now.
     AnswerDue,
@@ -55,7 +55,8 @@
     /// Position that a read must see, in addition to its staleness bound: its arrival time for a strong read, or what
     /// its session has written or seen before.
     pub required_position: Option<Timestamp>,
-    /// Whether `required_position` includes a position that the session has seen. Endpoints do not check it themselves.
+    /// Whether `required_position` includes a position that the session has seen. Endpoints do not check such a
+    /// position themselves.
     pub includes_seen_position: bool,
     /// Session for which a write is recorded; `None` for a read or if this instance keeps no session positions.
     pub recorded_session: Option<u64>,
@@ -70,7 +71,7 @@
     pub reached_endpoint: bool,
     /// End of the retry window; `None` until the request may have been executed.
     pub retry_until: Option<Timestamp>,
-    /// Number of attempts rejected because the endpoint was not the primary or too stale.
+    /// Number of attempts rejected because the endpoint was not the primary or its data was too stale.
     pub eligibility_rejections: u32,
     /// Endpoint of the last failed attempt.
     pub last_failed_endpoint: Option<EndpointIndex>,
@@ -94,8 +95,8 @@
     pub group: GroupIndex,
     pub deadlines: RequestDeadlines,
     pub session: SessionRequirement,
-    /// Whether the request is its client's retry. The client has then most likely stopped waiting for the answer to
-    /// its earlier request.
+    /// Whether the request is its client's retry, of a method whose late answers have no value. The client has then
+    /// most likely stopped waiting for the answer to its earlier request.
     pub client_retry: bool,
     pub attempts: AttemptHistory,
     pub in_flight: Option<InFlightAttempt>,
--- a/routing/src/state/session_writes.rs
+++ b/routing/src/state/session_writes.rs
@@ -7,7 +7,7 @@
 /// Maximum number of sessions for which a position is kept.
 const MAX_SESSIONS: usize = 1 << 16;
 
-/// The positions that a session's reads must see because of the session's own writes.
+/// The positions that reads of sessions must see because of the sessions' own writes.
 #[derive(Default)]
 pub struct SessionWrites {
     positions: BTreeMap<u64, Timestamp>,
@@ -19,8 +19,8 @@
 }
 
 impl SessionWrites {
-    /// The position that a read of a session must see if it arrives at `now`. While a write of the session is in
-    /// flight, that is `now`, because the write may already be committed.
+    /// The position that a read of a session must see if the read arrives at `now`. While a write of the session is in
+    /// flight, the position is `now`, because the write may already be committed.
     pub fn required_position(&self, session: Option<u64>, now: Timestamp) -> Option<Timestamp> {
         let key = session.unwrap_or_default();
         let written = self.positions.get(&key).copied();
@@ -54,9 +54,9 @@
         self.by_position.insert((*known, session));
     }
 
-    /// Drops the positions up to `reached`, which every serving endpoint has reached, since any read sees them. Beyond
-    /// the maximum number of sessions the earliest positions are dropped too. The latest dropped position then applies
-    /// to every session without a kept position.
+    /// Drops the positions up to `reached`. Every serving endpoint has reached them, so every read sees them anyway.
+    /// Beyond the maximum number of sessions the earliest positions are dropped too. The latest dropped position then
+    /// applies to every session without a kept position.
     pub fn expire(&mut self, reached: Option<Timestamp>) {
         while let Some(&(position, session)) = self.by_position.first() {
             if reached < Some(position) && self.positions.len() <= MAX_SESSIONS {
--- a/sessions/src/epochs.rs
+++ b/sessions/src/epochs.rs
@@ -5,8 +5,7 @@
 use routing::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Maximum number of epochs kept per group. The latest ones are kept, and all positions are checked against these
-/// only.
+/// Maximum number of epochs kept per group. The latest epochs are kept, and positions are checked only against these.
 const MAX_EPOCHS_PER_GROUP: usize = 16;
 
 /// An epoch as reported by an endpoint.
@@ -79,7 +78,7 @@
     }
 
     /// Returns the position at which a session continues after its client was notified of a loss: the start of the
-    /// latest epoch.
+    /// latest epoch, or position 0 if no start was reported.
     pub fn restart_position(&self, group: GroupNumber) -> LogPosition {
         let latest = self.groups.get(&group).and_then(|known| known.last_key_value());
         let (epoch, start) = latest.map_or((0, None), |(number, start)| (*number, *start));
@@ -101,9 +100,9 @@
         }
         let Some(position) = position else { return true };
         let number = epoch.map_or(0, |epoch| epoch.number);
-        // An endpoint in an earlier epoch than the session's is on an abandoned branch of the log. An endpoint in an
-        // earlier epoch than the latest known one is on an abandoned branch too, unless its position is before the
-        // fork.
+        // An endpoint in an epoch earlier than the session's is on an abandoned branch of the log. An endpoint in an
+        // epoch earlier than the latest known one is on an abandoned branch too, unless the endpoint's position is
+        // not beyond the fork.
         let reaches_epoch = number == 0 || number >= seen.epoch;
         reaches_epoch && !self.is_abandoned(group, number, position) && position >= seen.position
     }
--- a/sessions/src/positions.rs
+++ b/sessions/src/positions.rs
@@ -37,7 +37,7 @@
 pub struct GroupPosition {
     /// The group.
     pub group: GroupNumber,
-    /// The position on its log.
+    /// The position on the group's log.
     pub position: LogPosition,
 }
 
@@ -45,7 +45,7 @@
 /// log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionPositions {
-    /// Groups with a position of their own, in ascending order.
+    /// Positions of the groups with a position of their own, in ascending order of the groups.
     by_group: Vec<GroupPosition>,
     /// Lower bound for every group without a position of its own.
     lower_bound: Option<LogPosition>,
@@ -60,17 +60,17 @@
         }
     }
 
-    /// Index of a group in `by_group`, or the index at which to insert it.
+    /// Index of a group in `by_group`, or the index at which to insert the group.
     fn find(&self, group: GroupNumber) -> Result<usize, usize> {
         self.by_group.binary_search_by_key(&group, |entry| entry.group)
     }
 
-    /// Groups with a position of their own, in ascending order.
+    /// Positions of the groups with a position of their own, in ascending order of the groups.
     pub fn by_group(&self) -> &[GroupPosition] {
         &self.by_group
     }
 
-    /// Lower bound for all other groups.
+    /// Lower bound for every group without a position of its own; `None` if these groups have no bound.
     pub fn lower_bound(&self) -> Option<LogPosition> {
         self.lower_bound
     }
--- a/sessions/src/session_cache.rs
+++ b/sessions/src/session_cache.rs
@@ -1,6 +1,6 @@
 //! Session cache of one instance, through which concurrent connections of the same session share its positions. The
-//! guarantees for a client with one connection at a time, on any instance, depend on its token only. The cache is
-//! bounded.
+//! guarantees for a client with one connection at a time, on any instance, depend on its token only. The number of
+//! cached sessions is limited.
 
 use crate::positions::{GroupNumber, SessionPositions};
 use crate::token::SessionId;
@@ -9,7 +9,7 @@
 
 /// Maximum number of sessions in the cache of an instance. A session takes about 200 bytes.
 pub const MAX_SESSIONS: usize = 20_000;
-/// The session table is not shrunk at this capacity (entries) or below: it would release too little memory.
+/// The session table is not shrunk at this capacity (entries) or below: shrinking would release too little memory.
 const MIN_SHRINK_CAPACITY: usize = 64;
 
 struct CachedSession {
@@ -64,7 +64,7 @@
     }
 
     /// Removes the lost position of a session when its client is notified of the loss. No new position is stored in
-    /// its place: if the notification does not arrive, the client presents its old token again and must be notified
+    /// the cache: if the notification does not arrive, the client presents its old token again and must be notified
     /// again.
     pub fn remove_position(&mut self, session: &SessionId, group: GroupNumber) {
         if let Some(cached) = self.sessions.get_mut(session) {
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -56,13 +56,14 @@
 /// Length of the longest encoding of a position in bytes: group (64 bits), epoch (32 bits) and position (64 bits) as
 /// LEB128.
 const MAX_POSITION_BYTES: usize = 10 + 5 + 10;
-/// Length of the longest token in bytes: all positions and a lower bound.
+/// Length in bytes of the longest token: one with all positions and a lower bound.
 const MAX_TOKEN_BYTES: usize = HEADER_BYTES + (MAX_POSITIONS + 1) * MAX_POSITION_BYTES + MAC_BYTES;
 /// Length of the longest token in base64 characters.
 pub const MAX_TOKEN_CHARS: usize = MAX_TOKEN_BYTES.div_ceil(3) * 4;
 /// Tolerance in seconds for clock differences between instances.
 const MAX_CLOCK_SKEW_S: i64 = 5;
-/// Exclusive upper bound of positions in Unix milliseconds. Below it, their nanoseconds fit into 64 bits.
+/// Exclusive upper bound of positions in Unix milliseconds. Below this bound, a position in nanoseconds fits into 64
+/// bits.
 const MAX_POSITION_MS: i64 = 9_000_000_000_000;
 const NANOS_PER_MILLI: u64 = 1_000_000;
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
@@ -116,7 +117,7 @@
     Line {
         /// Number of the line, from 1.
         line: usize,
-        /// Why it is invalid.
+        /// Why the line is invalid.
         problem: KeyLineProblem,
     },
     /// The file contains no key.
@@ -276,10 +277,10 @@
 fn decode_leb128(bytes: &mut &[u8]) -> Option<u64> {
     let mut number = 0u64;
     for index in 0..MAX_LEB128_BYTES {
-        let (&first, rest) = bytes.split_first()?;
+        let (&byte, rest) = bytes.split_first()?;
         *bytes = rest;
-        number |= u64::from(first & !LEB128_CONTINUES).checked_shl(index * LEB128_BITS)?;
-        if first < LEB128_CONTINUES {
+        number |= u64::from(byte & !LEB128_CONTINUES).checked_shl(index * LEB128_BITS)?;
+        if byte < LEB128_CONTINUES {
             return Some(number);
         }
     }
--- a/write-journal/src/encoding.rs
+++ b/write-journal/src/encoding.rs
@@ -1,4 +1,4 @@
-//! Binary encoding of a record. Fields without a length are big-endian numbers of 8 bytes:
+//! Binary encoding of a record. Each field is a big-endian number of 8 bytes, unless another length is given:
 //!
 //! - kind of the state (1 byte), serial, time of the first send and commit time (both in Unix milliseconds)
 //! - only for a write with an idempotency key: whether a single group drops its duplicates (1 byte), that group, the
@@ -40,7 +40,8 @@
     pub state: RecordState,
     /// When the first attempt was recorded, in Unix milliseconds.
     pub first_sent_ms: i64,
-    /// `None` for a write without an idempotency key, or if the uptime was unknown.
+    /// Where, for how long and from when duplicates are dropped; `None` for a write without an idempotency key, or
+    /// if the uptime was unknown.
     pub window: Option<DeduplicationWindow>,
 }
 
--- a/write-journal/src/journal.rs
+++ b/write-journal/src/journal.rs
@@ -21,7 +21,7 @@
     Disk,
 }
 
-/// Maximum number of operations per batch. It bounds the latency of the first operation in the batch.
+/// Maximum number of operations per batch. The maximum bounds the latency of the first operation in the batch.
 pub const MAX_BATCH_OPERATIONS: usize = 512;
 /// Maximum number of file descriptors that a journal uses: its own files and the open table files.
 pub const MAX_DESCRIPTORS: usize = 48;
@@ -35,7 +35,7 @@
 const MEMTABLE_BYTES: u64 = 2 << 20;
 /// Number of serials that are reserved on disk at a time, so that no serial is reused after a crash.
 const SERIAL_BLOCK: u64 = 1 << 16;
-/// Maximum number of records dropped after a batch. It bounds the time that dropping adds to the batch.
+/// Maximum number of records dropped after a batch. The maximum bounds the time that dropping adds to the batch.
 const MAX_DROPPED_PER_BATCH: usize = 64;
 
 // Keys of the `meta` keyspace.
@@ -113,7 +113,7 @@
     /// Ids of the writes by the serials of their records.
     order: Keyspace,
     meta: Keyspace,
-    /// Identifies this journal. Chosen when the journal is created.
+    /// Identifies this journal; chosen when the journal is created.
     name: String,
     next_serial: u64,
     /// No record with this serial or a later one has been dropped.
@@ -135,8 +135,8 @@
 }
 
 impl Journal {
-    /// Opens or creates a journal. A new journal gets a name from the random number `name_seed`, so that it cannot be
-    /// mistaken for an earlier journal that was lost.
+    /// Opens or creates a journal. A new journal gets a name from the random number `name_seed`, so that the new
+    /// journal cannot be mistaken for an earlier one that was lost.
     ///
     /// # Errors
     /// The store cannot be opened or written.
@@ -203,21 +203,21 @@
         };
         let wall_ms = batch.clock.wall_ms;
         let replies: Result<Vec<Reply>, JournalError> =
-            operations.iter().map(|operation| self.apply_one(&mut batch, operation)).collect();
+            operations.iter().map(|operation| self.apply_operation(&mut batch, operation)).collect();
         let replies = replies?;
         self.commit(batch)?;
         self.drop_expired(wall_ms)?;
         Ok(replies)
     }
 
-    fn apply_one(&self, batch: &mut Batch, operation: &Operation) -> Result<Reply, JournalError> {
+    fn apply_operation(&self, batch: &mut Batch, operation: &Operation) -> Result<Reply, JournalError> {
         match operation {
             Operation::Record { id, event, deduplication } => {
                 let permission = self.record_event(batch, id, *event, *deduplication)?;
                 Ok(Reply::Permission(permission))
             }
             Operation::QueryFate { id, origin, request_open } => {
-                let state = self.find(id, batch)?.map(|record| record.state);
+                let state = self.find_record(id, batch)?.map(|record| record.state);
                 let covered = origin.as_ref().is_some_and(|origin| self.covers(origin));
                 let decision = decide_fate(FateEvidence { state, covered, request_open: *request_open });
                 if decision.must_bar {
@@ -233,15 +233,15 @@
         origin.journal == self.name && origin.serial >= self.oldest_serial
     }
 
-    /// Returns the record of a write, including changes by the batch.
-    fn find(&self, id: &str, batch: &Batch) -> Result<Option<Record>, JournalError> {
+    /// Returns the record of a write, including changes that the batch has made so far.
+    fn find_record(&self, id: &str, batch: &Batch) -> Result<Option<Record>, JournalError> {
         match batch.changed.get(id) {
             Some(record) => Ok(Some(*record)),
-            None => self.read(id),
+            None => self.read_record(id),
         }
     }
 
-    fn read(&self, id: &str) -> Result<Option<Record>, JournalError> {
+    fn read_record(&self, id: &str) -> Result<Option<Record>, JournalError> {
         Ok(self.records.get(id)?.map(|bytes| Record::decode(&bytes)))
     }
 
@@ -253,7 +253,7 @@
         event: RecordEvent,
         deduplication: Option<Deduplication>,
     ) -> Result<SendPermission, JournalError> {
-        let before = self.find(id, batch)?;
+        let before = self.find_record(id, batch)?;
         let event = as_duplicate_attempt(before, event, deduplication, batch.clock.uptime);
         let state_before = before.map(|record| record.state);
         let transition = transition(state_before, event);
@@ -315,7 +315,7 @@
     /// # Errors
     /// The store failed.
     pub fn first_sent_ms(&self, id: &str) -> Result<Option<i64>, JournalError> {
-        Ok(self.read(id)?.map(|record| record.first_sent_ms))
+        Ok(self.read_record(id)?.map(|record| record.first_sent_ms))
     }
 
     /// Drops records beyond the retention, the oldest first, up to [`MAX_DROPPED_PER_BATCH`] entries. The oldest
--- a/write-journal/src/record_state.rs
+++ b/write-journal/src/record_state.rs
@@ -20,7 +20,8 @@
 pub enum RecordEvent {
     /// The first attempt of a request is about to be sent.
     FirstAttempt,
-    /// Another attempt of the same request is about to be sent. The previous one is proved not to have been executed.
+    /// Another attempt of the same request is about to be sent. The previous attempt is proved not to have been
+    /// executed.
     RetryAttempt,
     /// An attempt of another request with the idempotency key of a recorded write is about to be sent, while the
     /// group still drops duplicates.
@@ -30,7 +31,7 @@
     },
     /// The write was executed, at this commit time in Unix milliseconds if known.
     Executed(Option<i64>),
-    /// All attempts are proved not to have been executed, and no further ones will be sent for this request.
+    /// All attempts are proved not to have been executed, and no further attempt of this request will be sent.
     NotExecuted,
     /// The write is about to be reported as never executed: no attempt may be sent from now on.
     Bar,
@@ -152,7 +153,7 @@
 }
 
 impl Origin {
-    /// Parses the text form, such as `9f3c01aa52e87d14.4711`. Returns `None` if it is malformed.
+    /// Parses the text form, such as `9f3c01aa52e87d14.4711`. Returns `None` if the text is malformed.
     pub fn parse(text: &str) -> Option<Origin> {
         let (journal, serial) = text.split_once('.')?;
         let is_alphanumeric =
