--- a/endpoint-cache/src/encoding.rs
+++ b/endpoint-cache/src/encoding.rs
@@ -4,7 +4,7 @@
 use crate::cached_list::CachedEndpointList;
 use thiserror::Error;
 
-/// Format version. Increased whenever an older program would misread a newer file.
+/// Format version, increased whenever an older program would misread a newer file.
 pub const FORMAT_VERSION: u32 = 1;
 /// Maximum size of a file that is written or read, in bytes. It is enough for about 60,000 endpoints.
 pub const MAX_FILE_BYTES: usize = 16 << 20;
--- a/recovery/src/discovery_incarnation.rs
+++ b/recovery/src/discovery_incarnation.rs
@@ -37,7 +37,7 @@
     pub empty: bool,
 }
 
-/// A possible new incarnation of discovery, by the first list received from it.
+/// A possible new incarnation of discovery, known by the first list received from it.
 #[derive(Clone, Copy, Debug)]
 struct CandidateIncarnation {
     version: i64,
--- a/recovery/src/primary_verification.rs
+++ b/recovery/src/primary_verification.rs
@@ -164,8 +164,8 @@
     }
 }
 
-/// Whether another member's report disproves a claim: it is on a later timeline, or it was ahead on the same timeline
-/// before the claimant was queried.
+/// Whether another member's report disproves a claim: that member is on a later timeline, or was ahead on the same
+/// timeline before the claimant was queried.
 fn disproves(other: &RecoveringEndpoint, claimant: &RecoveringEndpoint) -> bool {
     match (other.report.timeline, claimant.report.timeline) {
         (Some(reported), Some(claimed)) if reported != claimed => reported > claimed,
--- a/routing/src/events.rs
+++ b/routing/src/events.rs
@@ -64,8 +64,8 @@
     pub load: Option<f64>,
 }
 
-/// Which member of a group may be assumed to be its primary. A host that starts from a cached endpoint list restricts
-/// this until a primary is verified; otherwise it is always [`PrimaryEligibility::Any`].
+/// Which member of a group may be assumed to be the group's primary. A host that starts from a cached endpoint list
+/// restricts the eligible members until a primary is verified; any other host leaves [`PrimaryEligibility::Any`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PrimaryEligibility {
     /// The member with the latest claim.
@@ -173,7 +173,7 @@
 pub enum Event {
     /// Records of the endpoint list have been received.
     EndpointList {
-        /// Whether the records are the complete list. Otherwise they are changes to it.
+        /// Whether the records are the complete list; otherwise they are changes to the list.
         complete: bool,
         /// The records, in the order in which they apply.
         records: Vec<EndpointRecord>,
@@ -185,7 +185,7 @@
         /// The eligibility from now on.
         eligibility: PrimaryEligibility,
     },
-    /// A poll of the endpoint list failed, or its watch ended.
+    /// A poll of the endpoint list failed, or the watch of the list ended.
     EndpointListFailed,
     /// A client sent a request.
     RequestArrived(RequestArrival),
@@ -233,7 +233,7 @@
     StartAttempt {
         /// The request to send.
         request: RequestId,
-        /// The endpoint to send it to.
+        /// The endpoint that gets the request.
         endpoint: EndpointIndex,
         /// Time from the start of the attempt after which the endpoint starts no work on the attempt.
         timeout: TimeDelta,
@@ -261,7 +261,7 @@
     SetTimer {
         /// The tag to report.
         tag: u64,
-        /// When to report it.
+        /// When to report the tag.
         at: Timestamp,
     },
     /// Check the health of an endpoint and report [`Event::HealthCheckEnded`].
@@ -269,7 +269,7 @@
         /// The endpoint to check.
         endpoint: EndpointIndex,
     },
-    /// Poll the endpoint list, or renew the watch of it.
+    /// Poll the endpoint list, or renew the watch of the list.
     WatchEndpointList,
     /// Fetch the complete endpoint list.
     FetchEndpointList,
--- a/routing/src/policy/concurrency_limit.rs
+++ b/routing/src/policy/concurrency_limit.rs
@@ -4,12 +4,13 @@
 use crate::time::Timestamp;
 use crate::{AttemptEnd, AttemptOutcome, EndpointIndex, MethodIndex, RoutingPolicy};
 
-/// An endpoint's limit is not raised while it reports a load above this fraction of its cores.
+/// An endpoint's limit is not raised while the endpoint reports that more than this fraction of its cores is
+/// busy.
 const SATURATED_LOAD: f64 = 0.9;
 /// A late answer multiplies the limit by this.
 const LIMIT_REDUCTION_FACTOR: f64 = 0.8;
-/// A warm endpoint whose limit is below 1, but not below the initial limit, accepts another attempt while its
-/// outstanding work is at most the tightest latency objective divided by this.
+/// A warm endpoint whose limit is below 1, but not below the initial limit, accepts another attempt while the
+/// work outstanding at the endpoint is at most the tightest latency objective divided by this.
 const BURST_TOLERANCE_DIVISOR: f64 = 4.0;
 /// A timely answer can raise a limit by 1 divided by the limit, but by at most the limit divided by this. The
 /// maximum applies to limits below 2.
--- a/routing/src/policy/replica_selection.rs
+++ b/routing/src/policy/replica_selection.rs
@@ -4,8 +4,8 @@
 use crate::time::{TimeDelta, Timestamp};
 use crate::{Access, EndpointIndex, GroupIndex, LagHandling, MethodIndex, RequestId, RoutingPolicy};
 
-/// A primary serves reads that replicas could serve while its reported load is at most this fraction of its
-/// cores.
+/// A primary serves a read that a replica could serve, unless the primary reports that more than this fraction of
+/// its cores is busy.
 const PRIMARY_MAX_LOAD: f64 = 0.7;
 /// The fraction of a primary's concurrency limit that is available to reads that replicas could serve.
 const PRIMARY_READ_SHARE: f64 = 0.5;
@@ -50,8 +50,9 @@
         if let Some(replica) = self.fewest_in_flight(&replicas) {
             return Some(replica);
         }
-        // Exception: if every qualifying replica is at its limit, the primary may serve the read, unless it has
-        // recently reported a high load. Half of the primary's limit stays reserved for writes and strong reads.
+        // Exception: if every qualifying replica is at its limit, the primary may serve the read, unless the
+        // primary has recently reported a high load. Half of the primary's limit stays reserved for writes and
+        // strong reads.
         let primary = primary?;
         // Without health checks, a primary that has not answered since it failed may have lost its role.
         if !self.settings.settings.may_check_health && self.endpoints[primary].silent_since_failure() {
--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -151,11 +151,14 @@
         let objective = self.settings.methods[request.method].latency_objective;
         let expected = estimate.min(objective / MAX_EXPECTED_LATENCY_DIVISOR);
         let too_late = self.now + expected >= request.deadlines.useful_until;
-        let retry_over = request.attempts.retry_until.is_some_and(|until| self.now >= until);
+        let retry_window_over = request.attempts.retry_until.is_some_and(|until| self.now >= until);
         // If the request has reached no endpoint within half of its time, the client should retry at another
         // instance.
         let is_unsent = !request.attempts.reached_endpoint && self.now >= request.deadlines.half_time();
-        retry_over || too_late || is_unsent || request.attempts.started >= self.settings.settings.max_attempts
+        retry_window_over
+            || too_late
+            || is_unsent
+            || request.attempts.started >= self.settings.settings.max_attempts
     }
 
     /// Gives the final answer: a rejection if the client may safely retry, otherwise an abort. Cancels the attempt
@@ -178,8 +181,8 @@
     /// Tries to send a group's waiting requests, the most urgent methods first. Each of the two passes over a
     /// method's requests ends at the first request that has to keep waiting.
     pub(crate) fn retry_waiting(&mut self, group: GroupIndex) {
-        for nth in 0..self.settings.retry_order.len() {
-            let method = self.settings.retry_order[nth];
+        for urgency_rank in 0..self.settings.retry_order.len() {
+            let method = self.settings.retry_order[urgency_rank];
             // First the newest request is tried, so that under overload some requests are answered in time
             // rather than all of them late. Then the oldest is tried, because a request that arrived earlier
             // may need a position that replicas have reached meanwhile.
--- a/routing/src/policy/slow_start.rs
+++ b/routing/src/policy/slow_start.rs
@@ -17,11 +17,11 @@
 const MIN_BUSY_CORES: f64 = 0.5;
 
 impl RoutingPolicy {
-    /// The concurrency limit of an endpoint in slow start; infinite for a warm endpoint. With few instances it
-    /// is a number of attempts: this instance's share of the work that may be queued for one core during the
-    /// overload window. With many instances that share is less than one attempt, and the limit is a rate. The
-    /// rate is in proportion to the slow-start fraction and to the work that an average warm endpoint does for
-    /// this instance, which is assumed to be at least this instance's share of half a core.
+    /// The concurrency limit of an endpoint in slow start; infinite for a warm endpoint. With few instances the
+    /// limit is a number of attempts: this instance's share of the work that may be queued for one core during the
+    /// overload window. With many instances that share is less than one attempt, and the limit is a rate. The rate
+    /// is proportional to the slow-start fraction and to the work that an average warm endpoint does for this
+    /// instance, which is assumed to be at least this instance's share of half a core.
     pub(super) fn slow_start_limit(&self, endpoint: &Endpoint) -> f64 {
         let Some(fraction) = self.slow_start_fraction(endpoint) else { return f64::INFINITY };
         let (settings, share) = (&self.settings.settings, self.settings.instance_share);
--- a/routing/src/state/request.rs
+++ b/routing/src/state/request.rs
@@ -52,8 +52,8 @@
 /// What session guarantees require: the position that a read must see, or the session whose write is recorded.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SessionRequirement {
-    /// Position that a read must see, in addition to its staleness bound: its arrival time for a strong read, or what
-    /// its session has written or seen before.
+    /// Position that a read must see, in addition to its staleness bound: the arrival time of a strong read, or a
+    /// position that the session has written or seen; `None` if no such position is known.
     pub required_position: Option<Timestamp>,
     /// Whether `required_position` includes a position that the session has seen. Endpoints do not check such a
     /// position themselves.
--- a/routing/src/state/session_writes.rs
+++ b/routing/src/state/session_writes.rs
@@ -48,10 +48,10 @@
     }
 
     fn raise_position(&mut self, session: u64, position: Timestamp) {
-        let known = self.positions.entry(session).or_insert(position);
-        self.by_position.remove(&(*known, session));
-        *known = position.max(*known);
-        self.by_position.insert((*known, session));
+        let current = self.positions.entry(session).or_insert(position);
+        self.by_position.remove(&(*current, session));
+        *current = position.max(*current);
+        self.by_position.insert((*current, session));
     }
 
     /// Drops the positions up to `reached`. Every serving endpoint has reached them, so every read sees them anyway.
--- a/sessions/src/epochs.rs
+++ b/sessions/src/epochs.rs
@@ -51,8 +51,8 @@
         // If reports conflict, the earlier start is used, so that a lost position is never mistaken for one on the
         // log.
         *start = match (*start, start_position) {
-            (Some(before), Some(now)) => Some(before.min(now)),
-            (before, now) => before.or(now),
+            (Some(recorded), Some(reported)) => Some(recorded.min(reported)),
+            (recorded, reported) => recorded.or(reported),
         };
         while known.len() > MAX_EPOCHS_PER_GROUP {
             known.pop_first();
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -37,14 +37,14 @@
 const UNIX_SECONDS_BYTES: usize = 4;
 
 // Offsets of the fields of the header, in bytes.
-const FORMAT_AT: usize = 0;
-const KEY_ID_AT: usize = 1;
-const SESSION_AT: usize = 2;
-const ISSUED_AT: usize = SESSION_AT + SESSION_ID_BYTES;
-const EXPIRES_AT: usize = ISSUED_AT + UNIX_SECONDS_BYTES;
-const HAS_LOWER_BOUND_AT: usize = EXPIRES_AT + UNIX_SECONDS_BYTES;
-const POSITION_COUNT_AT: usize = HAS_LOWER_BOUND_AT + 1;
-const HEADER_BYTES: usize = POSITION_COUNT_AT + 1;
+const FORMAT_OFFSET: usize = 0;
+const KEY_ID_OFFSET: usize = 1;
+const SESSION_OFFSET: usize = 2;
+const ISSUED_OFFSET: usize = SESSION_OFFSET + SESSION_ID_BYTES;
+const EXPIRES_OFFSET: usize = ISSUED_OFFSET + UNIX_SECONDS_BYTES;
+const HAS_LOWER_BOUND_OFFSET: usize = EXPIRES_OFFSET + UNIX_SECONDS_BYTES;
+const POSITION_COUNT_OFFSET: usize = HAS_LOWER_BOUND_OFFSET + 1;
+const HEADER_BYTES: usize = POSITION_COUNT_OFFSET + 1;
 
 /// Length of the longest LEB128 encoding of a 64-bit number, in bytes.
 const MAX_LEB128_BYTES: u32 = 10;
@@ -212,10 +212,10 @@
             return Err(TokenError::Malformed);
         }
         let (body, mac) = bytes.split_at(bytes.len() - MAC_BYTES);
-        if body[FORMAT_AT] != FORMAT_VERSION {
+        if body[FORMAT_OFFSET] != FORMAT_VERSION {
             return Err(TokenError::UnknownFormat);
         }
-        let key = self.0.get(&body[KEY_ID_AT]).ok_or(TokenError::UnknownKey)?;
+        let key = self.0.get(&body[KEY_ID_OFFSET]).ok_or(TokenError::UnknownKey)?;
         let authentic = TokenKeys::mac(key, body, audience).verify_truncated_left(mac);
         authentic.map_err(|_| TokenError::Unauthenticated)?;
         let token = decode_body(body).ok_or(TokenError::Malformed)?;
@@ -296,13 +296,13 @@
 }
 
 fn decode_body(body: &[u8]) -> Option<Token> {
-    let unix_seconds = |at: usize| {
-        let bytes = body.get(at..at + UNIX_SECONDS_BYTES)?;
+    let unix_seconds = |offset: usize| {
+        let bytes = body.get(offset..offset + UNIX_SECONDS_BYTES)?;
         Some(i64::from(u32::from_be_bytes(bytes.try_into().ok()?)))
     };
-    let session = body[SESSION_AT..ISSUED_AT].try_into().ok()?;
-    let (issued, expires) = (unix_seconds(ISSUED_AT)?, unix_seconds(EXPIRES_AT)?);
-    let (has_lower_bound, count) = (body[HAS_LOWER_BOUND_AT], usize::from(body[POSITION_COUNT_AT]));
+    let session = body[SESSION_OFFSET..ISSUED_OFFSET].try_into().ok()?;
+    let (issued, expires) = (unix_seconds(ISSUED_OFFSET)?, unix_seconds(EXPIRES_OFFSET)?);
+    let (has_lower_bound, count) = (body[HAS_LOWER_BOUND_OFFSET], usize::from(body[POSITION_COUNT_OFFSET]));
     if has_lower_bound > 1 || count > MAX_POSITIONS {
         return None;
     }
--- a/write-journal/src/encoding.rs
+++ b/write-journal/src/encoding.rs
@@ -10,19 +10,19 @@
 // Values of the first byte, by state.
 const PENDING: u8 = 0;
 const EXECUTED: u8 = 1;
-const EXECUTED_AT: u8 = 2;
+const EXECUTED_WITH_COMMIT_TIME: u8 = 2;
 const BARRED: u8 = 3;
 const NOT_EXECUTED: u8 = 4;
 
 // Offsets of the fields, in bytes.
-const SERIAL_AT: usize = 1;
-const FIRST_SENT_AT: usize = 9;
-const COMMIT_AT: usize = 17;
-const HAS_GROUP_AT: usize = 25;
-const GROUP_AT: usize = 26;
-const WINDOW_AT: usize = 34;
-const BOOT_ID_AT: usize = 42;
-const UPTIME_AT: usize = 50;
+const SERIAL_OFFSET: usize = 1;
+const FIRST_SENT_OFFSET: usize = 9;
+const COMMIT_OFFSET: usize = 17;
+const HAS_GROUP_OFFSET: usize = 25;
+const GROUP_OFFSET: usize = 26;
+const WINDOW_OFFSET: usize = 34;
+const BOOT_ID_OFFSET: usize = 42;
+const UPTIME_OFFSET: usize = 50;
 
 /// Deduplication of a write with an idempotency key, with the start of its window.
 #[derive(Clone, Copy)]
@@ -50,7 +50,7 @@
         let (kind, commit_ms) = match self.state {
             RecordState::Pending => (PENDING, 0),
             RecordState::Executed(None) => (EXECUTED, 0),
-            RecordState::Executed(Some(commit_ms)) => (EXECUTED_AT, commit_ms),
+            RecordState::Executed(Some(commit_ms)) => (EXECUTED_WITH_COMMIT_TIME, commit_ms),
             RecordState::Barred => (BARRED, 0),
             RecordState::NotExecuted => (NOT_EXECUTED, 0),
         };
@@ -72,24 +72,24 @@
     /// Other missing numbers are decoded as 0.
     pub fn decode(bytes: &[u8]) -> Record {
         Record {
-            serial: number_at(bytes, SERIAL_AT).unwrap_or(0) as u64,
+            serial: number_at(bytes, SERIAL_OFFSET).unwrap_or(0) as u64,
             state: decode_state(bytes),
-            first_sent_ms: number_at(bytes, FIRST_SENT_AT).unwrap_or(0),
+            first_sent_ms: number_at(bytes, FIRST_SENT_OFFSET).unwrap_or(0),
             window: decode_window(bytes),
         }
     }
 }
 
-fn number_at(bytes: &[u8], at: usize) -> Option<i64> {
-    let number = bytes.get(at..at + size_of::<i64>())?;
+fn number_at(bytes: &[u8], offset: usize) -> Option<i64> {
+    let number = bytes.get(offset..offset + size_of::<i64>())?;
     Some(i64::from_be_bytes(number.try_into().ok()?))
 }
 
 fn decode_state(bytes: &[u8]) -> RecordState {
-    let Some(commit_ms) = number_at(bytes, COMMIT_AT) else { return RecordState::Pending };
+    let Some(commit_ms) = number_at(bytes, COMMIT_OFFSET) else { return RecordState::Pending };
     match bytes[0] {
         EXECUTED => RecordState::Executed(None),
-        EXECUTED_AT => RecordState::Executed(Some(commit_ms)),
+        EXECUTED_WITH_COMMIT_TIME => RecordState::Executed(Some(commit_ms)),
         BARRED => RecordState::Barred,
         NOT_EXECUTED => RecordState::NotExecuted,
         _ => RecordState::Pending,
@@ -99,9 +99,9 @@
 /// Decodes the fields of a write with an idempotency key. If any of them is missing, the write counts as one without
 /// an idempotency key, so that no duplicate of it is sent.
 fn decode_window(bytes: &[u8]) -> Option<DeduplicationWindow> {
-    let group = number_at(bytes, GROUP_AT).filter(|_| bytes[HAS_GROUP_AT] != 0);
-    let deduplication = Deduplication { group, window_ms: number_at(bytes, WINDOW_AT)? };
-    let boot_id = number_at(bytes, BOOT_ID_AT)? as u64;
-    let first_sent = Uptime { boot_id, ms: number_at(bytes, UPTIME_AT)? };
+    let group = number_at(bytes, GROUP_OFFSET).filter(|_| bytes[HAS_GROUP_OFFSET] != 0);
+    let deduplication = Deduplication { group, window_ms: number_at(bytes, WINDOW_OFFSET)? };
+    let boot_id = number_at(bytes, BOOT_ID_OFFSET)? as u64;
+    let first_sent = Uptime { boot_id, ms: number_at(bytes, UPTIME_OFFSET)? };
     Some(DeduplicationWindow { deduplication, first_sent })
 }
