--- a/recovery/src/primary_discovery/events.rs
+++ b/recovery/src/primary_discovery/events.rs
@@ -30,7 +30,7 @@
 pub enum QueryFailure {
     /// The connection was refused: no process listens on the port.
     Refused,
-    /// No response was received.
+    /// No answer was received.
     NoAnswer,
     /// The query was not sent, or was rejected for lack of capacity. Nothing is known about the endpoint.
     NotSent,
@@ -73,9 +73,9 @@
         /// Why the query failed.
         failure: QueryFailure,
     },
-    /// The response to a request or a health check contained a report.
+    /// The answer to a request or a health check contained a report.
     ReportReceived {
-        /// The endpoint that responded.
+        /// The endpoint that answered.
         endpoint: EndpointIndex,
         /// When the request or health check was sent.
         queried_at: Timestamp,
--- a/recovery/src/primary_verification.rs
+++ b/recovery/src/primary_verification.rs
@@ -142,7 +142,7 @@
             && has_passed
     }
 
-    /// Whether every member has answered or refused the connection recently. A member that does not respond is not
+    /// Whether every member has answered or refused the connection recently. A member that does not answer is not
     /// accounted for, since it may have become primary behind a network partition.
     fn all_accounted_for(&self) -> bool {
         let mut members = self.members.iter().map(|&member| &self.endpoints[member]);
--- a/routing/src/policy/endpoint_state.rs
+++ b/routing/src/policy/endpoint_state.rs
@@ -85,7 +85,7 @@
         self.now - self.settings.times.max_report_age * LOAD_REPORT_AGE_FACTOR
     }
 
-    /// Applies a report of an endpoint. `is_answer` says that the report is part of an answer and therefore
+    /// Applies a report of an endpoint. `is_answer` means that the report is part of an answer and therefore
     /// current. A position is valid however late its report arrives. A role is valid only as of the time of its
     /// report, which for a primary is the reported position.
     pub(crate) fn apply_report(&mut self, index: EndpointIndex, report: EndpointReport, is_answer: bool) {
--- a/routing/src/policy/replica_selection.rs
+++ b/routing/src/policy/replica_selection.rs
@@ -84,7 +84,7 @@
         self.fewest_in_flight(&candidates)
     }
 
-    /// The position that a read must see if its attempt starts now; `None` if any data will do.
+    /// The position that a read must see if its attempt starts now; `None` if the read may see data of any age.
     pub(super) fn required_position(&self, request: &Request) -> Option<Timestamp> {
         match self.settings.methods[request.method].access {
             Access::BoundedRead(bound) => Some(self.now - bound).max(request.session.required_position),
--- a/routing/src/state/group.rs
+++ b/routing/src/state/group.rs
@@ -12,8 +12,8 @@
     /// The member that the policy assumes to be the primary.
     pub primary: Option<EndpointIndex>,
     pub eligibility: PrimaryEligibility,
-    /// Number of health checks that may still be made for the group. Requests of the group add to
-    /// this number.
+    /// Number of health checks that may still be made for the group. Requests of the group add to this number when
+    /// they arrive, and ticks add to it while requests wait.
     pub health_check_credit: f64,
 }
 
