--- a/recovery/src/primary_verification.rs
+++ b/recovery/src/primary_verification.rs
@@ -11,7 +11,7 @@
 use routing::time::{TimeDelta, Timestamp};
 use routing::{EndpointIndex, GroupIndex, Role};
 
-/// The timeline and position that a group had reached before the instance started. The true primary is not below
+/// The timeline and position that a group had reached before the instance started. The true primary is at or above
 /// them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MinimumPosition {
@@ -118,8 +118,8 @@
     }
 
     /// Whether a majority of members, including the claimant, is on the claimant's timeline and has passed the first
-    /// position that the claimant reported as a primary. They can only have received that part of the log from the
-    /// claimant.
+    /// position that the claimant reported as a primary. The other members can only have received that part of the
+    /// log from the claimant.
     fn is_followed_by_majority(&self, claimant: EndpointIndex) -> bool {
         let followers =
             self.members.iter().filter(|&&member| member == claimant || self.follows(member, claimant));
@@ -142,7 +142,7 @@
             && has_passed
     }
 
-    /// Whether every member has answered or refused the connection recently. A member that does not respond is not
+    /// Whether every member has answered or refused the connection recently. A member that does not answer is not
     /// accounted for, since it may have become primary behind a network partition.
     fn all_accounted_for(&self) -> bool {
         let mut members = self.members.iter().map(|&member| &self.endpoints[member]);
@@ -158,17 +158,17 @@
 /// Whether a claimant is below the minimum timeline and position of its group.
 fn is_below(claimant: &RecoveringEndpoint, minimum: MinimumPosition) -> bool {
     match (claimant.report.timeline, minimum.timeline) {
-        (Some(claimed), Some(minimum)) if claimed != minimum => claimed < minimum,
+        (Some(claimed), Some(lowest)) if claimed != lowest => claimed < lowest,
         // A claim without a position counts as below any minimum position (`None` is less than `Some`).
         _ => claimant.report.position < minimum.position,
     }
 }
 
-/// Whether another member's report disproves a claim: it is on a later timeline, or it was ahead on the same timeline
-/// before the claimant was queried.
+/// Whether another member's report disproves a claim: that member is on a later timeline, or was ahead on the same
+/// timeline before the claimant was queried.
 fn disproves(other: &RecoveringEndpoint, claimant: &RecoveringEndpoint) -> bool {
     match (other.report.timeline, claimant.report.timeline) {
-        (Some(others), Some(claimed)) if others != claimed => others > claimed,
+        (Some(reported), Some(claimed)) if reported != claimed => reported > claimed,
         _ => {
             let was_ahead = other.report.position > claimant.report.position;
             was_ahead && other.reported_at <= claimant.queried_at
--- a/routing/src/policy/replica_selection.rs
+++ b/routing/src/policy/replica_selection.rs
@@ -4,8 +4,8 @@
 use crate::time::{TimeDelta, Timestamp};
 use crate::{Access, EndpointIndex, GroupIndex, LagHandling, MethodIndex, RequestId, RoutingPolicy};
 
-/// A primary serves reads that replicas could serve while its reported load is at most this fraction of its
-/// cores.
+/// A primary serves a read that a replica could serve, unless the primary reports that more than this fraction of
+/// its cores is busy.
 const PRIMARY_MAX_LOAD: f64 = 0.7;
 /// The fraction of a primary's concurrency limit that is available to reads that replicas could serve.
 const PRIMARY_READ_SHARE: f64 = 0.5;
@@ -23,7 +23,8 @@
 type Candidates = Vec<EndpointIndex>;
 
 impl RoutingPolicy {
-    /// Selects the endpoint of a waiting request's next attempt. `None` means that it keeps waiting.
+    /// Selects the endpoint of a waiting request's next attempt. Returns the event for the request, or `None` if
+    /// the request has to keep waiting.
     pub(super) fn select_endpoint(&mut self, id: RequestId) -> Option<RequestEvent> {
         let request = &self.requests[&id];
         if self.cannot_succeed(request) {
@@ -40,7 +41,7 @@
         selected.map(RequestEvent::EndpointSelected)
     }
 
-    /// Selects the endpoint of a read; `primary` is its group's primary, if usable.
+    /// Selects the endpoint of a read; `primary` is the primary of the read's group, if usable.
     fn select_for_read(&mut self, id: RequestId, primary: Option<EndpointIndex>) -> Option<EndpointIndex> {
         let request = &self.requests[&id];
         let share = if request.client_retry { CLIENT_RETRY_SHARE } else { 1.0 };
@@ -49,8 +50,9 @@
         if let Some(replica) = self.fewest_in_flight(&replicas) {
             return Some(replica);
         }
-        // Exception: if every qualifying replica is at its limit, the primary may serve the read, unless it has
-        // recently reported a high load. Half of the primary's limit stays reserved for writes and strong reads.
+        // Exception: if every qualifying replica is at its limit, the primary may serve the read, unless the
+        // primary has recently reported a high load. Half of the primary's limit stays reserved for writes and
+        // strong reads.
         let primary = primary?;
         // Without health checks, a primary that has not answered since it failed may have lost its role.
         if !self.settings.settings.may_check_health && self.endpoints[primary].silent_since_failure() {
@@ -82,7 +84,7 @@
         self.fewest_in_flight(&candidates)
     }
 
-    /// The position that a read must see if its attempt starts now; `None` if any data will do.
+    /// The position that a read must see if its attempt starts now; `None` if the read may see data of any age.
     pub(super) fn required_position(&self, request: &Request) -> Option<Timestamp> {
         match self.settings.methods[request.method].access {
             Access::BoundedRead(bound) => Some(self.now - bound).max(request.session.required_position),
@@ -147,12 +149,12 @@
         Some(replicas)
     }
 
-    /// Whether an endpoint can catch up to the position that a read must see within the time `within`, judging by
-    /// its last reported lag.
+    /// Whether an endpoint may reach the position that a read must see within the time `within`, according to the
+    /// endpoint's last reported lag.
     fn may_catch_up(&self, request: &Request, index: EndpointIndex, within: TimeDelta) -> bool {
         let required = self.required_position(request);
-        let allowed = required.map(|at| self.now - at + within + self.settings.times.max_report_age);
-        self.endpoints[index].reported.lag().is_some_and(|lag| allowed >= Some(lag))
+        let max_lag = required.map(|at| self.now - at + within + self.settings.times.max_report_age);
+        self.endpoints[index].reported.lag().is_some_and(|lag| max_lag >= Some(lag))
     }
 
     /// The replica for a read that has no staleness bound itself but may take longer than another method's bound.
--- a/routing/src/policy/request_lifecycle.rs
+++ b/routing/src/policy/request_lifecycle.rs
@@ -151,14 +151,18 @@
         let objective = self.settings.methods[request.method].latency_objective;
         let expected = estimate.min(objective / MAX_EXPECTED_LATENCY_DIVISOR);
         let too_late = self.now + expected >= request.deadlines.useful_until;
-        let retry_over = request.attempts.retry_until.is_some_and(|until| self.now >= until);
-        // If the request has reached no endpoint in half of its time, its client should retry at another
+        let retry_window_over = request.attempts.retry_until.is_some_and(|until| self.now >= until);
+        // If the request has reached no endpoint within half of its time, the client should retry at another
         // instance.
         let is_unsent = !request.attempts.reached_endpoint && self.now >= request.deadlines.half_timeout_at();
-        retry_over || too_late || is_unsent || request.attempts.started >= self.settings.settings.max_attempts
+        retry_window_over
+            || too_late
+            || is_unsent
+            || request.attempts.started >= self.settings.settings.max_attempts
     }
 
-    /// Gives the final answer: a rejection if the client may safely retry, otherwise an abort.
+    /// Gives the final answer: a rejection if the client may safely retry, otherwise an abort. Cancels the attempt
+    /// in flight if the settings allow that.
     fn reject_or_abort(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let may_have_run = request.attempts.retry_until.is_some() || request.in_flight.is_some();
@@ -177,8 +181,8 @@
     /// Tries to send a group's waiting requests, the most urgent methods first. Each of the two passes over a
     /// method's requests ends at the first request that has to keep waiting.
     pub(crate) fn retry_waiting(&mut self, group: GroupIndex) {
-        for nth in 0..self.settings.retry_order.len() {
-            let method = self.settings.retry_order[nth];
+        for urgency_rank in 0..self.settings.retry_order.len() {
+            let method = self.settings.retry_order[urgency_rank];
             // First the newest request is tried, so that under overload some requests are answered in time
             // rather than all of them late. Then the oldest is tried, because a request that arrived earlier
             // may need a position that replicas have reached meanwhile.
--- a/sessions/src/token.rs
+++ b/sessions/src/token.rs
@@ -37,14 +37,14 @@
 const UNIX_SECONDS_BYTES: usize = 4;
 
 // Offsets of the fields of the header, in bytes.
-const FORMAT_AT: usize = 0;
-const KEY_ID_AT: usize = 1;
-const SESSION_AT: usize = 2;
-const ISSUED_AT: usize = SESSION_AT + SESSION_ID_BYTES;
-const EXPIRES_AT: usize = ISSUED_AT + UNIX_SECONDS_BYTES;
-const HAS_LOWER_BOUND_AT: usize = EXPIRES_AT + UNIX_SECONDS_BYTES;
-const POSITION_COUNT_AT: usize = HAS_LOWER_BOUND_AT + 1;
-const HEADER_BYTES: usize = POSITION_COUNT_AT + 1;
+const FORMAT_OFFSET: usize = 0;
+const KEY_ID_OFFSET: usize = 1;
+const SESSION_OFFSET: usize = 2;
+const ISSUED_OFFSET: usize = SESSION_OFFSET + SESSION_ID_BYTES;
+const EXPIRES_OFFSET: usize = ISSUED_OFFSET + UNIX_SECONDS_BYTES;
+const HAS_LOWER_BOUND_OFFSET: usize = EXPIRES_OFFSET + UNIX_SECONDS_BYTES;
+const POSITION_COUNT_OFFSET: usize = HAS_LOWER_BOUND_OFFSET + 1;
+const HEADER_BYTES: usize = POSITION_COUNT_OFFSET + 1;
 
 /// Length of the longest LEB128 encoding of a 64-bit number, in bytes.
 const MAX_LEB128_BYTES: u32 = 10;
@@ -56,13 +56,14 @@
 /// Length of the longest encoding of a position in bytes: group (64 bits), epoch (32 bits) and position (64 bits) as
 /// LEB128.
 const MAX_POSITION_BYTES: usize = 10 + 5 + 10;
-/// Length of the longest token in bytes: all positions and a lower bound.
+/// Length in bytes of the longest token: one with all positions and a lower bound.
 const MAX_TOKEN_BYTES: usize = HEADER_BYTES + (MAX_POSITIONS + 1) * MAX_POSITION_BYTES + MAC_BYTES;
 /// Length of the longest token in base64 characters.
 pub const MAX_TOKEN_CHARS: usize = MAX_TOKEN_BYTES.div_ceil(3) * 4;
 /// Tolerance in seconds for clock differences between instances.
 const MAX_CLOCK_SKEW_S: i64 = 5;
-/// Exclusive upper bound of positions in Unix milliseconds. Below it, their nanoseconds fit into 64 bits.
+/// Exclusive upper bound of positions in Unix milliseconds. Below this bound, a position in nanoseconds fits into 64
+/// bits.
 const MAX_POSITION_MS: i64 = 9_000_000_000_000;
 const NANOS_PER_MILLI: u64 = 1_000_000;
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
@@ -116,7 +117,7 @@
     Line {
         /// Number of the line, from 1.
         line: usize,
-        /// Why it is invalid.
+        /// Why the line is invalid.
         problem: KeyLineProblem,
     },
     /// The file contains no key.
@@ -211,10 +212,10 @@
             return Err(TokenError::Malformed);
         }
         let (body, mac) = bytes.split_at(bytes.len() - MAC_BYTES);
-        if body[FORMAT_AT] != FORMAT_VERSION {
+        if body[FORMAT_OFFSET] != FORMAT_VERSION {
             return Err(TokenError::UnknownFormat);
         }
-        let key = self.0.get(&body[KEY_ID_AT]).ok_or(TokenError::UnknownKey)?;
+        let key = self.0.get(&body[KEY_ID_OFFSET]).ok_or(TokenError::UnknownKey)?;
         let authentic = TokenKeys::mac(key, body, audience).verify_truncated_left(mac);
         authentic.map_err(|_| TokenError::Unauthenticated)?;
         let token = decode_body(body).ok_or(TokenError::Malformed)?;
@@ -276,10 +277,10 @@
 fn decode_leb128(bytes: &mut &[u8]) -> Option<u64> {
     let mut number = 0u64;
     for index in 0..MAX_LEB128_BYTES {
-        let (&first, rest) = bytes.split_first()?;
+        let (&byte, rest) = bytes.split_first()?;
         *bytes = rest;
-        number |= u64::from(first & !LEB128_CONTINUES).checked_shl(index * LEB128_BITS)?;
-        if first < LEB128_CONTINUES {
+        number |= u64::from(byte & !LEB128_CONTINUES).checked_shl(index * LEB128_BITS)?;
+        if byte < LEB128_CONTINUES {
             return Some(number);
         }
     }
@@ -295,13 +296,13 @@
 }
 
 fn decode_body(body: &[u8]) -> Option<Token> {
-    let unix_seconds = |at: usize| {
-        let bytes = body.get(at..at + UNIX_SECONDS_BYTES)?;
+    let unix_seconds = |offset: usize| {
+        let bytes = body.get(offset..offset + UNIX_SECONDS_BYTES)?;
         Some(i64::from(u32::from_be_bytes(bytes.try_into().ok()?)))
     };
-    let session = body[SESSION_AT..ISSUED_AT].try_into().ok()?;
-    let (issued, expires) = (unix_seconds(ISSUED_AT)?, unix_seconds(EXPIRES_AT)?);
-    let (has_lower_bound, count) = (body[HAS_LOWER_BOUND_AT], usize::from(body[POSITION_COUNT_AT]));
+    let session = body[SESSION_OFFSET..ISSUED_OFFSET].try_into().ok()?;
+    let (issued, expires) = (unix_seconds(ISSUED_OFFSET)?, unix_seconds(EXPIRES_OFFSET)?);
+    let (has_lower_bound, count) = (body[HAS_LOWER_BOUND_OFFSET], usize::from(body[POSITION_COUNT_OFFSET]));
     if has_lower_bound > 1 || count > MAX_POSITIONS {
         return None;
     }
