--- a/admission/src/accept_backoff.rs
+++ b/admission/src/accept_backoff.rs
@@ -48,7 +48,8 @@
 pub struct AcceptBackoff {
     /// Number of errors since the last accepted connection.
     errors: u32,
-    /// The last wait since the last accepted connection; zero if there was none.
+    /// The wait after the last error; zero if that error was retried at once, or if no error has occurred since the last
+    /// accepted connection.
     wait: TimeDelta,
 }
 
@@ -74,7 +75,7 @@
                 AcceptAction::RejectOne { wait: MIN_WAIT, wait_on_failure: MAX_WAIT / 2 }
             }
             AcceptError::Interrupted | AcceptError::Aborted => self.wait_for(MIN_WAIT),
-            // Memory becomes available when other connections end, which can take any time.
+            // Memory becomes available when other connections end, which can take any length of time.
             AcceptError::NoMemory | AcceptError::Other => self.wait_for(doubled),
         }
     }
--- a/admission/src/concurrency_limiter/fair_queue.rs
+++ b/admission/src/concurrency_limiter/fair_queue.rs
@@ -25,8 +25,8 @@
     waiting_since: Timestamp,
     /// Start tag of the client's next request, in the virtual time of the class.
     pub start_tag: u64,
-    /// Number of the change that set the current rank of the flow. Of several flows with equal start tags, the one with the lowest
-    /// number is served first.
+    /// Number of the change that set the current rank of the flow. Of several flows with equal start tags, the one with
+    /// the lowest number is served first.
     rank_change_number: u64,
     /// When the client's oldest waiting request exceeds the target wait.
     head_expiry: Option<Timestamp>,
@@ -136,7 +136,8 @@
 }
 
 impl ClassQueue {
-    /// Creates the queue of a class. Without a class, the weight is one and requests are not limited.
+    /// Creates the queue of a class. If the class is not configured (`None`), the weight is one and requests are not
+    /// limited.
     pub fn new(class: Option<&ClientClass>) -> ClassQueue {
         let mut queue = ClassQueue {
             weight: 1,
--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -163,7 +163,8 @@
         self.queues.get(&client.class).map_or(0, |queue| queue.queue_share(waiting))
     }
 
-    /// Decides on an arriving request, after it sheds waiting requests that have exceeded their wait.
+    /// Sheds the waiting requests that have exceeded their maximum wait or the target wait, then decides on an arriving
+    /// request.
     pub fn arrive(&mut self, now: Timestamp, arrival: Arrival, decisions: &mut Vec<Decision>) {
         self.tick(now, decisions);
         let outcome = arrival_table::decide(&self.arrival_input(now, &arrival));
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -232,7 +232,7 @@
     }
 
     /// Changes the limits. Open connections are kept, even if they exceed the new limits, and count towards the new class
-    /// with the name of their class.
+    /// of the same name.
     ///
     /// # Errors
     /// All errors in the set of classes. The limits are not changed in this case.
@@ -287,18 +287,20 @@
         class: &'a ClientClass,
         address: ClientAddress,
     ) -> AdmissionInput<'a> {
-        let held = |class: &ClientClass| self.by_class.get(&class.name).copied().unwrap_or(0);
+        let connections_of = |class: &ClientClass| self.by_class.get(&class.name).copied().unwrap_or(0);
         let others = self.limits.classes.iter().filter(|other| other.name != class.name);
         let wait = class
             .rate
             .map_or(TimeDelta::ZERO, |rate| self.addresses.wait_until_conforming(now, address, rate));
         AdmissionInput {
             class,
-            class_connections: held(class),
+            class_connections: connections_of(class),
             address_connections: self.addresses.connections(address),
             wait,
             connections: self.connections,
-            reserved_for_others: others.map(|other| other.reserved.saturating_sub(held(other))).sum(),
+            reserved_for_others: others
+                .map(|other| other.reserved.saturating_sub(connections_of(other)))
+                .sum(),
             capacity: self.limits.capacity,
         }
     }
--- a/admission/src/handshake_queue.rs
+++ b/admission/src/handshake_queue.rs
@@ -1,4 +1,4 @@
-//! Handshake queue: connections whose class depends on the user name, until their client has sent it.
+//! Handshake queue: holds connections whose class depends on the user name until the client has sent its user name.
 //!
 //! The queue is small. When it is full, a new connection displaces an old one. A client that sends its user name promptly
 //! leaves the queue before a flood of clients that never send theirs can displace it.
@@ -128,7 +128,7 @@
         true
     }
 
-    /// Changes the connections of an address, and updates the index by their number.
+    /// Changes the connections of an address, and updates the index by number of connections.
     fn update_address(
         &mut self,
         address: ClientAddress,
--- a/admission/src/reason_counts.rs
+++ b/admission/src/reason_counts.rs
@@ -8,13 +8,13 @@
 pub struct ReasonCount<Reason> {
     /// Name of the class.
     pub class: Arc<str>,
-    /// Why they were rejected.
+    /// Reason of the rejections.
     pub reason: Reason,
     /// Number of rejections since the start of the process.
     pub count: u64,
 }
 
-/// The counts of one limiter since the start of the process.
+/// The rejections by one limiter since the start of the process, by class and reason.
 #[derive(Debug)]
 pub(crate) struct ReasonCounts<Reason>(BTreeMap<(Arc<str>, Reason), u64>);
 
@@ -25,7 +25,7 @@
 }
 
 impl<Reason: Copy + Ord> ReasonCounts<Reason> {
-    /// Counts one more connection or request.
+    /// Counts one rejected connection or request.
     pub(crate) fn increment(&mut self, class: Arc<str>, reason: Reason) {
         *self.0.entry((class, reason)).or_default() += 1;
     }
--- a/admission/src/retry_budget.rs
+++ b/admission/src/retry_budget.rs
@@ -29,7 +29,8 @@
 }
 
 impl Budget {
-    /// The remaining budget at `now` if one retry is added per `interval`, up to a total of `max_retries`.
+    /// The remaining budget at `now` if one retry is added per `interval`, up to a total of `max_retries`. A client
+    /// may have accumulated more retries by first attempts; these are kept.
     fn remaining_at(&self, now: Timestamp, interval: TimeDelta, max_retries: i64) -> i64 {
         let elapsed = (now - self.as_of).0.max(0);
         let added = elapsed / (interval.0 / RETRY_COST).max(1);
@@ -46,6 +47,7 @@
     concurrency: i64,
     server: Budget,
     clients: HashMap<C, Budget>,
+    /// Clients with a budget, ordered by the time of their last admitted request.
     by_last_use: BTreeSet<(Timestamp, C)>,
 }
 
@@ -77,7 +79,8 @@
         self.server_remaining(now) >= RETRY_COST && self.client_remaining(now, client) >= RETRY_COST
     }
 
-    /// Records an admitted request: a first attempt adds its percentage to both budgets, a retry consumes from both.
+    /// Records an admitted request: a first attempt adds the allowed percentage of a retry to the budgets of
+    /// the client and the server, and a retry consumes one retry from both.
     pub fn record_admitted(&mut self, now: Timestamp, client: &C, is_retry: bool) {
         let change = if is_retry { -RETRY_COST } else { self.percent * RETRY_COST / 100 };
         let add = |remaining: i64, max_retries: i64| {
--- a/history-checker/src/checker.rs
+++ b/history-checker/src/checker.rs
@@ -128,9 +128,9 @@
             let detail = format!("was answered with a value that was not created for it: {value}");
             self.verdict.add_violation(Rule::OneAnswer, id, detail);
         }
-        let oldest = sent_ms - self.history.staleness_bound_ms - self.history.network_slack_ms;
-        if let Some(data) = parsed.filter(|data| is_read && data.consistent_until_ms < oldest) {
-            let (age_ms, max_ms) = (sent_ms - data.consistent_until_ms, sent_ms - oldest);
+        let oldest_allowed_ms = sent_ms - self.history.staleness_bound_ms - self.history.network_slack_ms;
+        if let Some(data) = parsed.filter(|data| is_read && data.consistent_until_ms < oldest_allowed_ms) {
+            let (age_ms, max_ms) = (sent_ms - data.consistent_until_ms, sent_ms - oldest_allowed_ms);
             let detail = format!("was answered with data {age_ms} ms old, at most {max_ms} ms are allowed");
             self.verdict.add_violation(Rule::BoundedStaleness, id, detail);
         }
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -51,9 +51,9 @@
     pub timeout_ms: i64,
     /// The answer, [`Answer::Missing`] if there was none.
     pub answer: Answer,
-    /// The answer was followed by a further one, which belongs to no request.
+    /// Whether the answer was followed by a further one, which belongs to no request.
     pub has_extra_answer: bool,
-    /// The router was killed while the request was open, so no answer is required.
+    /// Whether the router was killed while the request was open, so that no answer is required.
     pub router_killed: bool,
 }
 
@@ -78,7 +78,7 @@
 pub struct AnswerValue<'a> {
     /// Id of the request that the value was created for.
     pub id: &'a str,
-    /// Time up to which the endpoint's data is the same as on the live branch.
+    /// Time up to which the endpoint's data is the same as on the live branch, in Unix milliseconds.
     pub consistent_until_ms: i64,
     /// Point on the group's log up to which the endpoint has applied it.
     pub point: LogPoint,
@@ -105,7 +105,7 @@
     pub group: i64,
     /// Log point of the commit.
     pub point: LogPoint,
-    /// The endpoint was the primary of the group's live branch at that time.
+    /// Whether the endpoint was the primary of the group's live branch when it executed the write.
     pub at_primary: bool,
 }
 
--- a/history-checker/src/session_checker.rs
+++ b/history-checker/src/session_checker.rs
@@ -1,12 +1,13 @@
 //! Checks the sequence of a session's requests: the session guarantees of Terry et al. (*Session Guarantees for Weakly
-//! Consistent Replicated Data*, PDIS 1994), and that a session is told of lost data only if data was lost.
+//! Consistent Replicated Data*, PDIS 1994), and that a session receives the error for lost data only if data that it had
+//! observed was lost.
 
 use crate::checker::Checker;
 use crate::history::{log_includes, Answer, AnswerValue, Kind, LogPoint, RequestRecord, SESSION_LOST};
 use crate::verdict::Rule;
 use std::collections::BTreeMap;
 
-/// Points on one group's log that a session has observed and that were not reported to it as lost.
+/// Points on one group's log that a session has observed and that were not reported to the session as lost.
 #[derive(Default)]
 struct SessionView {
     /// Commits of the session's writes since the last violation.
--- a/host-support/src/bootstrap_config.rs
+++ b/host-support/src/bootstrap_config.rs
@@ -69,8 +69,8 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ReplicationConfig {
-    /// How an endpoint handles a read that its data is too stale for: `off` (serves stale data), `reject`, or `hold`
-    /// (waits until it has caught up).
+    /// How an endpoint handles a read for which its data is too stale: `off` (serves stale data), `reject`, or `hold`
+    /// (waits until the endpoint has caught up).
     #[serde(rename = "guards")]
     pub lag_handling: String,
     /// Staleness bounds of methods with `recent` access. A missing entry means 0.
@@ -82,7 +82,7 @@
     /// `client` if clients carry the positions of their sessions' writes; with any other value the router keeps them.
     #[serde(default, rename = "sessionMarks")]
     pub session_positions: String,
-    /// Maximum time that an endpoint waits to catch up before it rejects a read, with `hold`.
+    /// With `hold`, the maximum time that an endpoint waits to catch up before it rejects a read.
     #[serde(default, rename = "patienceNs")]
     pub max_catch_up_wait_ns: i64,
     /// Time that corresponds to position 0.
--- a/host-support/src/request_registry.rs
+++ b/host-support/src/request_registry.rs
@@ -62,7 +62,7 @@
     }
 
     /// Records the end of an attempt. `closed` closes the request as well, because its client needs no further answer.
-    /// Returns the data of the request if this removes it.
+    /// Returns the data of the request if the end of the attempt removes the request from the registry.
     pub fn end_attempt(&mut self, request: RequestId, closed: bool) -> Option<T> {
         let entry = self.entries.get_mut(&request)?;
         entry.in_flight = entry.in_flight.saturating_sub(1);
@@ -70,8 +70,8 @@
         self.remove_if_finished(request)
     }
 
-    /// Closes a request that was answered or whose client has disconnected. Returns the data of the request if this
-    /// removes it.
+    /// Closes a request that was answered or whose client has disconnected. Returns the data of the request if closing
+    /// it removes the request from the registry.
     pub fn close(&mut self, request: RequestId) -> Option<T> {
         self.entries.get_mut(&request)?.closed = true;
         self.remove_if_finished(request)
--- a/operator-config/src/client_class_line.rs
+++ b/operator-config/src/client_class_line.rs
@@ -103,8 +103,8 @@
             return Err(ConfigErrorKind::RepeatedProperty(property.name));
         }
         seen.push(property.name);
-        let set = (property.set)(&mut class, value);
-        set.map_err(|error| ConfigErrorKind::InvalidProperty { property: property.name, error })?;
+        let result = (property.set)(&mut class, value);
+        result.map_err(|error| ConfigErrorKind::InvalidProperty { property: property.name, error })?;
     }
     Ok(class)
 }
--- a/operator-config/src/settings.rs
+++ b/operator-config/src/settings.rs
@@ -22,7 +22,7 @@
     /// Endpoints do not report their identity.
     #[default]
     None,
-    /// The instance queries it with built-in functions of PostgreSQL, see `docs/recovery.md`.
+    /// The instance queries the identity of an endpoint with built-in functions of PostgreSQL, see `docs/recovery.md`.
     Postgres,
 }
 
@@ -139,8 +139,8 @@
     /// The limits on requests, if any is configured.
     fn concurrency_limits(&self) -> Option<ConcurrencyLimits> {
         let requests = &self.requests;
-        let class_limited = self.clients.classes.iter().any(|class| class.max_requests.is_some());
-        if requests.max_in_flight.is_none() && requests.retry_percent.is_none() && !class_limited {
+        let has_class_limit = self.clients.classes.iter().any(|class| class.max_requests.is_some());
+        if requests.max_in_flight.is_none() && requests.retry_percent.is_none() && !has_class_limit {
             return None;
         }
         let max_in_flight = requests.max_in_flight.unwrap_or(DEFAULT_MAX_REQUESTS_IN_FLIGHT);
@@ -193,7 +193,7 @@
         self.admission.concurrency_limits()
     }
 
-    /// The keywords that have a different value in `newer` which takes effect only at the next start.
+    /// The keywords whose value differs in `newer` and whose new value takes effect only at the next start.
     pub fn changed_start_keywords(&self, newer: &OperatorSettings) -> Vec<&'static str> {
         let (storage, newer_storage) = (&self.storage, &newer.storage);
         let (journal, newer_journal) = (&storage.journal, &newer_storage.journal);
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -85,10 +85,9 @@
             InputMessage::ClientGone(request) => self.report_client_gone(&request),
             InputMessage::TimerFired { instance, tag } => self.report(instance, Event::TimerFired { tag }),
             InputMessage::HealthCheckEnded { instance, endpoint, status, elapsed_ns, report } => {
-                let event = self
-                    .instances
-                    .get(&instance)
-                    .and_then(|it| it.health_check_ended(&endpoint, status, elapsed_ns, report.as_deref()));
+                let event = self.instances.get(&instance).and_then(|found| {
+                    found.health_check_ended(&endpoint, status, elapsed_ns, report.as_deref())
+                });
                 if let Some(event) = event {
                     self.report(instance, event);
                 }
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! Adapter between the simulator and the routing policy: reads the simulator's messages from standard input, reports
-//! them to one routing policy per instance, and writes the actions that the policies request to standard output. It makes
-//! no routing decisions.
+//! them to one routing policy per instance, and writes the actions that the policies request to standard output. The
+//! adapter makes no routing decisions.
 
 mod error;
 mod host;
--- a/simulator-adapter/src/messages.rs
+++ b/simulator-adapter/src/messages.rs
@@ -1,6 +1,6 @@
 //! The messages between the simulator and the adapter, one JSON object a line. Identifiers use the terms of the routing
-//! policy; a `rename` attribute gives the name on the wire where that is another. Times are in nanoseconds unless the
-//! name says otherwise.
+//! policy; a `rename` attribute gives the name on the wire where the two differ. Times are in nanoseconds unless the
+//! name of a field says otherwise.
 
 use host_support::bootstrap_config::BootstrapConfig;
 use serde::{Deserialize, Serialize};
@@ -41,7 +41,7 @@
         list: usize,
         records: Vec<ListRecord>,
     },
-    /// Discovery delivered an endpoint list, or failed to.
+    /// Discovery delivered an endpoint list, or failed.
     #[serde(rename = "Discovery")]
     EndpointList {
         #[serde(rename = "front")]
@@ -61,7 +61,7 @@
     /// The client of a request has closed its connection.
     #[serde(borrow, rename = "Gone")]
     ClientGone(RequestRef<'a>),
-    /// The time of a timer has come.
+    /// A timer that the policy has set is due.
     #[serde(rename = "Fired")]
     TimerFired {
         #[serde(rename = "front")]
@@ -119,7 +119,7 @@
     pub session_key: Option<Cow<'a, str>>,
     #[serde(rename = "dropDeadNs")]
     pub deadline_ns: i64,
-    /// The client retries a request.
+    /// Whether the client marked the request as a retry.
     #[serde(default, rename = "repeat")]
     pub is_retry: bool,
     /// Index of the method in the instance's configuration.
@@ -140,7 +140,7 @@
     /// Number of the attempt among those of its request.
     #[serde(default, rename = "hop")]
     pub attempt: u32,
-    /// The request needs no further answer.
+    /// Whether the request needs no further answer.
     #[serde(default, rename = "doneFlag")]
     pub request_closed: bool,
     #[serde(borrow, rename = "store")]
--- a/test-servers/src/bin/starts/rate.rs
+++ b/test-servers/src/bin/starts/rate.rs
@@ -8,7 +8,7 @@
 /// How long each measurement counts reads.
 const DURATION: Duration = Duration::from_secs(3);
 
-/// Measures each variant once in each pair, and prints the medians and their ratio.
+/// Measures once with and once without caching of the list in each pair, and prints the medians and their ratio.
 pub fn run_rate(arguments: &Arguments) {
     let (mut cached, mut uncached) = (Vec::new(), Vec::new());
     for pair in 0..arguments.seeds {
--- a/test-servers/src/client.rs
+++ b/test-servers/src/client.rs
@@ -61,7 +61,7 @@
 /// An answer, and whether a second answer to the same request followed it.
 struct Received {
     answer: Answer,
-    surplus: bool,
+    has_extra_answer: bool,
 }
 
 impl Client {
@@ -156,8 +156,11 @@
         let sent_ms = unix_ms();
         let sent = self.stream.write_all(&out).is_ok();
         let record = |id: &String| {
-            let received =
-                if sent { self.receive() } else { Received { answer: Answer::Missing, surplus: false } };
+            let received = if sent {
+                self.receive()
+            } else {
+                Received { answer: Answer::Missing, has_extra_answer: false }
+            };
             RequestRecord {
                 id: id.clone(),
                 group,
@@ -166,7 +169,7 @@
                 answered_ms: unix_ms(),
                 timeout_ms,
                 answer: received.answer,
-                has_extra_answer: received.surplus,
+                has_extra_answer: received.has_extra_answer,
                 router_killed: false,
             }
         };
@@ -193,11 +196,11 @@
                     answer = error_answer(&body);
                     answers += 1;
                 }
-                b'Z' => return Received { answer, surplus: answers > 1 },
+                b'Z' => return Received { answer, has_extra_answer: answers > 1 },
                 _ => self.store_parameter(tag, &body),
             }
         }
-        Received { answer: Answer::Missing, surplus: answers > 1 }
+        Received { answer: Answer::Missing, has_extra_answer: answers > 1 }
     }
 }
 
--- a/test-servers/src/cluster/endpoint_model.rs
+++ b/test-servers/src/cluster/endpoint_model.rs
@@ -17,11 +17,11 @@
 /// Where an endpoint is on its group's log, and how it replicates that log.
 #[derive(Clone, Debug)]
 pub struct ReplicationModel {
-    /// Number of the PostgreSQL timeline that it is on.
+    /// Number of the PostgreSQL timeline that the endpoint is on.
     pub timeline: u32,
-    /// Index of the branch that it is on, among the branches of the group's log.
+    /// Index of the branch that the endpoint is on, among the branches of the group's log.
     pub branch: usize,
-    /// The endpoint that it replicates from; `None` if it does not replicate.
+    /// The endpoint from which this one replicates; `None` if this endpoint does not replicate.
     pub upstream: Option<EndpointIndex>,
     /// Replication lag behind the upstream, in milliseconds.
     pub lag_ms: i64,
@@ -32,13 +32,13 @@
 /// The process of an endpoint.
 #[derive(Clone, Debug)]
 pub struct ProcessModel {
-    /// How it reacts to connections and statements.
+    /// How the endpoint reacts to connections and statements.
     pub reachability: Reachability,
-    /// When its drain began, in Unix milliseconds; `None` if it is not draining.
+    /// When the endpoint's drain began, in Unix milliseconds; `None` if the endpoint is not draining.
     pub draining_since_ms: Option<i64>,
-    /// When it was started, in Unix milliseconds.
+    /// When the process was started, in Unix milliseconds.
     pub started_ms: i64,
-    /// Whether it answers the statement for its identity. If not, it reports that the privilege is missing.
+    /// Whether the endpoint answers the statement for its identity. If not, it reports that the privilege is missing.
     pub reports_identity: bool,
 }
 
@@ -47,13 +47,13 @@
 pub struct EndpointModel {
     /// Name in the endpoint list.
     pub name: String,
-    /// Number of its group.
+    /// Number of the endpoint's group.
     pub group: i64,
-    /// Whether it acts as a primary and executes writes. An isolated old primary does so on an abandoned branch.
+    /// Whether the endpoint acts as a primary and executes writes. An isolated old primary does so on an abandoned branch.
     pub primary: bool,
-    /// State of its replication.
+    /// State of the endpoint's replication.
     pub replication: ReplicationModel,
-    /// State of its process.
+    /// State of the endpoint's process.
     pub process: ProcessModel,
 }
 
--- a/test-servers/src/cluster/mod.rs
+++ b/test-servers/src/cluster/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A position on a log is a time in Unix milliseconds. The position of a primary is the current time. The position of
 //! a replica is the position of its upstream minus its lag, or the position at which its replication has stopped. A
-//! failover forks a new branch of the log. If the old primary is isolated and continues to execute writes, these are
-//! on an abandoned branch.
+//! failover forks a new branch of the log. If the old primary is isolated and continues to execute writes, those
+//! writes are on an abandoned branch.
 
 mod answer_gate;
 mod endpoint_model;
@@ -21,11 +21,11 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Bound on the staleness of reads, in the settings of the tested instances.
+/// Staleness bound of reads, in the settings of the tested instances.
 pub const STALENESS_BOUND_MS: i64 = 800;
 /// Tolerance in the check of a client's timeout: the time until a busy machine schedules the client's thread.
 const SCHEDULING_SLACK_MS: i64 = 500;
-/// Tolerance in the check of the bound on staleness: the time that a request takes from the client to the router.
+/// Tolerance in the check of the staleness bound: the time that a request takes from the client to the router.
 const NETWORK_SLACK_MS: i64 = 60;
 
 /// The wall clock in Unix milliseconds.
--- a/test-servers/src/cluster/state.rs
+++ b/test-servers/src/cluster/state.rs
@@ -9,10 +9,10 @@
 /// One branch of a group's log.
 #[derive(Clone, Copy, Debug)]
 pub struct Branch {
-    /// Position at which it forked from the previous branch, in Unix milliseconds. The two branches share the log up
-    /// to there.
+    /// Position at which the branch forked from the previous one, in Unix milliseconds. The two branches share the log
+    /// up to this position.
     pub forked_ms: i64,
-    /// Whether it is the group's current branch. The others are abandoned.
+    /// Whether the branch is the group's current one. The other branches are abandoned.
     pub is_live: bool,
 }
 
@@ -26,9 +26,9 @@
 /// What the old primary does after a failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OldPrimary {
-    /// It is isolated from the group and continues to execute writes.
+    /// The old primary is isolated from the group and continues to execute writes.
     Isolated,
-    /// It becomes a replica of the new primary.
+    /// The old primary becomes a replica of the new one.
     Follows,
 }
 
--- a/test-servers/src/daemon.rs
+++ b/test-servers/src/daemon.rs
@@ -104,14 +104,14 @@
 
     /// Kills the process and returns its log.
     pub fn kill(mut self) -> String {
-        self.end();
+        self.kill_and_wait();
         if let Some(reader) = self.log_reader.take() {
             let _ = reader.join();
         }
         std::mem::take(&mut self.log.lock().expect("the log reader panicked"))
     }
 
-    fn end(&mut self) {
+    fn kill_and_wait(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -119,7 +119,7 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        self.end();
+        self.kill_and_wait();
     }
 }
 
--- a/test-servers/src/discovery.rs
+++ b/test-servers/src/discovery.rs
@@ -76,10 +76,10 @@
     Close,
 }
 
-/// A listening discovery service. Its clones share one state. It listens until the process ends.
+/// A listening discovery service. Clones of a value refer to the same service, which listens until the process ends.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Address that it listens on.
+    /// Address that the service listens on.
     pub addr: SocketAddr,
     state: Arc<Mutex<ServiceState>>,
 }
@@ -130,7 +130,7 @@
         state.entries = entries;
     }
 
-    /// Serves one connection. Returns `None` if it ends before the response is complete.
+    /// Serves one connection. Returns `None` if the connection ends before the response is complete.
     fn serve(&self, mut stream: TcpStream) -> Option<()> {
         if lock(&self.state).is_down() {
             return None;
--- a/test-servers/src/endpoint.rs
+++ b/test-servers/src/endpoint.rs
@@ -31,7 +31,7 @@
 /// A listening endpoint. Dropping it stops the listener; open connections are closed when their next statement
 /// arrives.
 pub struct ServedEndpoint {
-    /// Address that it listens on.
+    /// Address that the endpoint listens on.
     pub addr: SocketAddr,
     is_over: Arc<AtomicBool>,
 }
--- a/test-servers/src/lib.rs
+++ b/test-servers/src/lib.rs
@@ -1,5 +1,6 @@
 //! Test doubles of the endpoints, the discovery service and the clients of a router instance, and randomized test runs
-//! that are reproducible by their seed. All of them listen on loopback and need no privileges.
+//! that are reproducible by their seed. The test doubles use only loopback addresses and need no
+//! privileges.
 //!
 //! - [`cluster`]: model of a cluster: its groups, the branches of their logs, the primaries, slow starts and drains
 //! - [`endpoint`]: a listening endpoint of a cluster
@@ -75,7 +76,7 @@
     results.into_iter().map(|run| run.result).collect()
 }
 
-/// Locks a mutex even if a thread panicked while it held it.
+/// Locks a mutex, even if a thread has panicked while holding the lock.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
--- a/test-servers/src/restart/plan.rs
+++ b/test-servers/src/restart/plan.rs
@@ -23,7 +23,7 @@
     AddressUnused,
     /// One replica does not answer.
     ReplicaSilent,
-    /// All listed replicas lag by more than the bound on staleness.
+    /// All listed replicas lag by more than the staleness bound.
     ReplicasLag,
     /// The primary is unreachable, and no replica was promoted.
     NoPrimary,
@@ -66,7 +66,7 @@
     DiscoveryReturn::Flapping,
 ];
 
-/// Ages of the cached list to choose from, in seconds. A negative age means that the list is from the future, as after
+/// Ages of the cached list to choose from, in seconds. A negative age means that the list is dated in the future, as after
 /// the clock was set back.
 const AGES_S: [i64; 6] = [5, 40, 600, 7_200, 172_800, -3_600];
 const GROUP_COUNT: usize = 3;
--- a/test-servers/src/restart/scenario.rs
+++ b/test-servers/src/restart/scenario.rs
@@ -15,7 +15,7 @@
 
 /// Age of endpoints whose slow start is over.
 const WARM_ENDPOINT_AGE_MS: i64 = 3_600_000;
-/// Replication lag without a fault: far below the bound on staleness, so that only faults make replicas stale.
+/// Replication lag without a fault: far below the staleness bound, so that only faults make replicas stale.
 const REPLICATION_LAG: JitteredMs = JitteredMs { min_ms: 10, jitter_ms: 60 };
 /// Lag of the reported positions in the cached list.
 const REPORTED_LAG_MS: i64 = 10;
--- a/test-servers/src/sessions/client.rs
+++ b/test-servers/src/sessions/client.rs
@@ -53,9 +53,9 @@
     rng: Mwc,
     serial: usize,
     token: Option<String>,
-    /// Records of its requests.
+    /// Records of the client's requests.
     pub records: Vec<RequestRecord>,
-    /// Answers to its fate queries.
+    /// Answers to the client's fate queries.
     pub fates: Vec<FateAnswer>,
     /// Number of writes that were aborted or whose answer was lost.
     pub writes_in_doubt: usize,
--- a/test-servers/src/sessions/plan.rs
+++ b/test-servers/src/sessions/plan.rs
@@ -8,7 +8,7 @@
 /// Lag of the replica that is promoted by the failover: short, so that the failover loses only the end of the log.
 const SHORT_LAG: JitteredMs = JitteredMs { min_ms: 10, jitter_ms: 60 };
 /// Lag of the other replica: long enough that the replica often lacks data that a session has observed, but below the
-/// bound on staleness, so that it may serve reads.
+/// staleness bound, so that it may serve reads.
 const LONG_LAG: JitteredMs = JitteredMs { min_ms: 150, jitter_ms: 550 };
 /// Time from the failover until discovery lists the new primary: at most about as long as the pause between two kills.
 const DISCOVERY_DELAY: JitteredMs = JitteredMs { min_ms: 0, jitter_ms: 300 };
--- a/test-servers/src/settings.rs
+++ b/test-servers/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::cluster::{SlowStartModel, STALENESS_BOUND_MS};
 
 const NANOS_PER_MILLI: i64 = 1_000_000;
-/// Number of instances in the settings of tests that do not depend on it.
+/// Number of instances in the settings of tests that do not depend on the number.
 const DEFAULT_INSTANCES: usize = 2;
 /// Resolution of the clocks and of the positions on logs.
 const CLOCK_RESOLUTION_MS: i64 = 5;
--- a/test-servers/src/single_endpoint.rs
+++ b/test-servers/src/single_endpoint.rs
@@ -19,6 +19,7 @@
     /// Model of the cluster.
     pub cluster: Arc<Cluster>,
     discovery: Discovery,
+    /// Stops the endpoint when it is dropped.
     _served: ServedEndpoint,
 }
 
