--- a/admission/src/accept_backoff.rs
+++ b/admission/src/accept_backoff.rs
@@ -48,8 +48,8 @@
 pub struct AcceptBackoff {
     /// Number of errors since the last accepted connection.
     errors: u32,
-    /// The wait after the last error; zero if that error was retried at once, or if no error has occurred since the last
-    /// accepted connection.
+    /// The wait after the last error; zero if that error was retried at once, or if no error has occurred since the
+    /// last accepted connection.
     wait: TimeDelta,
 }
 
--- a/admission/src/concurrency_limiter/mod.rs
+++ b/admission/src/concurrency_limiter/mod.rs
@@ -51,8 +51,8 @@
     request: RequestId,
 }
 
-/// How long the start tag of an idle client is kept. Without it, a client that returns after a pause would be queued
-/// behind clients that always have requests.
+/// How long the start tag of an idle client is kept. Without the start tag, a client that returns after a pause would
+/// be queued behind clients that always have requests.
 const IDLE_CLIENT_TTL: TimeDelta = TimeDelta::from_millis(5_000);
 /// Maximum number of remembered idle clients, at about 150 bytes each. A client that uses more addresses than this
 /// before idle clients expire can have the start tag of each address forgotten once, and with it the service that the
@@ -291,8 +291,8 @@
         Some(NextRequest { client, request })
     }
 
-    /// Records that a waiting request of a client is admitted: counts it as in flight, and advances the virtual times and
-    /// the start tags of the class and the client.
+    /// Records that a waiting request of a client is admitted: counts it as in flight, and advances the virtual times
+    /// and the start tags of the class and the client.
     fn record_service(&mut self, now: Timestamp, client: &ClientKey) {
         let client_tag = self.flow(client).map_or(0, |flow| flow.start_tag);
         let class_tag = self.queue(&client.class).start_tag;
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -231,8 +231,8 @@
         })
     }
 
-    /// Changes the limits. Open connections are kept, even if they exceed the new limits, and count towards the new class
-    /// of the same name.
+    /// Changes the limits. Open connections are kept, even if they exceed the new limits, and count towards the new
+    /// class of the same name.
     ///
     /// # Errors
     /// All errors in the set of classes. The limits are not changed in this case.
--- a/admission/src/handshake_queue.rs
+++ b/admission/src/handshake_queue.rs
@@ -1,7 +1,7 @@
 //! Handshake queue: holds connections whose class depends on the user name until the client has sent its user name.
 //!
-//! The queue is small. When it is full, a new connection displaces an old one. A client that sends its user name promptly
-//! leaves the queue before a flood of clients that never send theirs can displace it.
+//! The queue is small. When it is full, a new connection displaces an old one. A client that sends its user name
+//! promptly leaves the queue before a flood of clients that never send theirs can displace it.
 
 use crate::client_address::ClientAddress;
 use std::collections::{BTreeSet, HashMap};
--- a/admission/src/retry_budget.rs
+++ b/admission/src/retry_budget.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
 
-/// Maximum number of remembered client budgets, at about 100 bytes each. A client that uses more addresses than this can
-/// have an exhausted budget evicted, and then has the initial budget of one retry again.
+/// Maximum number of remembered client budgets, at about 100 bytes each. A client that uses more addresses than this
+/// can have an exhausted budget evicted, and then has the initial budget of one retry again.
 pub const MAX_REMEMBERED: usize = 1 << 16;
 
 /// Cost of one retry in the fixed-point unit of budgets, a thousandth of a retry.
--- a/admission/tests/concurrency_limiter.rs
+++ b/admission/tests/concurrency_limiter.rs
@@ -10,7 +10,7 @@
 use admission::retry_budget::{RetryBudgets, MAX_REMEMBERED};
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
-use support::at;
+use support::at_ms;
 use support::requests::{classes, client, limits, MAX_RETRY_AFTER};
 
 /// A limiter and its decisions so far.
@@ -34,10 +34,10 @@
             request: self.last_request,
             client: client.clone(),
             is_retry,
-            deadline: at(ms + 1_000),
+            deadline: at_ms(ms + 1_000),
         };
         let mut decisions = Vec::new();
-        self.limiter.arrive(at(ms), arrival, &mut decisions);
+        self.limiter.arrive(at_ms(ms), arrival, &mut decisions);
         for decision in decisions {
             match decision {
                 Decision::Admit { request, .. } => _ = self.admitted.insert(request),
@@ -54,13 +54,13 @@
 
     fn tick(&mut self, ms: i64) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        self.limiter.tick(at(ms), &mut decisions);
+        self.limiter.tick(at_ms(ms), &mut decisions);
         decisions
     }
 
     fn remove(&mut self, ms: i64, request: RequestId) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        self.limiter.remove(at(ms), request, &mut decisions);
+        self.limiter.remove(at_ms(ms), request, &mut decisions);
         decisions
     }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// A client that always has `open` requests that wait or are in flight.
+/// A client that keeps `open` requests waiting or in flight, and sends a new one whenever one of them has ended.
 struct ClosedLoopClient {
     key: ClientKey,
     open: usize,
@@ -90,17 +90,17 @@
         while let Some((_, request)) = ends.first().copied().filter(|(end, _)| *end <= ms) {
             ends.pop_first();
             open[client_of[&request]] -= 1;
-            limiter.remove(at(ms), request, &mut decisions);
+            limiter.remove(at_ms(ms), request, &mut decisions);
         }
-        limiter.tick(at(ms), &mut decisions);
+        limiter.tick(at_ms(ms), &mut decisions);
         for (nth, client) in clients.iter().enumerate() {
             while open[nth] < client.open {
                 last_request += 1;
                 client_of.insert(last_request, nth);
                 open[nth] += 1;
-                let (client, deadline) = (client.key.clone(), at(ms + 1_000));
+                let (client, deadline) = (client.key.clone(), at_ms(ms + 1_000));
                 let arrival = Arrival { request: last_request, client, is_retry: false, deadline };
-                limiter.arrive(at(ms), arrival, &mut decisions);
+                limiter.arrive(at_ms(ms), arrival, &mut decisions);
             }
         }
         for decision in decisions {
@@ -132,15 +132,16 @@
 
 #[test]
 fn classes_share_by_weight_and_unused_shares_are_redistributed() {
-    let desk = |open| ClosedLoopClient { key: client("desk", 1), open };
+    let interactive = |open| ClosedLoopClient { key: client("interactive", 1), open };
     let other = || ClosedLoopClient { key: client(DEFAULT_CLASS, 2), open: 50 };
     for max_in_flight in [1, 4, 16] {
-        let admitted = run_closed_loop(limits(max_in_flight, 1_000), &[desk(50), other()]);
+        let admitted = run_closed_loop(limits(max_in_flight, 1_000), &[interactive(50), other()]);
         let share = admitted[0] as f64 / (admitted[0] + admitted[1]) as f64;
         assert!((0.72..0.78).contains(&share), "{max_in_flight} in flight: {admitted:?}");
     }
-    // A class that never has more than one request is always served next. The other class uses the rest of the capacity.
-    let admitted = run_closed_loop(limits(4, 1_000), &[desk(1), other()]);
+    // A class that never has more than one request is always served next. The other class uses the rest of the
+    // capacity.
+    let admitted = run_closed_loop(limits(4, 1_000), &[interactive(1), other()]);
     assert!((49..=51).contains(&admitted[0]) && admitted[1] >= 345, "{admitted:?}");
 }
 
@@ -154,7 +155,7 @@
     let third = fixture.arrive(95, &slow, false);
     assert_eq!(
         fixture.limiter.next_tick(),
-        Some(at(100)),
+        Some(at_ms(100)),
         "at first a request may wait for the whole interval"
     );
     assert!(matches!(
@@ -162,7 +163,7 @@
         [Decision::Shed(ShedRequest { request, reason: ShedReason::WaitedTooLong, .. })] if *request == second
     ));
     // This client's queue has not been empty for the interval, so that the target wait applies to this client only.
-    assert_eq!(fixture.limiter.next_tick(), Some(at(105)));
+    assert_eq!(fixture.limiter.next_tick(), Some(at_ms(105)));
     let fourth = fixture.arrive(100, &other, false);
     assert!(matches!(
         &fixture.tick(150)[..],
@@ -171,9 +172,9 @@
     let admitted = Decision::Admit { request: fourth, waited: TimeDelta::from_millis(51) };
     assert_eq!(fixture.remove(151, first), [admitted]);
     // No request waits for more than a fourth of its timeout.
-    let arrival = Arrival { request: 99, client: slow, is_retry: false, deadline: at(200 + 40) };
-    fixture.limiter.arrive(at(200), arrival, &mut Vec::new());
-    assert_eq!(fixture.limiter.next_tick(), Some(at(210)));
+    let arrival = Arrival { request: 99, client: slow, is_retry: false, deadline: at_ms(200 + 40) };
+    fixture.limiter.arrive(at_ms(200), arrival, &mut Vec::new());
+    assert_eq!(fixture.limiter.next_tick(), Some(at_ms(210)));
 }
 
 #[test]
@@ -194,8 +195,8 @@
     // weight makes the share smaller.
     let batch = fixture.arrive_all(2, vec![client("batch", 9); 4]);
     assert_eq!(fixture.shed.last(), Some(&(batch[3], ShedReason::QueueFull)), "{:?}", fixture.shed);
-    let desk = fixture.arrive_all(3, vec![client("desk", 9); 2]);
-    assert!(fixture.shed.iter().all(|(request, _)| !desk.contains(request)), "{:?}", fixture.shed);
+    let interactive = fixture.arrive_all(3, vec![client("interactive", 9); 2]);
+    assert!(fixture.shed.iter().all(|(request, _)| !interactive.contains(request)), "{:?}", fixture.shed);
 }
 
 #[test]
@@ -210,7 +211,7 @@
     let mut lowered = classes();
     lowered[1].max_requests = Some(1);
     let mut decisions = Vec::new();
-    fixture.limiter.set_limits(at(3), limits(1, 10), lowered, &mut decisions);
+    fixture.limiter.set_limits(at_ms(3), limits(1, 10), lowered, &mut decisions);
     assert!(decisions.is_empty(), "{decisions:?}");
     let excess = fixture.arrive(4, &client("batch", 5), false);
     assert_eq!(fixture.shed.last(), Some(&(excess, ShedReason::ClassLimit)));
@@ -249,7 +250,7 @@
         assert!(budgets.client_count() <= MAX_REMEMBERED + 1);
     }
     for nth in 0..MAX_REMEMBERED as u32 {
-        budgets.record_admitted(at(20_000) + TimeDelta(i64::from(nth)), &(nth % 3), false);
+        budgets.record_admitted(at_ms(20_000) + TimeDelta(i64::from(nth)), &(nth % 3), false);
     }
     assert_eq!(budgets.client_count(), 3, "requests of other clients evict expired budgets");
 }
--- a/admission/tests/concurrency_limiter_model.rs
+++ b/admission/tests/concurrency_limiter_model.rs
@@ -17,7 +17,7 @@
 use support::requests::{classes, client, limits, MAX_RETRY_AFTER};
 
 /// The classes to which the clients of the property test belong.
-const CLASS_NAMES: [&str; 3] = ["desk", "batch", DEFAULT_CLASS];
+const CLASS_NAMES: [&str; 3] = ["interactive", "batch", DEFAULT_CLASS];
 
 /// One step of a random sequence.
 #[derive(Clone, Debug)]
@@ -139,8 +139,8 @@
         self.record(decisions)
     }
 
-    /// Checks that each decision is the first on its request and in time, and that the Retry-After time of a shed request
-    /// is within the limit. Updates the expected state.
+    /// Checks that each decision is the first on its request and in time, and that the Retry-After time of a shed
+    /// request is within the limit. Updates the expected state.
     fn record(&mut self, decisions: Vec<Decision>) -> TestCaseResult {
         for decision in decisions {
             let request = match &decision {
@@ -186,8 +186,8 @@
         Ok(())
     }
 
-    /// Checks that the limiter's counts by class agree with the expected state, and that the class with a request limit is
-    /// within the limit.
+    /// Checks that the limiter's counts by class agree with the expected state, and that the class with a request limit
+    /// is within the limit.
     fn check_counts(&self) -> TestCaseResult {
         let counts: BTreeMap<Arc<str>, (usize, usize)> = self
             .limiter
--- a/admission/tests/connection_limiter.rs
+++ b/admission/tests/connection_limiter.rs
@@ -12,15 +12,15 @@
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
-use support::at;
-use support::connections::{connection_limits, limiter, v4};
+use support::at_ms;
+use support::connections::{connection_limits, limiter, loopback_address};
 
 /// A class with four reserved connections.
-fn desk() -> ClientClass {
+fn class_with_reservation() -> ClientClass {
     ClientClass {
         networks: vec!["127.9.0.0/16".parse().expect("a valid network")],
         reserved: 4,
-        ..ClientClass::named("desk")
+        ..ClientClass::named("interactive")
     }
 }
 
@@ -31,34 +31,39 @@
 
 /// Lets a client connect. Returns why the connection is rejected, or `None` if it is admitted; it is never released.
 fn rejection_reason(limiter: &mut ConnectionLimiter, ms: i64, address: IpAddr) -> Option<RejectionReason> {
-    limiter.admit(at(ms), address, None).err().map(|rejection| rejection.reason)
+    limiter.admit(at_ms(ms), address, None).err().map(|rejection| rejection.reason)
 }
 
 #[test]
 fn reserved_connections_stay_available_to_their_class_under_a_flood() {
     let others = ClientClass { max_per_address: Some(2), ..ClientClass::named(DEFAULT_CLASS) };
-    let mut limiter = limiter(vec![desk(), others], 10);
+    let mut limiter = limiter(vec![class_with_reservation(), others], 10);
     let mut admitted: Vec<AdmittedConnection> = Vec::new();
     for nth in 0..200 {
-        admitted.extend(limiter.admit(at(nth), v4(1, 0, nth as u8), None));
+        admitted.extend(limiter.admit(at_ms(nth), loopback_address(1, 0, nth as u8), None));
     }
     assert_eq!(admitted.len(), 6, "other clients get the connections that are not reserved");
-    assert_eq!(rejection_reason(&mut limiter, 300, v4(1, 0, 250)), Some(RejectionReason::Reserved));
+    assert_eq!(
+        rejection_reason(&mut limiter, 300, loopback_address(1, 0, 250)),
+        Some(RejectionReason::Reserved)
+    );
     for nth in 0..4 {
-        admitted.push(limiter.admit(at(301), v4(9, 1, nth), None).expect("a reserved connection"));
+        admitted.push(
+            limiter.admit(at_ms(301), loopback_address(9, 1, nth), None).expect("a reserved connection"),
+        );
     }
     assert_eq!(
-        rejection_reason(&mut limiter, 302, v4(9, 1, 9)),
+        rejection_reason(&mut limiter, 302, loopback_address(9, 1, 9)),
         Some(RejectionReason::Reserved),
         "at capacity"
     );
     // A connection that another class releases is available to every class.
-    limiter.release(at(303), admitted.remove(0));
-    admitted.push(limiter.admit(at(304), v4(9, 1, 9), None).expect("a released connection"));
+    limiter.release(at_ms(303), admitted.remove(0));
+    admitted.push(limiter.admit(at_ms(304), loopback_address(9, 1, 9), None).expect("a released connection"));
     // A connection that the class releases beyond its reservation is available to every class.
-    limiter.release(at(305), admitted.pop().expect("the last connection"));
-    assert_eq!(rejection_reason(&mut limiter, 306, v4(1, 0, 250)), None);
-    let expected = [("desk", 4), (DEFAULT_CLASS, 6)];
+    limiter.release(at_ms(305), admitted.pop().expect("the last connection"));
+    assert_eq!(rejection_reason(&mut limiter, 306, loopback_address(1, 0, 250)), None);
+    let expected = [("interactive", 4), (DEFAULT_CLASS, 6)];
     let expected = expected.map(|(class, connections)| ClassConnections { class: class.into(), connections });
     assert_eq!(limiter.connections_by_class().collect::<Vec<_>>(), expected);
 }
@@ -70,9 +75,9 @@
     let mut limiter = limiter(vec![class], 1_000);
     let address = |host: u128| IpAddr::from(Ipv6Addr::from_bits((0x2001_0db8 << 96) | host));
     let burst: Vec<AdmittedConnection> =
-        (0..3).map(|host| limiter.admit(at(0), address(host), None).expect("within the burst")).collect();
+        (0..3).map(|host| limiter.admit(at_ms(0), address(host), None).expect("within the burst")).collect();
     let rejection =
-        limiter.admit(at(0), address(77), None).expect_err("all addresses of a /64 network count as one");
+        limiter.admit(at_ms(0), address(77), None).expect_err("all addresses of a /64 network count as one");
     assert_eq!(rejection.reason, RejectionReason::RateLimit);
     let expected = TimeDelta::from_millis(100)..TimeDelta::from_millis(801);
     assert!(expected.contains(&rejection.retry_after), "{rejection:?}");
@@ -85,7 +90,7 @@
     assert_eq!(rejection_reason(&mut limiter, 100, address(3)), None);
     assert_eq!(rejection_reason(&mut limiter, 200, address(3)), None);
     assert_eq!(rejection_reason(&mut limiter, 9_000, address(3)), Some(RejectionReason::AddressLimit));
-    burst.into_iter().for_each(|connection| limiter.release(at(9_001), connection));
+    burst.into_iter().for_each(|connection| limiter.release(at_ms(9_001), connection));
     assert_eq!(rejection_reason(&mut limiter, 9_002, address(3)), None);
 }
 
@@ -103,11 +108,12 @@
 #[test]
 fn retry_after_times_of_simultaneous_rejections_are_spread() {
     let mut limiter = limiter(vec![single_connection()], 50);
-    let _held = limiter.admit(at(0), v4(1, 1, 1), None).expect("the first connection");
+    let _held = limiter.admit(at_ms(0), loopback_address(1, 1, 1), None).expect("the first connection");
     let retry_after_ms: Vec<i64> = (0..1_000)
         .map(|nth| {
-            let rejection =
-                limiter.admit(at(1), v4(1, 2, nth as u8), None).expect_err("the class is at its limit");
+            let rejection = limiter
+                .admit(at_ms(1), loopback_address(1, 2, nth as u8), None)
+                .expect_err("the class is at its limit");
             rejection.retry_after.0 / 1_000_000
         })
         .collect();
@@ -129,11 +135,12 @@
     let max_retry_after = TimeDelta::from_millis(500);
     let limits = connection_limits(vec![single_connection()], 50);
     let mut limiter = ConnectionLimiter::new(limits, max_retry_after, 7).expect("valid classes");
-    let _held = limiter.admit(at(0), v4(1, 1, 1), None).expect("the first connection");
+    let _held = limiter.admit(at_ms(0), loopback_address(1, 1, 1), None).expect("the first connection");
     let mut by_tenth: BTreeMap<i64, usize> = BTreeMap::new();
     for nth in 0..1_000 {
-        let rejection =
-            limiter.admit(at(1), v4(1, 2, nth as u8), None).expect_err("the class is at its limit");
+        let rejection = limiter
+            .admit(at_ms(1), loopback_address(1, 2, nth as u8), None)
+            .expect_err("the class is at its limit");
         assert!(rejection.retry_after <= max_retry_after);
         *by_tenth.entry(rejection.retry_after.0 / 100_000_000).or_default() += 1;
     }
@@ -169,19 +176,23 @@
     ] {
         assert!(errors.contains(&error), "{error}: {errors:?}");
     }
-    let mut limiter = limiter(vec![desk()], 10);
+    let mut limiter = limiter(vec![class_with_reservation()], 10);
     assert!(limiter.set_limits(connection_limits(classes, 10)).is_err());
-    assert_eq!(rejection_reason(&mut limiter, 0, v4(9, 0, 0)), None, "the previous limits stay in effect");
+    assert_eq!(
+        rejection_reason(&mut limiter, 0, loopback_address(9, 0, 0)),
+        None,
+        "the previous limits stay in effect"
+    );
 }
 
 #[test]
 fn a_million_addresses_leave_a_bounded_number_remembered() {
     let rate = Some(ConnectionRate { per_second: 1, burst: 2 });
     let mut limiter = limiter(vec![ClientClass { rate, ..ClientClass::named(DEFAULT_CLASS) }], 100);
-    let over_rate = v4(255, 255, 255);
+    let over_rate = loopback_address(255, 255, 255);
     for _ in 0..2 {
-        let connection = limiter.admit(at(0), over_rate, None).expect("within the burst");
-        limiter.release(at(0), connection);
+        let connection = limiter.admit(at_ms(0), over_rate, None).expect("within the burst");
+        limiter.release(at_ms(0), connection);
     }
     assert_eq!(rejection_reason(&mut limiter, 1, over_rate), Some(RejectionReason::RateLimit));
     for nth in 0..1_000_000u32 {
@@ -196,7 +207,7 @@
     assert_eq!(limiter.remembered_addresses(), MAX_REMEMBERED);
     // The address that exceeds its rate the most is evicted last: all others have connected once.
     assert_eq!(rejection_reason(&mut limiter, 950, over_rate), Some(RejectionReason::RateLimit));
-    let connection = limiter.admit(at(60_000), over_rate, None).expect("within its rate again");
-    limiter.release(at(70_000), connection);
+    let connection = limiter.admit(at_ms(60_000), over_rate, None).expect("within its rate again");
+    limiter.release(at_ms(70_000), connection);
     assert_eq!(limiter.remembered_addresses(), 0);
 }
--- a/admission/tests/connection_limiter_model.rs
+++ b/admission/tests/connection_limiter_model.rs
@@ -13,7 +13,7 @@
 use routing::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
-use support::connections::{connection_limits, limiter, v4};
+use support::connections::{connection_limits, limiter, loopback_address};
 
 /// Maximum connections of the limiter.
 const CAPACITY: usize = 16;
@@ -21,37 +21,38 @@
 /// The limits that a random sequence starts with.
 #[derive(Clone, Copy, Debug)]
 struct InitialLimits {
-    desk_reserved: usize,
-    house_reserved: usize,
-    house_max: usize,
+    branch_reserved: usize,
+    company_reserved: usize,
+    company_max: usize,
     others_max_per_address: usize,
     others_rate: ConnectionRate,
 }
 
 fn any_limits() -> impl Strategy<Value = InitialLimits> {
     let limits = (1..9usize, 1..9usize, 1..20u32, 1..5u32);
-    ((0..6usize, 0..6usize), limits).prop_map(|((desk_reserved, house_reserved), limits)| {
-        let (house_max, others_max_per_address, per_second, burst) = limits;
+    ((0..6usize, 0..6usize), limits).prop_map(|((branch_reserved, company_reserved), limits)| {
+        let (company_max, others_max_per_address, per_second, burst) = limits;
         let others_rate = ConnectionRate { per_second, burst };
-        InitialLimits { desk_reserved, house_reserved, house_max, others_max_per_address, others_rate }
+        InitialLimits { branch_reserved, company_reserved, company_max, others_max_per_address, others_rate }
     })
 }
 
 impl InitialLimits {
-    /// The network of class `house` contains that of class `desk`, so that a client of `desk` must be matched to the
-    /// narrower network. The limit of `house` is lowered by `house_lowered_by`, but never below its reservation.
-    fn classes(&self, house_lowered_by: usize) -> [ClientClass; 3] {
+    /// The network of class `company` contains that of class `branch`, so that a client of `branch` must be matched to
+    /// the narrower network. The limit of `company` is lowered by `company_lowered_by`, but never below its
+    /// reservation.
+    fn classes(&self, company_lowered_by: usize) -> [ClientClass; 3] {
         let class = |name: &str, network: &str, reserved| ClientClass {
             networks: vec![network.parse().expect("a valid network")],
             reserved,
             ..ClientClass::named(name)
         };
-        let house_max = (5 + self.house_max - house_lowered_by.min(4)).max(self.house_reserved);
+        let company_max = (5 + self.company_max - company_lowered_by.min(4)).max(self.company_reserved);
         [
-            class("desk", "127.9.0.0/16", self.desk_reserved),
+            class("branch", "127.9.0.0/16", self.branch_reserved),
             ClientClass {
-                max_connections: Some(house_max),
-                ..class("house", "127.8.0.0/15", self.house_reserved)
+                max_connections: Some(company_max),
+                ..class("company", "127.8.0.0/15", self.company_reserved)
             },
             ClientClass {
                 max_per_address: Some(self.others_max_per_address),
@@ -69,7 +70,7 @@
     Connect { net: u8, host: u8 },
     /// One of the open connections is released. `index` selects which one.
     Release { index: u8 },
-    /// The limit of class `house` is lowered by this much.
+    /// The limit of class `company` is lowered by this much.
     LowerLimit { by: u8 },
 }
 
@@ -89,9 +90,9 @@
 struct StateBefore {
     class: ClientClass,
     /// Open connections of the class.
-    of_class: usize,
+    class_connections: usize,
     /// Open connections of the address.
-    of_address: usize,
+    address_connections: usize,
     /// Open connections of all classes.
     total: usize,
     /// Connections that are reserved for other classes and not used by them.
@@ -100,11 +101,11 @@
 
 impl StateBefore {
     fn is_class_full(&self) -> bool {
-        self.class.max_connections.is_some_and(|max| self.of_class >= max)
+        self.class.max_connections.is_some_and(|max| self.class_connections >= max)
     }
 
     fn is_address_full(&self) -> bool {
-        self.class.max_per_address.is_some_and(|max| self.of_address >= max)
+        self.class.max_per_address.is_some_and(|max| self.address_connections >= max)
     }
 
     fn is_rest_reserved(&self) -> bool {
@@ -112,7 +113,7 @@
     }
 
     fn has_reservation(&self) -> bool {
-        self.of_class < self.class.reserved
+        self.class_connections < self.class.reserved
     }
 }
 
@@ -121,7 +122,7 @@
     limiter: ConnectionLimiter,
     limits: InitialLimits,
     now: Timestamp,
-    house_lowered_by: usize,
+    company_lowered_by: usize,
     /// Whether the limits were changed. After a change, a class may exceed its new limits, so that less than the whole
     /// reservation of another class may be available.
     limits_changed: bool,
@@ -136,7 +137,7 @@
             limiter: limiter(limits.classes(0).into(), CAPACITY),
             limits,
             now: Timestamp(0),
-            house_lowered_by: 0,
+            company_lowered_by: 0,
             limits_changed: false,
             connections: Vec::new(),
             admitted_at: BTreeMap::new(),
@@ -150,13 +151,13 @@
             Step::Release { index } => self.release(usize::from(index)),
             Step::LowerLimit { by } => self.lower_limit(usize::from(by)),
         }
-        let held: usize = self.limiter.connections_by_class().map(|class| class.connections).sum();
-        prop_assert_eq!(held, self.connections.len());
+        let open: usize = self.limiter.connections_by_class().map(|class| class.connections).sum();
+        prop_assert_eq!(open, self.connections.len());
         Ok(())
     }
 
     fn lower_limit(&mut self, by: usize) {
-        self.house_lowered_by = by;
+        self.company_lowered_by = by;
         self.limits_changed = true;
         let limits = connection_limits(self.limits.classes(by).into(), CAPACITY);
         self.limiter.set_limits(limits).expect("valid classes");
@@ -170,7 +171,7 @@
     }
 
     fn connect(&mut self, net: u8, host: u8) -> TestCaseResult {
-        let address = v4(7 + net, 0, host);
+        let address = loopback_address(7 + net, 0, host);
         let before = self.state_before(net, address);
         match self.limiter.admit(self.now, address, None) {
             Ok(connection) => {
@@ -184,23 +185,23 @@
     }
 
     fn state_before(&self, net: u8, address: IpAddr) -> StateBefore {
-        let classes = self.limits.classes(self.house_lowered_by);
+        let classes = self.limits.classes(self.company_lowered_by);
         let class = match net {
             2 => &classes[0],
             1 => &classes[1],
             _ => &classes[2],
         };
-        let held = |class: &ClientClass| {
-            self.connections.iter().filter(|(held, _)| held.class == class.name).count()
+        let connections_of = |class: &ClientClass| {
+            self.connections.iter().filter(|(connection, _)| connection.class == class.name).count()
         };
         StateBefore {
-            of_class: held(class),
-            of_address: self.connections.iter().filter(|(_, other)| *other == address).count(),
+            class_connections: connections_of(class),
+            address_connections: self.connections.iter().filter(|(_, other)| *other == address).count(),
             total: self.connections.len(),
             reserved_for_others: classes
                 .iter()
                 .filter(|other| other.name != class.name)
-                .map(|other| other.reserved.saturating_sub(held(other)))
+                .map(|other| other.reserved.saturating_sub(connections_of(other)))
                 .sum(),
             class: class.clone(),
         }
--- a/admission/tests/handshakes.rs
+++ b/admission/tests/handshakes.rs
@@ -37,15 +37,15 @@
             EnqueueResult::Rejected => panic!("no displaced connection is still open"),
         }
     }
-    let (desk, _) = enqueue_displacing(&mut queue, 2);
+    let (legitimate, _) = enqueue_displacing(&mut queue, 2);
     // Connections of other addresses first displace those of the address with the most connections, so that this client
     // has time to send its user name.
     for nth in 3..10 {
         let (_, displaced) = enqueue_displacing(&mut queue, nth);
-        assert_ne!(displaced, desk);
+        assert_ne!(displaced, legitimate);
         queue.remove(displaced);
     }
-    assert!(queue.remove(desk), "the connection is still in the queue");
+    assert!(queue.remove(legitimate), "the connection is still in the queue");
 }
 
 #[test]
@@ -113,8 +113,8 @@
         ..ClientClass::named(name)
     };
     let classes = [
-        class("house", &["10.0.0.0/8"], &[]),
-        class("desk", &["10.0.0.0/8"], &["desk", "till"]),
+        class("company", &["10.0.0.0/8"], &[]),
+        class("sales", &["10.0.0.0/8"], &["orders", "billing"]),
         class("north", &["10.1.0.0/16"], &[]),
         class("report", &[], &["report"]),
         ClientClass::named(DEFAULT_CLASS),
@@ -122,11 +122,15 @@
     assert_eq!(validate(&classes, 10), []);
     let northern = IpAddr::from([10, 1, 2, 3]);
     let name = |address, user| &*classes[classify(&classes, address, user)].name;
-    assert_eq!(name(northern, Some("till")), "desk", "a match by user precedes one by a narrower network");
-    assert_eq!(name(northern, Some("clerk")), "north");
+    assert_eq!(
+        name(northern, Some("billing")),
+        "sales",
+        "a match by user precedes one by a narrower network"
+    );
+    assert_eq!(name(northern, Some("another-user")), "north");
     assert_eq!(name(northern, None), "north");
-    assert_eq!(name(IpAddr::from([10, 9, 2, 3]), None), "house");
-    assert_eq!(name(IpAddr::from([11, 1, 2, 3]), Some("till")), DEFAULT_CLASS);
+    assert_eq!(name(IpAddr::from([10, 9, 2, 3]), None), "company");
+    assert_eq!(name(IpAddr::from([11, 1, 2, 3]), Some("billing")), DEFAULT_CLASS);
     assert_eq!(name(IpAddr::from([11, 1, 2, 3]), Some("report")), "report");
     let network = "10.0.0.0/8".parse().expect("a valid network");
     let names = ["a".into(), "b".into()];
--- a/admission/tests/support/connections.rs
+++ b/admission/tests/support/connections.rs
@@ -14,7 +14,7 @@
 }
 
 /// The loopback address 127.a.b.c.
-pub fn v4(a: u8, b: u8, c: u8) -> IpAddr {
+pub fn loopback_address(a: u8, b: u8, c: u8) -> IpAddr {
     Ipv4Addr::new(127, a, b, c).into()
 }
 
--- a/admission/tests/support/mod.rs
+++ b/admission/tests/support/mod.rs
@@ -5,7 +5,7 @@
 
 use routing::time::Timestamp;
 
-/// The time this many milliseconds after the start of a test.
-pub fn at(ms: i64) -> Timestamp {
+/// The time `ms` milliseconds after the start of a test.
+pub fn at_ms(ms: i64) -> Timestamp {
     Timestamp(ms * 1_000_000)
 }
--- a/admission/tests/support/requests.rs
+++ b/admission/tests/support/requests.rs
@@ -25,12 +25,12 @@
     }
 }
 
-/// The class `desk` with three times the default weight, and the class `batch` with at most three requests in flight and
-/// waiting.
+/// The class `interactive` with three times the default weight, and the class `batch` with at most three requests in
+/// flight and waiting.
 pub fn classes() -> Vec<ClientClass> {
     let networks = |network: &str| vec![network.parse().expect("a valid network")];
     vec![
-        ClientClass { networks: networks("127.9.0.0/16"), weight: 3, ..ClientClass::named("desk") },
+        ClientClass { networks: networks("127.9.0.0/16"), weight: 3, ..ClientClass::named("interactive") },
         ClientClass {
             networks: networks("127.8.0.0/16"),
             max_requests: Some(3),
--- a/history-checker/src/session_checker.rs
+++ b/history-checker/src/session_checker.rs
@@ -1,6 +1,6 @@
 //! Checks the sequence of a session's requests: the session guarantees of Terry et al. (*Session Guarantees for Weakly
-//! Consistent Replicated Data*, PDIS 1994), and that a session receives the error for lost data only if data that it had
-//! observed was lost.
+//! Consistent Replicated Data*, PDIS 1994), and that a session receives the error for lost data only if data that it
+//! had observed was lost.
 
 use crate::checker::Checker;
 use crate::history::{log_includes, Answer, AnswerValue, Kind, LogPoint, RequestRecord, SESSION_LOST};
--- a/host-support/src/lib.rs
+++ b/host-support/src/lib.rs
@@ -1,4 +1,5 @@
-//! Support code for hosts of the routing policy, independent of their wire protocol. The crate makes no routing decisions.
+//! Support code for hosts of the routing policy, independent of their wire protocol. The crate makes no routing
+//! decisions.
 //!
 //! - [`bootstrap_config`]: the bootstrap configuration of an instance, as deserialized from JSON
 //! - [`routing_settings`]: validation of the bootstrap configuration and conversion to the policy's settings
--- a/operator-config/src/lib.rs
+++ b/operator-config/src/lib.rs
@@ -1,6 +1,6 @@
 //! Parser of the operators' file. Each line has a keyword and its values; `#` begins a comment, and a quoted value may
-//! contain spaces. The crate performs no I/O: it converts the text of the file to settings, or to a list of all errors in
-//! the text.
+//! contain spaces. The crate performs no I/O: it converts the text of the file to settings, or to a list of all errors
+//! in the text.
 
 #![warn(clippy::too_many_lines)]
 
--- a/operator-config/src/settings.rs
+++ b/operator-config/src/settings.rs
@@ -38,7 +38,8 @@
     Disk,
 }
 
-/// Maximum requests in flight if only other limits on requests are configured: the largest value that operators may set.
+/// Maximum requests in flight if only other limits on requests are configured: the largest value that operators may
+/// set.
 const DEFAULT_MAX_REQUESTS_IN_FLIGHT: usize = 100_000;
 /// Ratio of the default maximum of waiting requests to the maximum of requests in flight.
 const WAITING_PER_IN_FLIGHT: usize = 4;
@@ -128,8 +129,8 @@
 /// Settings of the admission of connections and requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// `admit`: client classes. `admit-prefix-4` and `admit-prefix-6`: prefix lengths in bits, 8 to 32 for IPv4 and 16 to
-    /// 64 for IPv6; addresses with the same prefix count as one client.
+    /// `admit`: client classes. `admit-prefix-4` and `admit-prefix-6`: prefix lengths in bits, 8 to 32 for IPv4 and 16
+    /// to 64 for IPv6; addresses with the same prefix count as one client.
     pub clients: ClassSettings,
     /// Limits on requests in flight and waiting.
     pub requests: RequestSettings,
--- a/recovery/tests/primary_discovery.rs
+++ b/recovery/tests/primary_discovery.rs
@@ -1,13 +1,13 @@
 //! Which endpoints are queried and admitted, by reported identity, confirmed list and limit on concurrent queries.
 
-#[allow(dead_code)] // Each test file uses only some of the items.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use recovery::endpoint_state::EndpointState;
 use recovery::primary_discovery::{DiscoverySettings, Event, Identity, QueryFailure};
 use routing::PrimaryEligibility::{Any, NoMember, Only};
 use std::collections::BTreeSet;
-use support::{at, primary, replica, without_timeline, Fixture, DAY, FRESH, GROUP_SIZE, START};
+use support::{at_ms, primary, replica, without_timeline, Fixture, DAY, FRESH, GROUP_SIZE, START};
 
 #[test]
 fn primary_of_a_confirmed_list_is_eligible_only_after_all_queries() {
@@ -72,7 +72,7 @@
     assert!(fixture.discovery.is_complete());
     fixture.advance(60_000);
     assert_eq!(
-        fixture.discovery.next_tick_due(at(fixture.now)),
+        fixture.discovery.next_tick_due(at_ms(fixture.now)),
         None,
         "a query is scheduled after recovery is complete"
     );
--- a/recovery/tests/primary_verification.rs
+++ b/recovery/tests/primary_verification.rs
@@ -1,6 +1,6 @@
 //! When an endpoint is verified as the primary of its group, by claims, timelines, positions and replicas.
 
-#[allow(dead_code)] // Each test file uses only some of the items.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use recovery::endpoint_state::RoleReport;
@@ -9,7 +9,7 @@
 use recovery::primary_verification::{GroupMinimum, MinimumPosition};
 use routing::PrimaryEligibility::{NoMember, Only};
 use routing::{EndpointReport, Role};
-use support::{at, primary, replica, without_timeline, Fixture, DAY, FRESH, START};
+use support::{at_ms, primary, replica, without_timeline, Fixture, DAY, FRESH, START};
 
 #[test]
 fn no_primary_is_eligible_before_all_members_answered() {
@@ -134,7 +134,7 @@
 #[test]
 fn claim_below_the_cached_minimum_position_is_rejected() {
     let mut fixture = Fixture::new(1, FRESH);
-    let minimum = MinimumPosition { timeline: Some(3), position: Some(at(START - 5_000)) };
+    let minimum = MinimumPosition { timeline: Some(3), position: Some(at_ms(START - 5_000)) };
     fixture.handle(Event::CachedListLoaded {
         members: Vec::new(),
         minimum_positions: vec![GroupMinimum { group: 0, minimum }],
@@ -152,8 +152,8 @@
 fn verified_primary_that_reports_replica_becomes_ineligible() {
     let mut fixture = Fixture::new(1, FRESH);
     fixture.answer_in_order([primary(START, 1), replica(START - 10, 1), replica(START - 10, 1)]);
-    let report = EndpointReport { role: Some(Role::Replica), position: Some(at(fixture.now)), load: None };
-    let queried_at = at(fixture.now);
+    let report = EndpointReport { role: Some(Role::Replica), position: Some(at_ms(fixture.now)), load: None };
+    let queried_at = at_ms(fixture.now);
     fixture.handle(Event::ReportReceived { endpoint: 0, queried_at, report });
     assert_eq!(fixture.eligibility(0), NoMember);
 }
--- a/recovery/tests/random_failovers.rs
+++ b/recovery/tests/random_failovers.rs
@@ -1,7 +1,7 @@
 //! Primary discovery during random failovers, lost answers and list updates, compared with a model that knows the
 //! true primary of each group.
 
-#[allow(dead_code)] // Each test file uses only some of the items.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use proptest::prelude::*;
@@ -11,13 +11,13 @@
 use recovery::primary_discovery::{Event, Identity, QueryFailure};
 use recovery::primary_verification::EVIDENCE_VALID_FOR;
 use routing::{PrimaryEligibility, Role};
-use support::{at, Fixture, DAY, GROUP_SIZE};
+use support::{at_ms, Fixture, DAY, GROUP_SIZE};
 
 const GROUPS: usize = 3;
 const ENDPOINTS: usize = GROUPS * GROUP_SIZE;
-/// Age of the list in the cases in which discovery does not confirm it before the end, in milliseconds.
+/// Age of the list in the test cases in which discovery confirms the list only at the end, in milliseconds.
 const UNCONFIRMED_AGE: i64 = 1_000;
-/// Ages of the cached list in the test cases, in milliseconds. The last one is that of a list from the future.
+/// Ages of the cached list in the test cases, in milliseconds. The last one is that of a list dated in the future.
 const AGES: [i64; 5] = [UNCONFIRMED_AGE, 50_000, 600_000, 2 * DAY, -DAY];
 
 /// A change of a group's primary.
@@ -33,14 +33,15 @@
 /// One step of a random sequence.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A failover. If the last failover of the group was at most 3 s ago, time advances by these milliseconds
+    /// A failover. If the last failover of the group was at most 3 s ago, time advances by `ms` milliseconds
     /// instead.
-    FailoverOrAdvance(Failover, i64),
-    /// Time advances by these milliseconds.
+    FailoverOrAdvance { failover: Failover, ms: i64 },
+    /// Time advances by `ms` milliseconds.
     Advance { ms: i64 },
     /// The endpoint answers its open query.
     Answer { endpoint: usize },
-    /// A query fails. A member that does not claim to be primary may refuse the connection.
+    /// The endpoint's open query fails. The connection is refused if `may_refuse` is set and the endpoint does not
+    /// claim to be primary. Otherwise the query gets no answer.
     Fail { endpoint: usize, may_refuse: bool },
     /// Discovery confirms the list if it has not done so before. Otherwise a request waits for the endpoint's group.
     ConfirmListOrRequest { endpoint: usize },
@@ -54,10 +55,10 @@
         match kind {
             0 if detail < 60 => {
                 let (former_still_claims, others_stall) = (detail % 2 == 0, detail % 4 == 3);
-                Step::FailoverOrAdvance(
-                    Failover { promoted: endpoint, former_still_claims, others_stall },
+                Step::FailoverOrAdvance {
+                    failover: Failover { promoted: endpoint, former_still_claims, others_stall },
                     ms,
-                )
+                }
             }
             0 | 1 => Step::Advance { ms },
             2..=7 => Step::Answer { endpoint },
@@ -81,7 +82,7 @@
     /// The endpoint's report at the time `now`. A replica is `lag` milliseconds behind.
     fn report(&self, now: i64, lag: i64) -> RoleReport {
         let (role, lag) = if self.claims_primary { (Role::Primary, 0) } else { (Role::Replica, lag) };
-        let position = Some(at(self.stalled_at.unwrap_or(now - lag)));
+        let position = Some(at_ms(self.stalled_at.unwrap_or(now - lag)));
         RoleReport { role: Some(role), position, timeline: Some(self.timeline) }
     }
 }
@@ -127,7 +128,7 @@
 
     fn apply(&mut self, step: Step) {
         match step {
-            Step::FailoverOrAdvance(failover, ms) => {
+            Step::FailoverOrAdvance { failover, ms } => {
                 let group = &self.groups[failover.promoted / GROUP_SIZE];
                 if self.fixture.now - group.failover_at > 3_000 {
                     self.fail_over(failover);
@@ -179,7 +180,7 @@
     /// Checks that an endpoint that becomes a group's only eligible primary is the true one, or was the true one
     /// while the evidence for it was collected.
     fn check(&mut self) -> TestCaseResult {
-        let now = at(self.fixture.now);
+        let now = at_ms(self.fixture.now);
         for (number, group) in self.groups.iter_mut().enumerate() {
             let only_eligible = match self.fixture.eligibility(number) {
                 PrimaryEligibility::Only(endpoint) => Some(endpoint),
@@ -187,7 +188,7 @@
             };
             if let Some(endpoint) = only_eligible.filter(|_| only_eligible != group.only_eligible) {
                 let was_primary =
-                    endpoint == group.primary || now - EVIDENCE_VALID_FOR <= at(group.failover_at);
+                    endpoint == group.primary || now - EVIDENCE_VALID_FOR <= at_ms(group.failover_at);
                 prop_assert!(
                     was_primary,
                     "group {number}: endpoint {endpoint} is eligible, but endpoint {} is the primary",
--- a/recovery/tests/support/mod.rs
+++ b/recovery/tests/support/mod.rs
@@ -20,14 +20,14 @@
 /// Number of endpoints in each group. Group `g` has the endpoints `3 * g` to `3 * g + 2`.
 pub const GROUP_SIZE: usize = 3;
 
-/// Converts Unix milliseconds to a timestamp.
-pub fn at(ms: i64) -> Timestamp {
+/// The time `ms`, which is in Unix milliseconds.
+pub fn at_ms(ms: i64) -> Timestamp {
     Timestamp(ms * 1_000_000)
 }
 
 /// The report of a primary at a position, in Unix milliseconds, on a timeline.
 pub fn primary(position: i64, timeline: u32) -> RoleReport {
-    RoleReport { role: Some(Role::Primary), position: Some(at(position)), timeline: Some(timeline) }
+    RoleReport { role: Some(Role::Primary), position: Some(at_ms(position)), timeline: Some(timeline) }
 }
 
 /// The report of a replica at a position, in Unix milliseconds, on a timeline.
@@ -63,7 +63,7 @@
 impl Fixture {
     /// Starts from a cached list of `groups` groups that discovery confirmed `age` milliseconds ago.
     pub fn new(groups: usize, age: i64) -> Fixture {
-        let confirmed = at(START - age);
+        let confirmed = at_ms(START - age);
         let cache_times = Some(CacheTimes { confirmed, saved: confirmed });
         let settings = DiscoverySettings { cache_times, may_query: true, descriptors: usize::MAX };
         Fixture::with_settings(groups, settings)
@@ -87,7 +87,7 @@
     /// Passes an event to the discovery and carries out the resulting actions.
     pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.discovery.on_event(at(self.now), event, &mut actions);
+        self.discovery.on_event(at_ms(self.now), event, &mut actions);
         for action in actions {
             match action {
                 Action::Query { endpoint } => {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Answers the next query to an endpoint with this identity.
+    /// Answers the next query to an endpoint with `identity`. Waits for the query for up to 20 s.
     pub fn answer_as(&mut self, endpoint: usize, identity: Identity, report: RoleReport) {
         for _ in 0..200 {
             if self.queries.contains(&endpoint) {
@@ -142,7 +142,7 @@
     pub fn answer_open_query(&mut self, endpoint: usize, identity: Identity, report: RoleReport) -> bool {
         let is_open = self.queries.remove(&endpoint);
         if is_open {
-            let queried_at = at(self.now);
+            let queried_at = at_ms(self.now);
             self.now += 1;
             self.handle(Event::QueryAnswered { endpoint, queried_at, identity, report });
         }
@@ -154,14 +154,14 @@
         let queried: Vec<usize> = self.queries.iter().copied().collect();
         for &endpoint in &queried {
             self.queries.remove(&endpoint);
-            let (queried_at, report) = (at(self.now), report(endpoint, self.now));
+            let (queried_at, report) = (at_ms(self.now), report(endpoint, self.now));
             let identity = Identity::Confirmed;
             self.handle(Event::QueryAnswered { endpoint, queried_at, identity, report });
         }
         queried
     }
 
-    /// Fails the next query to an endpoint.
+    /// Fails the next query to an endpoint, however late the query is made.
     pub fn fail(&mut self, endpoint: usize, failure: QueryFailure) {
         while !self.fail_open_query(endpoint, failure) {
             self.advance(100);
--- a/recovery/tests/watch_schedule.rs
+++ b/recovery/tests/watch_schedule.rs
@@ -5,7 +5,7 @@
 use recovery::watch_schedule::{WatchSchedule, OPEN_TIMEOUT};
 use routing::time::{TimeDelta, Timestamp};
 
-/// Time after the last event of a silent watch after which the router must know the changes that the watch missed.
+/// Time after the last event of a silent watch within which the router must know the changes that the watch missed.
 const KNOWN_WITHIN: TimeDelta = TimeDelta::from_millis(6_000);
 /// Interval of the heartbeats (empty lines) of a healthy watch.
 const HEARTBEAT_INTERVAL: TimeDelta = TimeDelta::from_millis(2_000);
@@ -96,7 +96,7 @@
     }
 }
 
-/// The schedule of a watch on a service, and a current time.
+/// The schedule of a watch on a discovery service, and the time at which the test starts.
 fn watch_on_service() -> (WatchSchedule, Timestamp) {
     (WatchSchedule::new(false, None), Timestamp(1_000_000_000_000))
 }
--- a/routing/tests/health_checks.rs
+++ b/routing/tests/health_checks.rs
@@ -1,6 +1,6 @@
 //! When health checks are made, of which endpoints, and what their results change.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use routing::time::TimeDelta;
@@ -56,14 +56,14 @@
         [],
         "health checks were made for writes although the primary had answered"
     );
-    for (instances, most) in [(2, 2), (100, 1)] {
+    for (instances, expected) in [(2, 2), (100, 1)] {
         let mut harness = Harness::with_instances(instances, LagHandling::ServeStale, 1, 1);
         harness.advance(BOUND + TICK * 4);
         harness.arrive(BOUNDED_READ, 0, 1.0);
         harness.advance(TimeDelta::from_millis(290));
         assert_eq!(
             harness.health_checks.len(),
-            most,
+            expected,
             "health checks for a waiting read, {instances} instances"
         );
     }
--- a/routing/tests/limits.rs
+++ b/routing/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Concurrency limits and slow start, with few and with many instances.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use routing::time::{TimeDelta, Timestamp};
@@ -74,14 +74,14 @@
 
 #[test]
 fn with_few_instances_an_endpoint_in_slow_start_gets_concurrent_attempts() {
-    for (instances, least, most) in [(2, 2, 8), (100, 0, 1)] {
+    for (instances, min, max) in [(2, 2, 8), (100, 0, 1)] {
         let mut harness = Harness::with_instances(instances, LagHandling::ServeStale, 1, 1);
         harness.started_at = vec![Some(harness.now - TimeDelta::from_millis(8000)); 3];
         (0..3).for_each(|endpoint| harness.update_listing(endpoint, EndpointStatus::Serving));
         (0..60).for_each(|_| _ = harness.arrive(WRITE, 0, 1.0));
         let in_flight = harness.open_requests.values().filter(|open| open.in_flight.is_some()).count();
         assert!(
-            (least..=most).contains(&in_flight),
+            (min..=max).contains(&in_flight),
             "{in_flight} in flight at a primary in slow start, with {instances} instances"
         );
     }
@@ -166,14 +166,14 @@
 #[test]
 fn with_many_instances_timely_answers_restore_a_reduced_limit() {
     let mut harness = Harness::with_instances(100, LagHandling::ServeStale, 1, 1);
-    let write = |harness: &mut Harness, took: i64| {
+    let write_answered_after = |harness: &mut Harness, latency_ms: i64| {
         let write = harness.arrive(WRITE, 0, 1.0);
-        harness.advance(TimeDelta::from_millis(took));
+        harness.advance(TimeDelta::from_millis(latency_ms));
         harness.end_attempt(write, AttemptOutcome::Succeeded, Some(true));
-        harness.advance(TimeDelta::from_millis(6000 - took));
+        harness.advance(TimeDelta::from_millis(6000 - latency_ms));
     };
-    for took in [600, 600, 600, 600, 600, 50, 50, 50, 50, 50, 50, 50, 50] {
-        write(&mut harness, took);
+    for latency_ms in [600, 600, 600, 600, 600, 50, 50, 50, 50, 50, 50, 50, 50] {
+        write_answered_after(&mut harness, latency_ms);
     }
     for _ in 0..2 {
         let write = harness.arrive(WRITE, 0, 1.0);
@@ -193,11 +193,11 @@
     let mut reads_to_replicas = Vec::new();
     for late in [false, true] {
         let mut harness = Harness::with_instances(100, LagHandling::ServeStale, 1, 1);
-        for step in 0..200 {
+        for read_index in 0..200 {
             let read = harness.arrive(ANY_READ, 0, 1.0);
-            harness.advance(TimeDelta::from_millis(if late && step % 2 == 0 { 480 } else { 90 }));
+            harness.advance(TimeDelta::from_millis(if late && read_index % 2 == 0 { 480 } else { 90 }));
             harness.end_attempt(read, AttemptOutcome::Succeeded, None);
-            harness.advance(TimeDelta::from_millis(if late && step % 2 == 0 { 20 } else { 410 }));
+            harness.advance(TimeDelta::from_millis(if late && read_index % 2 == 0 { 20 } else { 410 }));
         }
         reads_to_replicas.push(harness.sent_attempts.iter().filter(|sent| sent.endpoint != 0).count());
     }
@@ -250,8 +250,8 @@
     harness.advance(TimeDelta::from_millis(650));
     assert!(reads.iter().all(|request| !harness.open_requests.contains_key(request)
         || harness.open_requests[request].in_flight.is_some()));
-    let withdrawn = harness.arrive(WRITE, 0, 1.0);
-    harness.report(Event::ClientGone { request: withdrawn });
+    let disconnected = harness.arrive(WRITE, 0, 1.0);
+    harness.report(Event::ClientGone { request: disconnected });
     harness.report(Event::TimerFired { tag: 99 });
     harness.report(Event::HealthCheckEnded {
         endpoint: 77,
@@ -259,5 +259,5 @@
         elapsed: TICK,
         report: EndpointReport { position: Some(Timestamp(0)), ..EndpointReport::default() },
     });
-    harness.open_requests.remove(&withdrawn);
+    harness.open_requests.remove(&disconnected);
 }
--- a/routing/tests/positions.rs
+++ b/routing/tests/positions.rs
@@ -1,6 +1,6 @@
 //! Read-your-writes and monotonic reads: which endpoints may serve a session's reads after its earlier requests.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use routing::time::{TimeDelta, Timestamp};
@@ -139,12 +139,12 @@
     assert_eq!(router.sent_to(session_count + 2), Some(1));
 }
 
-/// Ends a write of session 7 successfully, after its client has disconnected if `client_gone`. The answer reports a
-/// position that is `position` before the end of the write, if given. Returns whether a read of the session 100 ms
-/// later goes to the replica, whose position is `behind` before the end of the write.
+/// Ends a write of session 7 successfully, after its client has disconnected if `client_gone`. If
+/// `position_age` is given, the answer reports the position of that long before the end of the write. Returns whether a
+/// read of the session 100 ms later goes to the replica, whose position is `behind` before the end of the write.
 fn read_after_write_goes_to_replica(
     client_gone: bool,
-    position: Option<TimeDelta>,
+    position_age: Option<TimeDelta>,
     behind: TimeDelta,
 ) -> bool {
     let mut router = router_with_write_in_flight();
@@ -153,7 +153,7 @@
         router.report(START, Event::ClientGone { request: 1 });
     }
     let answer_report =
-        EndpointReport { position: position.map(|ago| now - ago), role: Some(Role::Primary), load: None };
+        EndpointReport { position: position_age.map(|age| now - age), role: Some(Role::Primary), load: None };
     let end = AttemptEnd {
         request_closed: true,
         write_session: Some(7),
@@ -187,8 +187,9 @@
     }
 }
 
-/// Ends the attempt of a write of session 7 with `outcome`, or leaves it in flight if that is `None`. Returns whether a
-/// read of the session 100 ms later goes to the replica, whose position is `behind` before the time of the read.
+/// Ends the attempt of a write of session 7 with `outcome`, or leaves the attempt in flight if `outcome` is `None`.
+/// Returns whether a read of the session 100 ms later goes to the replica, whose position is `behind` before the time
+/// of the read.
 fn read_after_unanswered_write_goes_to_replica(outcome: Option<AttemptOutcome>, behind: TimeDelta) -> bool {
     let mut router = router_with_write_in_flight();
     let now = START + TimeDelta::from_millis(500);
--- a/routing/tests/primaries.rs
+++ b/routing/tests/primaries.rs
@@ -1,6 +1,6 @@
 //! Selection of a group's primary by endpoints' claims, the endpoint list, eligibility, and the answers to writes.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use routing::time::TimeDelta;
--- a/routing/tests/replay.rs
+++ b/routing/tests/replay.rs
@@ -5,7 +5,7 @@
 //! `tests/data/replay.txt` holds the number of recorded lines of each run and a checksum of them. `REPLAY_RECORD=1`
 //! rewrites that file. A commit may contain a rewritten file only if it changes decisions on purpose and says why.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use routing::rng::Mwc;
@@ -18,14 +18,15 @@
 const RECORDED: &str = include_str!("data/replay.txt");
 const GROUPS: usize = 4;
 const ENDPOINTS: usize = GROUPS * 3;
+/// Number of random steps in each run.
 const STEPS: usize = 6_000;
 
 /// The settings of the runs, with their names in the recording.
 ///
-/// The names are fixed by the recording. Their meaning, where it is not plain: "usual" has the default settings;
-/// "refuses" and "holds" have endpoints that reject a read for which they are too stale, or let it wait; "no-probes" is
-/// without health checks; "marks-remembered" has a policy that keeps the positions of sessions' writes; and in
-/// "gone-stays-open" endpoints missing from the list stay usable.
+/// The recording fixes the names. Those whose meaning is not plain: "usual" stands for the default settings, "refuses"
+/// for endpoints that reject a read for which their data is too stale, "holds" for endpoints that let such a read wait,
+/// "no-probes" for a policy without health checks, "marks-remembered" for a policy that keeps the positions of
+/// sessions' writes, and "gone-stays-open" for a policy to which endpoints missing from the list stay usable.
 fn recorded_settings() -> Vec<(&'static str, RoutingSettings)> {
     let defaults = || support::routing_settings(LagHandling::ServeStale);
     vec![
@@ -70,6 +71,7 @@
     attempts: Vec<Attempt>,
     /// Number of attempts so far of each open request.
     open_requests: BTreeMap<RequestId, u32>,
+    /// The timers that have not fired: due time and tag.
     timers: BTreeSet<(Timestamp, u64)>,
     pending_health_checks: Vec<EndpointIndex>,
     /// Number of recorded lines.
@@ -159,6 +161,7 @@
         let nth = self.random(self.attempts.len());
         let Attempt { request, number, endpoint, sent_at } = self.attempts.remove(nth);
         let may_send = self.policy.may_send_attempt(self.now, request, number, endpoint);
+        // "confirms" is the recorded word for the policy's answer whether the attempt may be sent.
         self.record(&format!("confirms {request} {number} {endpoint} {may_send}"));
         let failures = &support::OUTCOMES[1..];
         let outcome = if self.random(4) > 0 {
@@ -231,10 +234,10 @@
 
     fn advance(&mut self, duration: TimeDelta) {
         let until = self.now + duration;
-        while let Some(&due) = self.timers.first().filter(|due| due.0 <= until) {
-            self.timers.remove(&due);
-            self.now = self.now.max(due.0);
-            self.report(Event::TimerFired { tag: due.1 });
+        while let Some(&(due, tag)) = self.timers.first().filter(|(due, _)| *due <= until) {
+            self.timers.remove(&(due, tag));
+            self.now = self.now.max(due);
+            self.report(Event::TimerFired { tag });
         }
         self.now = until;
     }
--- a/routing/tests/requests.rs
+++ b/routing/tests/requests.rs
@@ -1,6 +1,6 @@
 //! The lifecycle of a request: waiting, retries, the check before an attempt is sent, and rejection.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use routing::time::TimeDelta;
--- a/routing/tests/rules.rs
+++ b/routing/tests/rules.rs
@@ -1,6 +1,6 @@
 //! A property test: the rules that the harness checks hold for random sequences of events from a fixed seed.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use proptest::prelude::*;
--- a/routing/tests/slow_start.rs
+++ b/routing/tests/slow_start.rs
@@ -1,6 +1,6 @@
 //! The number of requests that all instances together may send to an endpoint in slow start.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only a part of the support code.
 mod support;
 
 use routing::time::{TimeDelta, Timestamp};
@@ -8,10 +8,11 @@
 use std::collections::{BTreeSet, VecDeque};
 use support::*;
 
+/// Interval at which the simulation advances.
 const STEP: TimeDelta = TimeDelta::from_millis(5);
 
 /// The maximum number of requests that an endpoint may get within one overload window if its settings allow `allowed`.
-/// It exceeds `allowed` by a margin that grows with the square root of `allowed`.
+/// The maximum exceeds `allowed` by a margin that grows with the square root of `allowed`.
 fn budget(allowed: f64) -> f64 {
     if allowed < 30.0 {
         allowed + 3.0 * allowed.sqrt() + 3.0
@@ -61,10 +62,19 @@
     start
 }
 
+/// An attempt that the primary has not finished.
+struct QueuedAttempt {
+    /// Index of the instance that sent the attempt.
+    instance: usize,
+    request: RequestId,
+    /// Remaining work in seconds of core time.
+    remaining_s: f64,
+}
+
 /// A primary in slow start with one core, which processes the attempts of all instances in the order of their arrival.
 struct StartingPrimary {
-    /// Unfinished attempts: instance, request, and remaining work in seconds.
-    queue: VecDeque<(usize, RequestId, f64)>,
+    /// Unfinished attempts, in the order of their arrival.
+    queue: VecDeque<QueuedAttempt>,
     /// The requests in the queue, by instance.
     queued: Vec<BTreeSet<RequestId>>,
     /// Arrival times of the attempts, oldest first.
@@ -89,7 +99,11 @@
             }
             for (&request, open) in &harness.open_requests {
                 if open.in_flight.is_some() && self.queued[instance].insert(request) {
-                    self.queue.push_back((instance, request, work.as_secs_f64()));
+                    self.queue.push_back(QueuedAttempt {
+                        instance,
+                        request,
+                        remaining_s: work.as_secs_f64(),
+                    });
                     self.arrivals.push_back(now);
                 }
             }
@@ -107,13 +121,13 @@
     /// Processes attempts for `capacity` seconds of core time and answers those that are finished.
     fn process(&mut self, harnesses: &mut [Harness], mut capacity: f64) {
         while let Some(first) = self.queue.front_mut() {
-            let processed = capacity.min(first.2);
+            let processed = capacity.min(first.remaining_s);
             capacity -= processed;
-            first.2 -= processed;
-            if first.2 > 1e-9 {
+            first.remaining_s -= processed;
+            if first.remaining_s > 1e-9 {
                 break;
             }
-            let (instance, request, _) = self.queue.pop_front().expect("a non-empty queue");
+            let QueuedAttempt { instance, request, .. } = self.queue.pop_front().expect("a non-empty queue");
             self.queued[instance].remove(&request);
             harnesses[instance].end_attempt(request, AttemptOutcome::Succeeded, Some(true));
         }
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! A harness that reports scripted events to a routing policy and checks the policy's actions after each of them. No
-//! test file uses all of it.
+//! test file uses the whole harness.
 
 use routing::time::{TimeDelta, Timestamp};
 use routing::RoutingPolicy;
--- a/simulator-adapter/src/messages.rs
+++ b/simulator-adapter/src/messages.rs
@@ -125,7 +125,8 @@
     /// Index of the method in the instance's configuration.
     #[serde(default, rename = "profile")]
     pub method: usize,
-    /// Time from the commit of the session's last write to the request's arrival, in milliseconds. 0 if it is not known.
+    /// Time from the commit of the session's last write to the request's arrival, in milliseconds. 0 if it is not
+    /// known.
     #[serde(default, rename = "lastWriteMs")]
     pub last_write_ms: f64,
 }
--- a/test-servers/src/cluster/endpoint_model.rs
+++ b/test-servers/src/cluster/endpoint_model.rs
@@ -49,7 +49,8 @@
     pub name: String,
     /// Number of the endpoint's group.
     pub group: i64,
-    /// Whether the endpoint acts as a primary and executes writes. An isolated old primary does so on an abandoned branch.
+    /// Whether the endpoint acts as a primary and executes writes. An isolated old primary does so on an abandoned
+    /// branch.
     pub primary: bool,
     /// State of the endpoint's replication.
     pub replication: ReplicationModel,
--- a/test-servers/src/restart/plan.rs
+++ b/test-servers/src/restart/plan.rs
@@ -66,8 +66,8 @@
     DiscoveryReturn::Flapping,
 ];
 
-/// Ages of the cached list to choose from, in seconds. A negative age means that the list is dated in the future, as after
-/// the clock was set back.
+/// Ages of the cached list to choose from, in seconds. A negative age means that the list is dated in the future, as
+/// after the clock was set back.
 const AGES_S: [i64; 6] = [5, 40, 600, 7_200, 172_800, -3_600];
 const GROUP_COUNT: usize = 3;
 const CLIENT_COUNT: usize = 10;
