--- a/admission/src/accept_backoff.rs
+++ b/admission/src/accept_backoff.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptError {
     /// The connection failed before it was accepted (ECONNABORTED, EPROTO, and network errors that accept(2) reports).
-    /// It is no longer in the listen queue.
+    /// The connection is no longer in the listen queue.
     Aborted,
     /// No file descriptor is available (EMFILE, ENFILE). The connection stays in the listen queue.
     NoDescriptor,
--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -21,7 +21,8 @@
 const CLASS_LIMIT_MESSAGE: &str = "clients of this class hold as many connections as they may";
 /// The server has its maximum number of connections, or the rest is reserved for other client classes.
 const RESERVED_MESSAGE: &str = "the connections that are free are kept for others";
-/// The handshake queue has no slot for the connection, or another connection has displaced it from there.
+/// The handshake queue has no slot for the connection, or another connection has displaced the connection from the
+/// queue.
 const HANDSHAKE_QUEUE_FULL_MESSAGE: &str = "too many connections have not said yet who they are";
 
 /// Why a connection was rejected.
@@ -33,7 +34,7 @@
     AddressLimit,
     /// The class has its maximum number of connections.
     ClassLimit,
-    /// The server is at its capacity, or the rest of it is reserved for other classes.
+    /// The server is at its capacity, or the rest of the capacity is reserved for other classes.
     Reserved,
     /// The connection was displaced from the handshake queue, or not added to it.
     HandshakeQueueFull,
--- a/admission/src/handshake_queue.rs
+++ b/admission/src/handshake_queue.rs
@@ -102,10 +102,10 @@
     /// Displaces the oldest connection of the address with the most connections.
     fn displace(&mut self) -> Option<HandshakeId> {
         let (_, address) = self.by_count.last()?;
-        let first = *self.by_address.get(address)?.first()?;
-        self.remove_waiting(first);
-        self.displaced.insert(first);
-        Some(first)
+        let oldest = *self.by_address.get(address)?.first()?;
+        self.remove_waiting(oldest);
+        self.displaced.insert(oldest);
+        Some(oldest)
     }
 
     fn insert(&mut self, address: ClientAddress) -> HandshakeId {
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -1,6 +1,6 @@
 //! Admission control: decides which client connections and requests are admitted and which are rejected, for which
-//! reason and with which Retry-After time. The crate performs no I/O and reads no clock: the caller passes the
-//! current time.
+//! reason and with which Retry-After time. The crate performs no I/O and reads no clock: the caller passes the current
+//! time.
 //!
 //! - [`client_class`]: client classes as configured by operators, their validation and the classification of clients
 //! - [`client_address`]: connection counts and rate-limit states per client address
--- a/admission/src/retry_after_jitter.rs
+++ b/admission/src/retry_after_jitter.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    /// The Retry-After time of the next rejected client: at least `min_wait`, unless `min_wait` exceeds a fourth of
-    /// the configured maximum.
+    /// The Retry-After time of the next rejected client: at least `min_wait`, unless `min_wait` exceeds a fourth of the
+    /// configured maximum.
     pub fn next(&mut self, now: Timestamp, min_wait: TimeDelta) -> TimeDelta {
         if now - self.window_start >= COUNT_WINDOW {
             self.window_start = now;
--- a/admission/src/retry_budget.rs
+++ b/admission/src/retry_budget.rs
@@ -29,8 +29,8 @@
 }
 
 impl Budget {
-    /// The remaining budget at `now` if one retry is added per `interval`, up to a total of `max_retries`. A client
-    /// may have accumulated more retries by first attempts; these are kept.
+    /// The remaining budget at `now` if one retry is added per `interval`, up to a total of `max_retries`. A client may
+    /// have accumulated more retries by first attempts; these are kept.
     fn remaining_at(&self, now: Timestamp, interval: TimeDelta, max_retries: i64) -> i64 {
         let elapsed = (now - self.as_of).0.max(0);
         let added = elapsed / (interval.0 / RETRY_COST).max(1);
@@ -79,17 +79,18 @@
         self.server_remaining(now) >= RETRY_COST && self.client_remaining(now, client) >= RETRY_COST
     }
 
-    /// Records an admitted request: a first attempt adds the allowed percentage of a retry to the budgets of
-    /// the client and the server, and a retry consumes one retry from both.
+    /// Records an admitted request: a first attempt adds the allowed percentage of a retry to the budgets of the client
+    /// and the server, and a retry consumes one retry from both.
     pub fn record_admitted(&mut self, now: Timestamp, client: &C, is_retry: bool) {
         let change = if is_retry { -RETRY_COST } else { self.percent * RETRY_COST / 100 };
-        let add = |remaining: i64, max_retries: i64| {
+        let apply_change = |remaining: i64, max_retries: i64| {
             remaining + change.min((max_retries * RETRY_COST - remaining).max(0))
         };
-        self.server = Budget { remaining: add(self.server_remaining(now), self.concurrency), as_of: now };
-        let remaining = add(self.client_remaining(now, client), MAX_ACCUMULATED_RETRIES);
-        if let Some(before) = self.clients.insert(client.clone(), Budget { remaining, as_of: now }) {
-            self.by_last_use.remove(&(before.as_of, client.clone()));
+        self.server =
+            Budget { remaining: apply_change(self.server_remaining(now), self.concurrency), as_of: now };
+        let remaining = apply_change(self.client_remaining(now, client), MAX_ACCUMULATED_RETRIES);
+        if let Some(previous) = self.clients.insert(client.clone(), Budget { remaining, as_of: now }) {
+            self.by_last_use.remove(&(previous.as_of, client.clone()));
         }
         self.by_last_use.insert((now, client.clone()));
         self.expire(now);
--- a/admission/tests/connection_limiter.rs
+++ b/admission/tests/connection_limiter.rs
@@ -29,7 +29,8 @@
     ClientClass { max_connections: Some(1), ..ClientClass::named(DEFAULT_CLASS) }
 }
 
-/// Lets a client connect. Returns why the connection is rejected, or `None` if it is admitted; it is never released.
+/// Lets a client connect. Returns why the connection is rejected, or `None` if it is admitted. An admitted connection
+/// is never released.
 fn rejection_reason(limiter: &mut ConnectionLimiter, ms: i64, address: IpAddr) -> Option<RejectionReason> {
     limiter.admit(at_ms(ms), address, None).err().map(|rejection| rejection.reason)
 }
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -80,7 +80,7 @@
     pub id: &'a str,
     /// Time up to which the endpoint's data is the same as on the live branch, in Unix milliseconds.
     pub consistent_until_ms: i64,
-    /// Point on the group's log up to which the endpoint has applied it.
+    /// Point on the group's log up to which the endpoint has applied the log.
     pub point: LogPoint,
 }
 
--- a/operator-config/src/client_class_line.rs
+++ b/operator-config/src/client_class_line.rs
@@ -93,16 +93,16 @@
         return Err(ConfigErrorKind::InvalidClassName(name.clone()));
     }
     let mut class = ClientClass::named(name);
-    let mut seen = Vec::new();
+    let mut used_properties = Vec::new();
     for pair in pairs.chunks(2) {
         let [name, value] = pair else {
             return Err(ConfigErrorKind::MissingPropertyValue(pair[0].clone()));
         };
         let property = find_property(name)?;
-        if seen.contains(&property.name) {
+        if used_properties.contains(&property.name) {
             return Err(ConfigErrorKind::RepeatedProperty(property.name));
         }
-        seen.push(property.name);
+        used_properties.push(property.name);
         let result = (property.set)(&mut class, value);
         result.map_err(|error| ConfigErrorKind::InvalidProperty { property: property.name, error })?;
     }
--- a/operator-config/src/error.rs
+++ b/operator-config/src/error.rs
@@ -75,7 +75,7 @@
     InvalidProperty {
         /// Name of the property.
         property: &'static str,
-        /// Why its value is invalid.
+        /// Why the value of the property is invalid.
         error: ValueError,
     },
     /// The client classes of the file are inconsistent.
@@ -83,7 +83,7 @@
     Classes(#[from] ClassError),
 }
 
-/// Why the value of a keyword or of a property is invalid. The messages follow its name.
+/// Why the value of a keyword or of a property is invalid. The messages follow the name of the keyword or property.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ValueError {
     /// The value is not an absolute path.
--- a/operator-config/src/parser.rs
+++ b/operator-config/src/parser.rs
@@ -28,7 +28,7 @@
     settings: OperatorSettings,
     errors: Vec<ConfigError>,
     /// Keywords used so far, except [`CLASS_KEYWORD`], with the number of their line.
-    seen: Vec<(&'static str, usize)>,
+    used_keywords: Vec<(&'static str, usize)>,
     /// Number of the last line that defines a client class. Inconsistencies between classes are reported there.
     last_class_line: usize,
 }
@@ -58,10 +58,10 @@
 
     fn apply_keyword(&mut self, line: usize, name: &str, values: &[String]) -> Result<(), ConfigErrorKind> {
         let keyword = find_keyword(name)?;
-        if let Some((_, first_line)) = self.seen.iter().find(|(name, _)| *name == keyword.name) {
+        if let Some((_, first_line)) = self.used_keywords.iter().find(|(name, _)| *name == keyword.name) {
             return Err(ConfigErrorKind::RepeatedKeyword(*first_line));
         }
-        self.seen.push((keyword.name, line));
+        self.used_keywords.push((keyword.name, line));
         let [value] = values else { return Err(ConfigErrorKind::ValueCount(values.len())) };
         (keyword.set)(&mut self.settings, value)?;
         Ok(())
--- a/operator-config/src/values.rs
+++ b/operator-config/src/values.rs
@@ -16,7 +16,7 @@
     ValueError::OutOfRange { value: value.to_string(), min: min.to_string(), max: max.to_string() }
 }
 
-/// The error of a value that cannot be parsed. `expected` is what it must be, such as "a duration".
+/// The error of a value that cannot be parsed. `expected` is what the value must be, such as "a duration".
 pub fn unparsable(value: &str, expected: &'static str, reason: impl Display) -> ValueError {
     ValueError::Unparsable { value: value.to_string(), expected, reason: reason.to_string() }
 }
@@ -51,7 +51,7 @@
 
 /// Parses a size within bounds and returns it in bytes. Error messages state `min` in kB and `max` in MB.
 pub fn size(value: &str, min: ByteSize, max: ByteSize) -> Result<usize, ValueError> {
-    // The parser's own message names its Rust type.
+    // The parser's own message names a Rust type, so operators get this one instead.
     let parse_error =
         |_| unparsable(value, "a size", "expected a number and a unit, for example 64kB or 1MB");
     let size: ByteSize = value.parse().map_err(parse_error)?;
--- a/recovery/tests/primary_discovery.rs
+++ b/recovery/tests/primary_discovery.rs
@@ -82,7 +82,7 @@
 fn without_queries_primaries_are_eligible_once_the_list_is_confirmed() {
     let settings = DiscoverySettings { cache_times: None, may_query: false, descriptors: 8 };
     let mut fixture = Fixture::with_settings(1, settings);
-    assert!(fixture.queries.is_empty() && fixture.eligibility(0) == NoMember);
+    assert!(fixture.open_queries.is_empty() && fixture.eligibility(0) == NoMember);
     fixture.confirm_list(0..3);
     assert_eq!(fixture.eligibility(0), Any);
 }
--- a/recovery/tests/random_failovers.rs
+++ b/recovery/tests/random_failovers.rs
@@ -33,8 +33,7 @@
 /// One step of a random sequence.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A failover. If the last failover of the group was at most 3 s ago, time advances by `ms` milliseconds
-    /// instead.
+    /// A failover. If the last failover of the group was at most 3 s ago, time advances by `ms` milliseconds instead.
     FailoverOrAdvance { failover: Failover, ms: i64 },
     /// Time advances by `ms` milliseconds.
     Advance { ms: i64 },
@@ -198,7 +197,7 @@
             group.only_eligible = only_eligible;
         }
         let max_queries = self.fixture.discovery.verification_level(now).max_queries;
-        prop_assert!(self.fixture.queries.len() <= max_queries.max(64));
+        prop_assert!(self.fixture.open_queries.len() <= max_queries.max(64));
         Ok(())
     }
 
--- a/recovery/tests/support/mod.rs
+++ b/recovery/tests/support/mod.rs
@@ -52,7 +52,7 @@
     /// The current time in Unix milliseconds.
     pub now: i64,
     /// The endpoints with an open query.
-    pub queries: BTreeSet<usize>,
+    pub open_queries: BTreeSet<usize>,
     /// The admitted endpoints.
     pub admitted: BTreeSet<usize>,
     /// The largest number of queries that were open at a time.
@@ -74,7 +74,7 @@
         let mut fixture = Fixture {
             discovery: PrimaryDiscovery::new(settings),
             now: START,
-            queries: BTreeSet::new(),
+            open_queries: BTreeSet::new(),
             admitted: BTreeSet::new(),
             max_open_queries: 0,
             eligibility: BTreeMap::new(),
@@ -92,7 +92,7 @@
             match action {
                 Action::Query { endpoint } => {
                     assert!(
-                        self.queries.insert(endpoint),
+                        self.open_queries.insert(endpoint),
                         "endpoint {endpoint} was queried while a query to it was open"
                     );
                 }
@@ -105,7 +105,7 @@
                 }
             }
         }
-        self.max_open_queries = self.max_open_queries.max(self.queries.len());
+        self.max_open_queries = self.max_open_queries.max(self.open_queries.len());
     }
 
     /// Advances the time by `ms` milliseconds.
@@ -129,7 +129,7 @@
     /// Answers the next query to an endpoint with `identity`. Waits for the query for up to 20 s.
     pub fn answer_as(&mut self, endpoint: usize, identity: Identity, report: RoleReport) {
         for _ in 0..200 {
-            if self.queries.contains(&endpoint) {
+            if self.open_queries.contains(&endpoint) {
                 break;
             }
             self.advance(100);
@@ -140,7 +140,7 @@
 
     /// Answers an endpoint's open query, 1 ms after the current time. Returns false if there is no open query.
     pub fn answer_open_query(&mut self, endpoint: usize, identity: Identity, report: RoleReport) -> bool {
-        let is_open = self.queries.remove(&endpoint);
+        let is_open = self.open_queries.remove(&endpoint);
         if is_open {
             let queried_at = at_ms(self.now);
             self.now += 1;
@@ -151,9 +151,9 @@
 
     /// Answers all open queries at the current time. Returns the queried endpoints.
     pub fn answer_open_queries(&mut self, report: impl Fn(usize, i64) -> RoleReport) -> Vec<usize> {
-        let queried: Vec<usize> = self.queries.iter().copied().collect();
+        let queried: Vec<usize> = self.open_queries.iter().copied().collect();
         for &endpoint in &queried {
-            self.queries.remove(&endpoint);
+            self.open_queries.remove(&endpoint);
             let (queried_at, report) = (at_ms(self.now), report(endpoint, self.now));
             let identity = Identity::Confirmed;
             self.handle(Event::QueryAnswered { endpoint, queried_at, identity, report });
@@ -170,7 +170,7 @@
 
     /// Fails an endpoint's open query. Returns false if there is no open query.
     pub fn fail_open_query(&mut self, endpoint: usize, failure: QueryFailure) -> bool {
-        let is_open = self.queries.remove(&endpoint);
+        let is_open = self.open_queries.remove(&endpoint);
         if is_open {
             self.handle(Event::QueryFailed { endpoint, failure });
         }
--- a/routing/tests/positions.rs
+++ b/routing/tests/positions.rs
@@ -139,8 +139,8 @@
     assert_eq!(router.sent_to(session_count + 2), Some(1));
 }
 
-/// Ends a write of session 7 successfully, after its client has disconnected if `client_gone`. If
-/// `position_age` is given, the answer reports the position of that long before the end of the write. Returns whether a
+/// Ends a write of session 7 successfully, after its client has disconnected if `client_gone`. The answer reports a
+/// position `position_age` before the end of the write, or no position if `position_age` is `None`. Returns whether a
 /// read of the session 100 ms later goes to the replica, whose position is `behind` before the end of the write.
 fn read_after_write_goes_to_replica(
     client_gone: bool,
--- a/routing/tests/support/mod.rs
+++ b/routing/tests/support/mod.rs
@@ -272,9 +272,9 @@
     /// Advances the current time by `time` and reports the timers that become due.
     pub fn advance(&mut self, time: TimeDelta) {
         let until = self.now + time;
-        while let Some(&(at, tag)) = self.timers.iter().min().filter(|due| due.0 <= until) {
-            self.timers.retain(|&timer| timer != (at, tag));
-            self.now = self.now.max(at);
+        while let Some(&(due, tag)) = self.timers.iter().min().filter(|(due, _)| *due <= until) {
+            self.timers.retain(|&timer| timer != (due, tag));
+            self.now = self.now.max(due);
             self.report(Event::TimerFired { tag });
         }
         self.now = until;
--- a/test-servers/src/bin/writes/throughput.rs
+++ b/test-servers/src/bin/writes/throughput.rs
@@ -78,13 +78,13 @@
         let state = state.clone();
         thread::spawn(move || write_until_over(&listen, index, &state))
     };
-    let writing: Vec<_> = (0..clients).map(start_client).collect();
+    let client_threads: Vec<_> = (0..clients).map(start_client).collect();
     thread::sleep(WARM_UP);
     state.is_counting.store(true, Ordering::Release);
     thread::sleep(Duration::from_secs(arguments.seconds));
     state.is_over.store(true, Ordering::Release);
     let mut sum = Measurements::new();
-    for client in writing {
+    for client in client_threads {
         sum.add(&client.join().expect("a client panicked"));
     }
     drop(daemon);
--- a/test-servers/src/cluster/mod.rs
+++ b/test-servers/src/cluster/mod.rs
@@ -1,9 +1,9 @@
 //! Model of a cluster: its groups, the branches of their logs, the primaries, and the executed writes.
 //!
-//! A position on a log is a time in Unix milliseconds. The position of a primary is the current time. The position of
-//! a replica is the position of its upstream minus its lag, or the position at which its replication has stopped. A
-//! failover forks a new branch of the log. If the old primary is isolated and continues to execute writes, those
-//! writes are on an abandoned branch.
+//! A position on a log is a time in Unix milliseconds. The position of a primary is the current time. The position of a
+//! replica is the position of its upstream minus its lag, or the position at which its replication has stopped. A
+//! failover forks a new branch of the log. If the old primary is isolated and continues to execute writes, those writes
+//! are on an abandoned branch.
 
 mod answer_gate;
 mod endpoint_model;
--- a/test-servers/src/cluster/slow_start.rs
+++ b/test-servers/src/cluster/slow_start.rs
@@ -31,9 +31,9 @@
 }
 
 impl EndpointLoad {
-    /// Records the arrival of a statement. Returns whether the work within the window overloads the endpoint, which
-    /// has this fraction of its full capacity; `None` is full capacity, which is never overloaded. After an overload,
-    /// the window is cleared, so that each overload is reported once.
+    /// Records the arrival of a statement. Returns whether the work within the window overloads the endpoint, which has
+    /// this fraction of its full capacity; `None` is full capacity, at which no load overloads the endpoint. After an
+    /// overload, the window is cleared, so that each overload is reported once.
     pub(super) fn is_overloaded_by(
         &mut self,
         now_ms: i64,
--- a/test-servers/src/cluster/state.rs
+++ b/test-servers/src/cluster/state.rs
@@ -74,12 +74,12 @@
         self.branches.get(&group).into_iter().flatten().map(|branch| branch.forked_ms).collect()
     }
 
-    /// Searches for an earlier execution of the write `id` that an endpoint at log point `at` can detect: it is on the
-    /// endpoint's log, and within the deduplication window. Returns its log point.
-    pub fn duplicate_of(&self, id: &str, at: LogPoint, window_ms: i64) -> Option<LogPoint> {
+    /// Searches for an earlier execution of the write `id` that an endpoint at `log_point` can detect: the execution is
+    /// on the endpoint's log and within the deduplication window. Returns the log point of the execution.
+    pub fn duplicate_of(&self, id: &str, log_point: LogPoint, window_ms: i64) -> Option<LogPoint> {
         let is_known = |execution: &&Execution| {
-            at.position_ms - execution.point.position_ms < window_ms
-                && log_includes(&self.forks(execution.group), at, execution.point)
+            log_point.position_ms - execution.point.position_ms < window_ms
+                && log_includes(&self.forks(execution.group), log_point, execution.point)
         };
         self.executions.get(id)?.iter().find(is_known).map(|execution| execution.point)
     }
--- a/test-servers/src/endpoint.rs
+++ b/test-servers/src/endpoint.rs
@@ -66,7 +66,7 @@
     served
 }
 
-/// The endpoint as its listener and its connections use it.
+/// An endpoint, as the threads of its listener and of its connections use it.
 #[derive(Clone)]
 struct Endpoint {
     cluster: Arc<Cluster>,
@@ -156,8 +156,8 @@
         self.append_epoch(&state, out);
     }
 
-    /// Appends a ParameterStatus message with the endpoint's epoch: the timeline, and unless it is the first one, `@`
-    /// and the position at which it began.
+    /// Appends a ParameterStatus message with the endpoint's epoch: the number of the timeline and, unless the timeline
+    /// is the first one, `@` and the position at which the timeline began.
     fn append_epoch(&self, state: &ClusterState, out: &mut Vec<u8>) {
         let endpoint = &state.endpoints[self.index];
         let forks = state.forks(endpoint.group);
@@ -209,13 +209,13 @@
         if statement.is_write && !endpoint.primary {
             return None;
         }
-        let at = state.log_point(self.index, now_ms);
+        let log_point = state.log_point(self.index, now_ms);
         let duplicate_of = statement
             .has_idempotency_key
-            .then(|| state.duplicate_of(&statement.id, at, DEDUP_WINDOW_MS))
+            .then(|| state.duplicate_of(&statement.id, log_point, DEDUP_WINDOW_MS))
             .flatten();
         if statement.is_write && duplicate_of.is_none() {
-            self.record_execution(&mut state, statement, at);
+            self.record_execution(&mut state, statement, log_point);
         }
         // An endpoint of another group has none of the requested data.
         let is_own_group = endpoint.group == statement.group;
@@ -224,8 +224,8 @@
         self.append_epoch(&state, &mut epoch);
         Some(Reply {
             service_time,
-            log_point: duplicate_of.unwrap_or(at),
-            position_ms: at.position_ms,
+            log_point: duplicate_of.unwrap_or(log_point),
+            position_ms: log_point.position_ms,
             consistent_until_ms: if is_own_group { consistent_until_ms } else { 0 },
             is_primary: endpoint.primary,
             epoch,
--- a/test-servers/src/lib.rs
+++ b/test-servers/src/lib.rs
@@ -1,6 +1,5 @@
 //! Test doubles of the endpoints, the discovery service and the clients of a router instance, and randomized test runs
-//! that are reproducible by their seed. The test doubles use only loopback addresses and need no
-//! privileges.
+//! that are reproducible by their seed. The test doubles use only loopback addresses and need no privileges.
 //!
 //! - [`cluster`]: model of a cluster: its groups, the branches of their logs, the primaries, slow starts and drains
 //! - [`endpoint`]: a listening endpoint of a cluster
--- a/test-servers/src/restart/faults.rs
+++ b/test-servers/src/restart/faults.rs
@@ -10,8 +10,7 @@
 /// Time from a failover to the start of the instances: longer than any replication lag, so that the positions of the
 /// replicas are beyond the failover.
 const TIME_SINCE_FAILOVER: JitteredMs = JitteredMs { min_ms: 5_000, jitter_ms: 3_000 };
-/// Lag of the replicas of [`Fault::ReplicasLag`], as a multiple of the staleness bound, so that they are clearly
-/// stale.
+/// Lag of the replicas of [`Fault::ReplicasLag`], as a multiple of the staleness bound, so that they are clearly stale.
 const LAG_MULTIPLE: i64 = 2;
 /// Time before the failover at which the replication of a replica on the old primary's branch stopped.
 const STOPPED_BEFORE_MS: i64 = 100;
--- a/test-servers/src/restart/run.rs
+++ b/test-servers/src/restart/run.rs
@@ -25,7 +25,8 @@
 pub(super) const LIST_VERSION: i64 = 1_000;
 /// Limits of each instance: small, since many runs share the machine.
 pub(super) const LIMITS: ResourceLimits = ResourceLimits { descriptors: 512, memory_mb: 64 };
-/// Mask of the bits of a plan's seed that are used in the seed of an instance, so that the latter has 64 bits at most.
+/// Mask of the bits of a plan's seed that are used in the seed of an instance, so that the instance's seed has 64 bits
+/// at most.
 const BOOTSTRAP_SEED_MASK: u64 = 0xffff_ffff;
 /// Smallest number of instances in the settings, even if only one is started.
 const MIN_CONFIGURED_INSTANCES: usize = 2;
--- a/test-servers/src/restart/throughput.rs
+++ b/test-servers/src/restart/throughput.rs
@@ -50,7 +50,7 @@
         let (is_over, groups) = (is_over.clone(), scenario.groups.clone());
         thread::spawn(move || count_reads(&listen, index, &groups, count_from, &is_over))
     };
-    let counting: Vec<_> = (0..clients).map(start).collect();
+    let client_threads: Vec<_> = (0..clients).map(start).collect();
     let mut version = LIST_VERSION;
     while Instant::now() < count_from + duration {
         thread::sleep(LIST_INTERVAL);
@@ -58,7 +58,7 @@
         discovery.set_list(version, scenario.lists.current.clone());
     }
     is_over.store(true, Ordering::Release);
-    let reads: usize = counting.into_iter().filter_map(|client| client.join().ok()).sum();
+    let reads: usize = client_threads.into_iter().filter_map(|client| client.join().ok()).sum();
     daemon.kill();
     Ok(reads as f64 / duration.as_secs_f64())
 }
--- a/test-servers/src/settings.rs
+++ b/test-servers/src/settings.rs
@@ -63,7 +63,7 @@
 
 /// The `settings` section of a bootstrap file, in JSON, for a deployment of `instances` instances.
 pub fn settings_for(instances: usize) -> String {
-    let ms = |ms: i64| ms * NANOS_PER_MILLI;
+    let nanos = |ms: i64| ms * NANOS_PER_MILLI;
     format!(
         r#"{{"nInstances":{instances},"zone":0,"azs":["a"],"resolutionNs":{},"membershipMode":"push",
         "classes":[{{"name":"read","aimNs":{},"deadlineNs":{},"effect":"read_like"}},
@@ -75,19 +75,19 @@
         "allowed":{{"maxAttempts":{MAX_ATTEMPTS},"mayCancel":true,"probes":true,"retryAfter":true,"maxRetryAfterNs":{}}},
         "report":{{"names":["x0","x1","load_share"]}},
         "rules":{{"coldFrom":{},"coldNs":{},"fallMultiple":{},"overloadForNs":{}}}}}"#,
-        ms(CLOCK_RESOLUTION_MS),
-        ms(LATENCY_OBJECTIVE_MS),
-        ms(READ_DEADLINE_MS),
-        ms(LATENCY_OBJECTIVE_MS),
-        ms(WRITE_DEADLINE_MS),
-        ms(LATENCY_OBJECTIVE_MS),
-        ms(WRITE_DEADLINE_MS),
-        ms(DEDUP_WINDOW_MS),
-        ms(STALENESS_BOUND_MS),
-        ms(MAX_RETRY_AFTER_MS),
+        nanos(CLOCK_RESOLUTION_MS),
+        nanos(LATENCY_OBJECTIVE_MS),
+        nanos(READ_DEADLINE_MS),
+        nanos(LATENCY_OBJECTIVE_MS),
+        nanos(WRITE_DEADLINE_MS),
+        nanos(LATENCY_OBJECTIVE_MS),
+        nanos(WRITE_DEADLINE_MS),
+        nanos(DEDUP_WINDOW_MS),
+        nanos(STALENESS_BOUND_MS),
+        nanos(MAX_RETRY_AFTER_MS),
         SLOW_START.initial_fraction,
-        ms(SLOW_START.duration_ms),
+        nanos(SLOW_START.duration_ms),
         SLOW_START.overload_multiple,
-        ms(SLOW_START.window_ms),
+        nanos(SLOW_START.window_ms),
     )
 }
