--- a/admission/src/concurrency_limiter/types.rs
+++ b/admission/src/concurrency_limiter/types.rs
@@ -107,9 +107,9 @@
 /// An arriving request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Identifier of the request.
+    /// Identifier by which the decisions name the request.
     pub request: RequestId,
-    /// The client that sent it.
+    /// The client that sent the request.
     pub client: ClientKey,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
@@ -159,7 +159,7 @@
 /// Request counts of one client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientRequests {
-    /// The client.
+    /// The client that sent the requests.
     pub client: ClientKey,
     /// Requests of the client.
     pub requests: RequestCounts,
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -37,11 +37,11 @@
 /// A request as recorded by its client.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Id of the request.
+    /// Id of the request. Only a write with an idempotency key may be sent more than once with the same id.
     pub id: String,
     /// Number of the group that the request is addressed to.
     pub group: i64,
-    /// Kind of the request.
+    /// Whether the request is a read, a write, or a write with an idempotency key.
     pub kind: Kind,
     /// Time at which the client sent the request.
     pub sent_ms: i64,
@@ -112,7 +112,7 @@
 /// The answer to a client's fate query.
 #[derive(Clone, Debug)]
 pub struct FateAnswer {
-    /// Id of the write.
+    /// Id of the write whose fate was queried.
     pub id: String,
     /// Time at which the client received the answer.
     pub answered_ms: i64,
--- a/host-support/src/bootstrap_config.rs
+++ b/host-support/src/bootstrap_config.rs
@@ -1,10 +1,12 @@
 //! Bootstrap configuration of an instance, as deserialized from JSON. Fields whose JSON key differs from their name
-//! carry a `rename` attribute. All times are in nanoseconds.
+//! carry a `rename` attribute. A field whose `default` attribute names no function is 0, false or empty if the JSON
+//! object lacks the key. All times are in nanoseconds.
 
 use routing::time::TimeDelta;
 use serde::Deserialize;
 
-/// The bootstrap configuration of an instance.
+/// The configuration with which a host starts an instance: the `settings` of the bootstrap file, or `bootInfo` in the
+/// simulator's message `Start`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct BootstrapConfig {
@@ -39,7 +41,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MethodConfig {
-    /// Name of the method.
+    /// Name by which requests identify the method. Empty if the host identifies methods by their index.
     #[serde(default)]
     pub name: String,
     /// Latency objective: from 1 to `deadline_ns`.
--- a/host-support/src/routing_settings.rs
+++ b/host-support/src/routing_settings.rs
@@ -11,17 +11,17 @@
     /// A value that must be positive is not.
     #[error("{key}: must be greater than 0, not {value}")]
     NotPositive {
-        /// Key of the value.
+        /// Path of the key that has the value, such as `allowed.dialTimeoutNs`.
         key: &'static str,
-        /// The value.
+        /// The value as the configuration has it.
         value: i64,
     },
     /// A value is not one of the allowed words.
     #[error("{key}: {value:?} is not one of {allowed}")]
     NotOneOf {
-        /// Key of the value.
+        /// Path of the key that has the value, such as `allowed.dialTimeoutNs`.
         key: &'static str,
-        /// The value.
+        /// The value as the configuration has it.
         value: String,
         /// The allowed words, separated by commas.
         allowed: &'static str,
@@ -29,7 +29,7 @@
     /// A list does not have one entry per method.
     #[error("{key}: expected {methods} entries, one for each entry of classes, found {entries}")]
     NotOnePerMethod {
-        /// Key of the list.
+        /// Path of the key that has the list, such as `familyInfo.classRead`.
         key: &'static str,
         /// Number of entries of the list.
         entries: usize,
--- a/operator-config/src/error.rs
+++ b/operator-config/src/error.rs
@@ -62,7 +62,7 @@
     /// The property is unknown.
     #[error("unknown property {name:?}; expected one of {known}")]
     UnknownProperty {
-        /// The unknown property.
+        /// Name of the property as the file has it.
         name: String,
         /// The known properties, separated by commas.
         known: String,
@@ -92,7 +92,7 @@
     /// The value is not an integer, or is out of range.
     #[error("{value:?} is not an integer between {min} and {max}")]
     NotIntegerInRange {
-        /// The value.
+        /// The value as the file has it.
         value: String,
         /// Smallest allowed value.
         min: String,
@@ -102,7 +102,7 @@
     /// The value is a duration or a size that is out of range.
     #[error("{value:?} is not between {min} and {max}")]
     OutOfRange {
-        /// The value.
+        /// The value as the file has it.
         value: String,
         /// Smallest allowed value, with its unit.
         min: String,
@@ -112,7 +112,7 @@
     /// The value cannot be parsed.
     #[error("{value:?} is not {expected}: {reason}")]
     Unparsable {
-        /// The value.
+        /// The value as the file has it.
         value: String,
         /// What the value must be, such as "a duration".
         expected: &'static str,
@@ -122,7 +122,7 @@
     /// The value is not one of the allowed words.
     #[error("{value:?} is not one of {allowed}")]
     NotOneOf {
-        /// The value.
+        /// The value as the file has it.
         value: String,
         /// The allowed words, separated by commas.
         allowed: String,
--- a/test-servers/src/cluster/endpoint_model.rs
+++ b/test-servers/src/cluster/endpoint_model.rs
@@ -29,7 +29,7 @@
     pub stopped_at_ms: Option<i64>,
 }
 
-/// The process of an endpoint.
+/// State of the simulated process of an endpoint.
 #[derive(Clone, Debug)]
 pub struct ProcessModel {
     /// How the endpoint reacts to connections and statements.
@@ -42,7 +42,7 @@
     pub reports_identity: bool,
 }
 
-/// Model of an endpoint.
+/// State of a simulated endpoint, from which its answers follow.
 #[derive(Clone, Debug)]
 pub struct EndpointModel {
     /// Name in the endpoint list.
--- a/test-servers/src/cluster/mod.rs
+++ b/test-servers/src/cluster/mod.rs
@@ -50,7 +50,7 @@
         Cluster { slow_start, drain_grace_ms, answer_gate: AnswerGate::default(), state: Mutex::default() }
     }
 
-    /// Locks the state of the cluster.
+    /// Locks the state of the cluster. While it is locked, no endpoint executes a statement.
     pub fn lock(&self) -> MutexGuard<'_, ClusterState> {
         lock(&self.state)
     }
