--- a/admission/src/connection_limiter.rs
+++ b/admission/src/connection_limiter.rs
@@ -21,7 +21,8 @@
 const CLASS_LIMIT_MESSAGE: &str = "clients of this class hold as many connections as they may";
 /// The server has its maximum number of connections, or the rest is reserved for other client classes.
 const RESERVED_MESSAGE: &str = "the connections that are free are kept for others";
-/// The handshake queue has no slot for the connection, or another connection has displaced it from there.
+/// The handshake queue has no slot for the connection, or another connection has displaced the connection from the
+/// queue.
 const HANDSHAKE_QUEUE_FULL_MESSAGE: &str = "too many connections have not said yet who they are";
 
 /// Why a connection was rejected.
@@ -33,7 +34,7 @@
     AddressLimit,
     /// The class has its maximum number of connections.
     ClassLimit,
-    /// The server is at its capacity, or the rest of it is reserved for other classes.
+    /// The server is at its capacity, or the rest of the capacity is reserved for other classes.
     Reserved,
     /// The connection was displaced from the handshake queue, or not added to it.
     HandshakeQueueFull,
@@ -231,8 +232,8 @@
         })
     }
 
-    /// Changes the limits. Open connections are kept, even if they exceed the new limits, and count towards the new class
-    /// with the name of their class.
+    /// Changes the limits. Open connections are kept, even if they exceed the new limits, and count towards the new
+    /// class of the same name.
     ///
     /// # Errors
     /// All errors in the set of classes. The limits are not changed in this case.
@@ -287,18 +288,20 @@
         class: &'a ClientClass,
         address: ClientAddress,
     ) -> AdmissionInput<'a> {
-        let held = |class: &ClientClass| self.by_class.get(&class.name).copied().unwrap_or(0);
+        let connections_of = |class: &ClientClass| self.by_class.get(&class.name).copied().unwrap_or(0);
         let others = self.limits.classes.iter().filter(|other| other.name != class.name);
         let wait = class
             .rate
             .map_or(TimeDelta::ZERO, |rate| self.addresses.wait_until_conforming(now, address, rate));
         AdmissionInput {
             class,
-            class_connections: held(class),
+            class_connections: connections_of(class),
             address_connections: self.addresses.connections(address),
             wait,
             connections: self.connections,
-            reserved_for_others: others.map(|other| other.reserved.saturating_sub(held(other))).sum(),
+            reserved_for_others: others
+                .map(|other| other.reserved.saturating_sub(connections_of(other)))
+                .sum(),
             capacity: self.limits.capacity,
         }
     }
--- a/admission/src/handshake_queue.rs
+++ b/admission/src/handshake_queue.rs
@@ -1,7 +1,7 @@
-//! Handshake queue: connections whose class depends on the user name, until their client has sent it.
+//! Handshake queue: holds connections whose class depends on the user name until the client has sent its user name.
 //!
-//! The queue is small. When it is full, a new connection displaces an old one. A client that sends its user name promptly
-//! leaves the queue before a flood of clients that never send theirs can displace it.
+//! The queue is small. When it is full, a new connection displaces an old one. A client that sends its user name
+//! promptly leaves the queue before a flood of clients that never send theirs can displace it.
 
 use crate::client_address::ClientAddress;
 use std::collections::{BTreeSet, HashMap};
@@ -102,10 +102,10 @@
     /// Displaces the oldest connection of the address with the most connections.
     fn displace(&mut self) -> Option<HandshakeId> {
         let (_, address) = self.by_count.last()?;
-        let first = *self.by_address.get(address)?.first()?;
-        self.remove_waiting(first);
-        self.displaced.insert(first);
-        Some(first)
+        let oldest = *self.by_address.get(address)?.first()?;
+        self.remove_waiting(oldest);
+        self.displaced.insert(oldest);
+        Some(oldest)
     }
 
     fn insert(&mut self, address: ClientAddress) -> HandshakeId {
@@ -128,7 +128,7 @@
         true
     }
 
-    /// Changes the connections of an address, and updates the index by their number.
+    /// Changes the connections of an address, and updates the index by number of connections.
     fn update_address(
         &mut self,
         address: ClientAddress,
--- a/history-checker/src/history.rs
+++ b/history-checker/src/history.rs
@@ -37,11 +37,11 @@
 /// A request as recorded by its client.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Id of the request.
+    /// Id of the request. Only a write with an idempotency key may be sent more than once with the same id.
     pub id: String,
     /// Number of the group that the request is addressed to.
     pub group: i64,
-    /// Kind of the request.
+    /// Whether the request is a read, a write, or a write with an idempotency key.
     pub kind: Kind,
     /// Time at which the client sent the request.
     pub sent_ms: i64,
@@ -51,9 +51,9 @@
     pub timeout_ms: i64,
     /// The answer, [`Answer::Missing`] if there was none.
     pub answer: Answer,
-    /// The answer was followed by a further one, which belongs to no request.
+    /// Whether the answer was followed by a further one, which belongs to no request.
     pub has_extra_answer: bool,
-    /// The router was killed while the request was open, so no answer is required.
+    /// Whether the router was killed while the request was open, so that no answer is required.
     pub router_killed: bool,
 }
 
@@ -78,9 +78,9 @@
 pub struct AnswerValue<'a> {
     /// Id of the request that the value was created for.
     pub id: &'a str,
-    /// Time up to which the endpoint's data is the same as on the live branch.
+    /// Time up to which the endpoint's data is the same as on the live branch, in Unix milliseconds.
     pub consistent_until_ms: i64,
-    /// Point on the group's log up to which the endpoint has applied it.
+    /// Point on the group's log up to which the endpoint has applied the log.
     pub point: LogPoint,
 }
 
@@ -105,14 +105,14 @@
     pub group: i64,
     /// Log point of the commit.
     pub point: LogPoint,
-    /// The endpoint was the primary of the group's live branch at that time.
+    /// Whether the endpoint was the primary of the group's live branch when it executed the write.
     pub at_primary: bool,
 }
 
 /// The answer to a client's fate query.
 #[derive(Clone, Debug)]
 pub struct FateAnswer {
-    /// Id of the write.
+    /// Id of the write whose fate was queried.
     pub id: String,
     /// Time at which the client received the answer.
     pub answered_ms: i64,
--- a/host-support/src/bootstrap_config.rs
+++ b/host-support/src/bootstrap_config.rs
@@ -1,10 +1,12 @@
 //! Bootstrap configuration of an instance, as deserialized from JSON. Fields whose JSON key differs from their name
-//! carry a `rename` attribute. All times are in nanoseconds.
+//! carry a `rename` attribute. A field whose `default` attribute names no function is 0, false or empty if the JSON
+//! object lacks the key. All times are in nanoseconds.
 
 use routing::time::TimeDelta;
 use serde::Deserialize;
 
-/// The bootstrap configuration of an instance.
+/// The configuration with which a host starts an instance: the `settings` of the bootstrap file, or `bootInfo` in the
+/// simulator's message `Start`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct BootstrapConfig {
@@ -39,7 +41,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MethodConfig {
-    /// Name of the method.
+    /// Name by which requests identify the method. Empty if the host identifies methods by their index.
     #[serde(default)]
     pub name: String,
     /// Latency objective: from 1 to `deadline_ns`.
@@ -69,8 +71,8 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ReplicationConfig {
-    /// How an endpoint handles a read that its data is too stale for: `off` (serves stale data), `reject`, or `hold`
-    /// (waits until it has caught up).
+    /// How an endpoint handles a read for which its data is too stale: `off` (serves stale data), `reject`, or `hold`
+    /// (waits until the endpoint has caught up).
     #[serde(rename = "guards")]
     pub lag_handling: String,
     /// Staleness bounds of methods with `recent` access. A missing entry means 0.
@@ -82,7 +84,7 @@
     /// `client` if clients carry the positions of their sessions' writes; with any other value the router keeps them.
     #[serde(default, rename = "sessionMarks")]
     pub session_positions: String,
-    /// Maximum time that an endpoint waits to catch up before it rejects a read, with `hold`.
+    /// With `hold`, the maximum time that an endpoint waits to catch up before it rejects a read.
     #[serde(default, rename = "patienceNs")]
     pub max_catch_up_wait_ns: i64,
     /// Time that corresponds to position 0.
--- a/operator-config/src/error.rs
+++ b/operator-config/src/error.rs
@@ -62,7 +62,7 @@
     /// The property is unknown.
     #[error("unknown property {name:?}; expected one of {known}")]
     UnknownProperty {
-        /// The unknown property.
+        /// Name of the property as the file has it.
         name: String,
         /// The known properties, separated by commas.
         known: String,
@@ -75,7 +75,7 @@
     InvalidProperty {
         /// Name of the property.
         property: &'static str,
-        /// Why its value is invalid.
+        /// Why the value of the property is invalid.
         error: ValueError,
     },
     /// The client classes of the file are inconsistent.
@@ -83,7 +83,7 @@
     Classes(#[from] ClassError),
 }
 
-/// Why the value of a keyword or of a property is invalid. The messages follow its name.
+/// Why the value of a keyword or of a property is invalid. The messages follow the name of the keyword or property.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ValueError {
     /// The value is not an absolute path.
@@ -92,7 +92,7 @@
     /// The value is not an integer, or is out of range.
     #[error("{value:?} is not an integer between {min} and {max}")]
     NotIntegerInRange {
-        /// The value.
+        /// The value as the file has it.
         value: String,
         /// Smallest allowed value.
         min: String,
@@ -102,7 +102,7 @@
     /// The value is a duration or a size that is out of range.
     #[error("{value:?} is not between {min} and {max}")]
     OutOfRange {
-        /// The value.
+        /// The value as the file has it.
         value: String,
         /// Smallest allowed value, with its unit.
         min: String,
@@ -112,7 +112,7 @@
     /// The value cannot be parsed.
     #[error("{value:?} is not {expected}: {reason}")]
     Unparsable {
-        /// The value.
+        /// The value as the file has it.
         value: String,
         /// What the value must be, such as "a duration".
         expected: &'static str,
@@ -122,7 +122,7 @@
     /// The value is not one of the allowed words.
     #[error("{value:?} is not one of {allowed}")]
     NotOneOf {
-        /// The value.
+        /// The value as the file has it.
         value: String,
         /// The allowed words, separated by commas.
         allowed: String,
--- a/test-servers/src/cluster/state.rs
+++ b/test-servers/src/cluster/state.rs
@@ -9,10 +9,10 @@
 /// One branch of a group's log.
 #[derive(Clone, Copy, Debug)]
 pub struct Branch {
-    /// Position at which it forked from the previous branch, in Unix milliseconds. The two branches share the log up
-    /// to there.
+    /// Position at which the branch forked from the previous one, in Unix milliseconds. The two branches share the log
+    /// up to this position.
     pub forked_ms: i64,
-    /// Whether it is the group's current branch. The others are abandoned.
+    /// Whether the branch is the group's current one. The other branches are abandoned.
     pub is_live: bool,
 }
 
@@ -26,9 +26,9 @@
 /// What the old primary does after a failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OldPrimary {
-    /// It is isolated from the group and continues to execute writes.
+    /// The old primary is isolated from the group and continues to execute writes.
     Isolated,
-    /// It becomes a replica of the new primary.
+    /// The old primary becomes a replica of the new one.
     Follows,
 }
 
@@ -74,12 +74,12 @@
         self.branches.get(&group).into_iter().flatten().map(|branch| branch.forked_ms).collect()
     }
 
-    /// Searches for an earlier execution of the write `id` that an endpoint at log point `at` can detect: it is on the
-    /// endpoint's log, and within the deduplication window. Returns its log point.
-    pub fn duplicate_of(&self, id: &str, at: LogPoint, window_ms: i64) -> Option<LogPoint> {
+    /// Searches for an earlier execution of the write `id` that an endpoint at `log_point` can detect: the execution is
+    /// on the endpoint's log and within the deduplication window. Returns the log point of the execution.
+    pub fn duplicate_of(&self, id: &str, log_point: LogPoint, window_ms: i64) -> Option<LogPoint> {
         let is_known = |execution: &&Execution| {
-            at.position_ms - execution.point.position_ms < window_ms
-                && log_includes(&self.forks(execution.group), at, execution.point)
+            log_point.position_ms - execution.point.position_ms < window_ms
+                && log_includes(&self.forks(execution.group), log_point, execution.point)
         };
         self.executions.get(id)?.iter().find(is_known).map(|execution| execution.point)
     }
