--- a/host-support/src/bootstrap_config.rs
+++ b/host-support/src/bootstrap_config.rs
@@ -145,9 +145,10 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Rules {
-    /// Time after the last poll by which a change to the endpoint list counts as known.
+    /// Maximum time between two polls of the endpoint list. Once this time has passed since the last poll, an instance
+    /// is assumed to know the changes made in between.
     #[serde(default, rename = "askWithinNs")]
-    pub list_poll_within_ns: i64,
+    pub max_list_poll_interval_ns: i64,
     /// The fraction of its capacity that an endpoint has right after its start.
     #[serde(default, rename = "coldFrom")]
     pub slow_start_fraction: f64,
--- a/host-support/src/routing_settings.rs
+++ b/host-support/src/routing_settings.rs
@@ -155,7 +155,7 @@
 fn max_list_poll_interval(config: &BootstrapConfig) -> Result<Option<TimeDelta>, SettingsError> {
     match config.membership_mode.as_str() {
         "push" => Ok(None),
-        "ask" => Ok(Some(TimeDelta(config.rules.list_poll_within_ns))),
+        "ask" => Ok(Some(TimeDelta(config.rules.max_list_poll_interval_ns))),
         other => Err(not_one_of("membershipMode", other, "push, ask")),
     }
 }
