--- a/write-journal/src/encoding.rs
+++ b/write-journal/src/encoding.rs
@@ -46,6 +46,8 @@
 }
 
 impl Record {
+    /// Returns the bytes that are stored: the state, then big-endian numbers. Those of the deduplication window are
+    /// left out if the record has no window.
     pub fn encode(&self) -> Vec<u8> {
         let (kind, commit_ms) = match self.state {
             RecordState::Pending => (PENDING, 0),
