--- a/server/src/startup/server.rs
+++ b/server/src/startup/server.rs
@@ -167,23 +167,15 @@
         messages: Receiver<ControlMessage>,
         initial_list: InitialList,
     ) -> Result<(), Failure> {
-        let SharedServices { timers, resources, metrics, .. } = &self.services;
         let bootstrap = &self.configuration.bootstrap;
         let allowed = &bootstrap.config.allowed;
-        let connect_timeout = TimeDelta(allowed.connect_timeout_ns);
-        let endpoint_idle_timeout = TimeDelta(allowed.idle_timeout_ns);
-        let pool = Arc::new(ConnectionPool::new(
-            timers.clone(),
-            resources.clone(),
-            connect_timeout,
-            endpoint_idle_timeout,
-        ));
+        let pool = self.create_connection_pool();
         let dispatcher = EndpointDispatcher {
             pool: pool.clone(),
             control: self.control.clone(),
-            health_check_timeout: connect_timeout,
+            health_check_timeout: TimeDelta(allowed.connect_timeout_ns),
             journal: self.journal.clone(),
-            metrics: metrics.clone(),
+            metrics: self.services.metrics.clone(),
         };
         let control_loop = ControlLoop::new(ControlSetup {
             config: RouterConfig {
@@ -203,10 +195,19 @@
             let _ = self.control.send(ControlMessage::SetQueueLimits(Some(limits)));
         }
         spawn_component(move || control_loop.run())?;
-        spawn_pool_cleanup(timers.clone(), pool);
+        spawn_pool_cleanup(self.services.timers.clone(), pool);
         Ok(())
     }
 
+    /// Creates the pool of connections to endpoints, which is empty at first.
+    fn create_connection_pool(&self) -> Arc<ConnectionPool> {
+        let SharedServices { timers, resources, .. } = &self.services;
+        let allowed = &self.configuration.bootstrap.config.allowed;
+        let connect_timeout = TimeDelta(allowed.connect_timeout_ns);
+        let idle_timeout = TimeDelta(allowed.idle_timeout_ns);
+        Arc::new(ConnectionPool::new(timers.clone(), resources.clone(), connect_timeout, idle_timeout))
+    }
+
     /// The options of primary discovery; `None` if the endpoint list is not cached.
     fn recovery_options(&self, initial_list: &InitialList) -> Option<RecoveryOptions> {
         let cache = self.cache.as_ref()?;
--- a/server/tests/admission.rs
+++ b/server/tests/admission.rs
@@ -183,6 +183,34 @@
     );
 }
 
+/// Reloads invalid operators' files. Checks that each error is logged and that `connect` is still rejected afterwards.
+fn assert_invalid_files_keep_the_limits(fixture: &Fixture, daemon: &Daemon, connect: impl Fn() -> Client) {
+    // If one setting of the file is invalid, none of the file's settings is applied.
+    fixture.reload(daemon, "admit desk from 127.9.0.0/16 keep 5 most 4\n");
+    assert!(daemon.wait_for_log("reload: operators' file cannot be used, its settings are unchanged"));
+    assert!(daemon
+        .wait_for_log("1: admit: class desk reserves more connections (keep 5) than its maximum (most 4)"));
+    fixture.reload(daemon, "admit desk from 127.9.0.0/16 keep 5000\n");
+    assert!(daemon.wait_for_log("the classes reserve 5000 connections (keep), more than the capacity of "));
+    assert_eq!(
+        connect().rejected_with.as_deref(),
+        Some(TOO_MANY_CONNECTIONS),
+        "an invalid operators' file changed the limits"
+    );
+}
+
+/// Calls `connect` until a client is admitted, for five seconds at most.
+fn wait_until_admitted(connect: impl Fn() -> Client) {
+    let started = Instant::now();
+    while connect().rejected_with.is_some() {
+        assert!(
+            started.elapsed() < Duration::from_secs(5),
+            "no client is admitted after the last connection has closed"
+        );
+        thread::sleep(Duration::from_millis(5));
+    }
+}
+
 #[test]
 fn a_reload_changes_connection_limits_and_keeps_admitted_connections() {
     let fixture = Fixture::new();
@@ -202,18 +230,7 @@
         "the Retry-After time is missing or out of range: {:?}",
         fifth.retry_after_ms
     );
-    // If one setting of the file is invalid, none of the file's settings is applied.
-    fixture.reload(&daemon, "admit desk from 127.9.0.0/16 keep 5 most 4\n");
-    assert!(daemon.wait_for_log("reload: operators' file cannot be used, its settings are unchanged"));
-    assert!(daemon
-        .wait_for_log("1: admit: class desk reserves more connections (keep 5) than its maximum (most 4)"));
-    fixture.reload(&daemon, "admit desk from 127.9.0.0/16 keep 5000\n");
-    assert!(daemon.wait_for_log("the classes reserve 5000 connections (keep), more than the capacity of "));
-    assert_eq!(
-        connect().rejected_with.as_deref(),
-        Some(TOO_MANY_CONNECTIONS),
-        "an invalid operators' file changed the limits"
-    );
+    assert_invalid_files_keep_the_limits(&fixture, &daemon, connect);
     // When the limit is lowered below the number of open connections, new ones are rejected and open ones are kept.
     fixture.reload(&daemon, &format!("{desk_line}admit others each 1\n"));
     assert!(daemon.wait_for_log("others 4; rejected since the start: others 2"));
@@ -229,14 +246,7 @@
         "a second connection was admitted although the limit is one"
     );
     admitted.clear();
-    let started = Instant::now();
-    while connect().rejected_with.is_some() {
-        assert!(
-            started.elapsed() < Duration::from_secs(5),
-            "no client is admitted after the last connection has closed"
-        );
-        thread::sleep(Duration::from_millis(5));
-    }
+    wait_until_admitted(connect);
     drop(daemon);
 }
 
--- a/server/tests/endpoint_responses.rs
+++ b/server/tests/endpoint_responses.rs
@@ -176,12 +176,7 @@
         (&[description, row, &error_message("53300"), ready], Failed, true, "an error after a row"),
         (&[&message(b'T', &ONE_COLUMN[..9]), row], Failed, false, "half a row description"),
         (&[description, &message(b'D', &[0, 1, 0, 0, 0, 2, 7])], Failed, false, "a truncated column"),
-        (
-            &[description, &message(b'D', &[0, 2, 0, 0, 0, 1, 7])],
-            Failed,
-            false,
-            "a row that declares two columns",
-        ),
+        (&[description, &message(b'D', &[0, 2, 0, 0, 0, 1, 7])], Failed, false, "two declared columns"),
         (&[description, &message(b'D', &[0, 1, 255, 255, 255, 255])], Failed, false, "a null value"),
         (&[description, too_long], Failed, false, "a value over the limit"),
         (&[&message(b'A', b"x\0")], Failed, false, "an unexpected tag"),
--- a/server/tests/fates.rs
+++ b/server/tests/fates.rs
@@ -210,6 +210,27 @@
     assert!(never + not_known > 0, "all writes ran, so the test proves little");
 }
 
+/// Sends writes from another client until one is served. Returns the fates that `client` receives for them meanwhile.
+fn fates_during_writes(listen: SocketAddr, client: &mut Client) -> Vec<String> {
+    let requests = thread::spawn(move || {
+        let mut client = Client::open(&listen).expect("failed to connect");
+        (0..20)
+            .map(|index| client.request(&format!("long-{index}"), 1, Kind::Write, 900).answer)
+            .find(|answer| matches!(answer, Answer::Value(_)))
+    });
+    let mut fates = Vec::new();
+    while !requests.is_finished() {
+        for index in 0..20 {
+            if let Answer::Value(fate) = client.fate(&format!("long-{index}"), "elsewhere.0") {
+                fates.push(fate);
+            }
+        }
+        thread::sleep(Duration::from_millis(20));
+    }
+    assert!(requests.join().expect("the client panicked").is_some(), "no write was served");
+    fates
+}
+
 #[test]
 fn fates_are_reported_for_unsent_in_flight_and_other_instances_writes() {
     let fixture = Fixture::new(300);
@@ -233,23 +254,7 @@
     );
     assert_eq!(other.fate("nobody", "x"), Answer::Error(STATEMENT_COMPLETION_UNKNOWN.into()));
     // From when a write is sent until it is answered, its fate is `under way`.
-    let listen = fixture.listen[0];
-    let requests = thread::spawn(move || {
-        let mut client = Client::open(&listen).expect("failed to connect");
-        (0..20)
-            .map(|index| client.request(&format!("long-{index}"), 1, Kind::Write, 900).answer)
-            .find(|answer| matches!(answer, Answer::Value(_)))
-    });
-    let mut fates = Vec::new();
-    while !requests.is_finished() {
-        for index in 0..20 {
-            if let Answer::Value(fate) = client.fate(&format!("long-{index}"), "elsewhere.0") {
-                fates.push(fate);
-            }
-        }
-        thread::sleep(Duration::from_millis(20));
-    }
-    assert!(requests.join().expect("the client panicked").is_some(), "no write was served");
+    let fates = fates_during_writes(fixture.listen[0], &mut client);
     assert!(fates.iter().any(|fate| fate == "under way"), "no fate was `under way`: {fates:?}");
     assert_eq!(client.fate("", &origin), Answer::Error(SYNTAX_ERROR.into()));
 }
@@ -275,10 +280,8 @@
         matches!(&retry, Answer::Value(value) if value.starts_with("early ")),
         "a keyed retry within the deduplication window was not served: {retry:?}"
     );
-    assert!(
-        executed_by.elapsed() < Duration::from_millis(DEDUP_WINDOW_MS as u64),
-        "the machine is too slow: the deduplication window ended before the retry was answered"
-    );
+    let window = Duration::from_millis(DEDUP_WINDOW_MS as u64);
+    assert!(executed_by.elapsed() < window, "the machine is too slow: the window ended before the answer");
     // The answer to the retry proves that the write ran. The fate has no position, because no endpoint has reported
     // the position of the commit.
     assert_eq!(client.fate("early", &origin), Answer::Value("ran".into()));
@@ -288,7 +291,7 @@
         id_in_use,
         "a retry without an idempotency key was accepted"
     );
-    thread::sleep(Duration::from_millis(DEDUP_WINDOW_MS as u64).saturating_sub(executed_by.elapsed()));
+    thread::sleep(window.saturating_sub(executed_by.elapsed()));
     assert_eq!(
         client.request("late", 1, Kind::KeyedWrite, 900).answer,
         id_in_use,
--- a/server/tests/sessions.rs
+++ b/server/tests/sessions.rs
@@ -179,6 +179,25 @@
     println!("{older_reads} of 60 reads without a session returned older data than the one before");
 }
 
+/// Sends a request of kind `kind` with `token`, whose session has observed data that a failover lost. Checks that the
+/// loss is reported, and that both instances then serve reads with the session's next token.
+fn assert_loss_is_reported_once(fixture: &Fixture, kind: Kind, token: &str) {
+    let mut moved = fixture.client(0, Some(token));
+    let record = moved.request(&format!("t-{kind:?}"), 1, kind, 800);
+    assert_eq!(record.answer, Answer::Error(SESSION_LOST.into()), "the loss was not reported to a {kind:?}");
+    let next_token = moved.token.clone().expect("the instance sent no token after the loss");
+    // The next token no longer contains the lost positions. An instance whose cache still has them must not report
+    // the loss a second time.
+    for index in 0..2 {
+        let mut later = fixture.client(index, Some(&next_token));
+        let record = request_until_not_rejected(&mut later, Kind::Read, &format!("a-{kind:?}-{index}"));
+        assert!(
+            matches!(record.answer, Answer::Value(_)),
+            "the loss was reported again, or the read failed: {record:?}"
+        );
+    }
+}
+
 #[test]
 fn a_failover_that_loses_data_seen_by_a_session_is_reported_to_it_once() {
     let fixture = Fixture::new([400, 400]);
@@ -202,24 +221,7 @@
         request_until_served(&mut other, Kind::Write, &format!("o{index}"));
     }
     for (kind, token) in [(Kind::Read, read_token), (Kind::Write, write_token)] {
-        let mut moved = fixture.client(0, Some(&token));
-        let record = moved.request(&format!("t-{kind:?}"), 1, kind, 800);
-        assert_eq!(
-            record.answer,
-            Answer::Error(SESSION_LOST.into()),
-            "the loss was not reported to a {kind:?}"
-        );
-        let next_token = moved.token.clone().expect("the instance sent no token after the loss");
-        // The next token no longer contains the lost positions. An instance whose cache still has them must not report
-        // the loss a second time.
-        for index in 0..2 {
-            let mut later = fixture.client(index, Some(&next_token));
-            let record = request_until_not_rejected(&mut later, Kind::Read, &format!("a-{kind:?}-{index}"));
-            assert!(
-                matches!(record.answer, Answer::Value(_)),
-                "the loss was reported again, or the read failed: {record:?}"
-            );
-        }
+        assert_loss_is_reported_once(&fixture, kind, &token);
     }
     // A session that has observed none of the lost data gets no error.
     let mut unaffected = fixture.client(1, Some("new"));
@@ -227,18 +229,13 @@
     drop(daemons);
 }
 
-#[test]
-fn a_token_stays_valid_for_its_user_across_key_changes_until_it_expires() {
-    let fixture = Fixture::new([15, 15]);
-    let daemons = [fixture.start(0), fixture.start(1)];
-    let mut client = fixture.client(0, Some("new"));
-    request_until_served(&mut client, Kind::Write, "w");
-    let token = client.token.clone().expect("the instance sent no session token");
-    println!("token of {} characters: {token}", token.len());
+/// Checks that the valid token `token` is rejected if it is truncated, altered or sent by another user, and that a
+/// forged token is rejected.
+fn assert_invalid_tokens_are_rejected(fixture: &Fixture, token: &str) {
     for (user, token, code) in [
         ("backend", "forged", TOKEN_REJECTED),
         ("backend", &token[..token.len() - 2], TOKEN_REJECTED),
-        ("another", token.as_str(), TOKEN_REJECTED),
+        ("another", token, TOKEN_REJECTED),
         (
             "backend",
             &token.replace(&token[40..41], if &token[40..41] == "A" { "B" } else { "A" }),
@@ -248,6 +245,17 @@
         let client = fixture.client_of_user(1, user, Some(token));
         assert_eq!(client.rejected_with.as_deref(), Some(code), "user {user}, token {token}");
     }
+}
+
+#[test]
+fn a_token_stays_valid_for_its_user_across_key_changes_until_it_expires() {
+    let fixture = Fixture::new([15, 15]);
+    let daemons = [fixture.start(0), fixture.start(1)];
+    let mut client = fixture.client(0, Some("new"));
+    request_until_served(&mut client, Kind::Write, "w");
+    let token = client.token.clone().expect("the instance sent no session token");
+    println!("token of {} characters: {token}", token.len());
+    assert_invalid_tokens_are_rejected(&fixture, &token);
     // A token issued with the old key stays valid after a newer key was added to the running instances.
     std::fs::write(fixture.folder.path().join("keys"), KEY_FILES[1]).expect("failed to write the key file");
     daemons.iter().for_each(|daemon| daemon.signal("HUP"));
--- a/server/tests/starts.rs
+++ b/server/tests/starts.rs
@@ -4,16 +4,19 @@
 mod common {
     pub mod endpoint_group;
     pub mod router_program;
+    pub mod run_program;
+    pub mod saved_list;
     pub mod start_router;
 }
 
 use common::endpoint_group::{group_entry, start_endpoint_group};
 use common::router_program::ROUTER;
+use common::run_program::run_program;
+use common::saved_list::save_old_list;
 use common::start_router::start_router;
 use endpoint_cache::{CacheDirectory, CachedEndpoint, CachedEndpointList};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::Command;
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -124,21 +127,15 @@
     }
 }
 
-#[test]
-fn an_instance_starts_from_its_cached_list_without_discovery_after_kills() {
-    let fixture = Fixture::new(DiscoveryMode::Up);
-    let daemon = fixture.start(&fixture.operator_file());
-    fixture.wait_until_served(Kind::Write, "a");
-    let is_verified = |cached: &CachedEndpointList| {
-        cached.version == 7
-            && cached.endpoints.iter().filter_map(|endpoint| endpoint.report).any(|report| report.primary)
-    };
-    let cached = fixture.wait_for_cached_list(is_verified);
-    assert_eq!(cached.endpoints.len(), 2);
-    daemon.kill();
-    fixture.discovery.set_mode(DiscoveryMode::Down);
-    // The instance is killed repeatedly while it starts and saves the list. The list must stay complete, and requests
-    // must be served each time.
+/// Whether the list is version 7 and contains an endpoint that has reported itself as the primary.
+fn has_verified_primary(cached: &CachedEndpointList) -> bool {
+    cached.version == 7
+        && cached.endpoints.iter().filter_map(|endpoint| endpoint.report).any(|report| report.primary)
+}
+
+/// Starts and kills the instance repeatedly without discovery. Checks that it starts from the cached list, that it
+/// serves requests, and that the cached list stays complete.
+fn assert_served_after_kills(fixture: &Fixture) {
     for round in 0..6 {
         let daemon = fixture.start(&fixture.operator_file());
         fixture.wait_until_served(Kind::Write, &format!("b{round}"));
@@ -149,11 +146,25 @@
             daemon.kill()
         );
         daemon.kill();
-        fixture.wait_for_cached_list(is_verified);
+        fixture.wait_for_cached_list(has_verified_primary);
     }
+}
+
+#[test]
+fn an_instance_starts_from_its_cached_list_without_discovery_after_kills() {
+    let fixture = Fixture::new(DiscoveryMode::Up);
+    let daemon = fixture.start(&fixture.operator_file());
+    fixture.wait_until_served(Kind::Write, "a");
+    let cached = fixture.wait_for_cached_list(has_verified_primary);
+    assert_eq!(cached.endpoints.len(), 2);
+    daemon.kill();
+    fixture.discovery.set_mode(DiscoveryMode::Down);
+    // The instance is killed repeatedly while it starts and saves the list. The list must stay complete, and requests
+    // must be served each time.
+    assert_served_after_kills(&fixture);
     // The endpoint list of a new incarnation of discovery must be accepted and cached.
     let daemon = fixture.start(&fixture.operator_file());
-    let endpoints = fixture.wait_for_cached_list(is_verified).endpoints;
+    let endpoints = fixture.wait_for_cached_list(has_verified_primary).endpoints;
     let entries = endpoints.iter().enumerate().map(|(index, endpoint)| {
         let address = endpoint.address.parse().expect("an endpoint has an invalid address");
         list_entry(&endpoint.name, &address, 1, index == 0, "SERVING", 0)
@@ -172,20 +183,26 @@
     );
 }
 
-#[test]
-fn an_unusable_state_directory_is_logged_once_and_requests_are_served() {
-    let fixture = Fixture::new(DiscoveryMode::Up);
+/// Checks that `log` contains `text`, the report of `event`, exactly once.
+fn assert_logged_once(log: &str, text: &str, event: &str) {
+    assert_eq!(log.matches(text).count(), 1, "expected one report of {event}, {text:?}, in the log:\n{log}");
+}
+
+/// Checks that an instance whose state directory does not exist logs this once and serves requests.
+fn assert_missing_directory_is_logged_once(fixture: &Fixture) {
     let without_directory = fixture.start(&fixture.operator_file().replace("/state", "/nowhere"));
     fixture.wait_until_served(Kind::Write, "a");
     without_directory.wait_for_log("endpoint list not cached");
     // If the failure were logged again, a second line would appear with the next saves.
     thread::sleep(Duration::from_millis(300));
     let log = without_directory.kill();
-    assert_eq!(
-        log.matches("endpoint list not cached").count(),
-        1,
-        "the missing directory was not logged exactly once:\n{log}"
-    );
+    assert_logged_once(&log, "endpoint list not cached", "the missing directory");
+}
+
+#[test]
+fn an_unusable_state_directory_is_logged_once_and_requests_are_served() {
+    let fixture = Fixture::new(DiscoveryMode::Up);
+    assert_missing_directory_is_logged_once(&fixture);
 
     // The second instance is configured with the state directory that the first one has locked.
     let first = fixture.start(&fixture.operator_file());
@@ -216,16 +233,8 @@
     fixture.wait_for_cached_list(|cached| cached.version == 11);
     first.wait_for_log("endpoint list cached again");
     let log = first.kill();
-    assert_eq!(
-        log.matches("endpoint list not cached").count(),
-        1,
-        "the failing saves were not logged exactly once:\n{log}"
-    );
-    assert_eq!(
-        log.matches("endpoint list cached again").count(),
-        1,
-        "the next successful save was not logged exactly once:\n{log}"
-    );
+    assert_logged_once(&log, "endpoint list not cached", "the failing saves");
+    assert_logged_once(&log, "endpoint list cached again", "the next successful save");
 }
 
 #[test]
@@ -268,37 +277,29 @@
     endpoints.iter().map(entry).collect()
 }
 
-/// Runs the router's program with the arguments `args` and the bootstrap file `bootstrap`. Returns its exit status, and
-/// its output on stdout and stderr.
-fn run_program(args: &[&str], bootstrap: &Path) -> (Option<i32>, String, String) {
-    let mut command = Command::new(ROUTER);
-    command.env_clear().env("ROUTER_CONFIG", bootstrap).env("ROUTER_LISTEN", "127.0.0.1:1");
-    let output = command
-        .env("ROUTER_DISCOVERY", "127.0.0.1:2")
-        .args(args)
-        .output()
-        .expect("failed to run the program");
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("the output is not UTF-8");
-    (output.status.code(), text(output.stdout), text(output.stderr))
-}
-
 fn write_file(path: &Path, text: &str) {
     std::fs::write(path, text).expect("failed to write the file");
 }
 
-/// Saves an endpoint list in the state directory `state_dir`. The list has version 41 and one endpoint, and was
-/// confirmed two hours ago.
-fn save_old_list(state_dir: &Path) {
-    let (mut directory, _) = CacheDirectory::open(state_dir).expect("failed to open the state directory");
-    let endpoints = vec![CachedEndpoint { name: "s-1".into(), group: 4, ..CachedEndpoint::default() }];
-    let mut cached = CachedEndpointList {
-        version: 41,
-        confirmed_ms: unix_ms() - 7_200_000,
-        saved_ms: unix_ms(),
-        endpoints,
-        ..CachedEndpointList::default()
-    };
-    directory.save(&mut cached).expect("failed to save the list");
+/// Checks `list show` with a missing directory, and `list show` and `list verify` with the directory `folder`, which
+/// has first no list, then a valid one, and then a damaged one.
+fn assert_list_commands_report_the_file(folder: &Path, bootstrap: &Path) {
+    let state_dir = folder.to_str().expect("the path is not UTF-8");
+    assert_eq!(run_program(&["list", "show", "/nowhere/at/all"], bootstrap).0, Some(EX_NOINPUT));
+    assert_eq!(run_program(&["list", "verify", state_dir], bootstrap).0, Some(EX_DATAERR));
+    save_old_list(folder);
+    let (status, stdout, _) = run_program(&["list", "show", state_dir], bootstrap);
+    assert!(
+        status == Some(0) && stdout.contains("version     41") && stdout.contains("old"),
+        "status {status:?}, stdout:\n{stdout}"
+    );
+    assert_eq!(run_program(&["list", "verify", state_dir], bootstrap).0, Some(0));
+    write_file(&folder.join("list"), "gingerwick-list 1 9");
+    let (status, _, stderr) = run_program(&["list", "verify", state_dir], bootstrap);
+    assert!(
+        status == Some(EX_DATAERR) && stderr.contains("the file is incomplete or damaged"),
+        "status {status:?}, stderr:\n{stderr}"
+    );
 }
 
 #[test]
@@ -334,22 +335,14 @@
     assert_eq!(run_program(&["frobnicate"], &bootstrap).0, Some(EX_USAGE));
     assert_eq!(run_program(&["--help"], &bootstrap).0, Some(0));
     assert!(run_program(&["completions", "bash"], &bootstrap).1.contains("query-router"));
-    let state_dir = folder.path().to_str().expect("the path is not UTF-8");
-    assert_eq!(run_program(&["list", "show", "/nowhere/at/all"], &bootstrap).0, Some(EX_NOINPUT));
-    assert_eq!(run_program(&["list", "verify", state_dir], &bootstrap).0, Some(EX_DATAERR));
-    save_old_list(folder.path());
-    let (status, stdout, _) = run_program(&["list", "show", state_dir], &bootstrap);
-    assert!(
-        status == Some(0) && stdout.contains("version     41") && stdout.contains("old"),
-        "status {status:?}, stdout:\n{stdout}"
-    );
-    assert_eq!(run_program(&["list", "verify", state_dir], &bootstrap).0, Some(0));
-    write_file(&folder.path().join("list"), "gingerwick-list 1 9");
-    let (status, _, stderr) = run_program(&["list", "verify", state_dir], &bootstrap);
-    assert!(
-        status == Some(EX_DATAERR) && stderr.contains("the file is incomplete or damaged"),
-        "status {status:?}, stderr:\n{stderr}"
-    );
+    assert_list_commands_report_the_file(folder.path(), &bootstrap);
+}
+
+/// Parses each line of `log` as JSON.
+fn json_lines(log: &str) -> Vec<serde_json::Value> {
+    log.lines()
+        .map(|line| serde_json::from_str(line).unwrap_or_else(|_| panic!("a log line is not JSON: {line}")))
+        .collect()
 }
 
 #[test]
@@ -370,10 +363,7 @@
     let mut daemon = daemon;
     assert_eq!(daemon.exit_status_within(Duration::from_secs(5)), Some(0));
     let log = daemon.kill();
-    let lines: Vec<serde_json::Value> = log
-        .lines()
-        .map(|line| serde_json::from_str(line).unwrap_or_else(|_| panic!("a log line is not JSON: {line}")))
-        .collect();
+    let lines = json_lines(&log);
     let has_message = |text: &str| {
         lines.iter().any(|line| line["message"].as_str().is_some_and(|message| message.contains(text)))
     };
